--- a/crates/plovershelf-pools/examples/compare.rs
+++ b/crates/plovershelf-bulkhead/examples/compare.rs
@@ -1,7 +1,7 @@
 //! The three ways of a limit on the same shapes of demand: `cargo run --release --example compare`. Each row is the mean
 //! over seeds 1 to 5; a place with 16 servers that share, where beyond 64 in hand less gets done.
 
-use plovershelf_pools::{Bounds, Limit, Way};
+use plovershelf_bulkhead::{Bounds, Limit, Way};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
--- a/crates/plovershelf-pools/src/limit.rs
+++ b/crates/plovershelf-bulkhead/src/limit.rs
@@ -1,5 +1,5 @@
 //! One adaptive limit on work in hand, by any of three known ways. Which one is chosen, and why, stands in
-//! `docs/pools.md`; `cargo run --example compare` makes its table anew.
+//! `docs/bulkhead.md`; `cargo run --example compare` makes its table anew.
 
 /// Between what a limit moves. Whole numbers of work in hand.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/plovershelf-cli/src/audit.rs
+++ b/crates/plovershelf-cli/src/audit.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use plovershelf_model::audit;
+use plovershelf_simulation::audit;
 
 #[derive(Args)]
 pub struct Options {
--- a/crates/plovershelf-cli/src/config.rs
+++ b/crates/plovershelf-cli/src/config.rs
@@ -6,9 +6,9 @@
 
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
-use plovershelf_changes::content::{Edit, Numbered, Version};
-use plovershelf_group::frames::{decode, plain};
-use plovershelf_group::status::{Answer, Question};
+use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_config_distribution::content::{Edit, Numbered, Version};
 use plovershelf_server::changes::asks::{Ask, Report, Told, KEY};
 use serde_json::{json, Value};
 
@@ -83,7 +83,7 @@
             let shown = file.to_string_lossy();
             let text = std::fs::read_to_string(file).map_err(|error| format!("{shown}: {error}"))?;
             let edits =
-                plovershelf_operator::changes::edits(&shown, &text).map_err(|wrong| wrong.to_string())?;
+                plovershelf_config::changes::edits(&shown, &text).map_err(|wrong| wrong.to_string())?;
             ask_one(whom, &Ask::Propose { edits, after: *after })
         }
         Command::History { whom } => ask_one(whom, &Ask::History),
--- a/crates/plovershelf-cli/src/config/tests.rs
+++ b/crates/plovershelf-cli/src/config/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use plovershelf_changes::node::Status;
+use plovershelf_config_distribution::node::Status;
 
 fn report(name: &str, source: bool, number: u64, in_force: u64, under: u64) -> Report {
     let version = Version { era: 1, number };
--- a/crates/plovershelf-cli/src/control.rs
+++ b/crates/plovershelf-cli/src/control.rs
@@ -33,7 +33,7 @@
         Signals::new([Signal::Term, Signal::Int]).map_err(|error| format!("signals: {error}"))?;
     let shown = options.file.to_string_lossy();
     let text = std::fs::read_to_string(&options.file).map_err(|error| format!("{shown}: {error}"))?;
-    let setup = plovershelf_operator::group::read(&shown, &text).map_err(|wrong| wrong.to_string())?;
+    let setup = plovershelf_config::group::read(&shown, &text).map_err(|wrong| wrong.to_string())?;
     let pulse = Arc::<Pulse>::default();
     pulse.beat(true);
     let member = group::start(setup, options.name.clone(), pulse.clone(), None)?;
--- a/crates/plovershelf-cli/src/copies.rs
+++ b/crates/plovershelf-cli/src/copies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::{Args, Subcommand};
-use plovershelf_group::status::{Answer, CopiesStatus, Question, TicketStatus};
+use plovershelf_cluster::status::{Answer, CopiesStatus, Question, TicketStatus};
 
 use crate::group::{ask, Whom};
 
--- a/crates/plovershelf-cli/src/demo.rs
+++ b/crates/plovershelf-cli/src/demo.rs
@@ -6,9 +6,9 @@
 use async_io::Timer;
 use clap::Args;
 use comfy_table::{presets, Table};
-use plovershelf_client::{AdviceMeaning, Builder, Terms};
-use plovershelf_standins::backend::{self, Fleet, Plan};
-use plovershelf_standins::{cores, ledger, Clock, Executor};
+use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_testkit::backend::{self, Fleet, Plan};
+use plovershelf_testkit::{cores, ledger, Clock, Executor};
 
 use crate::load::{self, Asker, End};
 use crate::trial::taps;
@@ -62,7 +62,7 @@
         let mut askers = Vec::new();
         for number in 0..CLIENTS {
             let seed = options.seed * 1000 + number as u64 + 1;
-            let terms = Terms { seed, advice: AdviceMeaning::LowestRank, ..Terms::default() };
+            let terms = Terms { seed, advice: BackpressureSignal::MinimumPriority, ..Terms::default() };
             let builder = Builder::new().members(&members).number(number as u32).terms(terms);
             let (client, drive) = builder.build()?;
             executor.spawn(drive).detach();
--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -8,8 +8,8 @@
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_group::frames::{decode, encode, unframed, Hello, Wire};
-use plovershelf_group::status::{Answer, Question, Status};
+use plovershelf_cluster::frames::{decode, encode, unframed, Hello, Wire};
+use plovershelf_cluster::status::{Answer, Question, Status};
 
 /// Which member is asked.
 #[derive(Args)]
@@ -34,7 +34,7 @@
             (Some(file), _) => {
                 let text =
                     std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-                let group = plovershelf_operator::group::read(&file.to_string_lossy(), &text)
+                let group = plovershelf_config::group::read(&file.to_string_lossy(), &text)
                     .map_err(|w| w.to_string())?;
                 Ok((group.listen, group.name))
             }
@@ -210,7 +210,7 @@
 fn history(status: &Status) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["view", "joined", "left"]);
-    let names = |of: &[(plovershelf_group::council::Id, String)]| {
+    let names = |of: &[(plovershelf_cluster::council::Id, String)]| {
         of.iter().map(|(id, name)| format!("{name} ({:08x})", id.0 >> 32)).collect::<Vec<_>>().join(", ")
     };
     for step in &status.history {
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -72,12 +72,12 @@
             member[key].as_str().ok_or_else(|| named(format!("a member without {key:?}"))).map(str::to_string)
         };
         let (name, file) = (word("name")?, word("file")?);
-        let wrong = |wrong: plovershelf_operator::Wrong| wrong.to_string();
+        let wrong = |wrong: plovershelf_config::Wrong| wrong.to_string();
         if member["listener"].as_bool().unwrap_or(false) {
-            let listener = plovershelf_operator::changes::read(&name, &file).map_err(wrong)?;
+            let listener = plovershelf_config::changes::read(&name, &file).map_err(wrong)?;
             listeners.push((name, changes::Setup::of(listener)));
         } else {
-            setups.push((name.clone(), plovershelf_operator::group::read(&name, &file).map_err(wrong)?));
+            setups.push((name.clone(), plovershelf_config::group::read(&name, &file).map_err(wrong)?));
         }
     }
     // One for all of them: there is no owner here that could be stuck.
--- a/crates/plovershelf-cli/src/load.rs
+++ b/crates/plovershelf-cli/src/load.rs
@@ -7,9 +7,9 @@
 
 use async_io::Timer;
 use plovershelf_client::{Client, Invocation, Reply, Why};
-use plovershelf_standins::plain::{Asked, Ended, Plain};
-use plovershelf_standins::work::{Effect, Work};
-use plovershelf_standins::{Clock, Executor};
+use plovershelf_testkit::plain::{Asked, Ended, Plain};
+use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::{Clock, Executor};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64;
--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -4,17 +4,17 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_changes::node::Terms;
-use plovershelf_model::changes::direct::Direct;
-use plovershelf_model::changes::gossip::Gossip;
-use plovershelf_model::changes::shapes::{Shape, FASTER, SHAPES};
-use plovershelf_model::changes::tree::Tree;
-use plovershelf_model::changes::{
+use plovershelf_config_distribution::node::Terms;
+use plovershelf_simulation::changes::direct::Direct;
+use plovershelf_simulation::changes::gossip::Gossip;
+use plovershelf_simulation::changes::shapes::{Shape, FASTER, SHAPES};
+use plovershelf_simulation::changes::tree::Tree;
+use plovershelf_simulation::changes::{
     self, Came, Rates, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS,
     ONE_CONTENT_A_NUMBER,
 };
-use plovershelf_model::plot::{lines, Line};
-use plovershelf_model::statistics::{Fit, Spread};
+use plovershelf_simulation::plot::{lines, Line};
+use plovershelf_simulation::statistics::{Fit, Spread};
 
 use super::{Aim, Figures, Ground};
 
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plovershelf_client::{AdviceMeaning, Builder, Terms};
-use plovershelf_standins::backend::{Backend, Fleet, Plan};
-use plovershelf_standins::plain::Plain;
-use plovershelf_standins::tap::{Reading, Seen, Tap};
-use plovershelf_standins::{cores, ledger, Clock, Executor};
+use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_testkit::backend::{Backend, Fleet, Plan};
+use plovershelf_testkit::plain::Plain;
+use plovershelf_testkit::tap::{Reading, Seen, Tap};
+use plovershelf_testkit::{cores, ledger, Clock, Executor};
 
 use super::{Aim, Figures, Ground};
 use crate::load::{self, Asker, Planned, Sum};
@@ -91,7 +91,7 @@
             let terms = Terms {
                 seed: ground.seed * 1000 + number as u64 + 1,
                 place: Some(number as u64),
-                advice: AdviceMeaning::LowestRank,
+                advice: BackpressureSignal::MinimumPriority,
                 ..Terms::default()
             };
             let builder = Builder::new().members(&members).number(number as u32).terms(terms);
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{AdviceMeaning, Builder, Client, Terms};
-use plovershelf_standins::backend::Fleet;
-use plovershelf_standins::Clock;
+use plovershelf_client::{BackpressureSignal, Builder, Client, Terms};
+use plovershelf_testkit::backend::Fleet;
+use plovershelf_testkit::Clock;
 
 use super::client_overload::{capacity, plan, taps};
 use super::{Aim, Figures, Ground};
@@ -37,7 +37,7 @@
         for number in 0..CLIENTS {
             let terms = Terms {
                 seed: ground.seed * 1000 + number as u64 + 1,
-                advice: AdviceMeaning::LowestRank,
+                advice: BackpressureSignal::MinimumPriority,
                 ..Terms::default()
             };
             let builder = Builder::new().members(&members).number(number as u32).terms(terms);
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_group::status::{Answer, Question};
-use plovershelf_model::audit::{self, Event, Seen};
-use plovershelf_model::copies::schedule as drawn;
-use plovershelf_model::schedule::{Fault, Folder, Schedule, Step};
-use plovershelf_model::statistics::Spread;
-use plovershelf_standins::backend::Fleet;
-use plovershelf_standins::plain::{Asked, Ended, Plain};
-use plovershelf_standins::work::{Effect, Work};
-use plovershelf_standins::{cores, rig, Clock};
+use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_simulation::audit::{self, Event, Seen};
+use plovershelf_simulation::copies::schedule as drawn;
+use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
+use plovershelf_simulation::statistics::Spread;
+use plovershelf_testkit::backend::Fleet;
+use plovershelf_testkit::plain::{Asked, Ended, Plain};
+use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::{cores, rig, Clock};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
--- a/crates/plovershelf-cli/src/trial/copies_model.rs
+++ b/crates/plovershelf-cli/src/trial/copies_model.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_model::copies::{schedule, Came, Plan, World};
-use plovershelf_model::statistics::Spread;
+use plovershelf_simulation::copies::{schedule, Came, Plan, World};
+use plovershelf_simulation::statistics::Spread;
 
 use super::{Aim, Figures, Ground};
 
--- a/crates/plovershelf-cli/src/trial/copies_rolling.rs
+++ b/crates/plovershelf-cli/src/trial/copies_rolling.rs
@@ -1,7 +1,7 @@
 //! All nine backends whose tickets have copies leave in turn and are started again, under load: what each holds is handed on,
 //! nothing is lost, run twice or told otherwise. The same without copies.
 
-use plovershelf_model::schedule::{Fault, Schedule, Step};
+use plovershelf_simulation::schedule::{Fault, Schedule, Step};
 
 use super::{copies, Aim, Figures, Ground};
 
--- a/crates/plovershelf-cli/src/trial/group_model.rs
+++ b/crates/plovershelf-cli/src/trial/group_model.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_model::group::{Came, Plan, World};
-use plovershelf_model::plot::{lines, Line};
-use plovershelf_model::schedule::Schedule;
-use plovershelf_model::statistics::{Fit, Spread};
+use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::plot::{lines, Line};
+use plovershelf_simulation::schedule::Schedule;
+use plovershelf_simulation::statistics::{Fit, Spread};
 
 use super::{Aim, Figures, Ground};
 
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -22,7 +22,7 @@
 
 use clap::Args;
 use comfy_table::{presets, Table};
-use plovershelf_standins::{backend, Executor};
+use plovershelf_testkit::{backend, Executor};
 use serde_json::{Map, Value};
 
 #[derive(Args)]
--- a/crates/plovershelf-cli/src/trial/pools.rs
+++ b/crates/plovershelf-cli/src/trial/pools.rs
@@ -4,8 +4,8 @@
 
 use async_io::Timer;
 use plovershelf_client::{Builder, Terms};
-use plovershelf_standins::backend::{Fleet, Plan};
-use plovershelf_standins::{cores, ledger, Clock};
+use plovershelf_testkit::backend::{Fleet, Plan};
+use plovershelf_testkit::{cores, ledger, Clock};
 
 use super::client_overload::taps;
 use super::{Aim, Figures, Ground};
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{AdviceMeaning, Builder, Terms};
-use plovershelf_standins::backend::{Fleet, Plan};
-use plovershelf_standins::plain::Plain;
-use plovershelf_standins::{cores, ledger, Clock};
+use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_testkit::backend::{Fleet, Plan};
+use plovershelf_testkit::plain::Plain;
+use plovershelf_testkit::{cores, ledger, Clock};
 use serde_json::json;
 
 use super::client_overload::taps;
@@ -103,7 +103,7 @@
                 continue;
             };
             let seed = ground.seed * 1000 + number as u64 + 1;
-            let advice = AdviceMeaning::OutstandingPerCaller;
+            let advice = BackpressureSignal::ConcurrencyPerClient;
             let terms = Terms { seed, advice, place: Some(number as u64), ..Terms::default() };
             let (client, drive) =
                 Builder::new().members(&members).number(number as u32).terms(terms).build()?;
--- a/crates/plovershelf-cli/src/trial/scale.rs
+++ b/crates/plovershelf-cli/src/trial/scale.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_standins::Clock;
+use plovershelf_testkit::Clock;
 
 use super::{Figures, Ground};
 use accounts::{Process, Tally};
--- a/crates/plovershelf-cli/src/trial/scale/calls.rs
+++ b/crates/plovershelf-cli/src/trial/scale/calls.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plovershelf_model::statistics::Spread;
-use plovershelf_standins::backend::{Fleet, Plan};
-use plovershelf_standins::plain::Plain;
-use plovershelf_standins::{cores, ledger, Clock, Executor};
+use plovershelf_simulation::statistics::Spread;
+use plovershelf_testkit::backend::{Fleet, Plan};
+use plovershelf_testkit::plain::Plain;
+use plovershelf_testkit::{cores, ledger, Clock, Executor};
 use serde_json::json;
 
 use super::super::Ground;
@@ -125,7 +125,7 @@
         let mut planned = load::schedule(seed, self.askers.len(), span_ms, |at| rate(at).max(0.01));
         if firsts > 0 {
             let step_ms = OPENING.as_secs_f64() * 1000.0;
-            let work = |work_ms| plovershelf_standins::work::Work {
+            let work = |work_ms| plovershelf_testkit::work::Work {
                 number: 0,
                 work_ms,
                 calls: 0,
--- a/crates/plovershelf-cli/src/trial/scale/judging.rs
+++ b/crates/plovershelf-cli/src/trial/scale/judging.rs
@@ -3,8 +3,8 @@
 use std::net::IpAddr;
 use std::path::Path;
 
-use plovershelf_model::plot::{self, Line};
-use plovershelf_model::statistics::{Fit, Spread};
+use plovershelf_simulation::plot::{self, Line};
+use plovershelf_simulation::statistics::{Fit, Spread};
 use serde_json::{json, Value};
 
 use super::super::{Aim, Figures};
--- a/crates/plovershelf-cli/src/trial/scale/judging/tests.rs
+++ b/crates/plovershelf-cli/src/trial/scale/judging/tests.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use plovershelf_group::status::Brief;
+use plovershelf_cluster::status::Brief;
 
 use super::super::watch::{Death, Seen, Word, KEY};
 use super::*;
--- a/crates/plovershelf-cli/src/trial/scale/watch.rs
+++ b/crates/plovershelf-cli/src/trial/scale/watch.rs
@@ -9,11 +9,11 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_changes::content::Edit;
-use plovershelf_group::frames::{decode, encode, plain, unframed, Hello, Wire};
-use plovershelf_group::status::{Answer, Brief, Question, Status};
+use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
+use plovershelf_cluster::status::{Answer, Brief, Question, Status};
+use plovershelf_config_distribution::content::Edit;
 use plovershelf_server::changes::asks::{self, Ask, Report, Told};
-use plovershelf_standins::{Clock, Executor};
+use plovershelf_testkit::{Clock, Executor};
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::processes::{Mode, GROUP};
@@ -232,7 +232,7 @@
 
     /// Names of the dead that are asked about now.
     fn asked_about(&self) -> Vec<String> {
-        let last = self.deaths.len().saturating_sub(plovershelf_group::status::BRIEF_NAMES_MOST);
+        let last = self.deaths.len().saturating_sub(plovershelf_cluster::status::BRIEF_NAMES_MOST);
         self.deaths[last..].iter().map(|death| death.name.clone()).collect()
     }
 }
--- a/crates/plovershelf-cli/src/trial/tests.rs
+++ b/crates/plovershelf-cli/src/trial/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_figure_without_data_is_a_failed_claim_and_no_zero() {
-    let empty = plovershelf_model::statistics::Spread::default();
+    let empty = plovershelf_simulation::statistics::Spread::default();
     for (aim, value) in [
         (Aim::AtMost(4.0), empty.most()),
         (Aim::AtLeast(0.0), empty.at(0.5)),
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_model::schedule::{Fault, Folder, Schedule, Step};
-use plovershelf_standins::backend::Fleet;
-use plovershelf_standins::plain::{Asked, Ended, Plain};
-use plovershelf_standins::work::{Effect, Work};
-use plovershelf_standins::{cores, rig, Clock};
-use plovershelf_zones::asks::{Ask, Told};
-use plovershelf_zones::guide::Guide;
-use plovershelf_zones::plan::{Topology, Zone, BANDS};
-use plovershelf_zones::planner::{shares, Terms};
+use plovershelf_failover::asks::{Ask, Told};
+use plovershelf_failover::guide::Guide;
+use plovershelf_failover::plan::{Topology, Zone, BANDS};
+use plovershelf_failover::planner::{shares, Terms};
+use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
+use plovershelf_testkit::backend::Fleet;
+use plovershelf_testkit::plain::{Asked, Ended, Plain};
+use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::{cores, rig, Clock};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
--- a/crates/plovershelf-cli/src/trial/zones_model.rs
+++ b/crates/plovershelf-cli/src/trial/zones_model.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_model::plot::{lines, Line};
-use plovershelf_model::statistics::compared;
-use plovershelf_model::zones::{Came, Led, Shape, World, SHAPES};
+use plovershelf_simulation::plot::{lines, Line};
+use plovershelf_simulation::statistics::compared;
+use plovershelf_simulation::zones::{Came, Led, Shape, World, SHAPES};
 
 use super::{Aim, Figures, Ground};
 
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -5,11 +5,11 @@
 
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
-use plovershelf_group::frames::{decode, plain};
-use plovershelf_group::status::{Answer, Question};
-use plovershelf_zones::asks::{Ask, Status, Told};
-use plovershelf_zones::plan::{Plan, Zone, BANDS};
-use plovershelf_zones::planner::{Forecast, Wish};
+use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_failover::asks::{Ask, Status, Told};
+use plovershelf_failover::plan::{Plan, Zone, BANDS};
+use plovershelf_failover::planner::{Forecast, Wish};
 
 use crate::group::{ask, Whom};
 
--- a/crates/plovershelf-cli/tests/config.rs
+++ b/crates/plovershelf-cli/tests/config.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use plovershelf_server::changes::{self, Setup, Sink};
-use plovershelf_standins::free_address;
-use plovershelf_standins::sources::Sources;
+use plovershelf_testkit::free_address;
+use plovershelf_testkit::sources::Sources;
 
 struct Controls {
     folder: PathBuf,
--- a/crates/plovershelf-client/src/caller/again.rs
+++ b/crates/plovershelf-client/src/caller/again.rs
@@ -1,6 +1,6 @@
 //! May a call be tried again, and where? The one table that rule "no effect twice" rests on.
 
-use plovershelf::interface::Repeats;
+use plovershelf::api::Idempotency;
 
 /// How a try came to its end without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,12 +35,12 @@
 /// | rerunnable | anywhere | anywhere |
 /// | ticketed | anywhere; the same member once a try may have run there | the same member |
 /// | exclusive | anywhere | no |
-pub fn again(repeats: Repeats, over: TryOver, may_have_run_before: bool) -> Again {
+pub fn again(repeats: Idempotency, over: TryOver, may_have_run_before: bool) -> Again {
     let unsure = may_have_run_before || !over.proves_not_run();
     match (repeats, unsure) {
-        (Repeats::Rerunnable, _) | (_, false) => Again::Anywhere,
-        (Repeats::Ticketed, true) => Again::SameMember,
-        (Repeats::Exclusive, true) => Again::No,
+        (Idempotency::Idempotent, _) | (_, false) => Again::Anywhere,
+        (Idempotency::Keyed, true) => Again::SameMember,
+        (Idempotency::NonIdempotent, true) => Again::No,
     }
 }
 
--- a/crates/plovershelf-client/src/caller/members.rs
+++ b/crates/plovershelf-client/src/caller/members.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use plovershelf::interface::AdviceMeaning;
-use plovershelf_codec::front::Words;
+use plovershelf::api::BackpressureSignal;
+use plovershelf_codec::front::ServerSignals;
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
@@ -55,11 +55,11 @@
     }
 
     /// What it says of itself counts for itself alone.
-    pub fn told(&mut self, now: f64, words: &Words, terms: &Terms) {
-        if let Some(value) = words.advice {
+    pub fn told(&mut self, now: f64, words: &ServerSignals, terms: &Terms) {
+        if let Some(value) = words.backpressure {
             self.advice = Some((value, now + terms.heeded_ms));
         }
-        if let Some(span) = words.cool_down_ms {
+        if let Some(span) = words.retry_after_ms {
             self.away_until = self.away_until.max(now + span.min(terms.cool_down_most_ms));
         }
     }
@@ -217,14 +217,14 @@
         }
         if let Some((value, until)) = member.advice(now) {
             let declines = match terms.advice {
-                AdviceMeaning::Nothing => false,
-                AdviceMeaning::LowestRank => wants.rank < value,
+                BackpressureSignal::None => false,
+                BackpressureSignal::MinimumPriority => wants.rank < value,
                 // A fraction counts by chance.
-                AdviceMeaning::OutstandingPerCaller => {
+                BackpressureSignal::ConcurrencyPerClient => {
                     let more = f64::from(chance.random::<f64>() < value.fract());
                     member.outstanding as f64 >= value.floor() + more
                 }
-                AdviceMeaning::ShareOfUsual => chance.random::<f64>() >= value,
+                BackpressureSignal::RateFraction => chance.random::<f64>() >= value,
             };
             if declines {
                 return Willing::Declined(until);
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -26,9 +26,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use plovershelf::interface::Repeats;
-use plovershelf_codec::front::caller::Heard;
-use plovershelf_codec::front::Words;
+use plovershelf::api::Idempotency;
+use plovershelf_codec::front::client::Response;
+use plovershelf_codec::front::ServerSignals;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct CallFacts {
     pub offering: Arc<str>,
-    pub repeats: Repeats,
+    pub repeats: Idempotency,
     /// From 0 to under 1, the lowest first to go.
     pub rank: f64,
     /// When its asker waits no longer.
@@ -177,7 +177,7 @@
 #[derive(Debug)]
 struct Open {
     offering: usize,
-    repeats: Repeats,
+    repeats: Idempotency,
     rank: f64,
     due: f64,
     subject: u64,
@@ -448,19 +448,25 @@
     }
 
     /// A whole message has come on a connection.
-    pub fn heard(&mut self, now: f64, link: LinkId, heard: &Heard<'_>) {
+    pub fn heard(&mut self, now: f64, link: LinkId, heard: &Response<'_>) {
         self.tick(now);
         let Some(own) = self.links.get_mut(&link) else { return };
         own.heard_at = self.now;
         match *heard {
-            Heard::Succeeded { seqid, words, .. } => self.answered(link, seqid, &words, Answer::Succeeded),
-            Heard::Dismissed { seqid, words } => self.answered(link, seqid, &words, Answer::Dismissed(words)),
-            Heard::Scrapped { seqid, words } => self.answered(link, seqid, &words, Answer::Scrapped),
-            Heard::Complaint { seqid, ours, .. } => {
+            Response::Succeeded { seqid, signals: words, .. } => {
+                self.answered(link, seqid, &words, Answer::Succeeded)
+            }
+            Response::Rejected { seqid, signals: words } => {
+                self.answered(link, seqid, &words, Answer::Dismissed(words))
+            }
+            Response::Failed { seqid, signals: words } => {
+                self.answered(link, seqid, &words, Answer::Scrapped)
+            }
+            Response::Exception { seqid, permanent: ours, .. } => {
                 let answer = if ours { Answer::Ours } else { Answer::Scrapped };
-                self.answered(link, seqid, &Words::default(), answer);
+                self.answered(link, seqid, &ServerSignals::default(), answer);
             }
-            Heard::Health { seqid, fit, words } => match own.probe {
+            Response::Health { seqid, ready: fit, signals: words } => match own.probe {
                 Some((asked, _)) if asked == seqid => {
                     (own.probe, own.answered) = (None, true);
                     if own.state == LinkState::Proving {
@@ -475,8 +481,8 @@
                 }
                 _ => self.fault(link),
             },
-            Heard::Closing => self.closing(link),
-            Heard::Other => {}
+            Response::Closing => self.closing(link),
+            Response::Other => {}
         }
         self.place_ready();
     }
@@ -768,7 +774,9 @@
             member.outstanding += 1;
             member.breaker.sent(self.now, &self.terms);
         }
-        if self.terms.hedge_percentile.is_some() && open.repeats == Repeats::Rerunnable && open.out.len() == 1
+        if self.terms.hedge_percentile.is_some()
+            && open.repeats == Idempotency::Idempotent
+            && open.out.len() == 1
         {
             if let Some(slow) = self.offerings[open.offering].slow.value() {
                 let at = self.now + slow.max(1.0);
@@ -802,7 +810,7 @@
         }
     }
 
-    fn answered(&mut self, link: LinkId, seqid: i32, words: &Words, answer: Answer) {
+    fn answered(&mut self, link: LinkId, seqid: i32, words: &ServerSignals, answer: Answer) {
         let Some(own) = self.links.get_mut(&link) else { return };
         let member = own.member;
         let Some((id, sent_at)) = own.out.remove(&seqid) else {
@@ -855,28 +863,28 @@
         self.end_if_done(link);
     }
 
-    fn told(&mut self, member: MemberId, words: &Words) {
+    fn told(&mut self, member: MemberId, words: &ServerSignals) {
         if let Some(member) = self.members.get_mut(member) {
             member.told(self.now, words, &self.terms);
         }
     }
 
-    fn dismissed(&mut self, id: CallId, member: MemberId, words: &Words) {
+    fn dismissed(&mut self, id: CallId, member: MemberId, words: &ServerSignals) {
         let Some(open) = self.calls.get_mut(&id) else { return };
         let left = open.due - self.now;
-        let wait_ms = words.cool_down_ms;
+        let wait_ms = words.retry_after_ms;
         let ending = match open.may_have_run {
             Some(_) => Ending::Scrapped { may_have_run: true },
-            None => Ending::Dismissed { come_back_ms: wait_ms, last: words.last },
+            None => Ending::Dismissed { come_back_ms: wait_ms, last: words.no_retry_elsewhere },
         };
         let too_long = wait_ms.is_some_and(|wait| wait >= left);
         // Nobody else is to be asked, and nothing says when this one may be.
-        let over = too_long || (words.last && wait_ms.is_none());
+        let over = too_long || (words.no_retry_elsewhere && wait_ms.is_none());
         if over && open.out.is_empty() {
             self.finish(id, ending);
             return;
         }
-        if words.last {
+        if words.no_retry_elsewhere {
             open.only = Some(member);
         }
         self.failed(id, member, TryOver::Dismissed, ending);
@@ -1266,7 +1274,7 @@
 #[derive(Clone, Copy)]
 enum Answer {
     Succeeded,
-    Dismissed(Words),
+    Dismissed(ServerSignals),
     Scrapped,
     /// What was sent would be refused everywhere.
     Ours,
--- a/crates/plovershelf-client/src/caller/terms.rs
+++ b/crates/plovershelf-client/src/caller/terms.rs
@@ -1,6 +1,6 @@
 //! All sizes, counts and times that bound a caller, and what they may be.
 
-use plovershelf::interface::AdviceMeaning;
+use plovershelf::api::BackpressureSignal;
 
 /// The bounds of one caller. Times are milliseconds. The defaults suit most; [`Terms::check`] names what can't be.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +37,7 @@
     /// How long the quickest and the mean time of an offering look back.
     pub times_span_ms: f64,
     /// What callers take the advised value for, and how long it is heeded.
-    pub advice: AdviceMeaning,
+    pub advice: BackpressureSignal,
     pub heeded_ms: f64,
     /// No wait that a member names is believed to be longer.
     pub cool_down_most_ms: f64,
@@ -100,7 +100,7 @@
             throttle_span_ms: 10_000.0,
             way_ms: 1.0,
             times_span_ms: 5000.0,
-            advice: AdviceMeaning::Nothing,
+            advice: BackpressureSignal::None,
             heeded_ms: 1000.0,
             cool_down_most_ms: 60_000.0,
             crossing_ms: 50.0,
--- a/crates/plovershelf-client/src/lib.rs
+++ b/crates/plovershelf-client/src/lib.rs
@@ -8,4 +8,4 @@
 pub use caller::{Counts, Ending, Why};
 pub use link::{Builder, Client, Invocation, Reply};
 pub use list::{BadList, MemberList};
-pub use plovershelf::interface::{AdviceMeaning, Repeats};
+pub use plovershelf::api::{BackpressureSignal, Idempotency};
--- a/crates/plovershelf-client/src/link/connection.rs
+++ b/crates/plovershelf-client/src/link/connection.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_codec::front::caller;
+use plovershelf_codec::front::client;
 
 use crate::caller::LinkId;
 
@@ -68,7 +68,7 @@
     loop {
         let mut used = 0;
         loop {
-            match caller::take(&bytes[used..], LONGEST_FRAME) {
+            match client::decode_first(&bytes[used..], LONGEST_FRAME) {
                 Ok(Some((frame, length))) => {
                     if events.send(Event::Frame(link, frame.to_vec())).await.is_err() {
                         return None;
--- a/crates/plovershelf-client/src/link/driver.rs
+++ b/crates/plovershelf-client/src/link/driver.rs
@@ -14,8 +14,8 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use futures_lite::future;
-use plovershelf_codec::front::caller::{self as front, Heard, Try};
-use plovershelf_codec::TryId;
+use plovershelf_codec::front::client::{self as front, Attempt, Response};
+use plovershelf_codec::AttemptId;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -280,10 +280,10 @@
                 }
                 self.wires.remove(&link);
             }
-            Event::Frame(link, frame) => match front::hear(&frame) {
+            Event::Frame(link, frame) => match front::decode_response(&frame) {
                 Ok(heard) => {
                     let result = match heard {
-                        Heard::Succeeded { result, .. } => Some(result),
+                        Response::Succeeded { result, .. } => Some(result),
                         _ => None,
                     };
                     self.caller.heard(now, link, &heard);
@@ -333,30 +333,30 @@
     }
 
     fn send(&mut self, link: LinkId, seqid: i32, call: CallId, waits_ms: f64, marked: bool) {
-        let id = self.try_id();
+        let id = self.attempt_id();
         let Some(Pending { invocation, .. }) = self.pending.get(&call) else { return };
         let came = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let one = Try {
-            offering: &invocation.offering,
+        let one = Attempt {
+            class: &invocation.offering,
             id,
-            came_ms: came.as_millis() as u64,
+            sent_ms: came.as_millis() as u64,
             caller: self.number,
             tenant: &invocation.tenant,
-            waits_ms: Some(waits_ms),
-            footprint_kb: invocation.footprint_kb,
+            timeout_ms: Some(waits_ms),
+            memory_kb: invocation.footprint_kb,
             rank: invocation.rank,
-            subject: invocation.subject,
-            ticket: invocation.ticket.as_deref(),
+            object: invocation.subject,
+            idempotency_key: invocation.ticket.as_deref(),
             work_hint_ms: invocation.work_hint_ms,
-            marked_repeat: marked,
+            marked_retry: marked,
             body: &invocation.body,
         };
         let frame = front::dispatch(seqid, &one);
         self.write(link, frame);
     }
 
-    fn try_id(&mut self) -> TryId {
-        let mut id: TryId = [0; 16];
+    fn attempt_id(&mut self) -> AttemptId {
+        let mut id: AttemptId = [0; 16];
         let bits: u64 = self.ids.random();
         for (place, digit) in id.iter_mut().enumerate() {
             *digit = b"0123456789abcdef"[(bits >> (4 * place) & 15) as usize];
--- a/crates/plovershelf-client/src/link/mod.rs
+++ b/crates/plovershelf-client/src/link/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
-use plovershelf::interface::Repeats;
+use plovershelf::api::Idempotency;
 
 use crate::caller::terms::Terms;
 use crate::caller::{Caller, Counts, Why};
@@ -30,7 +30,7 @@
     tenant: Arc<str>,
     body: Arc<[u8]>,
     within: Duration,
-    repeats: Repeats,
+    repeats: Idempotency,
     ticket: Option<Arc<str>>,
     rank: f64,
     subject: Option<u64>,
@@ -46,7 +46,7 @@
             tenant: "".into(),
             body: body.into(),
             within,
-            repeats: Repeats::Rerunnable,
+            repeats: Idempotency::Idempotent,
             ticket: None,
             rank: 0.5,
             subject: None,
@@ -63,13 +63,13 @@
 
     /// It may be sent again with this mark, by which a backend knows repeats of it; 128 bytes at most.
     pub fn ticketed(mut self, ticket: impl Into<Arc<str>>) -> Self {
-        (self.repeats, self.ticket) = (Repeats::Ticketed, Some(ticket.into()));
+        (self.repeats, self.ticket) = (Idempotency::Keyed, Some(ticket.into()));
         self
     }
 
     /// It runs once at most: it is sent again only on proof that it never ran.
     pub fn exclusive(mut self) -> Self {
-        (self.repeats, self.ticket) = (Repeats::Exclusive, None);
+        (self.repeats, self.ticket) = (Idempotency::NonIdempotent, None);
         self
     }
 
--- a/crates/plovershelf-group/benches/decision.rs
+++ b/crates/plovershelf-cluster/benches/decision.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use plovershelf_group::council::{Council, Id, State, Terms, What};
+use plovershelf_cluster::council::{Council, Id, State, Terms, What};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/plovershelf-group/tests/broken.rs
+++ b/crates/plovershelf-cluster/tests/broken.rs
@@ -2,7 +2,7 @@
 
 mod walk;
 
-use plovershelf_group::broken::{set, Broken};
+use plovershelf_cluster::broken::{set, Broken};
 use stateright::{Checker, Model};
 use walk::{Folder, Group, Left};
 
--- a/crates/plovershelf-group/tests/walk/mod.rs
+++ b/crates/plovershelf-cluster/tests/walk/mod.rs
@@ -5,7 +5,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-use plovershelf_group::council::{
+use plovershelf_cluster::council::{
     Council, Effects, Entry, Id, Kept, Mark, Message, Role, State, Terms, What, Whole,
 };
 use serde::{Deserialize, Serialize};
--- a/crates/plovershelf-codec/src/agent.rs
+++ b/crates/plovershelf-codec/src/agent.rs
@@ -1,17 +1,17 @@
 //! The lines spoken with the agent that owns the cores: commands to it, notices from it.
 
 use crate::lines::{bad, measure, number, push_body, take_body, take_line, words, BadLine};
-use crate::{try_id, TryId};
+use crate::{attempt_id, AttemptId};
 
 /// Gauges that one answer may hold.
 const MOST_GAUGES: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunOver {
-    Success,
-    Failure,
+pub enum RunResult {
+    Succeeded,
+    Failed,
     Interrupted,
-    Nothing,
+    NotFound,
 }
 
 /// What the agent says. Numbered notices come once each and are told again on a new link.
@@ -21,15 +21,15 @@
         fresh: bool,
         up_for_ms: f64,
     },
-    Outcome {
+    RunEnded {
         number: u64,
-        id: TryId,
-        over: RunOver,
+        id: AttemptId,
+        over: RunResult,
         result: &'a [u8],
     },
-    Request {
+    CallRequested {
         number: u64,
-        id: TryId,
+        id: AttemptId,
         call: &'a [u8],
     },
     Sampled {
@@ -37,42 +37,42 @@
         gauges: Vec<f64>,
     },
     /// What it was about: a try's name, or the tag of a sample.
-    Refusal {
+    CommandRejected {
         command: &'a [u8],
         about: &'a [u8],
     },
-    Aside {
+    Skipped {
         number: u64,
     },
 }
 
 /// The first notice of what was read and the bytes it takes; `None` until it is whole. Bytes that belong to a
 /// notice are at most `most_body`.
-pub fn take(read: &[u8], most_body: usize) -> Result<Option<(Notice<'_>, usize)>, BadLine> {
+pub fn decode_first(read: &[u8], most_body: usize) -> Result<Option<(Notice<'_>, usize)>, BadLine> {
     let Some((line, used)) = take_line(read)? else { return Ok(None) };
     let parts: Vec<&[u8]> = words(line).take(8 + MOST_GAUGES).collect();
     let notice = match parts[..] {
         [b"greeting", state, up_for] => greeting(state, up_for),
         [b"outcome", n, id, over, _, length] => {
-            let (Some(number), Some(id), Some(over)) = (number(n), try_id(id), run_over(over)) else {
+            let (Some(number), Some(id), Some(over)) = (number(n), attempt_id(id), run_over(over)) else {
                 return bad("an outcome does not parse", line);
             };
             let body = take_body(read, line, used, length, most_body)?;
-            return Ok(body.map(|(result, end)| (Notice::Outcome { number, id, over, result }, end)));
+            return Ok(body.map(|(result, end)| (Notice::RunEnded { number, id, over, result }, end)));
         }
         [b"request", n, id, length] => {
-            let (Some(number), Some(id)) = (number(n), try_id(id)) else {
+            let (Some(number), Some(id)) = (number(n), attempt_id(id)) else {
                 return bad("a call does not parse", line);
             };
             let body = take_body(read, line, used, length, most_body)?;
-            return Ok(body.map(|(call, end)| (Notice::Request { number, id, call }, end)));
+            return Ok(body.map(|(call, end)| (Notice::CallRequested { number, id, call }, end)));
         }
         [b"sampled", tag, ref values @ ..] if values.len() <= MOST_GAUGES => {
             let gauges: Option<Vec<f64>> = values.iter().map(|v| measure(v)).collect();
             gauges.map(|gauges| Notice::Sampled { tag, gauges })
         }
-        [b"refusal", command, about] => Some(Notice::Refusal { command, about }),
-        [b"aside", n, ..] => number(n).map(|number| Notice::Aside { number }),
+        [b"refusal", command, about] => Some(Notice::CommandRejected { command, about }),
+        [b"aside", n, ..] => number(n).map(|number| Notice::Skipped { number }),
         _ => None,
     };
     match notice {
@@ -90,12 +90,12 @@
     measure(up_for).map(|up_for_ms| Notice::Greeting { fresh, up_for_ms })
 }
 
-fn run_over(word: &[u8]) -> Option<RunOver> {
+fn run_over(word: &[u8]) -> Option<RunResult> {
     Some(match word {
-        b"success" => RunOver::Success,
-        b"failure" => RunOver::Failure,
-        b"interrupted" => RunOver::Interrupted,
-        b"nothing" => RunOver::Nothing,
+        b"success" => RunResult::Succeeded,
+        b"failure" => RunResult::Failed,
+        b"interrupted" => RunResult::Interrupted,
+        b"nothing" => RunResult::NotFound,
         _ => return None,
     })
 }
@@ -104,22 +104,22 @@
     format!("subscribe {last_read}\r\n").into_bytes()
 }
 
-pub fn launch(id: &TryId, offering: &str, body: &[u8]) -> Vec<u8> {
-    let mut line = [b"launch ", &id[..], b" ", offering.as_bytes()].concat();
+pub fn launch(id: &AttemptId, class: &str, body: &[u8]) -> Vec<u8> {
+    let mut line = [b"launch ", &id[..], b" ", class.as_bytes()].concat();
     push_body(&mut line, body);
     line
 }
 
-pub fn freeze(id: &TryId) -> Vec<u8> {
+pub fn cancel_run(id: &AttemptId) -> Vec<u8> {
     [b"freeze ", &id[..], b"\r\n"].concat()
 }
 
 /// Go on without the call that the run waits for, where the site allows that.
-pub fn forgo(id: &TryId) -> Vec<u8> {
+pub fn skip_call(id: &AttemptId) -> Vec<u8> {
     [b"forgo ", &id[..], b"\r\n"].concat()
 }
 
-pub fn deliver(id: &TryId, reply: &[u8]) -> Vec<u8> {
+pub fn deliver(id: &AttemptId, reply: &[u8]) -> Vec<u8> {
     let mut line = [b"deliver ", &id[..]].concat();
     push_body(&mut line, reply);
     line
--- a/crates/plovershelf-codec/src/front.rs
+++ b/crates/plovershelf-codec/src/front.rs
@@ -1,8 +1,8 @@
 //! What sidecars and backends say to each other: Thrift's strict binary protocol in frames.
 
-use crate::{try_id, TryId};
+use crate::{attempt_id, AttemptId};
 
-pub mod caller;
+pub mod client;
 
 /// Bounds on what one frame may hold, beside the frame's own size.
 const MOST_NESTED: u32 = 16;
@@ -24,7 +24,7 @@
 
 /// Kinds of application exceptions, as the protocol numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Complaint {
+pub enum ExceptionKind {
     UnknownMethod = 1,
     WrongType = 2,
     Internal = 6,
@@ -33,20 +33,20 @@
 
 /// An invocation as its caller describes it.
 #[derive(Debug, PartialEq)]
-pub struct Invocation<'a> {
-    pub offering: &'a str,
-    pub id: TryId,
-    pub came_ms: f64,
+pub struct Request<'a> {
+    pub class: &'a str,
+    pub id: AttemptId,
+    pub sent_ms: f64,
     pub tenant: &'a str,
     /// How long the caller waits for this try.
-    pub waits_ms: Option<f64>,
-    pub footprint_kb: f64,
+    pub timeout_ms: Option<f64>,
+    pub memory_kb: f64,
     /// What a read is about; 0 for nothing.
-    pub subject: u64,
+    pub object: u64,
     /// The mark by which repeats of a ticketed invocation are known.
-    pub ticket: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub work_hint_ms: Option<f64>,
-    pub marked_repeat: bool,
+    pub marked_retry: bool,
     pub body: &'a [u8],
 }
 
@@ -54,7 +54,7 @@
 pub enum Message<'a> {
     Dispatch {
         seqid: i32,
-        invocation: Invocation<'a>,
+        request: Request<'a>,
     },
     Cancel {
         seqid: i32,
@@ -68,11 +68,11 @@
 
 /// A frame that can't be taken.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// What is said can't be told apart from noise: the connection is no good.
-    Garbled(&'static str),
+    Malformed(&'static str),
     /// It is a call, and its caller is told what is wrong.
-    Refused { seqid: i32, method: String, complaint: Complaint, what: String },
+    Rejected { seqid: i32, method: String, kind: ExceptionKind, what: String },
 }
 
 /// The length of the frame that the bytes begin with, or `None` while its four bytes are not all there.
@@ -173,35 +173,37 @@
 }
 
 /// Takes the message out of one whole frame, without its length.
-pub fn decode(frame: &[u8]) -> Result<Message<'_>, Fault> {
+pub fn decode(frame: &[u8]) -> Result<Message<'_>, DecodeError> {
     let mut input = Input { left: frame };
-    let (kind, method, seqid) = head(&mut input).map_err(Fault::Garbled)?;
+    let (kind, method, seqid) = head(&mut input).map_err(DecodeError::Malformed)?;
     if kind != CALL && kind != ONEWAY {
-        return Err(Fault::Garbled("not a call"));
+        return Err(DecodeError::Malformed("not a call"));
     }
-    let refused = |complaint: Complaint, what: String| Fault::Refused {
+    let refused = |kind: ExceptionKind, what: String| DecodeError::Rejected {
         seqid,
         method: String::from_utf8_lossy(&method[..method.len().min(64)]).into_owned(),
-        complaint,
+        kind,
         what,
     };
     match (method, kind) {
         (b"dispatch", CALL) => match dispatch(&mut input) {
-            Ok(invocation) => Ok(Message::Dispatch { seqid, invocation }),
-            Err(what) => Err(refused(Complaint::Protocol, what)),
+            Ok(request) => Ok(Message::Dispatch { seqid, request }),
+            Err(what) => Err(refused(ExceptionKind::Protocol, what)),
         },
         (b"cancelRequest", _) => match cancel(&mut input) {
             Ok(of) => Ok(Message::Cancel { seqid: of }),
             Err(_) if kind == ONEWAY => Ok(Message::Other),
-            Err(what) => Err(refused(Complaint::Protocol, what.to_string())),
+            Err(what) => Err(refused(ExceptionKind::Protocol, what.to_string())),
         },
         (b"alive", CALL) => match input.skip(STRUCT, MOST_NESTED) {
             Ok(()) => Ok(Message::Alive { seqid }),
-            Err(what) => Err(refused(Complaint::Protocol, what.to_string())),
+            Err(what) => Err(refused(ExceptionKind::Protocol, what.to_string())),
         },
-        (b"dispatch" | b"alive", _) => Err(refused(Complaint::WrongType, "this is no oneway message".into())),
+        (b"dispatch" | b"alive", _) => {
+            Err(refused(ExceptionKind::WrongType, "this is no oneway message".into()))
+        }
         (_, ONEWAY) => Ok(Message::Other),
-        _ => Err(refused(Complaint::UnknownMethod, "no such method".into())),
+        _ => Err(refused(ExceptionKind::UnknownMethod, "no such method".into())),
     }
 }
 
@@ -225,7 +227,7 @@
     of.ok_or("no sequence number is named")
 }
 
-fn dispatch<'a>(input: &mut Input<'a>) -> Result<Invocation<'a>, String> {
+fn dispatch<'a>(input: &mut Input<'a>) -> Result<Request<'a>, String> {
     let (mut fields, mut body) = (None, None);
     while let Some((kind, number)) = input.field()? {
         match (kind, number) {
@@ -251,33 +253,33 @@
         },
     };
     let needed_measure = |name: &str| measure(name)?.ok_or_else(|| format!("field {name:?} is missing"));
-    let id = try_id(needed("i")?.as_bytes()).ok_or("field \"i\" is not 16 hex digits")?;
+    let id = attempt_id(needed("i")?.as_bytes()).ok_or("field \"i\" is not 16 hex digits")?;
     if needed_measure("p")? >= 1.0 {
         return Err("field \"p\" is not under 1".into());
     }
-    let footprint_kb = needed_measure("m")?;
-    if footprint_kb <= 0.0 || footprint_kb >= 2000.0 {
+    let memory_kb = needed_measure("m")?;
+    if memory_kb <= 0.0 || memory_kb >= 2000.0 {
         return Err("field \"m\" is out of bounds".into());
     }
-    let subject = match text("o")? {
+    let object = match text("o")? {
         None => 0,
         Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| "field \"o\" is not hex")?,
     };
-    let ticket = text("k")?;
-    if ticket.is_some_and(|ticket| ticket.len() > LONGEST_TICKET) {
+    let idempotency_key = text("k")?;
+    if idempotency_key.is_some_and(|idempotency_key| idempotency_key.len() > LONGEST_TICKET) {
         return Err("field \"k\" is too long".into());
     }
-    Ok(Invocation {
-        offering: needed("c")?,
+    Ok(Request {
+        class: needed("c")?,
         id,
-        came_ms: needed_measure("s")?,
+        sent_ms: needed_measure("s")?,
         tenant: text("t")?.unwrap_or(""),
-        waits_ms: measure("d")?,
-        footprint_kb,
-        subject,
-        ticket,
+        timeout_ms: measure("d")?,
+        memory_kb,
+        object,
+        idempotency_key,
         work_hint_ms: measure("h")?.filter(|hint| *hint > 0.0),
-        marked_repeat: find("r").is_some_and(|value| value != b"0"),
+        marked_retry: find("r").is_some_and(|value| value != b"0"),
         body,
     })
 }
@@ -286,13 +288,13 @@
 
 /// What a backend says of itself beside an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Words {
+pub struct ServerSignals {
     /// The free value that callers may go by.
-    pub advice: Option<f64>,
+    pub backpressure: Option<f64>,
     /// Stay away for so long.
-    pub cool_down_ms: Option<f64>,
+    pub retry_after_ms: Option<f64>,
     /// Trying another backend would not help.
-    pub last: bool,
+    pub no_retry_elsewhere: bool,
 }
 
 struct Output(Vec<u8>);
@@ -313,11 +315,11 @@
         self.0.push(kind);
         self.0.extend_from_slice(&number.to_be_bytes());
     }
-    fn words(&mut self, number: i16, words: &Words) {
+    fn words(&mut self, number: i16, signals: &ServerSignals) {
         let told = [
-            words.advice.map(|value| ("v", format!("{value:.4}"))),
-            words.cool_down_ms.map(|span| ("w", format!("{}", span.ceil() as u64))),
-            words.last.then(|| ("l", "1".to_string())),
+            signals.backpressure.map(|value| ("v", format!("{value:.4}"))),
+            signals.retry_after_ms.map(|span| ("w", format!("{}", span.ceil() as u64))),
+            signals.no_retry_elsewhere.then(|| ("l", "1".to_string())),
         ];
         self.field(MAP, number);
         self.0.extend_from_slice(&[STRING, STRING]);
@@ -336,48 +338,48 @@
     }
 }
 
-fn answer(method: &str, seqid: i32, result: &[u8], words: &Words, good: bool) -> Vec<u8> {
+fn answer(method: &str, seqid: i32, result: &[u8], signals: &ServerSignals, good: bool) -> Vec<u8> {
     let mut out = Output::message(REPLY, method, seqid);
     out.field(STRUCT, 0);
     out.field(STRING, 1);
     out.binary(result);
-    out.words(2, words);
+    out.words(2, signals);
     out.field(BOOL, 3);
     out.0.push(u8::from(good));
     out.finish(2)
 }
 
 /// The result that a run made, as it came.
-pub fn succeeded(seqid: i32, result: &[u8], words: &Words) -> Vec<u8> {
-    answer("dispatch", seqid, result, words, true)
+pub fn succeeded(seqid: i32, result: &[u8], signals: &ServerSignals) -> Vec<u8> {
+    answer("dispatch", seqid, result, signals, true)
 }
 
-pub fn health(seqid: i32, fit: bool, words: &Words) -> Vec<u8> {
-    answer("alive", seqid, b"", words, fit)
+pub fn health(seqid: i32, ready: bool, signals: &ServerSignals) -> Vec<u8> {
+    answer("alive", seqid, b"", signals, ready)
 }
 
-fn thrown(seqid: i32, number: i16, words: &Words) -> Vec<u8> {
+fn thrown(seqid: i32, number: i16, signals: &ServerSignals) -> Vec<u8> {
     let mut out = Output::message(REPLY, "dispatch", seqid);
     out.field(STRUCT, number);
-    out.words(1, words);
+    out.words(1, signals);
     out.finish(2)
 }
 
 /// This try never ran.
-pub fn dismissed(seqid: i32, words: &Words) -> Vec<u8> {
-    thrown(seqid, 1, words)
+pub fn rejected(seqid: i32, signals: &ServerSignals) -> Vec<u8> {
+    thrown(seqid, 1, signals)
 }
 
-pub fn scrapped(seqid: i32, words: &Words) -> Vec<u8> {
-    thrown(seqid, 2, words)
+pub fn failed(seqid: i32, signals: &ServerSignals) -> Vec<u8> {
+    thrown(seqid, 2, signals)
 }
 
-pub fn complaint(seqid: i32, method: &str, complaint: Complaint, what: &str) -> Vec<u8> {
+pub fn exception(seqid: i32, method: &str, kind: ExceptionKind, what: &str) -> Vec<u8> {
     let mut out = Output::message(EXCEPTION, method, seqid);
     out.field(STRING, 1);
     out.binary(what.as_bytes());
     out.field(I32, 2);
-    out.0.extend_from_slice(&(complaint as i32).to_be_bytes());
+    out.0.extend_from_slice(&(kind as i32).to_be_bytes());
     out.finish(1)
 }
 
--- a/crates/plovershelf-codec/src/front/caller.rs
+++ b/crates/plovershelf-codec/src/front/client.rs
@@ -1,62 +1,64 @@
 //! The callers' side of the front: what they write, and what they hear from a backend.
 
-use super::{frame_length, head, Input, Output, Words, BOOL, CALL, EXCEPTION, I32, MAP, MOST_NESTED, ONEWAY};
+use super::{
+    frame_length, head, Input, Output, ServerSignals, BOOL, CALL, EXCEPTION, I32, MAP, MOST_NESTED, ONEWAY,
+};
 use super::{REPLY, STRING, STRUCT};
-use crate::TryId;
+use crate::AttemptId;
 
 /// One try of an invocation, as a caller describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Try<'a> {
-    pub offering: &'a str,
+pub struct Attempt<'a> {
+    pub class: &'a str,
     /// New with every try.
-    pub id: TryId,
+    pub id: AttemptId,
     /// When this try was handed over, in Unix milliseconds.
-    pub came_ms: u64,
+    pub sent_ms: u64,
     /// The caller's number.
     pub caller: u32,
     pub tenant: &'a str,
     /// How long the caller waits for this try, from `came_ms`.
-    pub waits_ms: Option<f64>,
+    pub timeout_ms: Option<f64>,
     /// Memory to book for it, above 0 and under 2,000.
-    pub footprint_kb: f64,
+    pub memory_kb: f64,
     /// From 0 to under 1.
     pub rank: f64,
     /// What a read is about.
-    pub subject: Option<u64>,
-    pub ticket: Option<&'a str>,
+    pub object: Option<u64>,
+    pub idempotency_key: Option<&'a str>,
     pub work_hint_ms: Option<f64>,
     /// It is not the first try. Backends that do not know the field skip it.
-    pub marked_repeat: bool,
+    pub marked_retry: bool,
     pub body: &'a [u8],
 }
 
 /// What a backend says.
 #[derive(Debug, PartialEq)]
-pub enum Heard<'a> {
+pub enum Response<'a> {
     Succeeded {
         seqid: i32,
         result: &'a [u8],
-        words: Words,
+        signals: ServerSignals,
     },
     /// This try never ran.
-    Dismissed {
+    Rejected {
         seqid: i32,
-        words: Words,
+        signals: ServerSignals,
     },
-    Scrapped {
+    Failed {
         seqid: i32,
-        words: Words,
+        signals: ServerSignals,
     },
     /// The backend can't take what was sent. `ours` says that it would be the same anywhere.
-    Complaint {
+    Exception {
         seqid: i32,
-        ours: bool,
+        permanent: bool,
         what: &'a [u8],
     },
     Health {
         seqid: i32,
-        fit: bool,
-        words: Words,
+        ready: bool,
+        signals: ServerSignals,
     },
     /// No new invocation is to come on this connection.
     Closing,
@@ -65,18 +67,18 @@
 }
 
 /// A whole frame with a try; its length stands before it.
-pub fn dispatch(seqid: i32, one: &Try<'_>) -> Vec<u8> {
+pub fn dispatch(seqid: i32, one: &Attempt<'_>) -> Vec<u8> {
     let mut out = Output::message(CALL, "dispatch", seqid);
-    let came = one.came_ms.to_string();
+    let came = one.sent_ms.to_string();
     let caller = one.caller.to_string();
-    let booked = format!("{:.1}", one.footprint_kb.clamp(0.1, 1999.9));
+    let booked = format!("{:.1}", one.memory_kb.clamp(0.1, 1999.9));
     let rank = format!("{:.4}", one.rank.clamp(0.0, 0.9999));
     // Rounded down, so that a backend never believes in more time than there is.
-    let waits = one.waits_ms.map(|waits| format!("{}", waits.max(0.0).floor() as u64));
+    let waits = one.timeout_ms.map(|waits| format!("{}", waits.max(0.0).floor() as u64));
     let hint = one.work_hint_ms.map(|hint| format!("{hint:.1}"));
-    let subject = one.subject.map(|subject| format!("{subject:016x}"));
+    let object = one.object.map(|object| format!("{object:016x}"));
     let told: [Option<(&str, &[u8])>; 12] = [
-        Some(("c", one.offering.as_bytes())),
+        Some(("c", one.class.as_bytes())),
         Some(("i", &one.id)),
         Some(("s", came.as_bytes())),
         Some(("f", caller.as_bytes())),
@@ -84,10 +86,10 @@
         waits.as_ref().map(|waits| ("d", waits.as_bytes())),
         Some(("m", booked.as_bytes())),
         Some(("p", rank.as_bytes())),
-        subject.as_ref().map(|subject| ("o", subject.as_bytes())),
-        one.ticket.map(|ticket| ("k", ticket.as_bytes())),
+        object.as_ref().map(|object| ("o", object.as_bytes())),
+        one.idempotency_key.map(|idempotency_key| ("k", idempotency_key.as_bytes())),
         hint.as_ref().map(|hint| ("h", hint.as_bytes())),
-        one.marked_repeat.then_some(("r", b"1")),
+        one.marked_retry.then_some(("r", b"1")),
     ];
     out.field(MAP, 1);
     out.0.extend_from_slice(&[STRING, STRING]);
@@ -117,24 +119,24 @@
 }
 
 /// The first whole frame of what was read, without its length, and the bytes it takes; `None` until it is whole.
-pub fn take(read: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
+pub fn decode_first(read: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
     let Some(length) = frame_length(read, most)? else { return Ok(None) };
     Ok(read.get(4..4 + length).map(|frame| (frame, 4 + length)))
 }
 
 /// Takes what a backend says out of one whole frame, without its length.
-pub fn hear(frame: &[u8]) -> Result<Heard<'_>, &'static str> {
+pub fn decode_response(frame: &[u8]) -> Result<Response<'_>, &'static str> {
     let mut input = Input { left: frame };
     let (kind, method, seqid) = head(&mut input)?;
     match (kind, method) {
         (REPLY, b"dispatch") => dispatched(&mut input, seqid),
         (REPLY, b"alive") => match result(&mut input)? {
-            (0, answer) => Ok(Heard::Health { seqid, fit: answer.good, words: answer.words }),
+            (0, answer) => Ok(Response::Health { seqid, ready: answer.good, signals: answer.signals }),
             _ => Err("a health check is answered with an exception"),
         },
-        (EXCEPTION, _) => complaint(&mut input, seqid),
-        (ONEWAY, b"closing") => Ok(Heard::Closing),
-        (ONEWAY, _) => Ok(Heard::Other),
+        (EXCEPTION, _) => exception(&mut input, seqid),
+        (ONEWAY, b"closing") => Ok(Response::Closing),
+        (ONEWAY, _) => Ok(Response::Other),
         _ => Err("no answer to anything"),
     }
 }
@@ -142,18 +144,18 @@
 #[derive(Default)]
 struct Answered<'a> {
     body: Option<&'a [u8]>,
-    words: Words,
+    signals: ServerSignals,
     good: bool,
 }
 
-fn dispatched<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Heard<'a>, &'static str> {
+fn dispatched<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Response<'a>, &'static str> {
     let (number, answer) = result(input)?;
-    let words = answer.words;
+    let signals = answer.signals;
     match (number, answer.body) {
-        (0, Some(result)) => Ok(Heard::Succeeded { seqid, result, words }),
+        (0, Some(result)) => Ok(Response::Succeeded { seqid, result, signals }),
         (0, None) => Err("an answer without a result"),
-        (1, _) => Ok(Heard::Dismissed { seqid, words }),
-        _ => Ok(Heard::Scrapped { seqid, words }),
+        (1, _) => Ok(Response::Rejected { seqid, signals }),
+        _ => Ok(Response::Failed { seqid, signals }),
     }
 }
 
@@ -167,7 +169,7 @@
                 while let Some((kind, field)) = input.field()? {
                     match (kind, field, number) {
                         (STRING, 1, 0) => answer.body = Some(input.binary()?),
-                        (MAP, 2, 0) | (MAP, 1, 1 | 2) => answer.words = words(input)?,
+                        (MAP, 2, 0) | (MAP, 1, 1 | 2) => answer.signals = read_signals(input)?,
                         (BOOL, 3, 0) => answer.good = input.u8()? != 0,
                         _ => input.skip(kind, MOST_NESTED)?,
                     }
@@ -180,22 +182,22 @@
     found.ok_or("a reply holds nothing")
 }
 
-fn words(input: &mut Input<'_>) -> Result<Words, &'static str> {
-    let mut words = Words::default();
+fn read_signals(input: &mut Input<'_>) -> Result<ServerSignals, &'static str> {
+    let mut signals = ServerSignals::default();
     for (name, value) in input.text_map()? {
         let measure = || std::str::from_utf8(value).ok().and_then(|value| value.parse::<f64>().ok());
         let measure = || measure().filter(|value| value.is_finite() && *value >= 0.0);
         match name {
-            b"v" => words.advice = measure(),
-            b"w" => words.cool_down_ms = measure(),
-            b"l" => words.last = value == b"1",
+            b"v" => signals.backpressure = measure(),
+            b"w" => signals.retry_after_ms = measure(),
+            b"l" => signals.no_retry_elsewhere = value == b"1",
             _ => {}
         }
     }
-    Ok(words)
+    Ok(signals)
 }
 
-fn complaint<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Heard<'a>, &'static str> {
+fn exception<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Response<'a>, &'static str> {
     let (mut what, mut number) = (&b""[..], 0);
     while let Some((kind, field)) = input.field()? {
         match (kind, field) {
@@ -205,7 +207,7 @@
         }
     }
     // Unknown method, wrong type, protocol error: another backend would say the same.
-    Ok(Heard::Complaint { seqid, ours: matches!(number, 1 | 2 | 7), what })
+    Ok(Response::Exception { seqid, permanent: matches!(number, 1 | 2 | 7), what })
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-changes/tests/broken.rs
+++ b/crates/plovershelf-config-distribution/tests/broken.rs
@@ -4,9 +4,9 @@
 mod net;
 
 use net::Net;
-use plovershelf_changes::broken::{set, Broken};
-use plovershelf_changes::content::Edit;
-use plovershelf_changes::node::{Message, Terms};
+use plovershelf_config_distribution::broken::{set, Broken};
+use plovershelf_config_distribution::content::Edit;
+use plovershelf_config_distribution::node::{Message, Terms};
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
--- a/crates/plovershelf-changes/tests/properties.rs
+++ b/crates/plovershelf-config-distribution/tests/properties.rs
@@ -3,8 +3,8 @@
 mod net;
 
 use net::Net;
-use plovershelf_changes::content::Content;
-use plovershelf_changes::node::{Role, Terms};
+use plovershelf_config_distribution::content::Content;
+use plovershelf_config_distribution::node::{Role, Terms};
 use rand::RngExt;
 
 #[test]
--- a/crates/plovershelf-operator/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use plovershelf_group::group::Terms;
-use plovershelf_zones::plan::{Topology, Zone, ZONES_MOST};
-use plovershelf_zones::{planner, seen};
+use plovershelf_cluster::group::Terms;
+use plovershelf_failover::plan::{Topology, Zone, ZONES_MOST};
+use plovershelf_failover::{planner, seen};
 
 use crate::{Reading, Wrong};
 
@@ -26,7 +26,7 @@
     /// Others, by name, that are reached at another address than they say.
     pub ways: BTreeMap<String, SocketAddr>,
     /// Copies of what is held for others, where there are to be any.
-    pub copies: Option<plovershelf_copies::copies::Terms>,
+    pub copies: Option<plovershelf_replication::copies::Terms>,
     /// Zones with a plan of what goes where, where sections tell any.
     pub zones: Option<Zones>,
     /// Changes that are agreed on here and carried outward, where a section tells of it.
@@ -137,7 +137,7 @@
             _ if section.starts_with("way ") => {
                 reading.check_keys(section, told, &["ms"]);
                 let ms =
-                    reading.number(section, told, "ms", [0.0, 60_000.0], plovershelf_zones::plan::FAR_MS);
+                    reading.number(section, told, "ms", [0.0, 60_000.0], plovershelf_failover::plan::FAR_MS);
                 let ends: Vec<String> =
                     section["way ".len()..].split_whitespace().map(str::to_string).collect();
                 ways.push((section.to_string(), ends, ms));
@@ -219,9 +219,9 @@
     }
 }
 
-fn copies(reading: &mut Reading<'_>, told: &ini::Properties) -> plovershelf_copies::copies::Terms {
+fn copies(reading: &mut Reading<'_>, told: &ini::Properties) -> plovershelf_replication::copies::Terms {
     let section = "copies";
-    let mut terms = plovershelf_copies::copies::Terms::default();
+    let mut terms = plovershelf_replication::copies::Terms::default();
     terms.copies = reading.count(section, told, "copies", terms.copies);
     terms.least = reading.count(section, told, "least", terms.least.min(terms.copies));
     if !(2..=7).contains(&terms.copies) || terms.least == 0 || terms.least > terms.copies {
@@ -267,7 +267,7 @@
     if names.len() < group.council.len() {
         reading.say(section, "council names one twice");
     }
-    let most = plovershelf_group::council::VOTERS_MOST;
+    let most = plovershelf_cluster::council::VOTERS_MOST;
     let voters = reading.count(section, told, "voters", group.council.len().max(1));
     if voters.is_multiple_of(2) || voters > most {
         reading.say(section, &format!("voters = {voters}: 1, 3, 5 or {most}"));
--- a/crates/plovershelf-operator/src/pools.rs
+++ b/crates/plovershelf-config/src/pools.rs
@@ -1,6 +1,6 @@
 //! `pools.ini`: a section `[pool NAME]` for each pool, and `[reserve]`.
 
-use plovershelf_pools::{Plan, Reserve, Terms};
+use plovershelf_bulkhead::{Plan, Reserve, Terms};
 
 use crate::{nearest, Reading, Wrong};
 
--- a/crates/plovershelf-zones/tests/checker.rs
+++ b/crates/plovershelf-failover/tests/checker.rs
@@ -4,9 +4,9 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use plovershelf_zones::broken::{set, Broken};
-use plovershelf_zones::follow::Follower;
-use plovershelf_zones::plan::{Plan, BANDS};
+use plovershelf_failover::broken::{set, Broken};
+use plovershelf_failover::follow::Follower;
+use plovershelf_failover::plan::{Plan, BANDS};
 use stateright::{Checker, Model, Property};
 
 const TICK_MS: f64 = 1000.0;
--- a/crates/plovershelf-zones/tests/plans.rs
+++ b/crates/plovershelf-failover/tests/plans.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use plovershelf_zones::broken::{set, Broken};
-use plovershelf_zones::flow::{greedy, least_cost, worth, NO_WAY};
-use plovershelf_zones::follow::Follower;
-use plovershelf_zones::plan::{Plan, Topology, Zone};
-use plovershelf_zones::planner::{Planner, Terms, Wish};
-use plovershelf_zones::seen::{self, Outside, Report, Seen};
+use plovershelf_failover::broken::{set, Broken};
+use plovershelf_failover::flow::{greedy, least_cost, worth, NO_WAY};
+use plovershelf_failover::follow::Follower;
+use plovershelf_failover::plan::{Plan, Topology, Zone};
+use plovershelf_failover::planner::{Planner, Terms, Wish};
+use plovershelf_failover::seen::{self, Outside, Report, Seen};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/plovershelf-copies/benches/claim.rs
+++ b/crates/plovershelf-replication/benches/claim.rs
@@ -1,9 +1,9 @@
 //! What a ticket costs its runner and holders, without the network: claim, confirmation, ending, answer; and a lookup with many held.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use plovershelf_copies::copies::{Copies, Ending, Terms, Told};
-use plovershelf_copies::placement::{Holder, Ticket};
-use plovershelf_group::council::Id;
+use plovershelf_cluster::council::Id;
+use plovershelf_replication::copies::{Copies, Ending, Terms, Told};
+use plovershelf_replication::placement::{Holder, Ticket};
 
 fn members(count: u64, copies: usize) -> Vec<Copies> {
     let holder = |n: u64| Holder { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
--- a/crates/plovershelf-copies/src/copies.rs
+++ b/crates/plovershelf-replication/src/copies.rs
@@ -36,7 +36,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_group::council::Id;
+use plovershelf_cluster::council::Id;
 use serde::{Deserialize, Serialize};
 
 use crate::broken::{self, Broken};
--- a/crates/plovershelf-copies/tests/broken.rs
+++ b/crates/plovershelf-replication/tests/broken.rs
@@ -5,10 +5,10 @@
 
 use std::sync::atomic::Ordering;
 
-use plovershelf_copies::broken::{set, Broken};
-use plovershelf_copies::copies::{Claim, Copies, Ending, Message, Terms};
-use plovershelf_copies::placement::Holder;
-use plovershelf_group::council::Id;
+use plovershelf_cluster::council::Id;
+use plovershelf_replication::broken::{set, Broken};
+use plovershelf_replication::copies::{Claim, Copies, Ending, Message, Terms};
+use plovershelf_replication::placement::Holder;
 use stateright::{Checker, Model};
 use walk::{holders, Left, Tickets, BROKEN, TICKET};
 
--- a/crates/plovershelf-server/src/agent.rs
+++ b/crates/plovershelf-server/src/agent.rs
@@ -147,7 +147,7 @@
         let mut missed = false;
         let mut sender = Some(sender);
         loop {
-            let took = agent::take(inflow.bytes(), limits.body_bytes).map_err(|bad| broken(bad.0))?;
+            let took = agent::decode_first(inflow.bytes(), limits.body_bytes).map_err(|bad| broken(bad.0))?;
             let Some((notice, used)) = took else {
                 if !inflow.fill(stream).await? {
                     return Err(io::ErrorKind::UnexpectedEof.into());
@@ -169,10 +169,10 @@
                     write_all(stream, &agent::sample(FENCE), limits.stall_ms).await?;
                     None
                 }
-                Notice::Outcome { number, id, over, result } => {
+                Notice::RunEnded { number, id, over, result } => {
                     numbered(number).then(|| Said::RunOver { id, over, result: result.to_vec() })
                 }
-                Notice::Request { number, id, call } => {
+                Notice::CallRequested { number, id, call } => {
                     numbered(number).then(|| Said::WantsCall { id, call: call.to_vec() })
                 }
                 Notice::Sampled { tag, gauges } => {
@@ -190,11 +190,11 @@
                         (None, _, _) => return Err(broken("a sample with a foreign tag")),
                     }
                 }
-                Notice::Refusal { command, about } => Some(Said::Refused {
+                Notice::CommandRejected { command, about } => Some(Said::Refused {
                     command: String::from_utf8_lossy(command).into_owned(),
                     about: about.to_vec(),
                 }),
-                Notice::Aside { number } => {
+                Notice::Skipped { number } => {
                     numbered(number);
                     None
                 }
@@ -223,9 +223,9 @@
 /// Notices before this one were never told.
 fn skips(notice: &Notice<'_>, last_read: u64) -> bool {
     match notice {
-        Notice::Outcome { number, .. } | Notice::Request { number, .. } | Notice::Aside { number } => {
-            *number > last_read.saturating_add(1)
-        }
+        Notice::RunEnded { number, .. }
+        | Notice::CallRequested { number, .. }
+        | Notice::Skipped { number } => *number > last_read.saturating_add(1),
         _ => false,
     }
 }
--- a/crates/plovershelf-server/src/agent/tests.rs
+++ b/crates/plovershelf-server/src/agent/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use plovershelf_standins::scripted::Lines;
+use plovershelf_testkit::scripted::Lines;
 use std::net::TcpListener;
 
 #[test]
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_gap_before_a_notice_is_told_from_one_that_follows() {
-    let aside = |number| Notice::Aside { number };
+    let aside = |number| Notice::Skipped { number };
     assert_eq!([1, 5, 6, 7].map(|number| skips(&aside(number), 5)), [false, false, false, true]);
     assert!(!skips(&Notice::Greeting { fresh: true, up_for_ms: 0.0 }, 5));
 }
--- a/crates/plovershelf-server/src/changes.rs
+++ b/crates/plovershelf-server/src/changes.rs
@@ -23,11 +23,11 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_changes::content::{Content, Edit};
-use plovershelf_changes::node::{About, Event, Node, Role, Start, Terms};
-use plovershelf_group::frames::{decode, plain, Wire};
-use plovershelf_group::status::{Answer, Question};
-use plovershelf_operator::changes as file;
+use plovershelf_cluster::frames::{decode, plain, Wire};
+use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_config::changes as file;
+use plovershelf_config_distribution::content::{Content, Edit};
+use plovershelf_config_distribution::node::{About, Event, Node, Role, Start, Terms};
 
 use crate::group;
 use crate::links::{self, now_ms, Bounds, Heard, Links};
@@ -115,7 +115,7 @@
 ///
 /// Errors: its address can't be listened on, what its files hold can't be used, in one line.
 pub(crate) fn start_source(
-    group: &plovershelf_operator::group::Group,
+    group: &plovershelf_config::group::Group,
     source: &file::Source,
     name: String,
     council: Sender<group::Incoming>,
--- a/crates/plovershelf-server/src/changes/source.rs
+++ b/crates/plovershelf-server/src/changes/source.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use async_channel::Sender;
-use plovershelf_changes::content::{Building, Content, Edit, Numbered, Version};
-use plovershelf_group::frames::{decode, framed, plain, unframed};
+use plovershelf_cluster::frames::{decode, framed, plain, unframed};
+use plovershelf_config_distribution::content::{Building, Content, Edit, Numbered, Version};
 
 use super::asks::{Council, Told};
 use crate::group;
@@ -88,7 +88,7 @@
             )));
         }
         let (number, bytes) = (self.word.number + 1, plain(change));
-        let most = plovershelf_group::decided::WORD_BYTES_MOST;
+        let most = plovershelf_cluster::decided::WORD_BYTES_MOST;
         if bytes.len() > most {
             let length = bytes.len();
             return answer(Told::Refused(format!("a change of {length} bytes: {most} at most")));
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -23,13 +23,13 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_group::council::Id;
-use plovershelf_group::frames::{self, Wire};
-use plovershelf_group::group::{Event, Group, Out, Start};
-use plovershelf_group::members::About;
-use plovershelf_group::status::{Answer, Brief, CopiesStatus, HeldStatus, Question, Status, TicketStatus};
-use plovershelf_operator::group::Group as Setup;
-use plovershelf_zones::plan::BANDS;
+use plovershelf_cluster::council::Id;
+use plovershelf_cluster::frames::{self, Wire};
+use plovershelf_cluster::group::{Event, Group, Out, Start};
+use plovershelf_cluster::members::About;
+use plovershelf_cluster::status::{Answer, Brief, CopiesStatus, HeldStatus, Question, Status, TicketStatus};
+use plovershelf_config::group::Group as Setup;
+use plovershelf_failover::plan::BANDS;
 
 use crate::changes::{self, Word};
 use crate::links::{self, Heard, Links};
@@ -381,7 +381,7 @@
         let holder = |id: &Id| copied.member(*id).map_or_else(|| shown(*id), |member| name(&member));
         let own = self.group.about().name.clone();
         if let Question::Ticket { offering, ticket } = question {
-            let ticket = plovershelf_copies::placement::Ticket::of(&offering, ticket.as_bytes());
+            let ticket = plovershelf_replication::placement::Ticket::of(&offering, ticket.as_bytes());
             let held = copies.look_up(ticket).map(|record| HeldStatus {
                 runner: holder(&record.claim.runner),
                 holders: record.holders.iter().map(holder).collect(),
--- a/crates/plovershelf-server/src/group/copied.rs
+++ b/crates/plovershelf-server/src/group/copied.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use async_channel::Sender;
-pub use plovershelf_copies::copies::Ending;
-use plovershelf_copies::copies::{self, Copies, Message, Terms};
-use plovershelf_copies::placement::{Holder, Ticket};
-use plovershelf_group::council::Id;
-use plovershelf_group::decided::View;
+use plovershelf_cluster::council::Id;
+use plovershelf_cluster::decided::View;
+pub use plovershelf_replication::copies::Ending;
+use plovershelf_replication::copies::{self, Copies, Message, Terms};
+use plovershelf_replication::placement::{Holder, Ticket};
 
 /// What the owner wants for one of its open invocations, by its number there.
 pub enum Asked {
@@ -123,7 +123,7 @@
     /// has no weight: nothing new is given to it.
     pub fn view_is(&mut self, now: f64, view: &View) {
         let hosts: BTreeSet<_> = view.members.values().map(|seat| seat.address.ip()).collect();
-        let holder = |(id, seat): (&Id, &plovershelf_group::decided::Seat)| Holder {
+        let holder = |(id, seat): (&Id, &plovershelf_cluster::decided::Seat)| Holder {
             id: holder_of(*id, seat.life),
             zone: seat.zone.clone(),
             machine: if hosts.len() > 1 { seat.address.ip().to_string() } else { seat.address.to_string() },
@@ -137,7 +137,7 @@
         if to != self.me {
             return;
         }
-        if let Ok(message) = plovershelf_group::frames::decode::<Message>(bytes) {
+        if let Ok(message) = plovershelf_cluster::frames::decode::<Message>(bytes) {
             self.copies.hear(now, from, message);
         }
     }
@@ -193,7 +193,7 @@
             // As many are under way at most as the owner has open.
             let _ = self.told.try_send(told);
         }
-        let plain = |(to, message): (Id, Message)| (to, plovershelf_group::frames::plain(&message));
+        let plain = |(to, message): (Id, Message)| (to, plovershelf_cluster::frames::plain(&message));
         (self.me, send.into_iter().map(plain).collect())
     }
 }
--- a/crates/plovershelf-server/src/group/copied/tests.rs
+++ b/crates/plovershelf-server/src/group/copied/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use plovershelf_group::decided::Seat;
+use plovershelf_cluster::decided::Seat;
 
 /// A process that is back with its memory's name holds nothing of what the one before it confirmed: to the copies it is another.
 #[test]
--- a/crates/plovershelf-server/src/group/folder.rs
+++ b/crates/plovershelf-server/src/group/folder.rs
@@ -4,10 +4,10 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use plovershelf_group::council::{Id, Kept, Record};
-use plovershelf_group::decided::Decided;
-use plovershelf_group::store::{self, Identity};
-use plovershelf_operator::group::Group as Setup;
+use plovershelf_cluster::council::{Id, Kept, Record};
+use plovershelf_cluster::decided::Decided;
+use plovershelf_cluster::store::{self, Identity};
+use plovershelf_config::group::Group as Setup;
 use rustix::fs::{flock, FlockOperation};
 
 /// A file is written anew when it has grown over this and over four times what it was then.
--- a/crates/plovershelf-server/src/group/zoned.rs
+++ b/crates/plovershelf-server/src/group/zoned.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use plovershelf_group::council::Id;
-use plovershelf_group::frames::{decode, plain};
-use plovershelf_group::group::Group;
-use plovershelf_operator::group::Zones as Setup;
-use plovershelf_zones::asks::{Ask, Say, Status, Told, OUTSIDE_MOST};
-use plovershelf_zones::follow::Follower;
-use plovershelf_zones::plan::{Plan, BANDS};
-use plovershelf_zones::planner::Planner;
-use plovershelf_zones::seen::{Outside, Report, Seen};
+use plovershelf_cluster::council::Id;
+use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::group::Group;
+use plovershelf_config::group::Zones as Setup;
+use plovershelf_failover::asks::{Ask, Say, Status, Told, OUTSIDE_MOST};
+use plovershelf_failover::follow::Follower;
+use plovershelf_failover::plan::{Plan, BANDS};
+use plovershelf_failover::planner::Planner;
+use plovershelf_failover::seen::{Outside, Report, Seen};
 
 use super::Pulse;
 
--- a/crates/plovershelf-server/src/launch.rs
+++ b/crates/plovershelf-server/src/launch.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plovershelf_facts::Start;
-use plovershelf_pools::Plan;
+use plovershelf_bulkhead::Plan;
+use plovershelf_settings::Startup;
 use serde_json::Value;
 
 use crate::limits::Limits;
@@ -19,13 +19,13 @@
     /// From the notice to leave to the kill.
     pub stop_ms: f64,
     pub limits: Limits,
-    pub start: Start,
+    pub startup: Startup,
     /// Pools of offerings, where the operator has set any.
     pub pools: Option<Plan>,
     /// The group that it belongs to, where the operator has set one.
-    pub group: Option<plovershelf_operator::group::Group>,
+    pub group: Option<plovershelf_config::group::Group>,
     /// From whom it hears of changes, where the operator has set it up.
-    pub changes: Option<plovershelf_operator::changes::Listener>,
+    pub changes: Option<plovershelf_config::changes::Listener>,
     /// What can't change while it runs, to tell later whether it did.
     pub fixed: Fixed,
 }
@@ -72,7 +72,7 @@
 pub fn from_environment() -> Result<Launch, String> {
     let top = read_file().map_err(|e| format!("RELAY_CONFIG {e}"))?;
     let mut launch = read(&top).map_err(named)?;
-    launch.pools = pools(&launch.start.offerings)?;
+    launch.pools = pools(&launch.startup.classes)?;
     launch.group = group()?;
     launch.changes = changes()?;
     Ok(launch)
@@ -92,27 +92,27 @@
     let Some(path) = std::env::var_os("PLOVERSHELF_POOLS") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("PLOVERSHELF_POOLS {shown}: {e}"))?;
-    plovershelf_operator::pools::read(&shown, &text, offerings).map(Some).map_err(|wrong| wrong.to_string())
+    plovershelf_config::pools::read(&shown, &text, offerings).map(Some).map_err(|wrong| wrong.to_string())
 }
 
 /// The file of the group that `PLOVERSHELF_GROUP` names, where it names one; no group without.
 ///
 /// Errors: all that is wrong with the file.
-fn group() -> Result<Option<plovershelf_operator::group::Group>, String> {
+fn group() -> Result<Option<plovershelf_config::group::Group>, String> {
     let Some(path) = std::env::var_os("PLOVERSHELF_GROUP") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("PLOVERSHELF_GROUP {shown}: {e}"))?;
-    plovershelf_operator::group::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
+    plovershelf_config::group::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
 }
 
 /// The file that `PLOVERSHELF_CHANGES` names, where it names one; quotas stay as the settings have them without.
 ///
 /// Errors: all that is wrong with the file.
-fn changes() -> Result<Option<plovershelf_operator::changes::Listener>, String> {
+fn changes() -> Result<Option<plovershelf_config::changes::Listener>, String> {
     let Some(path) = std::env::var_os("PLOVERSHELF_CHANGES") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("PLOVERSHELF_CHANGES {shown}: {e}"))?;
-    plovershelf_operator::changes::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
+    plovershelf_config::changes::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
 }
 
 fn word<'a>(top: &'a Value, key: &str) -> Result<&'a str, String> {
@@ -134,7 +134,7 @@
 
     fn read(top: &Value) -> Result<Self, String> {
         let at = |key| Ok::<_, String>(Rc::new(Cell::new(address(top, key)?)));
-        let shared = plovershelf_facts::shares_a_dependency(&top["settings"]);
+        let shared = plovershelf_settings::shares_a_dependency(&top["settings"]);
         let ledger = match top["records"] {
             Value::Null if !shared => None,
             _ => Some(address(top, "records")?),
@@ -172,7 +172,7 @@
         peers: Peers::read(top)?,
         stop_ms: measure(top, "stop_ms")?,
         limits: Limits::of(measure(limits, "memory_mb")?, measure(limits, "sockets")? as usize),
-        start: plovershelf_facts::read_value(&top["settings"], seed)?,
+        startup: plovershelf_settings::read_value(&top["settings"], seed)?,
         pools: None,
         group: None,
         changes: None,
--- a/crates/plovershelf-server/src/ledger.rs
+++ b/crates/plovershelf-server/src/ledger.rs
@@ -12,9 +12,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf::interface::CallEnd;
-use plovershelf_codec::ledger::{self, Answer};
-use plovershelf_codec::TryId;
+use plovershelf::api::CallOutcome;
+use plovershelf_codec::dependency::{self, Reply};
+use plovershelf_codec::AttemptId;
 
 use crate::limits::Limits;
 use crate::messages::{CallOver, Event, Order};
@@ -31,8 +31,8 @@
 struct Carried {
     /// Calls that are out, since when, and whether their bytes may have gone; and all that the connection has carried: a second copy of an answer
     /// must not be taken for that to a later call of the same run.
-    out: BTreeMap<TryId, Out>,
-    ever: BTreeSet<TryId>,
+    out: BTreeMap<AttemptId, Out>,
+    ever: BTreeSet<AttemptId>,
     /// It takes no further calls.
     retired: bool,
     answered: Option<Instant>,
@@ -81,7 +81,7 @@
     }
 
     /// How many calls one more would stand beside, if it may take one for this id at all.
-    fn beside(&self, id: &TryId, to: SocketAddr, limits: &Limits) -> Option<usize> {
+    fn beside(&self, id: &AttemptId, to: SocketAddr, limits: &Limits) -> Option<usize> {
         let carried = self.carried.borrow();
         let stale = carried.idle_ms() >= limits.ledger_idle_ms;
         let fit = !self.over(to, limits) && !stale && !carried.ever.contains(id);
@@ -102,7 +102,7 @@
         let Some(to) = address.get() else {
             // There is nowhere to place a call.
             if let Order::Call { id, number, .. } = order {
-                let over = CallOver::without(number, CallEnd::ProvenNotRun);
+                let over = CallOver::without(number, CallOutcome::NotExecuted);
                 let _ = inbox.send(Event::CallOver { id, over }).await;
             }
             continue;
@@ -119,7 +119,7 @@
                     Some((beside, line)) if beside == 0 || full => line,
                     // Those that take no more are as many as there may be, until their last calls are over.
                     None if lines.len() >= limits.ledger_connections + limits.ledger_spare => {
-                        let over = CallOver::without(number, CallEnd::ProvenNotRun);
+                        let over = CallOver::without(number, CallOutcome::NotExecuted);
                         let _ = inbox.send(Event::CallOver { id, over }).await;
                         continue;
                     }
@@ -135,7 +135,7 @@
                 let mut carried = line.carried.borrow_mut();
                 carried.out.insert(id, Out { number, since: Instant::now(), written: false });
                 carried.ever.insert(id);
-                let _ = line.lines.try_send(ledger::call(&id, within_ms, &body));
+                let _ = line.lines.try_send(dependency::call(&id, within_ms, &body));
             }
             Order::GiveUp { id } => {
                 let has = |line: &&Line| line.carried.borrow().out.contains_key(&id);
@@ -144,7 +144,7 @@
                 carried.out.remove(&id);
                 // Whether it would have answered is not known: when nothing else is out, it ends.
                 carried.retired |= carried.out.is_empty();
-                let _ = line.lines.try_send(ledger::give_up(&id));
+                let _ = line.lines.try_send(dependency::abandon(&id));
             }
         }
     }
@@ -161,8 +161,10 @@
     let limits = &pace.limits;
     let (end, why) = match within(limits.connect_ms, Async::<TcpStream>::connect(to)).await {
         // What was out on a connection that went bad proves nothing.
-        Ok(stream) => (CallEnd::Lost, converse(&stream, &carried, &lines, &inbox, &pace).await.err()),
-        Err(error) => (CallEnd::ProvenNotRun, Some(error)),
+        Ok(stream) => {
+            (CallOutcome::ConnectionLost, converse(&stream, &carried, &lines, &inbox, &pace).await.err())
+        }
+        Err(error) => (CallOutcome::NotExecuted, Some(error)),
     };
     let out = {
         let mut carried = carried.borrow_mut();
@@ -174,7 +176,7 @@
             inbox.send(Event::Odd(format!("a ledger's connection with {} calls: {error}", out.len()))).await;
     }
     for (id, Out { number, written, .. }) in out {
-        let end = if written { end } else { CallEnd::ProvenNotRun };
+        let end = if written { end } else { CallOutcome::NotExecuted };
         let _ = inbox.send(Event::CallOver { id, over: CallOver::without(number, end) }).await;
     }
 }
@@ -224,7 +226,8 @@
     let read = async {
         let mut inflow = Inflow::new(limits.line_bytes, limits.read_bytes);
         loop {
-            let took = ledger::take(inflow.bytes(), limits.body_bytes).map_err(|b| io::Error::other(b.0))?;
+            let took = dependency::decode_first(inflow.bytes(), limits.body_bytes)
+                .map_err(|b| io::Error::other(b.0))?;
             let Some((id, answer, used)) = took else {
                 // An answer that has begun comes whole at once, or never.
                 let begun = !inflow.bytes().is_empty();
@@ -236,12 +239,12 @@
                 }
                 continue;
             };
-            let wanted = answer != Answer::Empty;
+            let wanted = answer != Reply::NoWaitingRun;
             let (end, reply) = match answer {
-                Answer::Done(reply) => (CallEnd::Ok, reply.to_vec()),
-                Answer::Wait | Answer::Empty => (CallEnd::ProvenNotRun, Vec::new()),
-                Answer::Error => (CallEnd::PerhapsRun, Vec::new()),
-                Answer::Past => (CallEnd::GivenUp, Vec::new()),
+                Reply::Done(reply) => (CallOutcome::Completed, reply.to_vec()),
+                Reply::Rejected | Reply::NoWaitingRun => (CallOutcome::NotExecuted, Vec::new()),
+                Reply::Failed => (CallOutcome::Unknown, Vec::new()),
+                Reply::Expired => (CallOutcome::Abandoned, Vec::new()),
             };
             inflow.used(used);
             // Answers to calls that were given up come too late to count, as do second copies.
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -93,7 +93,7 @@
         executor.spawn(hand_on).detach();
     }
     let hears_changes = carried.is_some();
-    let offerings = launch.start.offerings.clone();
+    let offerings = launch.startup.classes.clone();
     let agent = agent::keep_link(peers.agent.clone(), agent_moved, events.clone(), limits.clone());
     executor.spawn(agent).detach();
     let ledger = ledger::keep_calls(executor, peers.ledger.clone(), orders, events.clone(), limits.clone());
@@ -131,7 +131,7 @@
     executor.spawn(obey).detach();
 
     tracing::info!("{} listens on {}", launch.name, launch.listen);
-    let start = launch.start;
+    let start = launch.startup;
     let owner = Owner::new(start, stop_ms, limits.clone(), (inbox, notice), calls, leaving, Some(listening));
     let mut owner =
         owner.with_pools(pools)?.with_pulse(pulse).with_copies(copied).with_changes(hears_changes);
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_group::frames::{decode, encode, unframed, Hello, Wire, FRAME_MOST};
-use plovershelf_group::status::Answer;
+use plovershelf_cluster::frames::{decode, encode, unframed, Hello, Wire, FRAME_MOST};
+use plovershelf_cluster::status::Answer;
 
 use crate::streams::{gather, within, write_all, Inflow};
 
--- a/crates/plovershelf-server/src/messages.rs
+++ b/crates/plovershelf-server/src/messages.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use async_channel::{Receiver, Sender};
-use plovershelf::interface::CallEnd;
-use plovershelf_codec::agent::RunOver;
-use plovershelf_codec::TryId;
+use plovershelf::api::CallOutcome;
+use plovershelf_codec::agent::RunResult;
+use plovershelf_codec::AttemptId;
 
 use crate::connection::{Shared, Step};
 use crate::limits::Limits;
@@ -38,13 +38,13 @@
     /// A peer below did something wrong.
     Odd(String),
     CallOver {
-        id: TryId,
+        id: AttemptId,
         over: CallOver,
     },
     /// What the copies say of a ticketed invocation.
     Copies(crate::group::Told),
     /// The operator's file of pools was read again.
-    Pools(plovershelf_pools::Plan),
+    Pools(plovershelf_bulkhead::Plan),
     /// Tenants' quotas that are in force from now on.
     Quotas(crate::changes::Quotas),
 }
@@ -64,12 +64,12 @@
         all_read: bool,
     },
     RunOver {
-        id: TryId,
-        over: RunOver,
+        id: AttemptId,
+        over: RunResult,
         result: Vec<u8>,
     },
     WantsCall {
-        id: TryId,
+        id: AttemptId,
         call: Vec<u8>,
     },
     Sampled {
@@ -84,21 +84,21 @@
 
 /// What the owner asks of the ledger's calls.
 pub enum Order {
-    Call { id: TryId, number: u64, within_ms: f64, body: Vec<u8> },
-    GiveUp { id: TryId },
+    Call { id: AttemptId, number: u64, within_ms: f64, body: Vec<u8> },
+    GiveUp { id: AttemptId },
 }
 
 /// How the call of a number came to its end.
 pub struct CallOver {
     pub number: u64,
-    pub end: CallEnd,
+    pub end: CallOutcome,
     /// False where the ledger knows of no run that waits for it.
     pub wanted: bool,
     pub reply: Vec<u8>,
 }
 
 impl CallOver {
-    pub fn without(number: u64, end: CallEnd) -> Self {
+    pub fn without(number: u64, end: CallOutcome) -> Self {
         CallOver { number, end, wanted: true, reply: Vec::new() }
     }
 }
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -15,12 +15,12 @@
 use std::time::{Duration, SystemTime};
 
 use async_channel::{Receiver, Sender};
-use async_io::Timer;
+use async_io::Timer as IoTimer;
 use futures_lite::future;
-use plovershelf::interface::{Gauges, Outcome, RunEnd, Wake};
-use plovershelf::logic::Backend;
-use plovershelf_codec::TryId;
-use plovershelf_facts::Start;
+use plovershelf::admission::Backend;
+use plovershelf::api::{Effects, Gauges, RunOutcome, Timer};
+use plovershelf_codec::AttemptId;
+use plovershelf_settings::Startup;
 
 use crate::limits::Limits;
 use crate::messages::{Event, Order, Outbox};
@@ -64,7 +64,7 @@
 
 /// An invocation from its reading until nothing of it is left below.
 struct Open {
-    id: TryId,
+    id: AttemptId,
     connection: u64,
     seqid: i32,
     offering: usize,
@@ -99,7 +99,7 @@
     copied: copied::Stage,
     /// Its ending stands on enough copies to be told if the due time comes before the rest; or its caller was told that it
     /// failed, so that no other ending is told to anybody.
-    enough: Option<plovershelf_copies::copies::Ending>,
+    enough: Option<plovershelf_replication::copies::Ending>,
     told_failed: bool,
 }
 
@@ -118,23 +118,23 @@
     leaving_told: Rc<Cell<bool>>,
     listener: Listener,
     limits: Rc<Limits>,
-    start: Start,
+    startup: Startup,
     stop_ms: f64,
     /// There is none until the agent has said that it is up.
     backend: Option<Backend>,
     now: f64,
     due: BTreeSet<(u64, Due, u64)>,
     due_count: u64,
-    timer: Timer,
+    timer: IoTimer,
     timer_for: Option<u64>,
     connections: BTreeMap<u64, Connection>,
     open: BTreeMap<u32, Open>,
     open_bytes: usize,
-    by_try: BTreeMap<TryId, u32>,
+    by_try: BTreeMap<AttemptId, u32>,
     last_id: u32,
     remembered: Remembered,
     /// Runs of repeats that ended with what they repeat, to be told to the module.
-    ended: VecDeque<(u32, RunEnd)>,
+    ended: VecDeque<(u32, RunOutcome)>,
     agent: Option<Sender<Vec<u8>>>,
     /// Commands written, and how many of them the agent has surely read. A sample's tag is its place in this
     /// order, so its answer proves that all before it were read.
@@ -172,7 +172,7 @@
 
 impl Owner {
     pub fn new(
-        start: Start,
+        startup: Startup,
         stop_ms: f64,
         limits: Rc<Limits>,
         (inbox, notice): (Receiver<Event>, Receiver<f64>),
@@ -180,20 +180,20 @@
         leaving_told: Rc<Cell<bool>>,
         listener: Option<Sender<()>>,
     ) -> Self {
-        let idle_ms = start.facts.idle_most_ms;
+        let idle_ms = startup.config.max_idle_ms;
         Owner {
             inbox,
             notice,
             ledger,
             leaving_told,
             listener: listener.map_or(Listener::Closed, |_until_dropped| Listener::Open { _until_dropped }),
-            start,
+            startup,
             stop_ms,
             backend: None,
             now: unix_ms(),
             due: BTreeSet::new(),
             due_count: 0,
-            timer: Timer::never(),
+            timer: IoTimer::never(),
             timer_for: None,
             connections: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -230,8 +230,8 @@
     /// Pools of offerings as an operator has set them.
     ///
     /// Errors: what the plan has against the backend's facts.
-    pub fn with_pools(mut self, plan: Option<plovershelf_pools::Plan>) -> Result<Self, String> {
-        self.pooled = plan.map(|plan| pooled::Pooled::new(plan, &self.start.facts)).transpose()?;
+    pub fn with_pools(mut self, plan: Option<plovershelf_bulkhead::Plan>) -> Result<Self, String> {
+        self.pooled = plan.map(|plan| pooled::Pooled::new(plan, &self.startup.config)).transpose()?;
         Ok(self)
     }
 
@@ -241,7 +241,7 @@
     }
 
     pub fn with_changes(mut self, on: bool) -> Self {
-        self.changed = on.then(|| changed::Changed::new(&self.start.facts.tenant_quotas));
+        self.changed = on.then(|| changed::Changed::new(&self.startup.config.tenant_quotas_per_s));
         self
     }
 
@@ -270,7 +270,7 @@
             self.settle();
             if let Some(pulse) = &self.pulse {
                 pulse.beat(self.backend.is_some() && self.agent.is_some());
-                pulse.count(self.start.facts.cores, &self.counted);
+                pulse.count(self.startup.config.cores, &self.counted);
             }
         }
         let exit = self.due.iter().find(|(_, due, _)| *due == Due::Exit);
@@ -340,12 +340,12 @@
         };
         self.due.remove(&first);
         match first.1 {
-            Due::Wake => self.wake(Wake::Due, Gauges::default()),
+            Due::Wake => self.wake(Timer::Deadline, Gauges::default()),
             Due::Periodic => self.ask_gauges(),
             Due::GaugesLate(tag) => {
                 if self.gauges_for == Some(tag) {
                     self.gauges_for = None;
-                    self.wake(Wake::Periodic, Gauges::default());
+                    self.wake(Timer::Periodic, Gauges::default());
                 }
             }
             Due::Closing => self.tell_all_closing(),
@@ -407,7 +407,7 @@
     /// What follows from an event inside the owner itself.
     fn settle(&mut self) {
         while let Some((id, end)) = self.ended.pop_front() {
-            self.decide(|backend, now| backend.run_ended(now, id, end));
+            self.decide(|backend, now| backend.handle_run_ended(now, id, end));
         }
         let idle = || self.connections.is_empty() && self.open.values().all(|open| open.answered);
         let accepts = !matches!(self.listener, Listener::Closed);
@@ -415,7 +415,7 @@
     }
 
     /// Asks the module and carries out what it says.
-    fn decide(&mut self, ask: impl FnOnce(&mut Backend, f64) -> Outcome) {
+    fn decide(&mut self, ask: impl FnOnce(&mut Backend, f64) -> Effects) {
         let now = self.now;
         if let Some(outcome) = self.backend.as_mut().map(|backend| ask(backend, now)) {
             self.carry_out(outcome);
@@ -430,12 +430,13 @@
         tracing::info!("told to leave");
         let late_ms = (self.now - told_at).clamp(0.0, self.stop_ms);
         let stop_ms = self.stop_ms - late_ms;
-        let refuse_from = (self.start.facts.grace_ms - late_ms).min(stop_ms - self.limits.refuse_early_ms);
+        let refuse_from =
+            (self.startup.config.drain_grace_ms - late_ms).min(stop_ms - self.limits.refuse_early_ms);
         // What comes inside the grace is run, so its callers keep their connections until shortly before.
         self.at((refuse_from - self.limits.closing_early_ms).max(0.0), Due::Closing);
         self.at(refuse_from.max(0.0), Due::GraceOver);
         self.at((stop_ms - self.limits.exit_early_ms).max(0.0), Due::Exit);
-        self.decide(|backend, now| backend.told_to_leave(now, now - late_ms, now + stop_ms));
+        self.decide(|backend, now| backend.handle_drain_notice(now, now - late_ms, now + stop_ms));
     }
 }
 
--- a/crates/plovershelf-server/src/owner/below.rs
+++ b/crates/plovershelf-server/src/owner/below.rs
@@ -1,10 +1,10 @@
 //! The owner's side of the agent and the ledger: commands and calls to them, and what they answer.
 
 use async_channel::Sender;
-use plovershelf::interface::{CallEnd, Gauges, Repeats, RunEnd, Wake};
-use plovershelf::logic::Backend;
-use plovershelf_codec::agent::{self as commands, RunOver};
-use plovershelf_codec::TryId;
+use plovershelf::admission::Backend;
+use plovershelf::api::{CallOutcome, Gauges, Idempotency, RunOutcome, Timer};
+use plovershelf_codec::agent::{self as commands, RunResult};
+use plovershelf_codec::AttemptId;
 
 use super::{Due, Open, Owner, NEVER};
 use crate::messages::{CallOver, Order, Said};
@@ -28,35 +28,35 @@
                 // The call that was placed anew is not the one that the run waits for.
                 if self.open.get(&id).is_some_and(|open| open.asked_again && open.call_number != NEVER) {
                     self.give_up_call(id);
-                    self.decide(|backend, now| backend.call_ended(now, id, CallEnd::ProvenNotRun));
+                    self.decide(|backend, now| backend.handle_call_ended(now, id, CallOutcome::NotExecuted));
                 }
                 if let Some(open) = self.open.get_mut(&id) {
                     (open.heard_of, open.doubtful) = (true, false);
                     (open.delivered, open.asked_again, open.proving) = (None, false, None);
                     open.call = call;
                 }
-                self.decide(|backend, now| backend.wants_call(now, id));
+                self.decide(|backend, now| backend.handle_call_requested(now, id));
             }
             Said::Sampled { tag, gauges } => {
                 self.commands_read = self.commands_read.max(tag.min(self.commands));
                 self.deliver_proven();
                 if self.gauges_for == Some(tag) {
                     self.gauges_for = None;
-                    let gauges = self.start.gauges(gauges);
+                    let gauges = self.startup.gauges(gauges);
                     if self.pulse.is_some() {
                         self.learn_work(gauges.cores_busy);
                     }
-                    self.wake(Wake::Periodic, gauges);
+                    self.wake(Timer::Periodic, gauges);
                 }
             }
             Said::Refused { command, about } => {
                 let named = String::from_utf8_lossy(&about);
                 self.complain(&format!("the agent refused {command:?} for {named:?}"));
-                if let ("launch", Ok(id)) = (&command[..], TryId::try_from(&about[..])) {
+                if let ("launch", Ok(id)) = (&command[..], AttemptId::try_from(&about[..])) {
                     // No sidecar sends what the agent does not know.
                     let known = self.by_try.get(&id).and_then(|id| self.open.get(id));
                     let connection = known.filter(|open| !open.answered).map(|open| open.connection);
-                    self.run_over(id, RunOver::Nothing, Vec::new());
+                    self.run_over(id, RunResult::NotFound, Vec::new());
                     if let Some(connection) = connection {
                         self.deafen(connection, "the agent knows nothing of what it sends");
                     }
@@ -69,7 +69,7 @@
     fn learn_work(&mut self, busy: Option<f64>) {
         let span = self.now - std::mem::replace(&mut self.worked_at, self.now);
         let runs = std::mem::take(&mut self.runs_told);
-        let worked = busy.unwrap_or(0.0) * self.start.facts.cores * span;
+        let worked = busy.unwrap_or(0.0) * self.startup.config.cores * span;
         if runs >= 1.0 && span > 0.0 && span < 5000.0 && worked > 0.0 {
             self.work_ms += (worked / runs - self.work_ms) * (runs / (runs + 50.0));
         }
@@ -82,13 +82,14 @@
             if self.leaving_told.get() {
                 return;
             }
-            let mut facts = self.start.facts.clone();
-            facts.just_started = fresh;
+            let mut facts = self.startup.config.clone();
+            facts.cold_start = fresh;
             let (backend, outcome) = Backend::start(self.now - up_for_ms, facts);
             self.backend = Some(backend);
             tracing::info!("the agent is up, {}", if fresh { "fresh" } else { "warm" });
             self.carry_out(outcome);
-            let (runs, calls) = (self.start.facts.cores, self.start.facts.call_share.unwrap_or(f64::MAX));
+            let (runs, calls) =
+                (self.startup.config.cores, self.startup.config.dependency_share.unwrap_or(f64::MAX));
             // One a core until the module tells of its room.
             self.hand_pools(runs, calls);
             return;
@@ -99,20 +100,20 @@
         for (id, open) in &mut self.open {
             // A reply that may be lost: whether its run still waits for it the ledger knows.
             let waits = open.delivered.is_some_and(|at| at > self.commands_read) || open.proving.is_some();
-            let repeats = self.start.facts.offerings[open.offering].repeats;
-            if waits && !open.answered && repeats == Repeats::Rerunnable {
+            let repeats = self.startup.config.classes[open.offering].idempotency;
+            if waits && !open.answered && repeats == Idempotency::Idempotent {
                 (open.delivered, open.proving, open.asked_again) = (None, None, true);
                 unanswered.push(*id);
             }
             let lost = open.launched == Some(NEVER);
             let unsure = open.launched.is_some_and(|at| at > self.commands_read) && !open.heard_of;
-            if lost || (unsure && repeats == Repeats::Rerunnable) {
+            if lost || (unsure && repeats == Idempotency::Idempotent) {
                 again.push(*id);
             }
             open.doubtful = unsure;
             // Over for its caller, perhaps never begun, and not to be launched again: nothing is waited for.
-            if unsure && open.answered && repeats != Repeats::Rerunnable {
-                self.ended.push_back((*id, RunEnd::NeverBegan));
+            if unsure && open.answered && repeats != Idempotency::Idempotent {
+                self.ended.push_back((*id, RunOutcome::NotStarted));
             }
             if !open.answered {
                 late.extend(open.undelivered.take().map(|reply| (*id, reply)));
@@ -121,7 +122,9 @@
         tracing::info!("the agent's link is back, {} launches are written anew", again.len());
         again.into_iter().for_each(|id| self.launch(id));
         late.into_iter().for_each(|(id, reply)| self.deliver(id, reply));
-        unanswered.into_iter().for_each(|id| self.decide(|backend, now| backend.wants_call(now, id)));
+        unanswered
+            .into_iter()
+            .for_each(|id| self.decide(|backend, now| backend.handle_call_requested(now, id)));
     }
 
     /// The agent keeps so many notices and no more: what ended before those is never told of. What may run again is launched
@@ -132,10 +135,10 @@
         self.complain(&format!("the agent forgot notices: {} runs are in doubt", launched.len()));
         for id in launched {
             let Some(open) = self.open.get(&id) else { continue };
-            match self.start.facts.offerings[open.offering].repeats {
-                Repeats::Rerunnable if !open.answered => self.launch(id),
+            match self.startup.config.classes[open.offering].idempotency {
+                Idempotency::Idempotent if !open.answered => self.launch(id),
                 // Answered, or failed for its caller: it may have run, and is never run again.
-                _ => self.ended.push_back((id, RunEnd::Error)),
+                _ => self.ended.push_back((id, RunOutcome::Failed)),
             }
         }
     }
@@ -163,7 +166,7 @@
         Some(self.commands)
     }
 
-    pub(super) fn command_for(&mut self, id: u32, command: impl FnOnce(&TryId) -> Vec<u8>) {
+    pub(super) fn command_for(&mut self, id: u32, command: impl FnOnce(&AttemptId) -> Vec<u8>) {
         if let Some(bytes) = self.open.get(&id).map(|open| command(&open.id)) {
             self.command(bytes);
         }
@@ -171,7 +174,7 @@
 
     pub(super) fn launch(&mut self, id: u32) {
         let Some(open) = self.open.get(&id) else { return };
-        let offering = &self.start.offerings[open.offering];
+        let offering = &self.startup.classes[open.offering];
         let bytes = commands::launch(&open.id, offering, &open.frame[open.body.clone()]);
         let place = self.command(bytes).unwrap_or(NEVER);
         let Some(open) = self.open.get_mut(&id) else { return };
@@ -190,31 +193,31 @@
         open.undelivered = place.is_none().then_some(reply);
     }
 
-    pub(super) fn run_over(&mut self, id: TryId, over: RunOver, result: Vec<u8>) {
+    pub(super) fn run_over(&mut self, id: AttemptId, over: RunResult, result: Vec<u8>) {
         let Some(&id) = self.by_try.get(&id) else { return };
         if self.holds_end(id, &over, &result) {
             return;
         }
         let end = match over {
-            RunOver::Success => RunEnd::Ok,
-            RunOver::Failure => RunEnd::Error,
-            RunOver::Interrupted => RunEnd::Stopped,
-            RunOver::Nothing => RunEnd::NeverBegan,
+            RunResult::Succeeded => RunOutcome::Completed,
+            RunResult::Failed => RunOutcome::Failed,
+            RunResult::Interrupted => RunOutcome::Cancelled,
+            RunResult::NotFound => RunOutcome::NotStarted,
         };
         self.run_ended(id, end, result);
     }
 
     /// A run's end as callers hear of it.
-    pub(super) fn run_ended(&mut self, id: u32, end: RunEnd, result: Vec<u8>) {
+    pub(super) fn run_ended(&mut self, id: u32, end: RunOutcome, result: Vec<u8>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.result = result;
         if let Some(mark) = open.mark.clone() {
-            let kept = (end == RunEnd::Ok).then(|| open.result.clone());
+            let kept = (end == RunOutcome::Completed).then(|| open.result.clone());
             for repeat in self.remembered.ended(&mark, id, kept.as_deref(), self.now) {
                 self.end_repeat(repeat, kept.as_deref());
             }
         }
-        self.decide(|backend, now| backend.run_ended(now, id, end));
+        self.decide(|backend, now| backend.handle_run_ended(now, id, end));
     }
 
     pub(super) fn ask_gauges(&mut self) {
@@ -225,12 +228,12 @@
                 self.gauges_for = Some(tag);
                 self.at(self.limits.gauges_ms, Due::GaugesLate(tag));
             }
-            None => self.wake(Wake::Periodic, Gauges::default()),
+            None => self.wake(Timer::Periodic, Gauges::default()),
         }
     }
 
-    pub(super) fn wake(&mut self, wake: Wake, gauges: Gauges) {
-        self.decide(|backend, now| backend.woke(now, wake, gauges));
+    pub(super) fn wake(&mut self, wake: Timer, gauges: Gauges) {
+        self.decide(|backend, now| backend.handle_timeout(now, wake, gauges));
     }
 
     pub(super) fn place_call(&mut self, id: u32, within_ms: f64) {
@@ -241,7 +244,7 @@
         let order = Order::Call { id, number, within_ms, body: open.call.clone() };
         if self.ledger.try_send(order).is_err() {
             self.complain("the queue to the ledger is full");
-            self.call_over(id, CallOver::without(number, CallEnd::ProvenNotRun));
+            self.call_over(id, CallOver::without(number, CallOutcome::NotExecuted));
         }
     }
 
@@ -256,32 +259,32 @@
         }
     }
 
-    pub(super) fn call_over(&mut self, id: TryId, over: CallOver) {
+    pub(super) fn call_over(&mut self, id: AttemptId, over: CallOver) {
         let CallOver { number, end, wanted, reply } = over;
         let Some(&id) = self.by_try.get(&id) else { return };
         let Some(open) = self.open.get_mut(&id).filter(|open| open.call_number == number) else { return };
         open.call_number = NEVER;
         let end = match (end, open.asked_again, wanted) {
             // No run waits: the reply of before has reached it.
-            (_, true, false) => CallEnd::Ok,
-            (CallEnd::Ok, true, _) => {
+            (_, true, false) => CallOutcome::Completed,
+            (CallOutcome::Completed, true, _) => {
                 let place = self.command(commands::sample(self.commands + 1)).unwrap_or(u64::MAX);
                 if let Some(open) = self.open.get_mut(&id) {
                     open.proving = Some((place, reply));
                 }
-                CallEnd::Ok
+                CallOutcome::Completed
             }
-            (CallEnd::Ok, ..) => {
+            (CallOutcome::Completed, ..) => {
                 if !open.answered {
                     self.deliver(id, reply);
                 }
-                CallEnd::Ok
+                CallOutcome::Completed
             }
             (other, ..) => other,
         };
-        if let Some(open) = self.open.get_mut(&id).filter(|_| end == CallEnd::Ok) {
+        if let Some(open) = self.open.get_mut(&id).filter(|_| end == CallOutcome::Completed) {
             open.asked_again = false;
         }
-        self.decide(|backend, now| backend.call_ended(now, id, end));
+        self.decide(|backend, now| backend.handle_call_ended(now, id, end));
     }
 }
--- a/crates/plovershelf-server/src/owner/changed.rs
+++ b/crates/plovershelf-server/src/owner/changed.rs
@@ -1,6 +1,6 @@
 //! Tenants' quotas that come into force while this runs. Without a file of the operator's there is nothing here.
 
-use plovershelf_facts::Names;
+use plovershelf_settings::Names;
 
 use super::Owner;
 use crate::changes::Quotas;
@@ -37,9 +37,9 @@
     pub(super) fn quotas_told(&mut self, told: &Quotas) {
         let Some(changed) = &self.changed else { return };
         let (differing, unknown) =
-            changed.differing(told, &self.start.tenants, &self.start.facts.tenant_quotas);
+            changed.differing(told, &self.startup.tenants, &self.startup.config.tenant_quotas_per_s);
         for (place, quota) in &differing {
-            self.start.facts.tenant_quotas[*place] = *quota;
+            self.startup.config.tenant_quotas_per_s[*place] = *quota;
         }
         let (version, here) = (told.version, differing.len());
         tracing::info!(
@@ -50,7 +50,7 @@
             "change {version}: {here} quotas differ here, {unknown} tenants are none of the settings'"
         );
         if !differing.is_empty() {
-            self.decide(|backend, now| backend.quotas(now, &differing));
+            self.decide(|backend, now| backend.update_tenant_quotas(now, &differing));
         }
     }
 }
--- a/crates/plovershelf-server/src/owner/copied.rs
+++ b/crates/plovershelf-server/src/owner/copied.rs
@@ -4,10 +4,10 @@
 //! The module decides as before: it has let the invocation in and counts it as running while its claim is asked for; due
 //! times hold meanwhile, and what is given up is given back.
 
-use plovershelf::interface::{Ending as Answered, RunEnd};
-use plovershelf_codec::agent::RunOver;
-use plovershelf_copies::copies::Ending;
-use plovershelf_copies::placement::Ticket;
+use plovershelf::api::{Completion as Answered, RunOutcome};
+use plovershelf_codec::agent::RunResult;
+use plovershelf_replication::copies::Ending;
+use plovershelf_replication::placement::Ticket;
 
 use super::Owner;
 use crate::group::{Asked, Incoming, Told};
@@ -44,10 +44,14 @@
         let Some(copies) = &self.copies else { return false };
         let Some(open) = self.open.get_mut(&id) else { return false };
         let Some(Mark::Ticket(offering, text)) = &open.mark else { return false };
-        let ticket = Ticket::of(&self.start.offerings[*offering], text.as_bytes());
-        let terms = &self.start.facts.offerings[*offering];
-        let claim =
-            Asked::Claim { id, ticket, within_ms: terms.hard_limit_ms, window_ms: terms.ticket_window_ms };
+        let ticket = Ticket::of(&self.startup.classes[*offering], text.as_bytes());
+        let terms = &self.startup.config.classes[*offering];
+        let claim = Asked::Claim {
+            id,
+            ticket,
+            within_ms: terms.timeout_ms,
+            window_ms: terms.deduplication_window_ms,
+        };
         open.copied = Stage::Asking;
         if copies.try_send(Incoming::Asked(claim)).is_err() {
             // The group takes nothing: nothing is promised, and nothing runs on a promise.
@@ -76,11 +80,11 @@
                     && open.copied == Stage::None
                     && open.launched.is_none()
                     && matches!(open.mark, Some(Mark::Ticket(..)))
-                    && ending == Answered::Scrapped =>
+                    && ending == Answered::Failed =>
             {
                 dismissed
             }
-            Some(open) if open.copied == Stage::Ending && ending == Answered::Scrapped => {
+            Some(open) if open.copied == Stage::Ending && ending == Answered::Failed => {
                 match open.enough.take() {
                     Some(Ending::Succeeded(result)) => {
                         open.result = result;
@@ -90,7 +94,7 @@
                 }
             }
             Some(open) if open.copied == Stage::Launched && !open.answered => {
-                open.told_failed = ending == Answered::Scrapped;
+                open.told_failed = ending == Answered::Failed;
                 ending
             }
             _ => ending,
@@ -98,8 +102,8 @@
     }
 
     fn come_back(&self) -> Answered {
-        let cool_down_ms = COME_BACK_MS.min(self.start.facts.cool_down_most_ms);
-        Answered::Dismissed { cool_down_ms, elsewhere_helps: true }
+        let retry_after_ms = COME_BACK_MS.min(self.startup.config.max_retry_after_ms);
+        Answered::Rejected { retry_after_ms, retry_elsewhere: true }
     }
 
     /// Nobody waits for it any more.
@@ -110,17 +114,17 @@
     }
 
     /// A run is over: its end is held back until it is copied. True where it is.
-    pub(super) fn holds_end(&mut self, id: u32, over: &RunOver, result: &[u8]) -> bool {
+    pub(super) fn holds_end(&mut self, id: u32, over: &RunResult, result: &[u8]) -> bool {
         let Some(open) = self.open.get_mut(&id).filter(|open| open.copied == Stage::Launched) else {
             return false;
         };
-        if matches!(over, RunOver::Nothing) {
+        if matches!(over, RunResult::NotFound) {
             open.copied = Stage::Over;
             self.ask(Asked::NeverLaunched { id });
             return false;
         }
         open.copied = Stage::Ending;
-        let well = matches!(over, RunOver::Success) && !open.told_failed;
+        let well = matches!(over, RunResult::Succeeded) && !open.told_failed;
         let ending = if well { Ending::Succeeded(result.to_vec()) } else { Ending::Failed };
         self.ask(Asked::Ended { id, ending });
         true
@@ -139,7 +143,7 @@
             Told::Ended(id, ending) => {
                 let answered = match &ending {
                     Ending::Succeeded(_) => Answered::Succeeded,
-                    Ending::Failed | Ending::InDoubt => Answered::Scrapped,
+                    Ending::Failed | Ending::InDoubt => Answered::Failed,
                 };
                 self.end_unlaunched(id, answered, ending);
             }
@@ -147,8 +151,8 @@
                 let Some(open) = self.open.get_mut(&id) else { return };
                 open.copied = Stage::Over;
                 let (end, result) = match ending {
-                    Ending::Succeeded(result) => (RunEnd::Ok, result),
-                    Ending::Failed | Ending::InDoubt => (RunEnd::Error, Vec::new()),
+                    Ending::Succeeded(result) => (RunOutcome::Completed, result),
+                    Ending::Failed | Ending::InDoubt => (RunOutcome::Failed, Vec::new()),
                 };
                 self.run_ended(id, end, result);
             }
@@ -183,6 +187,6 @@
             }
         }
         self.answer(id, answered);
-        self.ended.push_back((id, RunEnd::NeverBegan));
+        self.ended.push_back((id, RunOutcome::NotStarted));
     }
 }
--- a/crates/plovershelf-server/src/owner/peers.rs
+++ b/crates/plovershelf-server/src/owner/peers.rs
@@ -2,9 +2,9 @@
 
 use std::ops::Range;
 
-use plovershelf::interface::{Arrival, Repeats};
-use plovershelf_codec::front::{self, Complaint, Fault, Message, Words};
-use plovershelf_codec::TryId;
+use plovershelf::api::{Idempotency, Request};
+use plovershelf_codec::front::{self, DecodeError, ExceptionKind, Message, ServerSignals};
+use plovershelf_codec::AttemptId;
 
 use super::{Connection, Open, Owner, NEVER};
 use crate::messages::Unwritten;
@@ -16,7 +16,7 @@
 
 /// What is read of an invocation for the module, and for its repeats.
 pub(super) struct Read {
-    arrival: Arrival,
+    arrival: Request,
     mark: Option<Mark>,
     content: u64,
 }
@@ -48,28 +48,28 @@
             (peer.idle_since, peer.spoke) = (self.now, true);
         }
         match decoded {
-            Ok(Message::Dispatch { seqid, invocation }) => {
+            Ok(Message::Dispatch { seqid, request }) => {
                 if peer.open.contains_key(&seqid) {
                     // An exception would be a second answer to that number.
                     self.deafen(connection, "a sequence number is in use");
                     return;
                 }
-                let (id, body) = (invocation.id, invocation.body);
+                let (id, body) = (request.id, request.body);
                 let from = body.as_ptr() as usize - frame.as_ptr() as usize;
                 let body = from..from + body.len();
-                match self.arrival(connection, &invocation) {
+                match self.arrival(connection, &request) {
                     Ok(read) => self.take_in(connection, seqid, id, frame, body, read),
                     Err(Unfit::Wrong(what)) => {
-                        self.refuse(connection, seqid, "dispatch", Complaint::Internal, &what);
+                        self.refuse(connection, seqid, "dispatch", ExceptionKind::Internal, &what);
                         self.at_fault(connection, &what);
                     }
                     Err(Unfit::NoRoom) => {
                         self.complain("more keys are to be remembered than memory allows");
-                        self.send(connection, front::dismissed(seqid, &Words::default()));
+                        self.send(connection, front::rejected(seqid, &ServerSignals::default()));
                     }
                     Err(Unfit::KeyHeld) => {
                         self.complain(&format!("connection {connection}: {MARK_IN_USE}"));
-                        self.send(connection, front::dismissed(seqid, &Words::default()));
+                        self.send(connection, front::rejected(seqid, &ServerSignals::default()));
                         self.at_fault(connection, MARK_IN_USE);
                     }
                 }
@@ -80,24 +80,24 @@
                 }
             }
             Ok(Message::Alive { seqid }) => {
-                let words = Words { advice: self.advice, ..Words::default() };
+                let words = ServerSignals { backpressure: self.advice, ..ServerSignals::default() };
                 self.send(connection, front::health(seqid, self.fit, &words));
             }
             Ok(Message::Other) => self.complain("a message that is not known"),
-            Err(Fault::Refused { seqid, method, complaint, what }) => {
-                self.refuse(connection, seqid, &method, complaint, &what);
+            Err(DecodeError::Rejected { seqid, method, kind, what }) => {
+                self.refuse(connection, seqid, &method, kind, &what);
                 self.at_fault(connection, &what);
             }
-            Err(Fault::Garbled(what)) => self.deafen(connection, what),
+            Err(DecodeError::Malformed(what)) => self.deafen(connection, what),
         }
     }
 
     /// An invocation as the module needs it, with the mark by which repeats of it are known.
-    pub(super) fn arrival(&self, connection: u64, read: &front::Invocation<'_>) -> Result<Read, Unfit> {
-        let offering = self.start.offerings.place(read.offering).ok_or("no such class")?;
-        let tenant = match self.start.tenants.place(read.tenant) {
+    pub(super) fn arrival(&self, connection: u64, read: &front::Request<'_>) -> Result<Read, Unfit> {
+        let offering = self.startup.classes.place(read.class).ok_or("no such class")?;
+        let tenant = match self.startup.tenants.place(read.tenant) {
             Some(tenant) => tenant,
-            None if self.start.tenants.is_empty() => 0,
+            None if self.startup.tenants.is_empty() => 0,
             None => return Err("no such tenant".into()),
         };
         if self.connections[&connection].open.len() >= self.limits.open_each {
@@ -114,14 +114,14 @@
         }
         // A figure that can't be is kept from the module, whose measure of waits unread it would spoil.
         let oldest = self.now - self.limits.oldest_ms;
-        if !(oldest..=self.now + self.limits.oldest_ms).contains(&read.came_ms) {
+        if !(oldest..=self.now + self.limits.oldest_ms).contains(&read.sent_ms) {
             return Err("field \"s\" is out of bounds".into());
         }
-        let came = read.came_ms.min(self.now);
-        let terms = &self.start.facts.offerings[offering];
-        let mut mark = Mark::of(offering, terms.repeats, read.ticket, read.subject);
-        let share_ms = self.start.facts.share_answers_ms;
-        let ran_counts = terms.repeats == Repeats::Ticketed;
+        let came = read.sent_ms.min(self.now);
+        let terms = &self.startup.config.classes[offering];
+        let mut mark = Mark::of(offering, terms.idempotency, read.idempotency_key, read.object);
+        let share_ms = self.startup.config.shared_response_ms;
+        let ran_counts = terms.idempotency == Idempotency::Keyed;
         let content = mark.as_ref().map_or(0, |_| content(read.body));
         let known = mark.as_ref().map(|m| self.remembered.known(m, content, came, ran_counts, share_ms));
         let original = match known {
@@ -141,18 +141,18 @@
             Some(Known::Another { ran: true }) => return Err(MARK_IN_USE.into()),
             Some(Known::Another { ran: false }) => return Err(Unfit::KeyHeld),
         };
-        let arrival = Arrival {
+        let arrival = Request {
             id: 0,
-            offering,
+            class: offering,
             tenant,
-            key: read.subject,
-            gives_up_at: read.waits_ms.map(|waits| came + waits.min(self.limits.longest_wait_ms)),
+            key: read.object,
+            deadline_ms: read.timeout_ms.map(|waits| came + waits.min(self.limits.longest_wait_ms)),
             work_hint_ms: read.work_hint_ms,
-            footprint_kb: read.footprint_kb,
-            marked_repeat: read.marked_repeat,
-            writes: read.subject == 0,
+            memory_kb: read.memory_kb,
+            marked_retry: read.marked_retry,
+            writes: read.object == 0,
             unread_ms: self.now - came,
-            original,
+            duplicate_of: original,
         };
         Ok(Read { arrival, mark, content })
     }
@@ -161,7 +161,7 @@
         &mut self,
         connection: u64,
         seqid: i32,
-        id: TryId,
+        id: AttemptId,
         frame: Vec<u8>,
         body: Range<usize>,
         Read { mut arrival, mark, content }: Read,
@@ -169,7 +169,7 @@
         let bytes = frame.len() + self.limits.open_overhead;
         if self.open_bytes + bytes > self.limits.open_bytes {
             self.complain("more is open than memory allows");
-            self.send(connection, front::dismissed(seqid, &Words::default()));
+            self.send(connection, front::rejected(seqid, &ServerSignals::default()));
             return;
         }
         while arrival.id == 0 || self.open.contains_key(&arrival.id) {
@@ -185,7 +185,7 @@
             id,
             connection,
             seqid,
-            offering: arrival.offering,
+            offering: arrival.class,
             frame,
             body,
             answered: false,
@@ -208,23 +208,23 @@
         };
         self.open.insert(arrival.id, open);
         if self.pulse.is_some() {
-            self.count_asked(arrival.offering, arrival.work_hint_ms);
+            self.count_asked(arrival.class, arrival.work_hint_ms);
         }
-        self.decide(|backend, now| backend.arrived(now, arrival));
+        self.decide(|backend, now| backend.handle_request(now, arrival));
     }
 
     /// For a plan of zones: work by bands of what it earns, against the offering that earns most.
     fn count_asked(&mut self, offering: usize, hint_ms: Option<f64>) {
-        let facts = &self.start.facts;
-        let most = facts.offerings.iter().map(|terms| terms.revenue).fold(0.0, f64::max);
-        let rank = if most > 0.0 { facts.offerings[offering].revenue / most } else { 0.0 };
-        self.counted.asked[plovershelf_zones::plan::band(rank)] += hint_ms.unwrap_or(self.work_ms);
+        let config = &self.startup.config;
+        let most = config.classes.iter().map(|terms| terms.value).fold(0.0, f64::max);
+        let rank = if most > 0.0 { config.classes[offering].value / most } else { 0.0 };
+        self.counted.asked[plovershelf_failover::plan::band(rank)] += hint_ms.unwrap_or(self.work_ms);
     }
 
     /// The caller takes no answer any more.
     pub(super) fn gone(&mut self, id: u32) {
         self.close_answer(id);
-        self.decide(|backend, now| backend.caller_gone(now, id));
+        self.decide(|backend, now| backend.handle_client_gone(now, id));
     }
 
     /// A connection has ended: whatever is open on it has nobody left who waits.
@@ -367,11 +367,11 @@
         connection: u64,
         seqid: i32,
         method: &str,
-        complaint: Complaint,
+        kind: ExceptionKind,
         what: &str,
     ) {
         self.complain(&format!("connection {connection}, {method:?}: {what}"));
-        self.send(connection, front::complaint(seqid, method, complaint, what));
+        self.send(connection, front::exception(seqid, method, kind, what));
     }
 
     /// A line about what a peer does wrong, as many a second as the limits allow.
--- a/crates/plovershelf-server/src/owner/pooled.rs
+++ b/crates/plovershelf-server/src/owner/pooled.rs
@@ -3,8 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use plovershelf::interface::{Change, Ending, PoolRoom, Pools as Told, StartFacts, State};
-use plovershelf_pools::{Kind, Plan, Pools};
+use plovershelf::api::{
+    BackendConfig, BulkheadCapacity, Bulkheads as Told, Completion, RequestState, Transition,
+};
+use plovershelf_bulkhead::{Kind, Plan, Pools};
 
 use super::Owner;
 
@@ -20,7 +22,7 @@
     peak: Vec<[f64; 2]>,
     at_call: Vec<usize>,
     /// What is open: its offering, its state, and since when.
-    open: BTreeMap<u32, (usize, State, f64)>,
+    open: BTreeMap<u32, (usize, RequestState, f64)>,
 }
 
 /// A pool is taken to ask for no more than this, however many of it were dismissed.
@@ -31,10 +33,10 @@
 
 impl Pooled {
     /// Errors: what the plan has against these facts.
-    pub fn new(plan: Plan, facts: &StartFacts) -> Result<Self, String> {
-        let offerings = facts.offerings.len();
-        let runs = (facts.cores * facts.tip_multiple / 2.0).max(1.0) as usize;
-        let calls = facts.call_share.map_or(10_000, |share| share.max(1.0) as usize);
+    pub fn new(plan: Plan, config: &BackendConfig) -> Result<Self, String> {
+        let offerings = config.classes.len();
+        let runs = (config.cores * config.overload_multiple / 2.0).max(1.0) as usize;
+        let calls = config.dependency_share.map_or(10_000, |share| share.max(1.0) as usize);
         let pools = Pools::new(plan, offerings, runs, calls)?;
         let count = pools.names().count();
         let (counts, none) = (vec![(0, 0); count], vec![0; count]);
@@ -49,7 +51,7 @@
         })
     }
 
-    fn change(&mut self, now: f64, change: &Change, offering: usize) {
+    fn change(&mut self, now: f64, change: &Transition, offering: usize) {
         let pool = self.pools.pool(offering);
         let before = self.open.remove(&change.id);
         if let Some((_, from, since)) = before {
@@ -57,20 +59,21 @@
             let took_ms = now - since;
             // What was given up shows nothing of what it takes.
             match (from, change.to) {
-                (State::Running, State::AtCall | State::Ended(_)) => {
+                (RequestState::Running, RequestState::AwaitingCall | RequestState::Completed(_)) => {
                     self.pools.learn(Kind::Run, pool, now, took_ms, true);
                 }
-                (State::Calling { .. }, State::Running) => {
+                (RequestState::Calling { .. }, RequestState::Running) => {
                     self.pools.learn(Kind::Call, pool, now, took_ms, true)
                 }
-                (State::Calling { .. }, State::AtCall) => {
+                (RequestState::Calling { .. }, RequestState::AwaitingCall) => {
                     self.pools.learn(Kind::Call, pool, now, took_ms, false)
                 }
                 _ => {}
             }
         }
-        if let State::Ended(ending) = change.to {
-            let refused = matches!(ending, Ending::Dismissed { .. }) && change.from == Some(State::Held);
+        if let RequestState::Completed(ending) = change.to {
+            let refused =
+                matches!(ending, Completion::Rejected { .. }) && change.from == Some(RequestState::Queued);
             self.turned_away[pool] += usize::from(refused);
             return;
         }
@@ -79,17 +82,17 @@
         self.count(pool, change.to, true);
     }
 
-    fn count(&mut self, pool: usize, state: State, more: bool) {
+    fn count(&mut self, pool: usize, state: RequestState, more: bool) {
         let (runs, calls) = &mut self.counts[pool];
         let at_call = &mut self.at_call[pool];
         let step = |count: &mut usize| *count = if more { *count + 1 } else { count.saturating_sub(1) };
         match state {
-            State::Running | State::Spent { .. } => step(runs),
-            State::AtCall => {
+            RequestState::Running | RequestState::Answered { .. } => step(runs),
+            RequestState::AwaitingCall => {
                 step(runs);
                 step(at_call);
             }
-            State::Calling { .. } => step(calls),
+            RequestState::Calling { .. } => step(calls),
             _ => {}
         }
     }
@@ -102,7 +105,7 @@
         let count = self.pools.names().count();
         self.peak = vec![[0.0; 2]; count];
         (self.counts, self.turned_away, self.at_call) = (vec![(0, 0); count], vec![0; count], vec![0; count]);
-        let open: Vec<(usize, State)> =
+        let open: Vec<(usize, RequestState)> =
             self.open.values().map(|(offering, state, _)| (*offering, *state)).collect();
         open.into_iter().for_each(|(offering, state)| self.count(self.pools.pool(offering), state, true));
         Ok(())
@@ -127,15 +130,15 @@
             self.pools.waits(Kind::Call, pool, wants[1].saturating_sub(*out));
         }
         let (runs, calls) = (self.pools.room(Kind::Run), self.pools.room(Kind::Call));
-        let room = |pool: usize| PoolRoom {
-            kept: self.pools.kept_runs(pool) as f64,
-            runs: runs[pool] as f64,
+        let room = |pool: usize| BulkheadCapacity {
+            reserved_runs: self.pools.kept_runs(pool) as f64,
+            max_runs: runs[pool] as f64,
             // One at least, or a pool whose calls are all lent out would wait for good.
-            calls: calls[pool].max(1) as f64,
+            max_calls: calls[pool].max(1) as f64,
         };
         Told {
-            of: (0..self.offerings).map(|offering| self.pools.pool(offering)).collect(),
-            rooms: (0..self.counts.len()).map(room).collect(),
+            bulkhead_of_class: (0..self.offerings).map(|offering| self.pools.pool(offering)).collect(),
+            capacities: (0..self.counts.len()).map(room).collect(),
         }
     }
 
@@ -158,7 +161,7 @@
 }
 
 impl Owner {
-    pub(super) fn pool_change(&mut self, change: &Change) {
+    pub(super) fn pool_change(&mut self, change: &Transition) {
         let (Some(pooled), Some(open)) = (&mut self.pooled, self.open.get(&change.id)) else { return };
         pooled.change(self.now, change, open.offering);
     }
@@ -171,7 +174,7 @@
             self.pools_told_at = self.now;
             pooled.figures();
         }
-        self.decide(|backend, now| backend.pooled(now, Some(told)));
+        self.decide(|backend, now| backend.update_bulkheads(now, Some(told)));
     }
 
     /// The operator's file was read again: all of it counts, or nothing changes.
