--- a/crates/plovershelf-server/src/owner/work.rs
+++ b/crates/plovershelf-server/src/owner/work.rs
@@ -1,58 +1,60 @@
 //! Carries out what the module says of an invocation: its run, its calls, its answer, its end.
 
-use plovershelf::interface::{Change, Ending, Outcome, RunEnd, State, Wake};
+use plovershelf::api::{Completion, Effects, RequestState, RunOutcome, Timer, Transition};
 use plovershelf_codec::agent as commands;
-use plovershelf_codec::front::{self, Words};
+use plovershelf_codec::front::{self, ServerSignals};
 
 use super::{Due, Open, Owner, NEVER};
 use crate::repeats::Repeated;
 
 impl Owner {
-    pub(super) fn carry_out(&mut self, outcome: Outcome) {
-        for change in outcome.changes {
+    pub(super) fn carry_out(&mut self, effects: Effects) {
+        for change in effects.transitions {
             self.pool_change(&change);
             self.carry_out_change(change);
         }
-        let words = outcome.words;
-        self.advice = words.advice.or(self.advice);
-        self.fit = words.fit.unwrap_or(self.fit);
-        self.idle_ms = words.idle_ms.unwrap_or(self.idle_ms);
-        for (wait_ms, wake) in words.wakes {
-            self.at(wait_ms, if wake == Wake::Periodic { Due::Periodic } else { Due::Wake });
+        let words = effects.announcements;
+        self.advice = words.backpressure.or(self.advice);
+        self.fit = words.ready.unwrap_or(self.fit);
+        self.idle_ms = words.idle_timeout_ms.unwrap_or(self.idle_ms);
+        for (wait_ms, wake) in words.timers {
+            self.at(wait_ms, if wake == Timer::Periodic { Due::Periodic } else { Due::Wake });
         }
         for note in words.notes {
             tracing::info!("{note}");
         }
-        if let Some((runs, calls)) = words.room {
+        if let Some((runs, calls)) = words.total_capacity {
             self.hand_pools(runs, calls);
         }
     }
 
-    pub(super) fn carry_out_change(&mut self, change: Change) {
+    pub(super) fn carry_out_change(&mut self, change: Transition) {
         let id = change.id;
-        if let (Some(span), Some(open)) = (change.remember_ms, self.open.get(&id)) {
+        if let (Some(span), Some(open)) = (change.retain_ms, self.open.get(&id)) {
             if let Some(mark) = &open.mark {
                 self.remembered.keep(mark.clone(), id, open.content, self.now + span);
             }
         }
         match (change.from, change.to) {
             // A ticket with copies is launched once its claim stands.
-            (Some(State::Held), State::Running) if self.claim(id) => {}
-            (Some(State::Held), State::Running) => self.launch(id),
-            (Some(State::AtCall), State::Running) => self.command_for(id, commands::forgo),
-            (_, State::Calling { within_ms }) => self.place_call(id, within_ms),
-            (_, State::Joined) => self.join(id),
-            (Some(_), State::Spent { ending, stop }) => {
+            (Some(RequestState::Queued), RequestState::Running) if self.claim(id) => {}
+            (Some(RequestState::Queued), RequestState::Running) => self.launch(id),
+            (Some(RequestState::AwaitingCall), RequestState::Running) => {
+                self.command_for(id, commands::skip_call)
+            }
+            (_, RequestState::Calling { timeout_ms }) => self.place_call(id, timeout_ms),
+            (_, RequestState::Joined) => self.join(id),
+            (Some(_), RequestState::Answered { completion: ending, cancel: stop }) => {
                 let ending = self.out_of_time(id, ending);
                 self.give_up_call(id);
                 self.answer(id, ending);
                 if stop {
-                    self.command_for(id, commands::freeze);
+                    self.command_for(id, commands::cancel_run);
                 }
                 self.claim_given_up(id);
                 self.settle_doubt(id);
             }
-            (Some(_), State::Ended(ending)) => {
+            (Some(_), RequestState::Completed(ending)) => {
                 let ending = self.out_of_time(id, ending);
                 self.give_up_call(id);
                 self.claim_given_up(id);
@@ -68,34 +70,36 @@
         let unheard =
             |open: &&Open| open.doubtful || open.launched == Some(NEVER) || open.copied.holds_launch();
         if self.open.get(&id).filter(unheard).is_some() {
-            self.ended.push_back((id, RunEnd::NeverBegan));
+            self.ended.push_back((id, RunOutcome::NotStarted));
         }
     }
 
     /// Gives the final answer, if it has not been given.
-    pub(super) fn answer(&mut self, id: u32, ending: Ending) {
+    pub(super) fn answer(&mut self, id: u32, ending: Completion) {
         let Some(open) = self.open.get_mut(&id) else { return };
         if open.answered {
             return;
         }
         let (connection, seqid) = (open.connection, open.seqid);
-        if self.pulse.is_some() && matches!(ending, Ending::Succeeded | Ending::Scrapped) {
-            let limit = self.start.facts.offerings[open.offering].hard_limit_ms;
+        if self.pulse.is_some() && matches!(ending, Completion::Succeeded | Completion::Failed) {
+            let limit = self.startup.config.classes[open.offering].timeout_ms;
             self.counted.answered += 1.0;
             self.counted.in_time +=
-                f64::from(u8::from(ending == Ending::Succeeded && self.now - open.came <= limit));
+                f64::from(u8::from(ending == Completion::Succeeded && self.now - open.came <= limit));
             self.runs_told += 1.0;
         }
-        let mut words = Words { advice: self.advice, ..Words::default() };
+        let mut words = ServerSignals { backpressure: self.advice, ..ServerSignals::default() };
         let frame = match ending {
-            Ending::Succeeded => front::succeeded(seqid, &open.result, &words),
-            Ending::Dismissed { cool_down_ms, elsewhere_helps } => {
-                words.cool_down_ms = Some(cool_down_ms).filter(|span| *span > 0.0);
-                words.last = !elsewhere_helps;
-                front::dismissed(seqid, &words)
+            Completion::Succeeded => front::succeeded(seqid, &open.result, &words),
+            Completion::Rejected { retry_after_ms, retry_elsewhere } => {
+                words.retry_after_ms = Some(retry_after_ms).filter(|span| *span > 0.0);
+                words.no_retry_elsewhere = !retry_elsewhere;
+                front::rejected(seqid, &words)
             }
             // A run can end because its caller has gone before this side was told; an answer does no harm.
-            Ending::Scrapped | Ending::RunFailed | Ending::CallerGone => front::scrapped(seqid, &words),
+            Completion::Failed | Completion::ExecutionFailed | Completion::ClientGone => {
+                front::failed(seqid, &words)
+            }
         };
         self.close_answer(id);
         self.send(connection, frame);
@@ -130,7 +134,10 @@
     pub(super) fn end_repeat(&mut self, repeat: u32, result: Option<&[u8]>) {
         if let Some(open) = self.open.get_mut(&repeat) {
             open.result = result.unwrap_or_default().to_vec();
-            self.ended.push_back((repeat, if result.is_some() { RunEnd::Ok } else { RunEnd::Error }));
+            self.ended.push_back((
+                repeat,
+                if result.is_some() { RunOutcome::Completed } else { RunOutcome::Failed },
+            ));
         }
     }
 
--- a/crates/plovershelf-server/src/repeats.rs
+++ b/crates/plovershelf-server/src/repeats.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use plovershelf::interface::Repeats;
+use plovershelf::api::Idempotency;
 
 /// By what a repeat is known: the offering with its ticket, or with what a read is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,11 +13,11 @@
 }
 
 impl Mark {
-    pub fn of(offering: usize, repeats: Repeats, ticket: Option<&str>, subject: u64) -> Option<Mark> {
+    pub fn of(offering: usize, repeats: Idempotency, ticket: Option<&str>, subject: u64) -> Option<Mark> {
         match repeats {
-            Repeats::Ticketed => ticket.map(|ticket| Mark::Ticket(offering, ticket.into())),
-            Repeats::Rerunnable => (subject != 0).then_some(Mark::Read(offering, subject)),
-            Repeats::Exclusive => None,
+            Idempotency::Keyed => ticket.map(|ticket| Mark::Ticket(offering, ticket.into())),
+            Idempotency::Idempotent => (subject != 0).then_some(Mark::Read(offering, subject)),
+            Idempotency::NonIdempotent => None,
         }
     }
 }
--- a/crates/plovershelf-server/src/roster.rs
+++ b/crates/plovershelf-server/src/roster.rs
@@ -19,7 +19,7 @@
         match Async::<UdpSocket>::bind(any) {
             Ok(socket) => {
                 while address.get().is_ipv4() == v4 {
-                    let beat = plovershelf_codec::roster::beat(&name, leaving.get());
+                    let beat = plovershelf_codec::registry::heartbeat(&name, leaving.get());
                     // A beat that gets lost is made good by the next.
                     if let Err(error) = socket.send_to(&beat, address.get()).await {
                         tracing::debug!("reporting to the roster: {error}");
--- a/crates/plovershelf-server/tests/clients.rs
+++ b/crates/plovershelf-server/tests/clients.rs
@@ -8,9 +8,9 @@
 use async_io::Timer;
 use futures_lite::future;
 use plovershelf_client::{Builder, Client, Invocation, Reply, Terms};
-use plovershelf_standins::backend::{Fleet, Plan};
-use plovershelf_standins::work::{Effect, Work};
-use plovershelf_standins::{cores, ledger, Clock, Executor};
+use plovershelf_testkit::backend::{Fleet, Plan};
+use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::{cores, ledger, Clock, Executor};
 use serde_json::json;
 
 fn plan(backends: usize) -> Plan {
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -8,17 +8,17 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use plovershelf_group::frames::{decode, encode, plain, unframed, Hello, Wire};
-use plovershelf_group::status::{Answer, Question, Status};
-use plovershelf_model::schedule::{Fault, Folder};
-use plovershelf_standins::backend::{Fleet, Plan};
-use plovershelf_standins::plain::{Asked, Ended, Plain};
-use plovershelf_standins::scripted::SETTINGS;
-use plovershelf_standins::work::{Effect, Work};
-use plovershelf_standins::{cores, ledger, rig, Clock, Executor};
-use plovershelf_zones::asks::{Ask, Status as ZonesStatus, Told};
-use plovershelf_zones::plan::Plan as ZonesPlan;
-use plovershelf_zones::planner::Wish;
+use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
+use plovershelf_cluster::status::{Answer, Question, Status};
+use plovershelf_failover::asks::{Ask, Status as ZonesStatus, Told};
+use plovershelf_failover::plan::Plan as ZonesPlan;
+use plovershelf_failover::planner::Wish;
+use plovershelf_simulation::schedule::{Fault, Folder};
+use plovershelf_testkit::backend::{Fleet, Plan};
+use plovershelf_testkit::plain::{Asked, Ended, Plain};
+use plovershelf_testkit::scripted::SETTINGS;
+use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::{cores, ledger, rig, Clock, Executor};
 
 fn plan(group: bool) -> Plan {
     Plan {
--- a/crates/plovershelf-facts/benches/lookup.rs
+++ b/crates/plovershelf-settings/benches/lookup.rs
@@ -1,10 +1,10 @@
 //! What it costs to find a tenant's place by its name, with so many tenants: by a walk, and as it is done. Run with
-//! `cargo bench -p plovershelf-facts --bench lookup`.
+//! `cargo bench -p plovershelf-settings --bench lookup`.
 
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use plovershelf_facts::Names;
+use plovershelf_settings::Names;
 
 /// Each look-up is of another tenant, so that the mean over all places counts.
 fn lookups(criterion: &mut Criterion) {
--- a/crates/plovershelf-model/examples/changes.rs
+++ b/crates/plovershelf-simulation/examples/changes.rs
@@ -2,11 +2,11 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use plovershelf_model::changes::direct::Direct;
-use plovershelf_model::changes::gossip::Gossip;
-use plovershelf_model::changes::shapes::{Shape, SHAPES};
-use plovershelf_model::changes::tree::Tree;
-use plovershelf_model::changes::{run, Came};
+use plovershelf_simulation::changes::direct::Direct;
+use plovershelf_simulation::changes::gossip::Gossip;
+use plovershelf_simulation::changes::shapes::{Shape, SHAPES};
+use plovershelf_simulation::changes::tree::Tree;
+use plovershelf_simulation::changes::{run, Came};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/plovershelf-model/examples/shrink.rs
+++ b/crates/plovershelf-simulation/examples/shrink.rs
@@ -1,8 +1,8 @@
 //! Cuts the schedule of a seed, or of a file, down to the fewest steps that still fail, and prints it:
 //! `-- SEED MEMBERS [VOTERS [FILE]]`.
 
-use plovershelf_model::group::{Came, Plan, World};
-use plovershelf_model::schedule::Schedule;
+use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::schedule::Schedule;
 
 fn fails(came: &Came) -> bool {
     !came.audit.broken.is_empty() || came.agreed_after_ms.is_none() || came.lagging + came.left_out > 0
--- a/crates/plovershelf-model/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -7,17 +7,19 @@
 
 use plovershelf_client::caller::Caller;
 use plovershelf_client::{MemberList, Terms as CallerTerms};
-use plovershelf_copies::copies::{Copies, Message as Copied, Terms as CopiesTerms};
-use plovershelf_copies::placement::Holder;
-use plovershelf_group::council::{Id, Mark, Whole};
-use plovershelf_group::decided::{Decided, Seat, View};
-use plovershelf_group::frames::{encode, plain, Wire};
-use plovershelf_group::group::{Envelope, Heading, Say, Terms as GroupTerms};
-use plovershelf_group::members::{About, Condition, Members, Message as Probe, News, Terms as MembersTerms};
-use plovershelf_model::statistics::Fit;
-use plovershelf_zones::asks::Say as Report;
-use plovershelf_zones::planner;
-use plovershelf_zones::seen::Report as Seen;
+use plovershelf_cluster::council::{Id, Mark, Whole};
+use plovershelf_cluster::decided::{Decided, Seat, View};
+use plovershelf_cluster::frames::{encode, plain, Wire};
+use plovershelf_cluster::group::{Envelope, Heading, Say, Terms as GroupTerms};
+use plovershelf_cluster::members::{
+    About, Condition, Members, Message as Probe, News, Terms as MembersTerms,
+};
+use plovershelf_failover::asks::Say as Report;
+use plovershelf_failover::planner;
+use plovershelf_failover::seen::Report as Seen;
+use plovershelf_replication::copies::{Copies, Message as Copied, Terms as CopiesTerms};
+use plovershelf_replication::placement::Holder;
+use plovershelf_simulation::statistics::Fit;
 
 const SIZES: [usize; 5] = [30, 100, 300, 600, 920];
 
@@ -194,7 +196,7 @@
         at,
     );
 
-    let beat = plovershelf_codec::roster::beat("backend-0920", false).len() as f64;
+    let beat = plovershelf_codec::registry::heartbeat("backend-0920", false).len() as f64;
     println!("service registry: a heartbeat | bytes | {beat} | 4 a second a backend");
     told("service registry: heartbeats in", "bytes a second", &over(&|size| size as f64 * beat * 4.0), at);
 
--- a/crates/plovershelf-model/src/copies.rs
+++ b/crates/plovershelf-simulation/src/copies.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_copies::copies::{Copies, Ending, Message, Terms, Told};
-use plovershelf_copies::placement::{Holder, Ticket};
-use plovershelf_group::council::Id;
+use plovershelf_cluster::council::Id;
+use plovershelf_replication::copies::{Copies, Ending, Message, Terms, Told};
+use plovershelf_replication::placement::{Holder, Ticket};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg32;
--- a/crates/plovershelf-model/src/group.rs
+++ b/crates/plovershelf-simulation/src/group.rs
@@ -4,10 +4,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-use plovershelf_group::council::{Id, Kept, Role};
-use plovershelf_group::decided::Decided;
-use plovershelf_group::group::{Envelope, Event as Told, Group, Start, Terms};
-use plovershelf_group::members::{About, Condition};
+use plovershelf_cluster::council::{Id, Kept, Role};
+use plovershelf_cluster::decided::Decided;
+use plovershelf_cluster::group::{Envelope, Event as Told, Group, Start, Terms};
+use plovershelf_cluster::members::{About, Condition};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -482,7 +482,7 @@
         if to >= self.places.len() {
             return;
         }
-        let bytes = if self.plan.count_bytes { plovershelf_group::frames::size(&envelope) } else { 0 };
+        let bytes = if self.plan.count_bytes { plovershelf_cluster::frames::size(&envelope) } else { 0 };
         let zones = self.plan.schedule.zones;
         let mut ways = self.net.ways(from, to, zones, bytes);
         let (now, from, last) = (self.queue.now(), address(from), ways.pop());
--- a/crates/plovershelf-model/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -6,10 +6,10 @@
 
 use std::collections::VecDeque;
 
-use plovershelf_zones::follow::Follower;
-use plovershelf_zones::plan::{Plan, Topology, Zone, BANDS};
-use plovershelf_zones::planner::{Planner, Terms};
-use plovershelf_zones::seen::{self, Outside, Report, Seen};
+use plovershelf_failover::follow::Follower;
+use plovershelf_failover::plan::{Plan, Topology, Zone, BANDS};
+use plovershelf_failover::planner::{Planner, Terms};
+use plovershelf_failover::seen::{self, Outside, Report, Seen};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg32;
@@ -347,7 +347,7 @@
                 let terms = Terms { fill: 1.0, near_fill: 1.0, ..Terms::default() };
                 let mut ways = self.topology.clone();
                 truth.cut.iter().for_each(|(one, other)| ways.way(*one, *other, 1e9));
-                plovershelf_zones::planner::shares(&ways, &terms, &of, &vec![0.0; count], &[]).shares
+                plovershelf_failover::planner::shares(&ways, &terms, &of, &vec![0.0; count], &[]).shares
             }
             Led::Alone | Led::Fixed => {
                 (0..count).flat_map(|from| std::iter::repeat_n(self.alone(from), BANDS)).collect()
--- a/crates/plovershelf-model/tests/broken.rs
+++ b/crates/plovershelf-simulation/tests/broken.rs
@@ -1,9 +1,9 @@
 //! A lease that is not checked and a view that is numbered twice are caught by the model's audit.
 
-use plovershelf_group::broken::{set, Broken};
-use plovershelf_model::audit::{NOT_PAST_LEASE, ONE_VIEW_A_NUMBER};
-use plovershelf_model::group::{Plan, World};
-use plovershelf_model::schedule::Schedule;
+use plovershelf_cluster::broken::{set, Broken};
+use plovershelf_simulation::audit::{NOT_PAST_LEASE, ONE_VIEW_A_NUMBER};
+use plovershelf_simulation::group::{Plan, World};
+use plovershelf_simulation::schedule::Schedule;
 
 fn found(promise: &str) -> usize {
     let broken = |seed: u64| {
--- a/crates/plovershelf-model/tests/changes.rs
+++ b/crates/plovershelf-simulation/tests/changes.rs
@@ -1,11 +1,11 @@
 //! Numbered changes on simulated time, small: the same verdict each time.
 
-use plovershelf_changes::node::Terms;
-use plovershelf_model::changes::direct::Direct;
-use plovershelf_model::changes::gossip::Gossip;
-use plovershelf_model::changes::shapes::{Shape, Step, Trouble, Who, SHAPES, WARM_MS};
-use plovershelf_model::changes::tree::Tree;
-use plovershelf_model::changes::{run, Came, IN_FORCE_MS};
+use plovershelf_config_distribution::node::Terms;
+use plovershelf_simulation::changes::direct::Direct;
+use plovershelf_simulation::changes::gossip::Gossip;
+use plovershelf_simulation::changes::shapes::{Shape, Step, Trouble, Who, SHAPES, WARM_MS};
+use plovershelf_simulation::changes::tree::Tree;
+use plovershelf_simulation::changes::{run, Came, IN_FORCE_MS};
 
 fn kept(shape: &Shape, came: &Came) {
     let at = format!("{} seed {}: {:?} {:?}", shape.name, shape.seed, came.broken, came.seen);
--- a/crates/plovershelf-model/tests/changes_broken.rs
+++ b/crates/plovershelf-simulation/tests/changes_broken.rs
@@ -1,9 +1,9 @@
 //! The mechanism with a part left out on purpose is caught by the model's audit; whole it is not.
 
-use plovershelf_changes::broken::{set, Broken};
-use plovershelf_model::changes::shapes::Shape;
-use plovershelf_model::changes::tree::Tree;
-use plovershelf_model::changes::{
+use plovershelf_config_distribution::broken::{set, Broken};
+use plovershelf_simulation::changes::shapes::Shape;
+use plovershelf_simulation::changes::tree::Tree;
+use plovershelf_simulation::changes::{
     run, Came, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS, ONE_CONTENT_A_NUMBER,
 };
 
--- a/crates/plovershelf-model/tests/groups.rs
+++ b/crates/plovershelf-simulation/tests/groups.rs
@@ -1,7 +1,7 @@
 //! Groups on simulated time under schedules that are fixed: the same verdict each time.
 
-use plovershelf_model::group::{Came, Plan, World};
-use plovershelf_model::schedule::Schedule;
+use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::schedule::Schedule;
 
 fn plan(text: &str) -> Plan {
     let schedule: Schedule = text.parse().expect("a schedule");
--- a/crates/plovershelf-wirehost/src/main.rs
+++ b/crates/plovershelf-simulator-adapter/src/main.rs
@@ -24,7 +24,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("plovershelf-wirehost: {message}");
+            eprintln!("plovershelf-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/plovershelf-standins/examples/tenants.rs
+++ b/crates/plovershelf-testkit/examples/tenants.rs
@@ -1,7 +1,7 @@
 //! What tenants cost a real backend: how long it takes from its start until it listens and its agent has heard of it, and
 //! its resident memory a second later, with each of the numbers of tenants told, three starts each.
 //!
-//!     cargo run --release -p plovershelf-standins --example tenants -- 100 10000 34000
+//!     cargo run --release -p plovershelf-testkit --example tenants -- 100 10000 34000
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_standins::backend::{program, Fleet, Plan};
-use plovershelf_standins::{cores, ledger, scripted, Clock, Executor};
+use plovershelf_testkit::backend::{program, Fleet, Plan};
+use plovershelf_testkit::{cores, ledger, scripted, Clock, Executor};
 
 const STARTS: usize = 3;
 
--- a/crates/plovershelf-standins/src/rig.rs
+++ b/crates/plovershelf-testkit/src/rig.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use async_io::Timer;
-use plovershelf_model::schedule::{third, Fault, Folder, Schedule};
+use plovershelf_simulation::schedule::{third, Fault, Folder, Schedule};
 use rustix::process::Signal;
 
 use crate::backend::Fleet;
--- a/src/logic.rs
+++ b/src/admission/mod.rs
@@ -3,7 +3,7 @@
 //! each returns an [`Outcome`]: the changes of state that it made and the backend's own words.
 //! The types of that interface are in `interface.rs`; the reasons for what is done here in `docs/design.md`.
 
-use crate::interface::*;
+use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -94,8 +94,8 @@
 }
 
 /// A row of the table of offerings: its terms, its place among the ranks, and what its runs have shown.
-struct Offering {
-    terms: OfferingTerms,
+struct Class {
+    terms: ClassConfig,
     /// Its bucket of ranks: offerings of equal revenue share one, the lowest revenue comes first.
     bucket: usize,
     /// Where the ranks of its bucket begin and end.
@@ -129,9 +129,9 @@
 }
 
 struct Invocation {
-    state: State,
-    offering: usize,
-    footprint_kb: f64,
+    state: RequestState,
+    class: usize,
+    memory_kb: f64,
     hint_ms: Option<f64>,
     /// When it is given up, and the same as it stands in the order of due times.
     give_up_at: f64,
@@ -169,15 +169,15 @@
 }
 
 pub struct Backend {
-    facts: StartFacts,
-    offerings: Vec<Offering>,
+    config: BackendConfig,
+    classes: Vec<Class>,
     hand: InHand,
     woken_for: f64,
     now: f64,
     began: f64,
     leaving: Option<(f64, f64)>,
     /// Calls that this backend may add, in hand allowed now, their mean time, its least, pause on failures.
-    call_share: f64,
+    dependency_share: f64,
     calls_most: f64,
     call_took_ms: f64,
     call_quick_ms: f64,
@@ -207,9 +207,9 @@
     idle_ms: f64,
     idle_told: f64,
     /// What pools may have, where there are any.
-    pools: Option<Pools>,
+    pools: Option<Bulkheads>,
     chance: Pcg,
-    out: Outcome,
+    out: Effects,
 }
 
 /// What is left of a tally after so long.
@@ -222,32 +222,32 @@
 }
 
 impl Backend {
-    pub fn start(now: f64, facts: StartFacts) -> (Self, Outcome) {
-        let mut values: Vec<f64> = facts.offerings.iter().map(|o| o.revenue).collect();
+    pub fn start(now: f64, config: BackendConfig) -> (Self, Effects) {
+        let mut values: Vec<f64> = config.classes.iter().map(|o| o.value).collect();
         values.sort_by(f64::total_cmp);
         values.dedup();
-        let all = facts.offerings.len() as f64;
-        let offerings = facts.offerings.iter().map(|o| Offering {
+        let all = config.classes.len() as f64;
+        let classes = config.classes.iter().map(|o| Class {
             terms: o.clone(),
-            bucket: values.iter().position(|v| *v == o.revenue).unwrap_or(0),
-            ranks_from: facts.offerings.iter().filter(|p| p.revenue < o.revenue).count() as f64 / all,
-            ranks_to: facts.offerings.iter().filter(|p| p.revenue <= o.revenue).count() as f64 / all,
+            bucket: values.iter().position(|v| *v == o.value).unwrap_or(0),
+            ranks_from: config.classes.iter().filter(|p| p.value < o.value).count() as f64 / all,
+            ranks_to: config.classes.iter().filter(|p| p.value <= o.value).count() as f64 / all,
             runs: 0.0,
             core_ms: 0.0,
             hinted_ms: 0.0,
             tally: 0.0,
             usual_waits: Vec::new(),
         });
-        let call_share = facts.call_share.map_or(f64::MAX, |share| CALLS_OF_SHARE * share);
+        let dependency_share = config.dependency_share.map_or(f64::MAX, |share| CALLS_OF_SHARE * share);
         let mut backend = Backend {
-            offerings: offerings.collect(),
+            classes: classes.collect(),
             hand: InHand::default(),
             woken_for: f64::MAX,
             now,
             began: now,
             leaving: None,
-            call_share,
-            calls_most: call_share.max(1.0),
+            dependency_share,
+            calls_most: dependency_share.max(1.0),
             call_took_ms: CALL_PAUSE_MOST_MS,
             call_quick_ms: f64::MAX,
             call_pause_ms: CALL_PAUSE_MS,
@@ -263,55 +263,62 @@
             buckets: values.len(),
             tallies: vec![0.0; 2 * values.len()],
             counters: vec![0; 2 * values.len()],
-            tenants: vec![Admitted { sum: 0.0, at: now }; facts.tenant_quotas.len()],
+            tenants: vec![Admitted { sum: 0.0, at: now }; config.tenant_quotas_per_s.len()],
             tally_time: now,
             advised: -1.0,
-            idle_ms: facts.idle_most_ms,
-            idle_told: facts.idle_most_ms,
+            idle_ms: config.max_idle_ms,
+            idle_told: config.max_idle_ms,
             pools: None,
-            chance: Pcg(facts.seed),
-            out: Outcome::default(),
-            facts,
+            chance: Pcg(config.seed),
+            out: Effects::default(),
+            config,
         };
-        backend.out.words.fit = Some(true);
+        backend.out.announcements.ready = Some(true);
         let spread = backend.chance.next();
-        backend.out.words.wakes.push((PERIOD_MS * (0.5 + spread), Wake::Periodic));
+        backend.out.announcements.timers.push((PERIOD_MS * (0.5 + spread), Timer::Periodic));
         let outcome = backend.result();
         (backend, outcome)
     }
 
     /// The ordinary path of an invocation, from its reading to its run or its dismissal.
-    pub fn arrived(&mut self, now: f64, arrival: Arrival) -> Outcome {
+    pub fn handle_request(&mut self, now: f64, arrival: Request) -> Effects {
         self.pass_to(now);
         let id = arrival.id;
         let left = self.take_in(&arrival);
         // A repeat of what is held, runs or ran is never run beside it: it shares that one's answer.
-        if arrival.original.is_some() {
-            let room = self.memory_share() < MEMORY_RUN;
-            self.change(id, if room { State::Joined } else { State::Ended(Ending::Scrapped) });
+        if arrival.duplicate_of.is_some() {
+            let total_capacity = self.memory_share() < MEMORY_RUN;
+            self.change(
+                id,
+                if total_capacity {
+                    RequestState::Joined
+                } else {
+                    RequestState::Completed(Completion::Failed)
+                },
+            );
             return self.result();
         }
         // Expired work is shed before anything else: it can't be answered in its contract time. With nothing
         // else running, one that only seems too late is tried: what was foreseen may be outdated.
-        let foreseen = self.foreseen_ms(arrival.offering, arrival.work_hint_ms);
+        let foreseen = self.foreseen_ms(arrival.class, arrival.work_hint_ms);
         if left <= 0.0 || (left < foreseen && self.hand.on_core > 0) {
             self.dismiss(id, self.unread_ms, None);
             return self.result();
         }
         // After the notice and its grace nothing is run.
         if self.leaving.is_some_and(|(grace_end, _)| now - arrival.unread_ms > grace_end) {
-            self.dismiss(id, self.facts.cool_down_most_ms, None);
+            self.dismiss(id, self.config.max_retry_after_ms, None);
             return self.result();
         }
-        let lowest = self.tenant_over_quota(arrival.tenant) || arrival.marked_repeat;
-        let bucket = self.offerings[arrival.offering].bucket;
+        let lowest = self.tenant_over_quota(arrival.tenant) || arrival.marked_retry;
+        let bucket = self.classes[arrival.class].bucket;
         let place = if lowest { bucket } else { self.buckets + bucket };
         self.tallies[place] += 1.0;
-        let part = self.pool_part(arrival.offering, self.part_let_in());
-        let cool_down_ms = COOL_MS * (1.0 - part) + self.unread_ms;
+        let part = self.pool_part(arrival.class, self.part_let_in());
+        let retry_after_ms = COOL_MS * (1.0 - part) + self.unread_ms;
         // At the hard quota every arrival is refused.
         if part <= 0.0 || !self.memory_allows(id) {
-            self.dismiss(id, cool_down_ms, Some(place));
+            self.dismiss(id, retry_after_ms, Some(place));
             return self.result();
         }
         // In the soft band, and only with busy cores: tenants over quota and repeats, then the lowest ranks.
@@ -319,7 +326,7 @@
             let kept = self.kept_of(place, part);
             self.counters[place] = (self.counters[place] + 1) % STEPS;
             if f64::from(self.counters[place]) >= kept * f64::from(STEPS) {
-                self.dismiss(id, cool_down_ms, Some(place));
+                self.dismiss(id, retry_after_ms, Some(place));
                 return self.result();
             }
         }
@@ -329,37 +336,38 @@
         self.result()
     }
 
-    pub fn caller_gone(&mut self, now: f64, id: u32) -> Outcome {
+    pub fn handle_client_gone(&mut self, now: f64, id: u32) -> Effects {
         self.pass_to(now);
         if self.state(id).is_some() {
-            self.finish(id, Ending::CallerGone);
+            self.finish(id, Completion::ClientGone);
             self.run_held();
         }
         self.result()
     }
 
-    pub fn wants_call(&mut self, now: f64, id: u32) -> Outcome {
+    pub fn handle_call_requested(&mut self, now: f64, id: u32) -> Effects {
         self.pass_to(now);
-        if self.state(id) == Some(State::Running) {
-            self.change(id, State::AtCall);
+        if self.state(id) == Some(RequestState::Running) {
+            self.change(id, RequestState::AwaitingCall);
             self.place_calls();
             self.run_held();
         }
         self.result()
     }
 
-    pub fn call_ended(&mut self, now: f64, id: u32, end: CallEnd) -> Outcome {
+    pub fn handle_call_ended(&mut self, now: f64, id: u32, end: CallOutcome) -> Effects {
         self.pass_to(now);
-        if let Some(State::Calling { .. }) = self.state(id) {
+        if let Some(RequestState::Calling { .. }) = self.state(id) {
             self.learn_call(now - self.hand.invocations[&id].call_began, end);
             let terms = &self.row(id).terms;
-            let (rerunnable, skips) = (terms.repeats == Repeats::Rerunnable, terms.skip_share > 0.0);
-            if end != CallEnd::Ok {
-                self.change(id, State::AtCall);
+            let (rerunnable, skips) =
+                (terms.idempotency == Idempotency::Idempotent, terms.skipped_call_value_fraction > 0.0);
+            if end != CallOutcome::Completed {
+                self.change(id, RequestState::AwaitingCall);
             }
-            if end == CallEnd::Ok || skips {
-                self.change(id, State::Running);
-            } else if !rerunnable && end != CallEnd::ProvenNotRun {
+            if end == CallOutcome::Completed || skips {
+                self.change(id, RequestState::Running);
+            } else if !rerunnable && end != CallOutcome::NotExecuted {
                 self.give_up(id);
             }
             self.place_calls();
@@ -367,17 +375,17 @@
         self.result()
     }
 
-    pub fn run_ended(&mut self, now: f64, id: u32, end: RunEnd) -> Outcome {
+    pub fn handle_run_ended(&mut self, now: f64, id: u32, end: RunOutcome) -> Effects {
         self.pass_to(now);
         if let Some(state) = self.state(id) {
-            let ending = match (state, end) {
-                (State::Spent { ending, .. }, _) => ending,
-                (_, RunEnd::Ok) => Ending::Succeeded,
-                (_, RunEnd::Error) => Ending::RunFailed,
-                (_, RunEnd::Stopped | RunEnd::NeverBegan) => Ending::CallerGone,
+            let completion = match (state, end) {
+                (RequestState::Answered { completion, .. }, _) => completion,
+                (_, RunOutcome::Completed) => Completion::Succeeded,
+                (_, RunOutcome::Failed) => Completion::ExecutionFailed,
+                (_, RunOutcome::Cancelled | RunOutcome::NotStarted) => Completion::ClientGone,
             };
             self.learn_end(id, end);
-            self.change(id, State::Ended(ending));
+            self.change(id, RequestState::Completed(completion));
             self.place_calls();
             self.run_held();
         }
@@ -385,25 +393,27 @@
     }
 
     /// The notice may be read later than it was told; its terms run from then on.
-    pub fn told_to_leave(&mut self, now: f64, told_at: f64, stopped_at: f64) -> Outcome {
+    pub fn handle_drain_notice(&mut self, now: f64, told_at: f64, stopped_at: f64) -> Effects {
         self.pass_to(now);
         let margin_ms = STOP_MARGIN_PART * (stopped_at - told_at);
         let margin_ms = margin_ms.clamp(STOP_MARGIN_MS[0], STOP_MARGIN_MS[1]);
-        self.leaving = Some((told_at + self.facts.grace_ms, stopped_at - margin_ms));
-        self.ids_of(|i| !matches!(i.state, State::Spent { .. })).into_iter().for_each(|id| self.set_due(id));
+        self.leaving = Some((told_at + self.config.drain_grace_ms, stopped_at - margin_ms));
+        self.ids_of(|i| !matches!(i.state, RequestState::Answered { .. }))
+            .into_iter()
+            .for_each(|id| self.set_due(id));
         self.advise();
         self.result()
     }
 
-    pub fn woke(&mut self, now: f64, wake: Wake, gauges: Gauges) -> Outcome {
+    pub fn handle_timeout(&mut self, now: f64, wake: Timer, gauges: Gauges) -> Effects {
         self.pass_to(now);
         self.busy = gauges.cores_busy.unwrap_or(self.busy);
-        if wake == Wake::Periodic {
-            self.out.words.wakes.push((PERIOD_MS, Wake::Periodic));
+        if wake == Timer::Periodic {
+            self.out.announcements.timers.push((PERIOD_MS, Timer::Periodic));
             self.hand.lingering.retain(|until| *until > now);
             self.hand.remembered.retain(|(until, _)| *until > bits(now));
             self.stop_spent();
-            if let (Some(wanting), runs) = (gauges.wanting_core, self.hand.on_core as f64) {
+            if let (Some(wanting), runs) = (gauges.runnable, self.hand.on_core as f64) {
                 let awake = if runs > 0.0 { (wanting / runs).min(1.0) } else { self.awake };
                 self.awake += SMOOTH * (awake - self.awake);
                 self.beside += SMOOTH * ((wanting - runs).max(0.0) - self.beside);
@@ -412,8 +422,9 @@
             self.ease += SMOOTH * (self.part_let_in() - self.ease);
             self.call_quick_ms *= 1.005;
             self.advise();
-            let room = || (self.load_quotas().1 * self.facts.cores, self.calls_most.min(self.at_call_most()));
-            self.out.words.room = self.pools.as_ref().map(|_| room());
+            let total_capacity =
+                || (self.load_quotas().1 * self.config.cores, self.calls_most.min(self.at_call_most()));
+            self.out.announcements.total_capacity = self.pools.as_ref().map(|_| total_capacity());
         } else if now + 0.01 >= self.woken_for {
             // Superseded wakes come too: only the one that was waited for clears the way for the next.
             self.woken_for = f64::MAX;
@@ -424,16 +435,18 @@
     }
 
     /// What pools may have from now on; without any the design's one quota holds for all.
-    pub fn pooled(&mut self, now: f64, pools: Option<Pools>) -> Outcome {
+    pub fn update_bulkheads(&mut self, now: f64, pools: Option<Bulkheads>) -> Effects {
         self.pass_to(now);
-        let of = |pools: &Option<Pools>| pools.as_ref().map(|pools| (pools.of.clone(), pools.rooms.len()));
+        let of = |pools: &Option<Bulkheads>| {
+            pools.as_ref().map(|pools| (pools.bulkhead_of_class.clone(), pools.capacities.len()))
+        };
         let moved = of(&pools) != of(&self.pools);
         self.pools = pools;
         if moved {
-            self.hand.pooled = vec![(0, 0); self.pools.as_ref().map_or(0, |pools| pools.rooms.len())];
-            let all: Vec<(usize, State)> =
-                self.hand.invocations.values().map(|i| (i.offering, i.state)).collect();
-            all.into_iter().for_each(|(offering, state)| self.count_pooled(offering, state, true));
+            self.hand.pooled = vec![(0, 0); self.pools.as_ref().map_or(0, |pools| pools.capacities.len())];
+            let all: Vec<(usize, RequestState)> =
+                self.hand.invocations.values().map(|i| (i.class, i.state)).collect();
+            all.into_iter().for_each(|(class, state)| self.count_pooled(class, state, true));
         }
         self.place_calls();
         self.result()
@@ -442,15 +455,15 @@
     /// New quotas of tenants, told while the backend serves: a tenant's place in the start facts, and its
     /// invocations a second over the whole fleet inside its share. Arrivals are judged by them from now on,
     /// against the tallies as they stand. With one that can't be, none of them changes and a note names it.
-    pub fn quotas(&mut self, now: f64, changed: &[(usize, f64)]) -> Outcome {
+    pub fn update_tenant_quotas(&mut self, now: f64, changed: &[(usize, f64)]) -> Effects {
         self.pass_to(now);
-        let known = self.facts.tenant_quotas.len();
+        let known = self.config.tenant_quotas_per_s.len();
         let can_be = |&&(place, quota): &&(usize, f64)| place < known && quota.is_finite() && quota >= 0.0;
         if let Some((place, quota)) = changed.iter().find(|one| !can_be(one)) {
             let what = format!("no quota changes: {quota} a second for tenant {place} of {known} can't be");
-            self.out.words.notes.push(what);
+            self.out.announcements.notes.push(what);
         } else {
-            changed.iter().for_each(|&(place, quota)| self.facts.tenant_quotas[place] = quota);
+            changed.iter().for_each(|&(place, quota)| self.config.tenant_quotas_per_s[place] = quota);
         }
         self.result()
     }
@@ -459,32 +472,32 @@
 
     /// Runs a core that are on the cores or wait for disk; those at a call have a bound of their own.
     fn load(&self) -> f64 {
-        self.hand.on_core as f64 / self.facts.cores
+        self.hand.on_core as f64 / self.config.cores
     }
 
     /// How warm the cores are for certain: it rises by even steps from the told cold speed.
     fn warmth(&self) -> f64 {
-        let facts = &self.facts;
-        let age = (self.now - self.began) / facts.warm_within_ms.max(1.0);
-        let step = if facts.just_started { (age * WARM_STEPS).floor() / WARM_STEPS } else { 1.0 };
-        facts.cold_speed + (1.0 - facts.cold_speed) * step.min(1.0)
+        let config = &self.config;
+        let age = (self.now - self.began) / config.warm_up_ms.max(1.0);
+        let step = if config.cold_start { (age * WARM_STEPS).floor() / WARM_STEPS } else { 1.0 };
+        config.cold_speed_fraction + (1.0 - config.cold_speed_fraction) * step.min(1.0)
     }
 
     fn survivable(&self) -> f64 {
-        1.0 + (self.facts.tip_multiple - 1.0) * self.warmth()
+        1.0 + (self.config.overload_multiple - 1.0) * self.warmth()
     }
 
     /// The soft and the hard quota, in runs a core; the hard one's ceiling rises from cold to warm.
     fn load_quotas(&self) -> (f64, f64) {
         let wanted = self.paced_crowd().unwrap_or(HARD_FIRST * self.warmth());
-        let hard = wanted.min(HARD_OF_SURVIVABLE * self.survivable()).max(1.0 + 1.0 / self.facts.cores);
+        let hard = wanted.min(HARD_OF_SURVIVABLE * self.survivable()).max(1.0 + 1.0 / self.config.cores);
         (1.0 + SOFT_PART * (hard - 1.0), hard)
     }
 
     /// All that stands at calls may come back to the cores at once, beside as many runs as the quota lets in.
     fn at_call_most(&self) -> f64 {
-        let room = CALLERS_BACK * self.survivable() - self.load_quotas().1;
-        (self.facts.cores * room.min(AT_CALL_HARD)).max(1.0)
+        let total_capacity = CALLERS_BACK * self.survivable() - self.load_quotas().1;
+        (self.config.cores * total_capacity.min(AT_CALL_HARD)).max(1.0)
     }
 
     /// The crowd in which a mean run still ends in good time, by what runs here have taken. Reading shares
@@ -492,9 +505,9 @@
     /// against retry storms, bursts and slow cores alike; harms where arrivals lie unread though the cores
     /// are free.
     fn paced_crowd(&self) -> Option<f64> {
-        let known = || self.offerings.iter().filter(|o| o.runs >= 3.0);
+        let known = || self.classes.iter().filter(|o| o.runs >= 3.0);
         let weight: f64 = known().map(|o| o.tally).sum();
-        let left = |o: &Offering| (o.terms.contract_ms - UNREAD_TAKEN * self.unread_ms).max(0.0);
+        let left = |o: &Class| (o.terms.latency_objective_ms - UNREAD_TAKEN * self.unread_ms).max(0.0);
         let crowd: f64 = known().map(|o| o.tally * PACE * left(o) * o.runs / o.core_ms.max(1.0)).sum();
         (weight > 0.0).then(|| crowd / weight)
     }
@@ -518,31 +531,31 @@
     /// The part of a pool's arrivals that is let in. A pool below what is kept for it is not cut while the crowd
     /// holds, one that has all its room is cut wholly; between them the design's cut stands. Guards against a
     /// flood of one offering that takes all room from the others; harms where pools are drawn too narrow.
-    fn pool_part(&self, offering: usize, part: f64) -> f64 {
-        let Some((pool, room)) = self.pool_room(offering) else { return part };
+    fn pool_part(&self, class: usize, part: f64) -> f64 {
+        let Some((pool, total_capacity)) = self.pool_room(class) else { return part };
         let (runs, calls) = self.hand.pooled[pool];
         let (runs, calls) = (runs as f64, calls as f64);
         let holds = self.load() < self.load_quotas().1 && (self.hand.at_call as f64) < self.at_call_most();
         match runs {
-            runs if runs >= room.runs || calls >= room.calls => 0.0,
-            runs if runs < room.kept && holds => 1.0,
+            runs if runs >= total_capacity.max_runs || calls >= total_capacity.max_calls => 0.0,
+            runs if runs < total_capacity.reserved_runs && holds => 1.0,
             _ => part,
         }
     }
 
-    fn pool_room(&self, offering: usize) -> Option<(usize, &PoolRoom)> {
+    fn pool_room(&self, class: usize) -> Option<(usize, &BulkheadCapacity)> {
         let pools = self.pools.as_ref()?;
-        let pool = *pools.of.get(offering)?;
-        pools.rooms.get(pool).map(|room| (pool, room))
+        let pool = *pools.bulkhead_of_class.get(class)?;
+        pools.capacities.get(pool).map(|total_capacity| (pool, total_capacity))
     }
 
-    fn count_pooled(&mut self, offering: usize, state: State, more: bool) {
-        let Some(pool) = self.pool_room(offering).map(|(pool, _)| pool) else { return };
+    fn count_pooled(&mut self, class: usize, state: RequestState, more: bool) {
+        let Some(pool) = self.pool_room(class).map(|(pool, _)| pool) else { return };
         let (runs, calls) = &mut self.hand.pooled[pool];
         // Those that want a call and have none count as runs: a pool whose calls are full fills up by itself.
         let one = match state {
-            State::Running | State::Spent { .. } | State::AtCall => runs,
-            State::Calling { .. } => calls,
+            RequestState::Running | RequestState::Answered { .. } | RequestState::AwaitingCall => runs,
+            RequestState::Calling { .. } => calls,
             _ => return,
         };
         *one = if more { *one + 1 } else { *one - 1 };
@@ -558,23 +571,24 @@
     fn tenant_over_quota(&self, tenant: usize) -> bool {
         let per_s =
             |admitted: &Admitted| admitted.faded(self.now) * 1000.0 * std::f64::consts::LN_2 / TALLY_HALF_MS;
-        let quota = self.facts.tenant_quotas.get(tenant).map(|quota| quota / self.facts.servers);
+        let quota = self.config.tenant_quotas_per_s.get(tenant).map(|quota| quota / self.config.fleet_size);
         self.tenants.get(tenant).zip(quota).is_some_and(|(admitted, quota)| per_s(admitted) > quota)
     }
 
     fn memory_share(&self) -> f64 {
-        (self.hand.memory_kb + self.hand.remembered.len() as f64 * self.facts.entry_kb) / self.facts.memory_kb
+        (self.hand.memory_kb + self.hand.remembered.len() as f64 * self.config.deduplication_entry_kb)
+            / self.config.memory_kb
     }
 
     fn memory_allows(&self, id: u32) -> bool {
-        let entry = if self.remembers(id) { self.facts.entry_kb } else { 0.0 };
-        let more = self.hand.invocations[&id].footprint_kb * (self.facts.run_factor - 1.0) + entry;
-        self.memory_share() + more / self.facts.memory_kb <= MEMORY_RUN
+        let entry = if self.remembers(id) { self.config.deduplication_entry_kb } else { 0.0 };
+        let more = self.hand.invocations[&id].memory_kb * (self.config.running_memory_factor - 1.0) + entry;
+        self.memory_share() + more / self.config.memory_kb <= MEMORY_RUN
     }
 
     /// What a run begun now would take, by what runs of its kind have taken here and by the present crowd.
-    fn foreseen_ms(&self, offering: usize, hint: Option<f64>) -> f64 {
-        let row = &self.offerings[offering];
+    fn foreseen_ms(&self, class: usize, hint: Option<f64>) -> f64 {
+        let row = &self.classes[class];
         if row.runs < 1.0 {
             return 0.0;
         }
@@ -582,20 +596,20 @@
             Some(hint) if row.hinted_ms > 0.0 => hint * row.core_ms / row.hinted_ms,
             _ => row.core_ms / row.runs,
         };
-        core_ms * ((self.hand.on_core as f64 + 1.0) / self.facts.cores).max(1.0)
+        core_ms * ((self.hand.on_core as f64 + 1.0) / self.config.cores).max(1.0)
     }
 
     /// What a run took, or had taken when it was given up, which is the least that it would have.
-    fn learn_end(&mut self, id: u32, end: RunEnd) {
+    fn learn_end(&mut self, id: u32, end: RunOutcome) {
         let invocation = &self.hand.invocations[&id];
-        if !matches!(invocation.state, State::Running) || end == RunEnd::NeverBegan {
+        if !matches!(invocation.state, RequestState::Running) || end == RunOutcome::NotStarted {
             return;
         }
         let core_ms = invocation.core_ms + self.hand.core_clock - invocation.core_clock;
-        let ill = end == RunEnd::Error || (end == RunEnd::Stopped && !self.behind());
+        let ill = end == RunOutcome::Failed || (end == RunOutcome::Cancelled && !self.behind());
         self.failing += FAILING_WEIGHT * (f64::from(u8::from(ill)) - self.failing);
-        let row = &mut self.offerings[invocation.offering];
-        if end != RunEnd::Error {
+        let row = &mut self.classes[invocation.class];
+        if end != RunOutcome::Failed {
             row.runs = row.runs * RUNS_KEPT + 1.0;
             row.core_ms = row.core_ms * RUNS_KEPT + core_ms;
             row.hinted_ms = row.hinted_ms * RUNS_KEPT + invocation.hint_ms.unwrap_or(0.0);
@@ -605,7 +619,7 @@
     fn pass_to(&mut self, now: f64) {
         let passed = (now - self.now).max(0.0);
         self.now = now;
-        let each = self.facts.cores / self.hand.on_core.max(1) as f64;
+        let each = self.config.cores / self.hand.on_core.max(1) as f64;
         self.hand.core_clock += passed * each.min(self.awake);
         while let Some(&(_, id)) = self.hand.due.first().filter(|(time, _)| *time <= bits(now)) {
             self.hand.due.pop_first();
@@ -614,30 +628,31 @@
     }
 
     /// Takes an arrival into the hold; returns how much of its contract time is left.
-    fn take_in(&mut self, arrival: &Arrival) -> f64 {
+    fn take_in(&mut self, arrival: &Request) -> f64 {
         let fade = fade(self.now - self.tally_time);
         self.tally_time = self.now;
-        self.offerings.iter_mut().for_each(|o| o.tally *= fade);
+        self.classes.iter_mut().for_each(|o| o.tally *= fade);
         self.tallies.iter_mut().for_each(|t| *t *= fade);
         self.unread_ms += UNREAD_WEIGHT * (arrival.unread_ms - self.unread_ms);
-        self.offerings[arrival.offering].tally += 1.0;
-        let row = &self.offerings[arrival.offering];
+        self.classes[arrival.class].tally += 1.0;
+        let row = &self.classes[arrival.class];
         let arrived = self.now - arrival.unread_ms;
-        let answer_by = arrival.gives_up_at.unwrap_or((arrived + row.terms.hard_limit_ms).max(self.now));
+        let answer_by = arrival.deadline_ms.unwrap_or((arrived + row.terms.timeout_ms).max(self.now));
         let patience = answer_by - arrived;
-        let told = arrival.gives_up_at.is_some() && (!self.facts.repeats_marked || arrival.marked_repeat);
-        let waited = self.waited_before(arrival.offering, patience);
+        let told = arrival.deadline_ms.is_some() && (!self.config.retries_marked || arrival.marked_retry);
+        let waited = self.waited_before(arrival.class, patience);
         let waited = if told { waited } else { 0.0 };
-        let row = &self.offerings[arrival.offering];
-        let stretch = row.terms.contract_stretch * arrival.work_hint_ms.unwrap_or(0.0);
-        let contract_ms = (row.terms.contract_ms + stretch).min(row.terms.hard_limit_ms);
-        let contract_end = arrived + contract_ms - waited;
-        let gives_up = if row.terms.late_share > 0.0 { answer_by } else { contract_end.min(answer_by) };
-        let rerunnable = row.terms.repeats == Repeats::Rerunnable;
+        let row = &self.classes[arrival.class];
+        let stretch = row.terms.objective_per_work * arrival.work_hint_ms.unwrap_or(0.0);
+        let latency_objective_ms = (row.terms.latency_objective_ms + stretch).min(row.terms.timeout_ms);
+        let contract_end = arrived + latency_objective_ms - waited;
+        let gives_up =
+            if row.terms.late_value_fraction > 0.0 { answer_by } else { contract_end.min(answer_by) };
+        let rerunnable = row.terms.idempotency == Idempotency::Idempotent;
         let invocation = Invocation {
-            state: State::Held,
-            offering: arrival.offering,
-            footprint_kb: arrival.footprint_kb,
+            state: RequestState::Queued,
+            class: arrival.class,
+            memory_kb: arrival.memory_kb,
             hint_ms: arrival.work_hint_ms,
             give_up_at: if rerunnable { gives_up.max(self.now) } else { answer_by },
             due: 0.0,
@@ -646,9 +661,14 @@
             core_ms: 0.0,
             core_clock: 0.0,
         };
-        self.hand.memory_kb += invocation.footprint_kb;
+        self.hand.memory_kb += invocation.memory_kb;
         self.hand.invocations.insert(arrival.id, invocation);
-        self.out.changes.push(Change { id: arrival.id, from: None, to: State::Held, remember_ms: None });
+        self.out.transitions.push(Transition {
+            id: arrival.id,
+            from: None,
+            to: RequestState::Queued,
+            retain_ms: None,
+        });
         self.set_due(arrival.id);
         gives_up - self.now
     }
@@ -657,8 +677,8 @@
     /// with one of a few usual waits, and a try that waits for another span is bounded by what is left of the
     /// client's hard limit, which tells its age. Guards against work for clients whose contract time is over
     /// (retry storms, callers restarting); harms where callers' first waits vary by themselves.
-    fn waited_before(&mut self, offering: usize, patience: f64) -> f64 {
-        let Offering { terms, usual_waits, .. } = &mut self.offerings[offering];
+    fn waited_before(&mut self, class: usize, patience: f64) -> f64 {
+        let Class { terms, usual_waits, .. } = &mut self.classes[class];
         let known = |(_, votes): &(f64, i32)| *votes >= USUAL_VOTES / 4;
         if let Some(usual) = usual_waits.iter_mut().find(|(w, _)| (patience - w).abs() < SAME_WAIT_MS) {
             usual.1 = (usual.1 + 1).min(USUAL_VOTES);
@@ -672,7 +692,7 @@
             *weakest = if weakest.1 < 1 { (patience, 1) } else { *weakest };
         }
         if usual_waits.iter().any(known) {
-            (terms.hard_limit_ms - patience).max(0.0)
+            (terms.timeout_ms - patience).max(0.0)
         } else {
             0.0
         }
@@ -680,10 +700,10 @@
 
     /// Readings and new connections crowd the cores.
     fn behind(&self) -> bool {
-        self.beside > BESIDE_MOST * self.facts.cores
+        self.beside > BESIDE_MOST * self.config.cores
     }
 
-    fn state(&self, id: u32) -> Option<State> {
+    fn state(&self, id: u32) -> Option<RequestState> {
         self.hand.invocations.get(&id).map(|i| i.state)
     }
 
@@ -691,16 +711,16 @@
         self.hand.invocations.iter().filter(|(_, i)| which(i)).map(|(id, _)| *id).collect()
     }
 
-    fn row(&self, id: u32) -> &Offering {
-        &self.offerings[self.hand.invocations[&id].offering]
+    fn row(&self, id: u32) -> &Class {
+        &self.classes[self.hand.invocations[&id].class]
     }
 
     fn set_due(&mut self, id: u32) {
         self.stands(id, false);
         let Some(invocation) = self.hand.invocations.get_mut(&id) else { return };
         self.hand.due.remove(&(bits(invocation.due), id));
-        let stop = self.leaving.map_or(f64::MAX, |(_, stop)| stop);
-        invocation.due = invocation.give_up_at.min(stop).max(self.now);
+        let cancel = self.leaving.map_or(f64::MAX, |(_, cancel)| cancel);
+        invocation.due = invocation.give_up_at.min(cancel).max(self.now);
         self.hand.due.insert((bits(invocation.due), id));
         self.stands(id, true);
     }
@@ -709,33 +729,39 @@
     /// against looking through all that is open at each event.
     fn stands(&mut self, id: u32, waits: bool) {
         let Some(invocation) = self.hand.invocations.get(&id) else { return };
-        let place = (self.offerings[invocation.offering].bucket, u64::MAX - bits(invocation.due), id);
+        let place = (self.classes[invocation.class].bucket, u64::MAX - bits(invocation.due), id);
         let order = match invocation.state {
-            State::Held => &mut self.hand.held,
-            State::AtCall => &mut self.hand.wanting,
+            RequestState::Queued => &mut self.hand.held,
+            RequestState::AwaitingCall => &mut self.hand.wanting,
             _ => return,
         };
         let _ = if waits { order.insert(place) } else { order.remove(&place) };
     }
 
     fn remembers(&self, id: u32) -> bool {
-        self.row(id).terms.repeats == Repeats::Ticketed
+        self.row(id).terms.idempotency == Idempotency::Keyed
     }
 
     /// A ticketed invocation is remembered through its window before anything of it runs; so is a read whose
     /// answer may serve others.
-    fn remember(&mut self, id: u32, arrival: &Arrival) {
-        let read = self.row(id).terms.repeats == Repeats::Rerunnable && arrival.key != 0 && !arrival.writes;
-        let shares = read && self.facts.share_answers_ms > 0.0;
+    fn remember(&mut self, id: u32, arrival: &Request) {
+        let read =
+            self.row(id).terms.idempotency == Idempotency::Idempotent && arrival.key != 0 && !arrival.writes;
+        let shares = read && self.config.shared_response_ms > 0.0;
         let ms = if self.remembers(id) {
-            self.row(id).terms.ticket_window_ms
+            self.row(id).terms.deduplication_window_ms
         } else if shares && self.memory_share() < 0.5 * MEMORY_RUN {
-            self.row(id).terms.contract_ms + self.facts.share_answers_ms
+            self.row(id).terms.latency_objective_ms + self.config.shared_response_ms
         } else {
             return;
         };
         self.hand.remembered.insert((bits(self.now + ms), id));
-        self.out.changes.push(Change { id, from: Some(State::Held), to: State::Held, remember_ms: Some(ms) });
+        self.out.transitions.push(Transition {
+            id,
+            from: Some(RequestState::Queued),
+            to: RequestState::Queued,
+            retain_ms: Some(ms),
+        });
     }
 
     // ---- runs and calls -----------------------------------------------------------------------------
@@ -750,7 +776,7 @@
             if !self.memory_allows(id) {
                 return;
             }
-            self.change(id, State::Running);
+            self.change(id, RequestState::Running);
         }
     }
 
@@ -761,27 +787,29 @@
                 return;
             }
             let has_room = |id: &u32| {
-                let room = self.pool_room(self.hand.invocations[id].offering);
-                room.is_none_or(|(pool, room)| self.hand.pooled[pool].1 as f64 + 1.0 <= room.calls)
+                let total_capacity = self.pool_room(self.hand.invocations[id].class);
+                total_capacity.is_none_or(|(pool, total_capacity)| {
+                    self.hand.pooled[pool].1 as f64 + 1.0 <= total_capacity.max_calls
+                })
             };
             let Some(&(_, _, id)) = self.hand.wanting.iter().rev().find(|(_, _, id)| has_room(id)) else {
                 return;
             };
-            let within_ms = (self.hand.invocations[&id].due - self.now).max(1.0);
-            self.change(id, State::Calling { within_ms });
+            let timeout_ms = (self.hand.invocations[&id].due - self.now).max(1.0);
+            self.change(id, RequestState::Calling { timeout_ms });
         }
     }
 
     /// Keeps calls in hand near what lies below takes without crowding, by whether they fail and by their
     /// mean time, as single ones differ much. Guards against a dependency that slows, turns away or is gone:
     /// without the pause its instant refusals are repeated without end. Harms where a slowdown is brief.
-    fn learn_call(&mut self, took_ms: f64, end: CallEnd) {
-        let (paused, least) = (self.now < self.calls_after, (CALLS_LEAST * self.call_share).max(1.0));
+    fn learn_call(&mut self, took_ms: f64, end: CallOutcome) {
+        let (paused, least) = (self.now < self.calls_after, (CALLS_LEAST * self.dependency_share).max(1.0));
         // A call whose connection went bad was given up with it, and may stay below as long.
-        self.rest_after(took_ms, matches!(end, CallEnd::GivenUp | CallEnd::Lost));
-        if end != CallEnd::Ok {
+        self.rest_after(took_ms, matches!(end, CallOutcome::Abandoned | CallOutcome::ConnectionLost));
+        if end != CallOutcome::Completed {
             self.calls_most = (self.calls_most * CALL_SHRINK_FAILED).max(least);
-            if !(paused || end == CallEnd::Lost) {
+            if !(paused || end == CallOutcome::ConnectionLost) {
                 self.calls_after = self.calls_after.max(self.now + self.call_pause_ms);
                 self.call_pause_ms = (2.0 * self.call_pause_ms).min(CALL_PAUSE_MOST_MS);
             }
@@ -793,49 +821,55 @@
         let slow = self.call_took_ms > CALL_SLOW * self.call_quick_ms;
         let next =
             if slow { self.calls_most * CALL_SHRINK_SLOW } else { self.calls_most + 1.0 / self.calls_most };
-        self.calls_most = next.min(self.call_share).max(least);
+        self.calls_most = next.min(self.dependency_share).max(least);
     }
 
     /// A share under one call is kept by resting after each, also for as long as those given up may linger.
     fn rest_after(&mut self, in_hand_ms: f64, lingers: bool) {
-        let linger_ms = if lingers { self.facts.call_linger_ms } else { 0.0 };
+        let linger_ms = if lingers { self.config.abandoned_call_linger_ms } else { 0.0 };
         if lingers {
             self.hand.lingering.push(self.now + linger_ms);
         }
-        let rest_ms = (in_hand_ms + linger_ms) * (1.0 / self.call_share - 1.0).max(0.0);
+        let rest_ms = (in_hand_ms + linger_ms) * (1.0 / self.dependency_share - 1.0).max(0.0);
         self.calls_after = self.calls_after.max(self.now + rest_ms);
     }
 
     /// Nothing more is hoped for: the answer goes out at once.
     fn give_up(&mut self, id: u32) {
         let Some(invocation) = self.hand.invocations.get(&id) else { return };
-        let may_have_run = invocation.ran || invocation.state == State::Joined;
-        if may_have_run && self.row(id).terms.repeats != Repeats::Rerunnable {
-            self.finish(id, Ending::Scrapped);
+        let may_have_run = invocation.ran || invocation.state == RequestState::Joined;
+        if may_have_run && self.row(id).terms.idempotency != Idempotency::Idempotent {
+            self.finish(id, Completion::Failed);
             return;
         }
-        self.learn_end(id, RunEnd::Stopped);
-        self.dismiss(id, self.facts.cool_down_most_ms, None);
+        self.learn_end(id, RunOutcome::Cancelled);
+        self.dismiss(id, self.config.max_retry_after_ms, None);
     }
 
     /// Trying elsewhere at once feeds storms: each try costs a reading and often a new connection, and
     /// servers alike cut alike. So only a server that leaves or is sick sends on all, others what their cut
     /// of late would mostly keep; harms where this server alone is short and others have room.
-    fn dismiss(&mut self, id: u32, cool_down_ms: f64, place: Option<usize>) {
-        let most_ms = self.facts.cool_down_most_ms;
-        let cool_down_ms = if self.away_told { most_ms } else { cool_down_ms.min(most_ms) };
+    fn dismiss(&mut self, id: u32, retry_after_ms: f64, place: Option<usize>) {
+        let most_ms = self.config.max_retry_after_ms;
+        let retry_after_ms = if self.away_told { most_ms } else { retry_after_ms.min(most_ms) };
         let kept = |place| self.kept_of(place, self.ease) > KEPT_ELSEWHERE;
-        let elsewhere_helps = self.away_told || place.is_some_and(kept);
-        self.finish(id, Ending::Dismissed { cool_down_ms, elsewhere_helps });
+        let retry_elsewhere = self.away_told || place.is_some_and(kept);
+        self.finish(id, Completion::Rejected { retry_after_ms, retry_elsewhere });
     }
 
     /// Gives the final answer; work of it that still runs is stopped where it may be.
-    fn finish(&mut self, id: u32, ending: Ending) {
-        let stops = self.row(id).terms.repeats == Repeats::Rerunnable && self.facts.halting != Halting::Never;
+    fn finish(&mut self, id: u32, completion: Completion) {
+        let stops = self.row(id).terms.idempotency == Idempotency::Idempotent
+            && self.config.cancellation != Cancellation::Unsupported;
         match self.hand.invocations[&id].state {
-            State::Spent { .. } | State::Ended(_) => {}
-            State::Held | State::Joined => self.change(id, State::Ended(ending)),
-            from => self.change(id, State::Spent { ending, stop: stops && from == State::Running }),
+            RequestState::Answered { .. } | RequestState::Completed(_) => {}
+            RequestState::Queued | RequestState::Joined => {
+                self.change(id, RequestState::Completed(completion))
+            }
+            from => self.change(
+                id,
+                RequestState::Answered { completion, cancel: stops && from == RequestState::Running },
+            ),
         }
     }
 
@@ -849,39 +883,44 @@
         // What arrives inside the grace is served, so callers stay until it is nearly over.
         let leaves = self.leaving.is_some_and(|(grace_end, _)| self.now + COOL_MS >= grace_end);
         let gone = leaves || self.failing > FAILING_SHARE;
-        let fit = !gone && (self.facts.list_follows_health || self.ease > FIT_LET_IN);
-        self.out.words.fit = (fit != std::mem::replace(&mut self.fit_told, fit)).then_some(fit);
+        let ready = !gone && (self.config.discovery_follows_health || self.ease > FIT_LET_IN);
+        self.out.announcements.ready =
+            (ready != std::mem::replace(&mut self.fit_told, ready)).then_some(ready);
         if gone != self.away_told {
             self.away_told = gone;
             let why = if leaves { "leaving" } else { "runs fail or do not end" };
-            self.out.words.notes.push(if gone { format!("stay away: {why}") } else { "well again".into() });
+            self.out.announcements.notes.push(if gone {
+                format!("stay away: {why}")
+            } else {
+                "well again".into()
+            });
         }
         self.keep_idle();
-        let level = match self.facts.advice {
-            AdviceMeaning::Nothing => return,
-            AdviceMeaning::LowestRank if gone => 1.0,
+        let level = match self.config.backpressure {
+            BackpressureSignal::None => return,
+            BackpressureSignal::MinimumPriority if gone => 1.0,
             _ if gone => 0.0,
-            AdviceMeaning::LowestRank => {
-                let cut = |o: &Offering| 1.0 - self.kept_of(self.buckets + o.bucket, self.ease);
-                let into = |o: &Offering| (ADVICE_PART * cut(o)).min(1.0) * (o.ranks_to - o.ranks_from);
-                let cut_rows = self.offerings.iter().filter(|o| cut(o) > 0.0);
+            BackpressureSignal::MinimumPriority => {
+                let cut = |o: &Class| 1.0 - self.kept_of(self.buckets + o.bucket, self.ease);
+                let into = |o: &Class| (ADVICE_PART * cut(o)).min(1.0) * (o.ranks_to - o.ranks_from);
+                let cut_rows = self.classes.iter().filter(|o| cut(o) > 0.0);
                 cut_rows.map(|o| o.ranks_from + into(o)).fold(0.0, f64::max)
             }
             // A part of the quota for each caller. One each may add up to more with many of them, which a cold
             // one does not bear: there a fraction counts by chance.
-            AdviceMeaning::OutstandingPerCaller => {
-                let each = self.facts.cores * self.load_quotas().1 / self.facts.callers;
+            BackpressureSignal::ConcurrencyPerClient => {
+                let each = self.config.cores * self.load_quotas().1 / self.config.client_count;
                 each.max(if self.warmth() < 1.0 { 0.0 } else { 1.0 })
             }
             // A cold one takes no more of the usual than it has of its speed.
-            AdviceMeaning::ShareOfUsual => self.ease.min(self.warmth()).max(SHARE_LEAST),
+            BackpressureSignal::RateFraction => self.ease.min(self.warmth()).max(SHARE_LEAST),
         };
         // Under one, a part of a try each, the step shrinks with it: many callers have little each.
-        let window = self.facts.advice == AdviceMeaning::OutstandingPerCaller;
+        let window = self.config.backpressure == BackpressureSignal::ConcurrencyPerClient;
         let scale = if window { self.advised.clamp(ADVICE_STEP, 1.0) } else { 1.0 };
         if (level - self.advised).abs() > ADVICE_STEP * scale {
             self.advised = level;
-            self.out.words.advice = Some(level);
+            self.out.announcements.backpressure = Some(level);
         }
     }
 
@@ -890,68 +929,68 @@
     /// back unseen, at no work. Guards against storms in which readings and new connections crowd out the
     /// runs; harms where few callers open many connections each.
     fn keep_idle(&mut self) {
-        let arrivals: f64 = self.offerings.iter().map(|o| o.tally).sum();
-        let back_ms = self.facts.callers * TALLY_HALF_MS / std::f64::consts::LN_2 / arrivals.max(1.0);
+        let arrivals: f64 = self.classes.iter().map(|o| o.tally).sum();
+        let back_ms = self.config.client_count * TALLY_HALF_MS / std::f64::consts::LN_2 / arrivals.max(1.0);
         let least = (IDLE_EVEN_MS * IDLE_EVEN_MS / back_ms).max(PERIOD_MS);
         let step = if self.behind() { IDLE_UP } else { IDLE_DOWN };
-        self.idle_ms = (self.idle_ms * step).max(least).min(self.facts.idle_most_ms);
+        self.idle_ms = (self.idle_ms * step).max(least).min(self.config.max_idle_ms);
         if (self.idle_ms / self.idle_told - 1.0).abs() > 0.2 {
             self.idle_told = self.idle_ms;
-            self.out.words.idle_ms = Some(self.idle_ms);
+            self.out.announcements.idle_timeout_ms = Some(self.idle_ms);
         }
     }
 
     // ---- the one place where states change ----------------------------------------------------------
 
-    fn change(&mut self, id: u32, to: State) {
+    fn change(&mut self, id: u32, to: RequestState) {
         self.stands(id, false);
         let Some(invocation) = self.hand.invocations.get_mut(&id) else { return };
-        let (from, offering) = (invocation.state, invocation.offering);
-        let runs = |s: State| matches!(s, State::Running | State::Spent { .. });
-        let calls = |s: State| matches!(s, State::AtCall | State::Calling { .. });
+        let (from, class) = (invocation.state, invocation.class);
+        let runs = |s: RequestState| matches!(s, RequestState::Running | RequestState::Answered { .. });
+        let calls = |s: RequestState| matches!(s, RequestState::AwaitingCall | RequestState::Calling { .. });
         if runs(from) {
             invocation.core_ms += self.hand.core_clock - invocation.core_clock;
         }
         invocation.core_clock = self.hand.core_clock;
         self.hand.on_core = self.hand.on_core + usize::from(runs(to)) - usize::from(runs(from));
         self.hand.at_call = self.hand.at_call + usize::from(calls(to)) - usize::from(calls(from));
-        let out = |s: State| usize::from(matches!(s, State::Calling { .. }));
+        let out = |s: RequestState| usize::from(matches!(s, RequestState::Calling { .. }));
         self.hand.calls_out = self.hand.calls_out + out(to) - out(from);
-        let abandoned = out(from) > out(to) && matches!(to, State::Spent { .. });
+        let abandoned = out(from) > out(to) && matches!(to, RequestState::Answered { .. });
         let abandoned = abandoned.then_some(invocation.call_began);
-        let weight = |s: State| match s {
-            State::Ended(_) => 0.0,
-            s if runs(s) || calls(s) => self.facts.run_factor,
+        let weight = |s: RequestState| match s {
+            RequestState::Completed(_) => 0.0,
+            s if runs(s) || calls(s) => self.config.running_memory_factor,
             _ => 1.0,
         };
-        self.hand.memory_kb += (weight(to) - weight(from)) * invocation.footprint_kb;
+        self.hand.memory_kb += (weight(to) - weight(from)) * invocation.memory_kb;
         invocation.state = to;
-        invocation.ran |= to == State::Running;
+        invocation.ran |= to == RequestState::Running;
         invocation.call_began = if out(to) > 0 { self.now } else { invocation.call_began };
-        self.out.changes.push(Change { id, from: Some(from), to, remember_ms: None });
-        if matches!(to, State::Ended(_) | State::Spent { .. }) {
+        self.out.transitions.push(Transition { id, from: Some(from), to, retain_ms: None });
+        if matches!(to, RequestState::Completed(_) | RequestState::Answered { .. }) {
             self.hand.due.remove(&(bits(invocation.due), id));
         }
-        self.count_pooled(offering, from, false);
-        self.count_pooled(offering, to, true);
-        if matches!(to, State::Spent { stop: true, .. }) {
+        self.count_pooled(class, from, false);
+        self.count_pooled(class, to, true);
+        if matches!(to, RequestState::Answered { cancel: true, .. }) {
             self.hand.stopping.insert(id);
         } else {
             self.hand.stopping.remove(&id);
         }
-        if matches!(to, State::Ended(_)) {
+        if matches!(to, RequestState::Completed(_)) {
             self.hand.invocations.remove(&id);
         }
         self.stands(id, true);
         abandoned.into_iter().for_each(|began| self.rest_after(self.now - began, true));
     }
 
-    fn result(&mut self) -> Outcome {
+    fn result(&mut self) -> Effects {
         if let Some(&(time, _)) = self.hand.due.first() {
             let at = f64::from_bits(time);
             if at < self.woken_for {
                 self.woken_for = at;
-                self.out.words.wakes.push(((at - self.now).max(0.001), Wake::Due));
+                self.out.announcements.timers.push(((at - self.now).max(0.001), Timer::Deadline));
             }
         }
         std::mem::take(&mut self.out)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,6 @@
-//! Admission and scheduling decisions for one server behind balancers that it does not control.
-//! The decisions are in [`logic`], the types its callers use in [`interface`].
+//! Admission control, load shedding and scheduling for one server behind load balancers that it does not control.
+//!
+//! [`admission`] decides; [`api`] has the types that its driver uses. Neither does any I/O.
 
-pub mod interface;
-pub mod logic;
+pub mod admission;
+pub mod api;
