--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use plovershelf_cluster::status::{Answer, Question};
 use plovershelf_simulation::audit::{self, Event, Seen};
-use plovershelf_simulation::copies::schedule as drawn;
+use plovershelf_simulation::replication::schedule as drawn;
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
 use plovershelf_simulation::statistics::Spread;
 use plovershelf_testkit::backend::Fleet;
--- a/crates/plovershelf-cli/src/trial/copies_model.rs
+++ b/crates/plovershelf-cli/src/trial/copies_model.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_simulation::copies::{schedule, Came, Plan, World};
+use plovershelf_simulation::replication::{schedule, Came, Plan, World};
 use plovershelf_simulation::statistics::Spread;
 
 use super::{Aim, Figures, Ground};
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -26,7 +26,7 @@
     /// Others, by name, that are reached at another address than they say.
     pub ways: BTreeMap<String, SocketAddr>,
     /// Copies of what is held for others, where there are to be any.
-    pub copies: Option<plovershelf_replication::copies::Terms>,
+    pub copies: Option<plovershelf_replication::replicator::Terms>,
     /// Zones with a plan of what goes where, where sections tell any.
     pub zones: Option<Zones>,
     /// Changes that are agreed on here and carried outward, where a section tells of it.
@@ -219,9 +219,9 @@
     }
 }
 
-fn copies(reading: &mut Reading<'_>, told: &ini::Properties) -> plovershelf_replication::copies::Terms {
+fn copies(reading: &mut Reading<'_>, told: &ini::Properties) -> plovershelf_replication::replicator::Terms {
     let section = "copies";
-    let mut terms = plovershelf_replication::copies::Terms::default();
+    let mut terms = plovershelf_replication::replicator::Terms::default();
     terms.copies = reading.count(section, told, "copies", terms.copies);
     terms.least = reading.count(section, told, "least", terms.least.min(terms.copies));
     if !(2..=7).contains(&terms.copies) || terms.least == 0 || terms.least > terms.copies {
--- a/crates/plovershelf-replication/benches/claim.rs
+++ b/crates/plovershelf-replication/benches/reservation.rs
@@ -2,8 +2,8 @@
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::copies::{Copies, Ending, Terms, Told};
 use plovershelf_replication::placement::{Holder, Ticket};
+use plovershelf_replication::replicator::{Copies, Ending, Terms, Told};
 
 fn members(count: u64, copies: usize) -> Vec<Copies> {
     let holder = |n: u64| Holder { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
--- a/crates/plovershelf-replication/tests/broken.rs
+++ b/crates/plovershelf-replication/tests/broken.rs
@@ -7,8 +7,8 @@
 
 use plovershelf_cluster::council::Id;
 use plovershelf_replication::broken::{set, Broken};
-use plovershelf_replication::copies::{Claim, Copies, Ending, Message, Terms};
 use plovershelf_replication::placement::Holder;
+use plovershelf_replication::replicator::{Claim, Copies, Ending, Message, Terms};
 use stateright::{Checker, Model};
 use walk::{holders, Left, Tickets, BROKEN, TICKET};
 
--- a/crates/plovershelf-replication/tests/hard_cases.rs
+++ b/crates/plovershelf-replication/tests/hard_cases.rs
@@ -1,8 +1,8 @@
 //! What the checker's bounds leave out: time, bounds in count and bytes, many tickets, and any messages at all.
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::copies::{Claim, Copies, Ending, Message, Record, Terms, Told};
 use plovershelf_replication::placement::{place, Holder, Ticket};
+use plovershelf_replication::replicator::{Claim, Copies, Ending, Message, Record, Terms, Told};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -6,8 +6,8 @@
 use std::fmt::Debug;
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::copies::{Claim, Ending, Message, Record};
 use plovershelf_replication::placement::{place, Holder, Ticket};
+use plovershelf_replication::replicator::{Claim, Ending, Message, Record};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/plovershelf-replication/tests/walk/mod.rs
+++ b/crates/plovershelf-replication/tests/walk/mod.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::copies::{Copies, Ending, Message, Terms, Told};
 use plovershelf_replication::placement::{place, Holder, Ticket};
+use plovershelf_replication::replicator::{Copies, Ending, Message, Terms, Told};
 use stateright::{Model, Property};
 
 /// What may still happen.
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -4,13 +4,13 @@
 //! The ordinary path: a frame or a due time reaches the keeper, which asks the state machine, keeps what is to be kept, and
 //! only then hands out what is to be said.
 
-mod copied;
 mod folder;
+mod replication;
 mod zoned;
 
 pub use crate::links::now_ms;
-pub use copied::{Asked, Told};
 pub(crate) use folder::drawn;
+pub use replication::{Asked, Told};
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -176,7 +176,7 @@
         let group = Group::new(start, now_ms());
         let (own, life) = (group.about().id, group.members().me().life);
         let copies = setup.copies.clone().zip(told);
-        let copies = copies.map(|(terms, told)| copied::Copied::new(own, life, terms, told));
+        let copies = copies.map(|(terms, told)| replication::Copied::new(own, life, terms, told));
         let zoned = zoned.map(|zones| *zones);
         let keeper = Keeper {
             carrier,
@@ -207,7 +207,7 @@
     /// Where changes are carried from here: the carrier's queue, and what it was told last.
     carrier: Option<Sender<changes::Incoming>>,
     word: Word,
-    copies: Option<copied::Copied>,
+    copies: Option<replication::Copied>,
     zoned: Option<zoned::Zoned>,
     name: String,
     folder: Option<Folder>,
@@ -239,7 +239,7 @@
     }
 
     fn next_at(&self) -> f64 {
-        let copies = self.copies.as_ref().map_or(f64::INFINITY, copied::Copied::next_at);
+        let copies = self.copies.as_ref().map_or(f64::INFINITY, replication::Copied::next_at);
         let zoned = self.zoned.as_ref().map_or(f64::INFINITY, zoned::Zoned::next_at);
         self.group
             .next_at()
@@ -387,9 +387,11 @@
                 holders: record.holders.iter().map(holder).collect(),
                 state: match &record.ending {
                     None => "open".into(),
-                    Some(copied::Ending::Succeeded(result)) => format!("succeeded, {} bytes", result.len()),
-                    Some(copied::Ending::Failed) => "failed".into(),
-                    Some(copied::Ending::InDoubt) => "in doubt".into(),
+                    Some(replication::Ending::Succeeded(result)) => {
+                        format!("succeeded, {} bytes", result.len())
+                    }
+                    Some(replication::Ending::Failed) => "failed".into(),
+                    Some(replication::Ending::InDoubt) => "in doubt".into(),
                 },
                 claimed_under_view: record.order.0,
                 keep_ms: record.keep_ms,
--- a/crates/plovershelf-server/src/group/copied.rs
+++ b/crates/plovershelf-server/src/group/replication.rs
@@ -5,9 +5,9 @@
 use async_channel::Sender;
 use plovershelf_cluster::council::Id;
 use plovershelf_cluster::decided::View;
-pub use plovershelf_replication::copies::Ending;
-use plovershelf_replication::copies::{self, Copies, Message, Terms};
 use plovershelf_replication::placement::{Holder, Ticket};
+pub use plovershelf_replication::replicator::Ending;
+use plovershelf_replication::replicator::{self, Copies, Message, Terms};
 
 /// What the owner wants for one of its open invocations, by its number there.
 pub enum Asked {
@@ -172,11 +172,11 @@
         let (send, out) = self.copies.take();
         for told in out {
             let (number, over) = match &told {
-                copies::Told::Launch(number) => (*number, false),
-                copies::Told::Ended(number, _)
-                | copies::Told::Answer(number, _)
-                | copies::Told::Refuse(number) => (*number, true),
-                copies::Told::Enough(number, _) => (*number, false),
+                replicator::Told::Launch(number) => (*number, false),
+                replicator::Told::Ended(number, _)
+                | replicator::Told::Answer(number, _)
+                | replicator::Told::Refuse(number) => (*number, true),
+                replicator::Told::Enough(number, _) => (*number, false),
             };
             let Some(id) = self.ids.get(&number).copied() else { continue };
             if over {
@@ -184,11 +184,11 @@
                 self.numbers.remove(&id);
             }
             let told = match told {
-                copies::Told::Launch(_) => Told::Launch(id),
-                copies::Told::Ended(_, ending) => Told::Ended(id, ending),
-                copies::Told::Answer(_, ending) => Told::Answer(id, ending),
-                copies::Told::Enough(_, ending) => Told::Enough(id, ending),
-                copies::Told::Refuse(_) => Told::Refuse(id),
+                replicator::Told::Launch(_) => Told::Launch(id),
+                replicator::Told::Ended(_, ending) => Told::Ended(id, ending),
+                replicator::Told::Answer(_, ending) => Told::Answer(id, ending),
+                replicator::Told::Enough(_, ending) => Told::Enough(id, ending),
+                replicator::Told::Refuse(_) => Told::Refuse(id),
             };
             // As many are under way at most as the owner has open.
             let _ = self.told.try_send(told);
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -3,9 +3,9 @@
 
 mod below;
 mod changed;
-mod copied;
 mod peers;
 mod pooled;
+mod replication;
 mod work;
 
 use std::cell::Cell;
@@ -96,10 +96,10 @@
     /// What its body says, where it has a mark.
     content: u64,
     /// Where tickets have copies: how far its claim is.
-    copied: copied::Stage,
+    copied: replication::Stage,
     /// Its ending stands on enough copies to be told if the due time comes before the rest; or its caller was told that it
     /// failed, so that no other ending is told to anybody.
-    enough: Option<plovershelf_replication::copies::Ending>,
+    enough: Option<plovershelf_replication::replicator::Ending>,
     told_failed: bool,
 }
 
--- a/crates/plovershelf-server/src/owner/copied.rs
+++ b/crates/plovershelf-server/src/owner/replication.rs
@@ -6,8 +6,8 @@
 
 use plovershelf::api::{Completion as Answered, RunOutcome};
 use plovershelf_codec::agent::RunResult;
-use plovershelf_replication::copies::Ending;
 use plovershelf_replication::placement::Ticket;
+use plovershelf_replication::replicator::Ending;
 
 use super::Owner;
 use crate::group::{Asked, Incoming, Told};
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -17,8 +17,8 @@
 use plovershelf_failover::asks::Say as Report;
 use plovershelf_failover::planner;
 use plovershelf_failover::seen::Report as Seen;
-use plovershelf_replication::copies::{Copies, Message as Copied, Terms as CopiesTerms};
 use plovershelf_replication::placement::Holder;
+use plovershelf_replication::replicator::{Copies, Message as Copied, Terms as CopiesTerms};
 use plovershelf_simulation::statistics::Fit;
 
 const SIZES: [usize; 5] = [30, 100, 300, 600, 920];
--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod audit;
 pub mod changes;
-pub mod copies;
 pub mod group;
 pub mod net;
 pub mod plot;
+pub mod replication;
 pub mod schedule;
 pub mod statistics;
 pub mod zones;
--- a/crates/plovershelf-simulation/src/copies.rs
+++ b/crates/plovershelf-simulation/src/replication/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::copies::{Copies, Ending, Message, Terms, Told};
 use plovershelf_replication::placement::{Holder, Ticket};
+use plovershelf_replication::replicator::{Copies, Ending, Message, Terms, Told};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg32;
