--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -7,6 +7,7 @@
 use plovershelf_cluster::group::Terms;
 use plovershelf_failover::plan::{Topology, Zone, ZONES_MOST};
 use plovershelf_failover::{planner, seen};
+use plovershelf_replication::ReplicationConfig;
 
 use crate::{Reading, Wrong};
 
@@ -25,8 +26,8 @@
     pub terms: Terms,
     /// Others, by name, that are reached at another address than they say.
     pub ways: BTreeMap<String, SocketAddr>,
-    /// Copies of what is held for others, where there are to be any.
-    pub copies: Option<plovershelf_replication::replicator::Terms>,
+    /// Replication of deduplication records, where it is on.
+    pub replication: Option<ReplicationConfig>,
     /// Zones with a plan of what goes where, where sections tell any.
     pub zones: Option<Zones>,
     /// Changes that are agreed on here and carried outward, where a section tells of it.
@@ -90,7 +91,7 @@
         folder: None,
         terms,
         ways: BTreeMap::new(),
-        copies: None,
+        replication: None,
         zones: None,
         changes: None,
     };
@@ -113,7 +114,7 @@
             }
             "copies" => {
                 reading.check_keys(section, told, &COPIES_KEYS);
-                group.copies = Some(copies(&mut reading, told));
+                group.replication = Some(replication(&mut reading, told));
             }
             crate::changes::SECTION => group.changes = Some(crate::changes::source(&mut reading, told)),
             "ways" => {
@@ -219,23 +220,28 @@
     }
 }
 
-fn copies(reading: &mut Reading<'_>, told: &ini::Properties) -> plovershelf_replication::replicator::Terms {
+/// The section `[copies]`.
+fn replication(reading: &mut Reading<'_>, told: &ini::Properties) -> ReplicationConfig {
+    const BYTES_PER_MB: f64 = 1_048_576.0;
     let section = "copies";
-    let mut terms = plovershelf_replication::replicator::Terms::default();
-    terms.copies = reading.count(section, told, "copies", terms.copies);
-    terms.least = reading.count(section, told, "least", terms.least.min(terms.copies));
-    if !(2..=7).contains(&terms.copies) || terms.least == 0 || terms.least > terms.copies {
+    let mut config = ReplicationConfig::default();
+    config.replication_factor = reading.count(section, told, "copies", config.replication_factor);
+    config.min_replicas =
+        reading.count(section, told, "least", config.min_replicas.min(config.replication_factor));
+    let (factor, least) = (config.replication_factor, config.min_replicas);
+    if !(2..=7).contains(&factor) || least == 0 || least > factor {
         reading.say(section, "copies is from 2 to 7, and least from 1 to copies");
     }
     let mut number =
         |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
-    terms.tickets = number("tickets", [100.0, 10_000_000.0], terms.tickets as f64) as usize;
-    terms.bytes =
-        (number("memory_mb", [1.0, 65_536.0], terms.bytes as f64 / 1_048_576.0) * 1_048_576.0) as usize;
-    terms.claim_ms = number("claim_ms", [50.0, 60_000.0], terms.claim_ms);
-    terms.again_ms = number("again_ms", [10.0, 10_000.0], terms.again_ms);
-    terms.batches_a_second = number("batches_a_second", [1.0, 100_000.0], terms.batches_a_second);
-    terms
+    config.max_records = number("tickets", [100.0, 10_000_000.0], config.max_records as f64) as usize;
+    let megabytes = config.max_outcome_bytes as f64 / BYTES_PER_MB;
+    config.max_outcome_bytes = (number("memory_mb", [1.0, 65_536.0], megabytes) * BYTES_PER_MB) as usize;
+    config.reservation_timeout_ms = number("claim_ms", [50.0, 60_000.0], config.reservation_timeout_ms);
+    config.retransmit_interval_ms = number("again_ms", [10.0, 10_000.0], config.retransmit_interval_ms);
+    config.max_batches_per_second =
+        number("batches_a_second", [1.0, 100_000.0], config.max_batches_per_second);
+    config
 }
 
 fn own(reading: &mut Reading<'_>, told: &ini::Properties, group: &mut Group) {
--- a/crates/plovershelf-replication/src/broken.rs
+++ b/crates/plovershelf-replication/src/broken.rs
@@ -1,31 +1,34 @@
 //! Variants that break a promise on purpose, so that tests can show that breaking it is caught. Only with the feature
 //! `broken`, which nothing that serves is built with.
 
+/// A variant, and the promise that it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Broken {
-    /// A run begins when the first has the claim, before all copies stand.
-    LaunchBeforeClaimStands = 1,
-    /// A result is answered when the first has it.
-    AnswerBeforeCopied,
-    /// A member that holds nothing confirms what it was never told.
-    BlankConfirms,
+    /// A request is launched when the primary has its reservation, before all replicas have confirmed it.
+    LaunchBeforeReserved = 1,
+    /// A result is answered when the primary has it, before all replicas have confirmed it.
+    AnswerBeforeReplicated,
+    /// A replica that stores nothing confirms an outcome of a reservation that it was never sent.
+    BlankReplicaConfirms,
 }
 
 #[cfg(feature = "broken")]
-static WHAT: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// From now on in this process.
+/// Selects a variant, or none, for this process from now on.
 #[cfg(feature = "broken")]
-pub fn set(what: Option<Broken>) {
-    WHAT.store(what.map_or(0, |what| what as u8), std::sync::atomic::Ordering::Relaxed);
+pub fn set(variant: Option<Broken>) {
+    ACTIVE.store(variant.map_or(0, |variant| variant as u8), std::sync::atomic::Ordering::Relaxed);
 }
 
+/// Whether this variant is selected.
 #[cfg(feature = "broken")]
-pub fn is(what: Broken) -> bool {
-    WHAT.load(std::sync::atomic::Ordering::Relaxed) == what as u8
+pub fn is(variant: Broken) -> bool {
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == variant as u8
 }
 
+/// Whether this variant is selected: never without the feature `broken`.
 #[cfg(not(feature = "broken"))]
 pub fn is(_: Broken) -> bool {
     false
--- /dev/null
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -0,0 +1,377 @@
+//! The executor's role: it brings each keyed request of the local backend from its reservation to its answer.
+//!
+//! A request is launched only when *all* replicas have confirmed its reservation, and answered only when all have confirmed
+//! its outcome. The first is why a missing record proves that nothing was launched, the second why an answer outlives the
+//! loss of all replicas but one.
+//!
+//! | phase | event | next |
+//! | --- | --- | --- |
+//! | reserving | all replicas confirmed | running, `Launch` |
+//! | reserving | a replica that has not confirmed is suspected | reserving, in the next round |
+//! | reserving | another attempt holds the key | waiting |
+//! | reserving, waiting | another attempt's outcome | `AlreadyCompleted` |
+//! | reserving, waiting | cancelled, or its time is over | released, `Rejected` |
+//! | waiting | the key is free, or the reservation was accepted after all | reserving |
+//! | running | the backend's run ended | completing |
+//! | running | a replica has another outcome, from reconciliation | completing with that one |
+//! | running | it surely was not launched | released, `Rejected` |
+//! | completing | a replica has another outcome | completing with that one, confirmed anew |
+//! | completing | `min_replicas` confirmed and it is sent again | completing, `OutcomeProvisional` |
+//! | completing | all replicas confirmed | `OutcomeReplicated` |
+//! | completing | the retention is over | `OutcomeReplicated` with in doubt |
+//! | reserving, completing | a new view | the same, confirmed anew |
+
+mod request;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use plovershelf_cluster::council::Id;
+
+use self::request::{Deadlines, Phase, Request};
+use crate::broken::{self, Broken};
+use crate::context::Context;
+use crate::effects::{Effects, Event};
+use crate::message::Message;
+use crate::placement::IdempotencyKey;
+use crate::record::{Outcome, RequestId, Reservation, Round};
+
+/// How many of the local backend's requests are in each phase.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// Their reservation is being replicated.
+    pub reserving: u64,
+    /// They wait for another attempt's outcome.
+    pub waiting: u64,
+    /// They were launched.
+    pub running: u64,
+    /// Their outcome is being replicated.
+    pub completing: u64,
+}
+
+/// What a replica confirms of a reservation.
+#[derive(Clone, Debug)]
+pub(crate) struct ReservedReply {
+    pub(crate) key: IdempotencyKey,
+    pub(crate) reservation: Reservation,
+    pub(crate) round: Round,
+    pub(crate) replica_set: Vec<Id>,
+}
+
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Executor {
+    requests: BTreeMap<RequestId, Request>,
+    by_key: BTreeMap<IdempotencyKey, BTreeSet<RequestId>>,
+    last_request: u64,
+}
+
+impl Executor {
+    // ---- what others may know ------------------------------------------------------------------------
+
+    pub(crate) fn is_idle(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    pub(crate) fn counts(&self) -> RequestCounts {
+        let mut counts = RequestCounts::default();
+        for request in self.requests.values() {
+            match request.phase {
+                Phase::Reserving { .. } => counts.reserving += 1,
+                Phase::Waiting => counts.waiting += 1,
+                Phase::Running => counts.running += 1,
+                Phase::Completing { .. } => counts.completing += 1,
+            }
+        }
+        counts
+    }
+
+    pub(crate) fn keys(&self) -> impl Iterator<Item = IdempotencyKey> + '_ {
+        self.requests.values().map(|request| request.key)
+    }
+
+    /// Reservations of some keys that this executor has, has launched, or has not completed; not those that only wait.
+    pub(crate) fn active(&self, keys: &BTreeSet<IdempotencyKey>) -> Vec<(IdempotencyKey, Reservation)> {
+        let active = |request: &&Request| request.phase != Phase::Waiting && keys.contains(&request.key);
+        self.requests.values().filter(active).map(|request| (request.key, request.reservation)).collect()
+    }
+
+    pub(crate) fn all_requests(&self) -> Vec<RequestId> {
+        self.requests.keys().copied().collect()
+    }
+
+    pub(crate) fn reserving_requests(&self) -> Vec<RequestId> {
+        let reserving = |request: &Request| matches!(request.phase, Phase::Reserving { .. });
+        self.requests.iter().filter(|(_, request)| reserving(request)).map(|(id, _)| *id).collect()
+    }
+
+    pub(crate) fn due_requests(&self, now_ms: f64) -> Vec<RequestId> {
+        let due = |request: &Request| request.next_timeout_ms() <= now_ms;
+        self.requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect()
+    }
+
+    pub(crate) fn poll_timeout(&self) -> f64 {
+        self.requests.values().map(Request::next_timeout_ms).fold(f64::INFINITY, f64::min)
+    }
+
+    // ---- what the backend wants ----------------------------------------------------------------------
+
+    pub(crate) fn reserve(
+        &mut self,
+        ctx: &Context,
+        key: IdempotencyKey,
+        deadline_ms: f64,
+        retention_ms: f64,
+    ) -> (RequestId, Effects) {
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
+        let reservation = Reservation { executor: ctx.local(), request: id };
+        let request = Request::new(ctx, key, reservation, Deadlines { deadline_ms, retention_ms });
+        self.requests.insert(id, request);
+        self.by_key.entry(key).or_default().insert(id);
+        let enough = ctx.membership.replica_set(key).len() >= ctx.config.required_replicas();
+        let effects = if enough { self.transmit(ctx, id) } else { self.finish(id, Event::Rejected(id)) };
+        (id, effects)
+    }
+
+    pub(crate) fn complete(&mut self, ctx: &Context, id: RequestId, outcome: Outcome) -> Effects {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase == Phase::Running)
+        else {
+            return Effects::default();
+        };
+        request.start_completing(ctx.now_ms, Phase::completing(outcome));
+        self.transmit(ctx, id)
+    }
+
+    /// It was to be launched and surely was not.
+    pub(crate) fn cancel_launch(&mut self, ctx: &Context, id: RequestId) -> Effects {
+        match self.requests.get_mut(&id) {
+            Some(request) if request.phase == Phase::Running => {
+                request.phase = Phase::Waiting;
+                self.give_up(ctx, id)
+            }
+            _ => Effects::default(),
+        }
+    }
+
+    /// Nobody waits for it any more: it is released unless it was launched.
+    pub(crate) fn cancel(&mut self, ctx: &Context, id: RequestId) -> Effects {
+        match self.requests.get(&id) {
+            Some(request) if request.phase.is_unlaunched() => self.give_up(ctx, id),
+            _ => Effects::default(),
+        }
+    }
+
+    // ---- what happens to it --------------------------------------------------------------------------
+
+    pub(crate) fn handle_view_change(&mut self, now_ms: f64) {
+        for request in self.requests.values_mut() {
+            request.discard_confirmations(now_ms);
+        }
+    }
+
+    pub(crate) fn handle_timeout(&mut self, ctx: &Context, id: RequestId) -> Effects {
+        let expired =
+            |request: &Request| request.expires_at_ms() <= ctx.now_ms && request.phase != Phase::Running;
+        if self.requests.get(&id).is_some_and(expired) {
+            self.give_up(ctx, id)
+        } else {
+            self.transmit(ctx, id)
+        }
+    }
+
+    /// A replica has the reservation.
+    pub(crate) fn handle_reserved(&mut self, ctx: &Context, from: Id, reply: ReservedReply) -> Effects {
+        let ReservedReply { key, reservation, round, replica_set } = reply;
+        let valid =
+            replica_set.contains(&from) && replica_set.first() == ctx.membership.primary(key).as_ref();
+        let Some(id) = self.request_of(ctx, key, reservation).filter(|_| valid) else {
+            return Effects::default();
+        };
+        let Some(request) = self.requests.get_mut(&id) else { return Effects::default() };
+        if round != request.round() || !request.phase.is_unlaunched() {
+            return Effects::default();
+        }
+        request.assign(ctx.view(), replica_set.clone());
+        // The key came free and the message about it was lost: the reservation was accepted when it was sent again.
+        if request.phase == Phase::Waiting {
+            request.phase = Phase::reserving();
+        }
+        let Phase::Reserving { confirmed } = &mut request.phase else { return Effects::default() };
+        confirmed.insert(from);
+        if is_confirmed(&replica_set, confirmed, Broken::LaunchBeforeReserved) {
+            request.phase = Phase::Running;
+            return Effects::event(Event::Launch(id));
+        }
+        Effects::default()
+    }
+
+    /// Another attempt holds the key, or has completed.
+    pub(crate) fn handle_held_by_another(
+        &mut self,
+        ctx: &Context,
+        from: Id,
+        (key, reservation): (IdempotencyKey, Reservation),
+        outcome: Option<Outcome>,
+    ) -> Effects {
+        let from_primary = ctx.membership.primary(key) == Some(from);
+        let Some(id) = self.request_of(ctx, key, reservation).filter(|_| from_primary) else {
+            return Effects::default();
+        };
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase.is_unlaunched()) else {
+            return Effects::default();
+        };
+        match outcome {
+            Some(outcome) => self.finish(id, Event::AlreadyCompleted(id, outcome)),
+            None => {
+                request.phase = Phase::Waiting;
+                Effects::default()
+            }
+        }
+    }
+
+    /// The key is free: all that wait for it here reserve it again.
+    pub(crate) fn handle_released(&mut self, ctx: &Context, from: Id, key: IdempotencyKey) -> Effects {
+        let mut effects = Effects::default();
+        if ctx.membership.primary(key) != Some(from) {
+            return effects;
+        }
+        let ids: Vec<RequestId> = self.by_key.get(&key).into_iter().flatten().copied().collect();
+        for id in ids {
+            if let Some(request) =
+                self.requests.get_mut(&id).filter(|request| request.phase == Phase::Waiting)
+            {
+                request.restart_reservation(ctx);
+                effects.append(self.transmit(ctx, id));
+            }
+        }
+        effects
+    }
+
+    /// A replica has an outcome: the one sent, or another that reconciliation settled on while this member was out of sight.
+    /// That one is the verdict, here too.
+    pub(crate) fn handle_outcome_recorded(
+        &mut self,
+        ctx: &Context,
+        from: Id,
+        (key, reservation): (IdempotencyKey, Reservation),
+        recorded: Outcome,
+    ) -> Effects {
+        let Some(id) = self.request_of(ctx, key, reservation) else { return Effects::default() };
+        let Some(request) = self.requests.get_mut(&id) else { return Effects::default() };
+        let replica_set = request.replica_set(ctx);
+        if !replica_set.contains(&from) {
+            return Effects::default();
+        }
+        match &mut request.phase {
+            Phase::Completing { outcome, confirmed } => {
+                if *outcome != recorded {
+                    (*outcome, *confirmed) = (recorded, BTreeSet::new());
+                }
+                confirmed.insert(from);
+                if !is_confirmed(&replica_set, confirmed, Broken::AnswerBeforeReplicated) {
+                    return Effects::default();
+                }
+                let event = Event::OutcomeReplicated(id, outcome.clone());
+                let mut effects = self.finish(id, event);
+                if let Some(primary) = replica_set.first().copied() {
+                    effects.send(primary, Message::OutcomeReplicated { view: ctx.view(), key, reservation });
+                }
+                effects
+            }
+            Phase::Running => {
+                let confirmed = BTreeSet::from([from]);
+                request.start_completing(ctx.now_ms, Phase::Completing { outcome: recorded, confirmed });
+                Effects::default()
+            }
+            Phase::Reserving { .. } | Phase::Waiting => Effects::default(),
+        }
+    }
+
+    /// A replica asks whether a reservation is still in use.
+    pub(crate) fn handle_probe(
+        &self,
+        ctx: &Context,
+        from: Id,
+        key: IdempotencyKey,
+        reservation: Reservation,
+    ) -> Effects {
+        if reservation.executor == ctx.local() && self.request_of(ctx, key, reservation).is_none() {
+            Effects::message(from, Message::Release { view: ctx.view(), key, reservation })
+        } else {
+            Effects::default()
+        }
+    }
+
+    /// Sends what a request's phase asks for to those that have not confirmed it.
+    pub(crate) fn transmit(&mut self, ctx: &Context, id: RequestId) -> Effects {
+        let mut effects = Effects::default();
+        let Some(request) = self.requests.get_mut(&id) else { return effects };
+        request.postpone_retransmission(ctx);
+        if let Some(outcome) = request.provisional_outcome(ctx.config.min_replicas) {
+            effects.emit(Event::OutcomeProvisional(id, outcome));
+        }
+        request.restart_round_if_blocked(ctx);
+        match &request.phase {
+            Phase::Reserving { .. } | Phase::Waiting => {
+                if let Some(primary) = ctx.membership.primary(request.key) {
+                    effects.send(primary, request.reserve_message(ctx));
+                }
+            }
+            Phase::Running => {}
+            Phase::Completing { outcome, confirmed } => {
+                for replica in request.replica_set(ctx).into_iter().filter(|id| !confirmed.contains(id)) {
+                    effects.send(replica, request.record_outcome_message(ctx, outcome.clone()));
+                }
+            }
+        }
+        effects
+    }
+
+    // ---- steps ---------------------------------------------------------------------------------------
+
+    /// The local request that a reservation belongs to, if it is still there.
+    fn request_of(&self, ctx: &Context, key: IdempotencyKey, reservation: Reservation) -> Option<RequestId> {
+        let request = self.requests.get(&reservation.request)?;
+        let same =
+            reservation.executor == ctx.local() && request.key == key && request.reservation == reservation;
+        same.then_some(reservation.request)
+    }
+
+    /// Its time is over, or nobody waits for it. What was not launched is released at all replicas.
+    fn give_up(&mut self, ctx: &Context, id: RequestId) -> Effects {
+        let Some(request) = self.requests.get(&id) else { return Effects::default() };
+        match request.phase {
+            Phase::Reserving { .. } | Phase::Waiting => {
+                let (replicas, release) = (request.possible_replicas(ctx), request.release_message(ctx));
+                let mut effects = self.finish(id, Event::Rejected(id));
+                for replica in replicas {
+                    effects.send(replica, release.clone());
+                }
+                effects
+            }
+            // Not all replicas could be reached for as long as anybody might have asked.
+            Phase::Completing { .. } => self.finish(id, Event::OutcomeReplicated(id, Outcome::InDoubt)),
+            Phase::Running => Effects::default(),
+        }
+    }
+
+    /// The one place where a request is forgotten, so that each ends with exactly one event.
+    fn finish(&mut self, id: RequestId, event: Event) -> Effects {
+        let Some(request) = self.requests.remove(&id) else { return Effects::default() };
+        if let Some(ids) = self.by_key.get_mut(&request.key) {
+            ids.remove(&id);
+            if ids.is_empty() {
+                self.by_key.remove(&request.key);
+            }
+        }
+        Effects::event(event)
+    }
+}
+
+/// Whether all replicas have confirmed. The variant is content with the primary's word.
+fn is_confirmed(replica_set: &[Id], confirmed: &BTreeSet<Id>, variant: Broken) -> bool {
+    let by_primary = || replica_set.first().is_some_and(|primary| confirmed.contains(primary));
+    replica_set.iter().all(|replica| confirmed.contains(replica)) || broken::is(variant) && by_primary()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/plovershelf-replication/src/executor/request.rs
@@ -0,0 +1,200 @@
+//! One request of the local backend, from its reservation to its answer.
+
+use std::collections::BTreeSet;
+
+use plovershelf_cluster::council::Id;
+
+use crate::context::Context;
+use crate::message::Message;
+use crate::placement::IdempotencyKey;
+use crate::record::{Outcome, Reservation, Round, ViewNumber};
+
+/// How far a request is; the table of its changes is in [`executor`](super).
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum Phase {
+    /// The reservation is being replicated; these replicas have confirmed it.
+    Reserving { confirmed: BTreeSet<Id> },
+    /// Another attempt holds the key.
+    Waiting,
+    /// It was launched.
+    Running,
+    /// It ended with this outcome, which these replicas have confirmed.
+    Completing { outcome: Outcome, confirmed: BTreeSet<Id> },
+}
+
+impl Phase {
+    pub(super) fn reserving() -> Self {
+        Phase::Reserving { confirmed: BTreeSet::new() }
+    }
+
+    pub(super) fn completing(outcome: Outcome) -> Self {
+        Phase::Completing { outcome, confirmed: BTreeSet::new() }
+    }
+
+    /// Nothing was launched yet.
+    pub(super) fn is_unlaunched(&self) -> bool {
+        matches!(self, Phase::Reserving { .. } | Phase::Waiting)
+    }
+}
+
+/// The replicas that the primary gave a reservation, and the view in which they hold it.
+#[derive(Clone, Debug)]
+struct AssignedReplicas {
+    view: ViewNumber,
+    replica_set: Vec<Id>,
+}
+
+/// What a backend wants of the replicas for a request. Times are in milliseconds.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Deadlines {
+    /// Until when the request may be launched.
+    pub(super) deadline_ms: f64,
+    /// How long its outcome is kept.
+    pub(super) retention_ms: f64,
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct Request {
+    pub(super) key: IdempotencyKey,
+    pub(super) reservation: Reservation,
+    pub(super) phase: Phase,
+    /// Until when it may be launched; of an outcome, until when it is sent.
+    deadline_ms: f64,
+    reserve_by_ms: f64,
+    retention_ms: f64,
+    retransmit_at_ms: f64,
+    round: Round,
+    assigned: Option<AssignedReplicas>,
+    provisional_reported: bool,
+}
+
+impl Request {
+    pub(super) fn new(
+        ctx: &Context,
+        key: IdempotencyKey,
+        reservation: Reservation,
+        deadlines: Deadlines,
+    ) -> Self {
+        Request {
+            key,
+            reservation,
+            phase: Phase::reserving(),
+            deadline_ms: deadlines.deadline_ms,
+            reserve_by_ms: ctx.now_ms + ctx.config.reservation_timeout_ms,
+            retention_ms: deadlines.retention_ms,
+            retransmit_at_ms: ctx.now_ms,
+            round: Round::default(),
+            assigned: None,
+            provisional_reported: false,
+        }
+    }
+
+    pub(super) fn round(&self) -> Round {
+        self.round
+    }
+
+    /// When it is given up, whatever has been confirmed.
+    pub(super) fn expires_at_ms(&self) -> f64 {
+        match self.phase {
+            Phase::Reserving { .. } => self.deadline_ms.min(self.reserve_by_ms),
+            _ => self.deadline_ms,
+        }
+    }
+
+    pub(super) fn next_timeout_ms(&self) -> f64 {
+        self.retransmit_at_ms.min(self.expires_at_ms())
+    }
+
+    /// Who must confirm what is sent of it: the replicas that its reservation was given, while the view is the same.
+    pub(super) fn replica_set(&self, ctx: &Context) -> Vec<Id> {
+        match &self.assigned {
+            Some(assigned) if assigned.view == ctx.view() => assigned.replica_set.clone(),
+            _ => ctx.membership.replica_set(self.key),
+        }
+    }
+
+    /// All replicas that may store something of it.
+    pub(super) fn possible_replicas(&self, ctx: &Context) -> Vec<Id> {
+        let mut replicas = ctx.membership.replica_set(self.key);
+        replicas.extend(self.replica_set(ctx));
+        replicas.sort();
+        replicas.dedup();
+        replicas
+    }
+
+    pub(super) fn assign(&mut self, view: ViewNumber, replica_set: Vec<Id>) {
+        self.assigned = Some(AssignedReplicas { view, replica_set });
+    }
+
+    /// The key came free: it is reserved again, with a full timeout.
+    pub(super) fn restart_reservation(&mut self, ctx: &Context) {
+        self.phase = Phase::reserving();
+        self.reserve_by_ms = ctx.now_ms + ctx.config.reservation_timeout_ms;
+    }
+
+    /// The deadline holds for the launch; an outcome is sent until all replicas have it, or nobody asks for it any more.
+    pub(super) fn start_completing(&mut self, now_ms: f64, phase: Phase) {
+        self.phase = phase;
+        self.retransmit_at_ms = now_ms;
+        self.deadline_ms = now_ms + self.retention_ms;
+    }
+
+    /// In a new view all replicas have to confirm anew. What runs goes on if the new primary hears of it.
+    pub(super) fn discard_confirmations(&mut self, now_ms: f64) {
+        self.retransmit_at_ms = now_ms;
+        if let Phase::Reserving { confirmed } | Phase::Completing { confirmed, .. } = &mut self.phase {
+            confirmed.clear();
+        }
+    }
+
+    pub(super) fn postpone_retransmission(&mut self, ctx: &Context) {
+        self.retransmit_at_ms = ctx.now_ms + ctx.config.retransmit_interval_ms;
+    }
+
+    /// The outcome, once, when it is sent again although enough replicas have it to answer with it at the deadline.
+    pub(super) fn provisional_outcome(&mut self, min_replicas: usize) -> Option<Outcome> {
+        let Phase::Completing { outcome, confirmed } = &self.phase else { return None };
+        let first =
+            confirmed.len() >= min_replicas && !std::mem::replace(&mut self.provisional_reported, true);
+        first.then(|| outcome.clone())
+    }
+
+    /// A reservation that waits for a suspected replica is given up for one with others: a new round. What was confirmed in
+    /// the round before does not count, so at most one of two rounds' replica sets is ever complete.
+    pub(super) fn restart_round_if_blocked(&mut self, ctx: &Context) {
+        let Phase::Reserving { confirmed } = &mut self.phase else { return };
+        let blocked = self.assigned.as_ref().is_some_and(|assigned| {
+            assigned.view == ctx.view() && ctx.suspected.blocks(&assigned.replica_set, confirmed)
+        });
+        if blocked {
+            confirmed.clear();
+            self.round = self.round.next();
+            self.assigned = None;
+        }
+    }
+
+    pub(super) fn reserve_message(&self, ctx: &Context) -> Message {
+        let until_deadline_ms = (self.deadline_ms - ctx.now_ms).max(0.0) as u64;
+        Message::Reserve {
+            view: ctx.view(),
+            key: self.key,
+            reservation: self.reservation,
+            round: self.round,
+            retention_ms: until_deadline_ms + ctx.config.reservation_grace_ms as u64,
+        }
+    }
+
+    pub(super) fn record_outcome_message(&self, ctx: &Context, outcome: Outcome) -> Message {
+        Message::RecordOutcome {
+            view: ctx.view(),
+            key: self.key,
+            reservation: self.reservation,
+            outcome,
+            retention_ms: self.retention_ms as u64,
+        }
+    }
+
+    pub(super) fn release_message(&self, ctx: &Context) -> Message {
+        Message::Release { view: ctx.view(), key: self.key, reservation: self.reservation }
+    }
+}
--- /dev/null
+++ b/crates/plovershelf-replication/src/handoff/tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+use crate::test_support::{context, messages};
+
+/// A member leaves and one of two others permits it; then the view changes. It must ask again those that have not, and in the
+/// new view all.
+#[test]
+fn leaving_member_asks_until_all_permit_and_anew_in_a_new_view() {
+    let mut ctx = context(1, 1, &[1, 2, 3]);
+    let mut handoff = Handoff::default();
+    assert!(!handoff.is_permitted(&ctx) && handoff.poll_timeout() == f64::INFINITY);
+    handoff.start(0.0);
+    assert_eq!(messages(handoff.handle_timeout(&ctx)).len(), 2);
+    assert!(messages(handoff.handle_timeout(&ctx)).is_empty(), "not before its time");
+    handoff.handle_permit(Id(2));
+    ctx.now_ms = handoff.poll_timeout();
+    let asked = messages(handoff.handle_timeout(&ctx));
+    assert!(matches!(asked.as_slice(), [(Id(3), Message::RequestLeave { .. })]));
+    handoff.handle_permit(Id(3));
+    assert!(handoff.is_permitted(&ctx));
+    handoff.handle_view_change(ctx.now_ms);
+    assert!(!handoff.is_permitted(&ctx));
+    assert_eq!(messages(handoff.handle_timeout(&ctx)).len(), 2);
+}
--- /dev/null
+++ b/crates/plovershelf-replication/src/membership.rs
@@ -0,0 +1,83 @@
+//! The current view, and where it places keys.
+
+use plovershelf_cluster::council::Id;
+
+use crate::placement::{replica_set, IdempotencyKey, Member};
+use crate::record::ViewNumber;
+
+/// The members as the local one knows them.
+#[derive(Clone, Debug)]
+pub(crate) struct Membership {
+    local: Id,
+    replication_factor: usize,
+    view: ViewNumber,
+    members: Vec<Member>,
+    /// Members of the view before, which tell whether the local member was a key's primary there.
+    previous: Vec<Member>,
+}
+
+impl Membership {
+    pub(crate) fn new(local: Id, replication_factor: usize) -> Self {
+        Membership {
+            local,
+            replication_factor,
+            view: ViewNumber(0),
+            members: Vec::new(),
+            previous: Vec::new(),
+        }
+    }
+
+    pub(crate) fn update(&mut self, view: ViewNumber, members: Vec<Member>) {
+        self.previous = std::mem::replace(&mut self.members, members);
+        self.view = view;
+    }
+
+    pub(crate) fn local(&self) -> Id {
+        self.local
+    }
+
+    pub(crate) fn view(&self) -> ViewNumber {
+        self.view
+    }
+
+    pub(crate) fn contains(&self, id: Id) -> bool {
+        self.members.iter().any(|member| member.id == id)
+    }
+
+    pub(crate) fn ids(&self) -> impl Iterator<Item = Id> + '_ {
+        self.members.iter().map(|member| member.id)
+    }
+
+    pub(crate) fn others(&self) -> impl Iterator<Item = Id> + '_ {
+        self.ids().filter(|id| *id != self.local)
+    }
+
+    /// Whether records may be placed on a member: it belongs to the view and is not leaving.
+    pub(crate) fn accepts_records(&self, id: Id) -> bool {
+        self.members.iter().any(|member| member.id == id && member.weight > 0.0)
+    }
+
+    /// A key's replicas, the primary in front.
+    pub(crate) fn replica_set(&self, key: IdempotencyKey) -> Vec<Id> {
+        replica_set(key, &self.members, self.replication_factor)
+    }
+
+    pub(crate) fn primary(&self, key: IdempotencyKey) -> Option<Id> {
+        self.replica_set(key).first().copied()
+    }
+
+    pub(crate) fn is_primary(&self, key: IdempotencyKey) -> bool {
+        self.primary(key) == Some(self.local)
+    }
+
+    pub(crate) fn was_primary(&self, key: IdempotencyKey) -> bool {
+        replica_set(key, &self.previous, self.replication_factor).first() == Some(&self.local)
+    }
+
+    /// The replicas that a key would have without some members.
+    pub(crate) fn replica_set_without(&self, key: IdempotencyKey, excluded: impl Fn(Id) -> bool) -> Vec<Id> {
+        let others: Vec<Member> =
+            self.members.iter().filter(|member| !excluded(member.id)).cloned().collect();
+        replica_set(key, &others, self.replication_factor)
+    }
+}
--- a/crates/plovershelf-replication/src/placement/tests.rs
+++ b/crates/plovershelf-replication/src/placement/tests.rs
@@ -1,8 +1,10 @@
+use std::collections::BTreeSet;
+
 use super::*;
 
-fn holders(count: u64) -> Vec<Holder> {
+fn members(count: u64) -> Vec<Member> {
     (1..=count)
-        .map(|n| Holder {
+        .map(|n| Member {
             id: Id(n * 7919),
             zone: format!("z{}", n % 3),
             machine: format!("m{n}"),
@@ -11,43 +13,43 @@
         .collect()
 }
 
-fn ticket(n: u64) -> Ticket {
-    Ticket::of("book", &n.to_be_bytes())
+fn key(n: u64) -> IdempotencyKey {
+    IdempotencyKey::new("book", &n.to_be_bytes())
 }
 
 #[test]
-fn copies_stand_in_zones_of_their_own_and_on_machines_of_their_own() {
-    let mut all = holders(9);
+fn replicas_are_in_different_zones_and_on_different_machines() {
+    let mut all = members(9);
     all[3].machine = all[0].machine.clone();
     for n in 0..500 {
-        let placed = place(ticket(n), &all, 3);
-        let zones: std::collections::BTreeSet<&str> = placed
+        let placed = replica_set(key(n), &all, 3);
+        let zones: BTreeSet<&str> = placed
             .iter()
-            .filter_map(|id| all.iter().find(|h| h.id == *id))
-            .map(|h| h.zone.as_str())
+            .filter_map(|id| all.iter().find(|member| member.id == *id))
+            .map(|member| member.zone.as_str())
             .collect();
         assert_eq!((placed.len(), zones.len()), (3, 3));
-        let more = place(ticket(n), &all, 9);
-        assert_eq!(more.len(), 8, "two members of one machine hold one copy");
+        let most = replica_set(key(n), &all, 9);
+        assert_eq!(most.len(), 8, "two members of one machine hold one replica");
     }
 }
 
 #[test]
-fn one_that_goes_moves_its_share_and_no_more_and_weights_are_followed() {
-    let (all, mut fewer) = (holders(9), holders(9));
+fn lost_member_moves_its_share_and_no_more_and_shares_follow_weights() {
+    let (all, mut fewer) = (members(9), members(9));
     fewer.remove(4);
     let gone = all[4].id;
     let (mut had, mut moved) = (0, 0);
     for n in 0..3000 {
-        let (before, after) = (place(ticket(n), &all, 3), place(ticket(n), &fewer, 3));
+        let (before, after) = (replica_set(key(n), &all, 3), replica_set(key(n), &fewer, 3));
         had += usize::from(before.contains(&gone));
         moved += before.iter().filter(|id| **id != gone && !after.contains(id)).count();
     }
     assert!((900..1100).contains(&had), "{had}");
-    // Beside those it held, its zone's choice may change nothing else.
+    // Beside its own keys, its zone's choice may change few others.
     assert!(moved < 60, "{moved}");
-    let mut heavy = holders(9);
+    let mut heavy = members(9);
     heavy[0].weight = 2.0;
-    let held = (0..3000).filter(|n| place(ticket(*n), &heavy, 3).contains(&heavy[0].id)).count();
-    assert!((1350..1650).contains(&held), "half of its zone's with a weight of two: {held}");
+    let placed = (0..3000).filter(|n| replica_set(key(*n), &heavy, 3).contains(&heavy[0].id)).count();
+    assert!((1350..1650).contains(&placed), "half of its zone's with a weight of two: {placed}");
 }
--- a/crates/plovershelf-replication/tests/broken.rs
+++ b/crates/plovershelf-replication/tests/broken.rs
@@ -1,5 +1,5 @@
-//! A launch before the claim stands, an answer before the result is copied, and a blank member that confirms are each caught
-//! by the walk that finds nothing in the whole code.
+//! A launch before the reservation is confirmed, an answer before the result is replicated, and a blank replica that confirms are
+//! each caught; the walk that catches the first two finds nothing in the whole code.
 
 mod walk;
 
@@ -7,17 +7,22 @@
 
 use plovershelf_cluster::council::Id;
 use plovershelf_replication::broken::{set, Broken};
-use plovershelf_replication::placement::Holder;
-use plovershelf_replication::replicator::{Claim, Copies, Ending, Message, Terms};
+use plovershelf_replication::{
+    Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, Reservation, ViewNumber,
+};
 use stateright::{Checker, Model};
-use walk::{holders, Left, Tickets, BROKEN, TICKET};
+use walk::{replica_places, Budget, KeyModel, BROKEN, KEY};
 
-fn caught(broken: Broken, tries: [usize; 2], crashes: u8) {
-    let holders = holders(3, 3);
-    let tries = tries.iter().map(|place| holders[*place]).collect();
-    let left = Left { crashes, doubles: 0, breaks: 0, gives_up: 0, doubts: 0 };
+fn caught(broken: Broken, attempts: [usize; 2], crashes: u8) {
+    let replicas = replica_places(3, 3);
+    let attempts = attempts.iter().map(|place| replicas[*place]).collect();
+    let budget = Budget { crashes, duplicates: 0, breaks: 0, cancels: 0, suspicions: 0 };
     set(Some(broken));
-    let checker = Tickets { members: 3, copies: 3, tries, left }.checker().threads(4).spawn_bfs().join();
+    let checker = KeyModel { members: 3, replication_factor: 3, attempts, budget }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
     set(None);
     set(None);
     let found = BROKEN.swap(0, Ordering::Relaxed);
@@ -25,26 +30,28 @@
     println!("{broken:?}: {found:b} after {} states", checker.unique_state_count());
 }
 
-/// What a holder that was never told of a claim says to its ending.
-fn blank_says() -> usize {
-    let holder = |n: u64| Holder { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
-    let mut blank = Copies::new(Id(2), Terms { copies: 3, ..Terms::default() }, 0.0);
-    blank.view_is(0.0, 1, (1..=3).map(holder).collect());
-    let _ = blank.take();
-    let claim = Claim { runner: Id(1), number: 1 };
-    let end = Message::End { view: 1, ticket: TICKET, claim, ending: Ending::Failed, keep_ms: 1000 };
-    blank.hear(1.0, Id(1), end);
-    let (send, _) = blank.take();
-    send.iter().filter(|(_, message)| matches!(message, Message::Ended { .. })).count()
+/// Confirmations by a replica of the outcome of a reservation that it was never sent.
+fn confirmations_of_a_blank_replica() -> usize {
+    let member = |n: u64| Member { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
+    let config = ReplicationConfig { replication_factor: 3, ..ReplicationConfig::default() };
+    let mut blank = Replicator::new(Id(2), config, 0.0);
+    blank.update_view(0.0, ViewNumber(1), (1..=3).map(member).collect());
+    let _ = blank.poll_actions();
+    let reservation = Reservation { executor: Id(1), request: RequestId(1) };
+    let (view, outcome) = (ViewNumber(1), Outcome::Failed);
+    let message = Message::RecordOutcome { view, key: KEY, reservation, outcome, retention_ms: 1000 };
+    blank.handle_message(1.0, Id(1), message);
+    let sent = blank.poll_actions().messages;
+    sent.iter().filter(|(_, message)| matches!(message, Message::OutcomeRecorded { .. })).count()
 }
 
 #[test]
 fn each_variant_is_caught() {
-    caught(Broken::LaunchBeforeClaimStands, [1, 2], 1);
-    caught(Broken::AnswerBeforeCopied, [1, 2], 2);
-    assert_eq!(blank_says(), 0);
-    set(Some(Broken::BlankConfirms));
-    let said = blank_says();
+    caught(Broken::LaunchBeforeReserved, [1, 2], 1);
+    caught(Broken::AnswerBeforeReplicated, [1, 2], 2);
+    assert_eq!(confirmations_of_a_blank_replica(), 0);
+    set(Some(Broken::BlankReplicaConfirms));
+    let confirmations = confirmations_of_a_blank_replica();
     set(None);
-    assert_eq!(said, 1, "the variant is one");
+    assert_eq!(confirmations, 1, "the variant is one");
 }
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -6,49 +6,52 @@
 use std::fmt::Debug;
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::placement::{place, Holder, Ticket};
-use plovershelf_replication::replicator::{Claim, Ending, Message, Record};
+use plovershelf_replication::placement::{replica_set, IdempotencyKey, Member};
+use plovershelf_replication::{
+    Message, Outcome, OutcomeOrigin, OutcomeVersion, Record, RequestId, Reservation, ReservationOrder, Round,
+    ViewNumber,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 const FIXTURE: &str = include_str!("fixtures/replication.txt");
 
-const TICKET: Ticket = Ticket(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
-const OTHER_TICKET: Ticket = Ticket(0xf1f2_f3f4_f5f6_f7f8_f9fa_fbfc_fdfe_ff00);
-const CLAIM: Claim = Claim { runner: Id(1001), number: 2002 };
-const OTHER_CLAIM: Claim = Claim { runner: Id(3003), number: 4004 };
+const KEY: IdempotencyKey = IdempotencyKey(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
+const OTHER_KEY: IdempotencyKey = IdempotencyKey(0xf1f2_f3f4_f5f6_f7f8_f9fa_fbfc_fdfe_ff00);
+const RESERVATION: Reservation = Reservation { executor: Id(1001), request: RequestId(2002) };
+const OTHER_RESERVATION: Reservation = Reservation { executor: Id(3003), request: RequestId(4004) };
 
-fn succeeded() -> Ending {
-    Ending::Succeeded(vec![0xca, 0xfe, 0x00, 0x7f])
+fn succeeded() -> Outcome {
+    Outcome::Succeeded(vec![0xca, 0xfe, 0x00, 0x7f])
 }
 
 fn open_record() -> Record {
     Record {
-        claim: CLAIM,
-        order: (501, 601),
-        holders: vec![Id(11), Id(12), Id(13)],
-        round: 701,
-        ending: None,
-        ended: (0, 0),
-        keep_ms: 801,
+        reservation: RESERVATION,
+        order: ReservationOrder { view: ViewNumber(501), sequence: 601 },
+        replica_set: vec![Id(11), Id(12), Id(13)],
+        round: Round(701),
+        outcome: None,
+        outcome_version: OutcomeVersion::default(),
+        retention_ms: 801,
     }
 }
 
-fn ended_record() -> Record {
+fn completed_record() -> Record {
     Record {
-        claim: OTHER_CLAIM,
-        order: (502, 602),
-        holders: vec![Id(21), Id(22)],
-        round: 702,
-        ending: Some(succeeded()),
-        ended: (902, 1),
-        keep_ms: 802,
+        reservation: OTHER_RESERVATION,
+        order: ReservationOrder { view: ViewNumber(502), sequence: 602 },
+        replica_set: vec![Id(21), Id(22)],
+        round: Round(702),
+        outcome: Some(succeeded()),
+        outcome_version: OutcomeVersion { view: ViewNumber(902), origin: OutcomeOrigin::Reconciliation },
+        retention_ms: 802,
     }
 }
 
 /// Three zones, two members on one machine, and weights that differ.
-fn nine_members() -> Vec<Holder> {
-    let member = |n: u64| Holder {
+fn nine_members() -> Vec<Member> {
+    let member = |n: u64| Member {
         id: Id(n * 7919),
         zone: format!("z{}", n % 3),
         machine: format!("m{}", n.max(2)),
@@ -59,55 +62,78 @@
 
 /// One value of each kind, each field another value. The view is another for each, too.
 fn messages() -> Vec<(&'static str, Message)> {
-    let (ticket, claim) = (TICKET, CLAIM);
-    let holders = vec![Id(31), Id(32), Id(33)];
+    let (key, reservation) = (KEY, RESERVATION);
+    let replica_set = vec![Id(31), Id(32), Id(33)];
     vec![
-        ("message_reserve", Message::Claim { view: 101, ticket, claim, round: 41, keep_ms: 51 }),
-        ("message_replicate", Message::Copy { view: 102, ticket, record: open_record() }),
-        ("message_reserved", Message::Stands { view: 103, ticket, claim, round: 42, holders }),
-        ("message_held_by_another_open", Message::Taken { view: 104, ticket, claim, ending: None }),
+        (
+            "message_reserve",
+            Message::Reserve { view: ViewNumber(101), key, reservation, round: Round(41), retention_ms: 51 },
+        ),
+        ("message_replicate", Message::Replicate { view: ViewNumber(102), key, record: open_record() }),
+        (
+            "message_reserved",
+            Message::Reserved { view: ViewNumber(103), key, reservation, round: Round(42), replica_set },
+        ),
+        (
+            "message_held_by_another_open",
+            Message::HeldByAnother { view: ViewNumber(104), key, reservation, outcome: None },
+        ),
         (
             "message_held_by_another_completed",
-            Message::Taken { view: 105, ticket, claim, ending: Some(succeeded()) },
+            Message::HeldByAnother { view: ViewNumber(105), key, reservation, outcome: Some(succeeded()) },
         ),
-        ("message_released", Message::Free { view: 106, ticket }),
+        ("message_released", Message::Released { view: ViewNumber(106), key }),
         (
             "message_record_outcome",
-            Message::End { view: 107, ticket, claim, ending: succeeded(), keep_ms: 52 },
+            Message::RecordOutcome {
+                view: ViewNumber(107),
+                key,
+                reservation,
+                outcome: succeeded(),
+                retention_ms: 52,
+            },
+        ),
+        (
+            "message_outcome_recorded",
+            Message::OutcomeRecorded { view: ViewNumber(108), key, reservation, outcome: Outcome::InDoubt },
         ),
-        ("message_outcome_recorded", Message::Ended { view: 108, ticket, claim, ending: Ending::InDoubt }),
-        ("message_outcome_replicated", Message::Done { view: 109, ticket, claim }),
-        ("message_release", Message::GiveBack { view: 110, ticket, claim }),
+        (
+            "message_outcome_replicated",
+            Message::OutcomeReplicated { view: ViewNumber(109), key, reservation },
+        ),
+        ("message_release", Message::Release { view: ViewNumber(110), key, reservation }),
         (
             "message_report",
-            Message::Tell {
-                view: 111,
-                held: vec![(TICKET, open_record()), (OTHER_TICKET, ended_record())],
-                runs: vec![(OTHER_TICKET, OTHER_CLAIM), (TICKET, CLAIM)],
+            Message::Report {
+                view: ViewNumber(111),
+                records: vec![(KEY, open_record()), (OTHER_KEY, completed_record())],
+                active: vec![(OTHER_KEY, OTHER_RESERVATION), (KEY, RESERVATION)],
             },
         ),
-        ("message_report_complete", Message::Told { view: 112, count: 61 }),
+        ("message_report_complete", Message::ReportComplete { view: ViewNumber(112), count: 61 }),
         (
             "message_repair",
-            Message::Keep {
-                view: 113,
-                records: vec![(OTHER_TICKET, ended_record()), (TICKET, open_record())],
+            Message::Repair {
+                view: ViewNumber(113),
+                records: vec![(OTHER_KEY, completed_record()), (KEY, open_record())],
             },
         ),
-        ("message_repaired", Message::Kept { view: 114, tickets: vec![TICKET, OTHER_TICKET] }),
-        ("message_report_acknowledged", Message::HeardAll { view: 115 }),
-        ("message_probe_reservation", Message::Still { view: 116, ticket, claim }),
-        ("message_request_leave", Message::MayGo { view: 117 }),
-        ("message_permit_leave", Message::Go { view: 118 }),
+        ("message_repaired", Message::Repaired { view: ViewNumber(114), keys: vec![KEY, OTHER_KEY] }),
+        ("message_report_acknowledged", Message::ReportAcknowledged { view: ViewNumber(115) }),
+        ("message_probe_reservation", Message::ProbeReservation { view: ViewNumber(116), key, reservation }),
+        ("message_request_leave", Message::RequestLeave { view: ViewNumber(117) }),
+        ("message_permit_leave", Message::PermitLeave { view: ViewNumber(118) }),
     ]
 }
 
+type ReadBack = Box<dyn Fn(&[u8])>;
+
 /// A message or a part of one, whose bytes are pinned.
 struct Pin {
     name: &'static str,
     bytes: Vec<u8>,
     /// Reads bytes back and compares them with the value.
-    reads_back: Box<dyn Fn(&[u8])>,
+    reads_back: ReadBack,
 }
 
 fn pin<T>(name: &'static str, value: T) -> Pin
@@ -126,16 +152,16 @@
     let mut pins: Vec<Pin> = messages().into_iter().map(|(name, message)| pin(name, message)).collect();
     pins.extend([
         pin("outcome_succeeded", succeeded()),
-        pin("outcome_failed", Ending::Failed),
-        pin("outcome_in_doubt", Ending::InDoubt),
-        pin("reservation", CLAIM),
+        pin("outcome_failed", Outcome::Failed),
+        pin("outcome_in_doubt", Outcome::InDoubt),
+        pin("reservation", RESERVATION),
         pin("record_open", open_record()),
-        pin("record_completed", ended_record()),
-        pin("key", TICKET),
+        pin("record_completed", completed_record()),
+        pin("key", KEY),
         // Members of all builds must hash a key alike, and draw the same members for it.
-        pin("key_of_class_and_text", Ticket::of("book", b"ticket-17")),
-        pin("replica_set", place(Ticket::of("book", b"ticket-17"), &nine_members(), 3)),
-        pin("replica_set_of_all_machines", place(TICKET, &nine_members(), 9)),
+        pin("key_of_class_and_text", IdempotencyKey::new("book", b"ticket-17")),
+        pin("replica_set", replica_set(IdempotencyKey::new("book", b"ticket-17"), &nine_members(), 3)),
+        pin("replica_set_of_all_machines", replica_set(KEY, &nine_members(), 9)),
     ]);
     pins
 }
--- /dev/null
+++ b/crates/plovershelf-replication/tests/support/mod.rs
@@ -0,0 +1,123 @@
+//! Some members whose messages are delivered at once, and a clock that is moved by hand.
+
+use plovershelf_cluster::council::Id;
+use plovershelf_replication::{
+    Event, IdempotencyKey, Member, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
+};
+
+/// A request may be launched for so long, and its outcome is kept for so long.
+pub const DEADLINE_MS: f64 = 1000.0;
+pub const RETENTION_MS: f64 = 5000.0;
+const STEP_MS: f64 = 10.0;
+
+/// Members of a view by their ids, in three zones and on a machine each.
+pub fn members(ids: &[u64]) -> Vec<Member> {
+    ids.iter()
+        .map(|n| Member { id: Id(*n), zone: format!("z{}", n % 3), machine: format!("m{n}"), weight: 1.0 })
+        .collect()
+}
+
+pub fn key(n: u64) -> IdempotencyKey {
+    IdempotencyKey::new("book", &n.to_be_bytes())
+}
+
+pub fn succeeded() -> Outcome {
+    Outcome::Succeeded(b"made".to_vec())
+}
+
+/// The place in [`Cluster::members`] of a member.
+pub fn place_of(id: Id) -> usize {
+    id.0 as usize - 1
+}
+
+/// Members with the ids 1, 2 and so on. One that is `None` is gone, and messages to it are lost.
+pub struct Cluster {
+    pub members: Vec<Option<Replicator>>,
+    pub now_ms: f64,
+    events: Vec<(usize, Event)>,
+}
+
+impl Cluster {
+    pub fn new(count: u64, config: ReplicationConfig) -> Self {
+        let members = (1..=count).map(|n| Some(Replicator::new(Id(n), config.clone(), 0.0))).collect();
+        let mut cluster = Cluster { members, now_ms: 0.0, events: Vec::new() };
+        cluster.update_view(1);
+        cluster
+    }
+
+    pub fn live(&self) -> impl Iterator<Item = &Replicator> {
+        self.members.iter().flatten()
+    }
+
+    pub fn live_mut(&mut self) -> impl Iterator<Item = &mut Replicator> {
+        self.members.iter_mut().flatten()
+    }
+
+    pub fn member(&mut self, place: usize) -> &mut Replicator {
+        self.members[place].as_mut().expect("it is not gone")
+    }
+
+    /// A view of all that are not gone.
+    pub fn update_view(&mut self, view: u64) {
+        let ids: Vec<u64> =
+            (1..=self.members.len() as u64).filter(|n| self.members[*n as usize - 1].is_some()).collect();
+        self.update_view_to(view, members(&ids));
+    }
+
+    pub fn update_view_to(&mut self, view: u64, members: Vec<Member>) {
+        let now_ms = self.now_ms;
+        self.live_mut().for_each(|member| member.update_view(now_ms, ViewNumber(view), members.clone()));
+        self.deliver_all();
+    }
+
+    /// Delivers messages until none is left.
+    pub fn deliver_all(&mut self) {
+        for _ in 0..10_000 {
+            let mut in_flight = Vec::new();
+            for (place, member) in self.members.iter_mut().enumerate() {
+                let Some(member) = member else { continue };
+                let actions = member.poll_actions();
+                let from = Id(place as u64 + 1);
+                in_flight.extend(actions.messages.into_iter().map(|(to, message)| (from, to, message)));
+                self.events.extend(actions.events.into_iter().map(|event| (place, event)));
+            }
+            if in_flight.is_empty() {
+                return;
+            }
+            for (from, to, message) in in_flight {
+                if let Some(member) = self.members[place_of(to)].as_mut() {
+                    member.handle_message(self.now_ms, from, message);
+                }
+            }
+        }
+        panic!("messages without end");
+    }
+
+    pub fn advance(&mut self, ms: f64) {
+        let until = self.now_ms + ms;
+        while self.now_ms < until {
+            self.now_ms += STEP_MS;
+            let now_ms = self.now_ms;
+            self.live_mut().for_each(|member| member.handle_timeout(now_ms));
+            self.deliver_all();
+        }
+    }
+
+    pub fn reserve(&mut self, place: usize, key: IdempotencyKey) -> RequestId {
+        let now_ms = self.now_ms;
+        let request = self.member(place).reserve(now_ms, key, now_ms + DEADLINE_MS, RETENTION_MS);
+        self.deliver_all();
+        request
+    }
+
+    pub fn complete(&mut self, place: usize, request: RequestId, outcome: Outcome) {
+        let now_ms = self.now_ms;
+        self.member(place).complete(now_ms, request, outcome);
+        self.deliver_all();
+    }
+
+    /// Events since the last call, each with the place of its member.
+    pub fn take_events(&mut self) -> Vec<(usize, Event)> {
+        std::mem::take(&mut self.events)
+    }
+}
--- a/crates/plovershelf-replication/tests/walk/mod.rs
+++ b/crates/plovershelf-replication/tests/walk/mod.rs
@@ -1,5 +1,5 @@
-//! One ticket over a few members as a model that a checker walks through: tries at several backends, each order of messages,
-//! members that crash with all they hold, views that come late, links that break, messages that come twice.
+//! One key over a few members as a model that a checker walks through: attempts at several backends, each order of messages,
+//! members that crash with all they store, views that come late, links that break, messages that are delivered twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,49 +7,59 @@
 use std::sync::Arc;
 
 use plovershelf_cluster::council::Id;
-use plovershelf_replication::placement::{place, Holder, Ticket};
-use plovershelf_replication::replicator::{Copies, Ending, Message, Terms, Told};
+use plovershelf_replication::placement::replica_set;
+use plovershelf_replication::{
+    Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
+};
 use stateright::{Model, Property};
 
-/// What may still happen.
+/// Faults that may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Left {
+pub struct Budget {
     pub crashes: u8,
-    pub doubles: u8,
+    pub duplicates: u8,
     pub breaks: u8,
-    /// Callers that give up before anything is launched.
-    pub gives_up: u8,
-    /// Members that come to doubt another, whether it is gone or not.
-    pub doubts: u8,
+    /// Clients that give up before anything is launched.
+    pub cancels: u8,
+    /// Members that come to suspect another, whether it is gone or not.
+    pub suspicions: u8,
 }
 
-pub struct Tickets {
+pub struct KeyModel {
     pub members: usize,
-    pub copies: usize,
-    /// Backends that a try comes to.
-    pub tries: Vec<usize>,
-    pub left: Left,
+    pub replication_factor: usize,
+    /// Backends that an attempt comes to.
+    pub attempts: Vec<usize>,
+    pub budget: Budget,
 }
 
 #[derive(Clone, Debug)]
 pub struct World {
-    pub members: Vec<Option<Copies>>,
-    under_way: BTreeMap<(usize, usize), VecDeque<Arc<Message>>>,
-    left: Left,
-    begun: Vec<bool>,
+    pub members: Vec<Option<Replicator>>,
+    in_flight: BTreeMap<(usize, usize), VecDeque<Arc<Message>>>,
+    budget: Budget,
+    reserved: Vec<bool>,
     /// Who has crashed, in the order of the views that leave them out.
     gone: Vec<usize>,
-    /// Runs that are on, at whom by what number; launches in all.
-    running: Vec<(usize, u64)>,
+    /// Requests that run, by member.
+    running: Vec<(usize, RequestId)>,
     pub launches: u8,
-    /// What callers were told.
-    pub told: Vec<Ending>,
+    /// What clients were answered.
+    pub answers: Vec<Outcome>,
 }
 
 impl World {
     fn hashed(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (&self.under_way, self.left, &self.begun, &self.gone, &self.running, self.launches, &self.told)
+        (
+            &self.in_flight,
+            self.budget,
+            &self.reserved,
+            &self.gone,
+            &self.running,
+            self.launches,
+            &self.answers,
+        )
             .hash(&mut hasher);
         format!("{:?}", self.members).hash(&mut hasher);
         hasher.finish()
@@ -72,138 +82,145 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    Begin(usize),
-    /// The first of a link; it may come once more.
+    Reserve(usize),
+    /// The first message of a link; it may come once more.
     Deliver(usize, usize, bool),
     Break(usize, usize),
     Crash(usize),
-    /// A member hears of the next view.
-    View(usize),
-    RunEnds(usize),
-    GivesUp(usize, u64),
-    /// One doubts another.
-    Doubt(usize, usize),
+    /// A member learns of the next view.
+    UpdateView(usize),
+    Complete(usize),
+    Cancel(usize, RequestId),
+    /// One member suspects another.
+    Suspect(usize, usize),
 }
 
 fn id(member: usize) -> Id {
     Id(member as u64 + 1)
 }
 
-pub const TICKET: Ticket = Ticket(0x5eed_0000_0000_0000_0000_0000_0000_0007);
+pub const KEY: IdempotencyKey = IdempotencyKey(0x5eed_0000_0000_0000_0000_0000_0000_0007);
 
-impl Tickets {
-    fn terms(&self) -> Terms {
-        Terms { copies: self.copies, least: 1, batches_a_second: f64::INFINITY, ..Terms::default() }
+impl KeyModel {
+    fn config(&self) -> ReplicationConfig {
+        ReplicationConfig {
+            replication_factor: self.replication_factor,
+            min_replicas: 1,
+            max_batches_per_second: f64::INFINITY,
+            ..ReplicationConfig::default()
+        }
     }
 
-    fn view(&self, gone: &[usize]) -> Vec<Holder> {
+    fn view(&self, gone: &[usize]) -> Vec<Member> {
         let there = (0..self.members).filter(|member| !gone.contains(member));
-        let holder =
-            |m: usize| Holder { id: id(m), zone: format!("z{m}"), machine: format!("m{m}"), weight: 1.0 };
-        there.map(holder).collect()
+        let member =
+            |m: usize| Member { id: id(m), zone: format!("z{m}"), machine: format!("m{m}"), weight: 1.0 };
+        there.map(member).collect()
     }
 
     fn carry_out(&self, world: &mut World, member: usize) {
-        let Some(copies) = world.members[member].as_mut() else { return };
-        let (send, out) = copies.take();
-        for (to, message) in send {
-            let link = world.under_way.entry((member, to.0 as usize - 1)).or_default();
+        let Some(replicator) = world.members[member].as_mut() else { return };
+        let actions = replicator.poll_actions();
+        for (to, message) in actions.messages {
+            let link = world.in_flight.entry((member, to.0 as usize - 1)).or_default();
             if link.back().is_none_or(|last| **last != message) {
                 link.push_back(Arc::new(message));
             }
         }
-        for told in out {
-            match told {
-                Told::Launch(number) => {
+        for event in actions.events {
+            match event {
+                Event::Launch(request) => {
                     world.launches += 1;
-                    world.running.push((member, number));
+                    world.running.push((member, request));
+                }
+                Event::AlreadyCompleted(_, outcome) | Event::OutcomeReplicated(_, outcome) => {
+                    world.answers.push(outcome);
                 }
-                Told::Ended(_, ending) | Told::Answer(_, ending) => world.told.push(ending),
-                Told::Refuse(_) | Told::Enough(..) => {}
+                Event::Rejected(_) | Event::OutcomeProvisional(..) => {}
             }
         }
-        world.under_way.retain(|(_, to), link| !link.is_empty() && *to < self.members);
+        world.in_flight.retain(|(_, to), link| !link.is_empty() && *to < self.members);
     }
 }
 
-impl Model for Tickets {
+impl Model for KeyModel {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
             members: Vec::new(),
-            under_way: BTreeMap::new(),
-            left: self.left,
-            begun: vec![false; self.tries.len()],
+            in_flight: BTreeMap::new(),
+            budget: self.budget,
+            reserved: vec![false; self.attempts.len()],
             gone: Vec::new(),
             running: Vec::new(),
             launches: 0,
-            told: Vec::new(),
+            answers: Vec::new(),
         };
         for member in 0..self.members {
-            let mut copies = Copies::new(id(member), self.terms(), 0.0);
-            copies.view_is(0.0, 1, self.view(&[]));
-            world.members.push(Some(copies));
+            let mut replicator = Replicator::new(id(member), self.config(), 0.0);
+            replicator.update_view(0.0, ViewNumber(1), self.view(&[]));
+            world.members.push(Some(replicator));
         }
-        // The first view is told all round before anything else happens.
+        // All members reconcile the first view before anything else happens.
         for member in 0..self.members {
             self.carry_out(&mut world, member);
         }
-        while let Some((key, message)) =
-            world.under_way.iter_mut().find_map(|(key, link)| Some((*key, link.pop_front()?)))
+        while let Some(((from, to), message)) =
+            world.in_flight.iter_mut().find_map(|(link, messages)| Some((*link, messages.pop_front()?)))
         {
-            if let Some(copies) = world.members[key.1].as_mut() {
-                copies.hear(0.0, id(key.0), Message::clone(&message));
+            if let Some(replicator) = world.members[to].as_mut() {
+                replicator.handle_message(0.0, id(from), Message::clone(&message));
             }
-            self.carry_out(&mut world, key.1);
+            self.carry_out(&mut world, to);
         }
         vec![world]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        for (place, member) in self.tries.iter().enumerate() {
-            if !world.begun[place] && world.members[*member].is_some() {
-                steps.push(Step::Begin(place));
+        for (place, member) in self.attempts.iter().enumerate() {
+            if !world.reserved[place] && world.members[*member].is_some() {
+                steps.push(Step::Reserve(place));
             }
         }
-        for ((from, to), link) in &world.under_way {
-            // What is said under a view that the other does not know yet lies there until it does.
-            let view = world.members[*to].as_ref().map_or(u64::MAX, Copies::view);
+        for ((from, to), link) in &world.in_flight {
+            // A message of a view that the receiver does not know yet stays there until it does.
+            let view = world.members[*to].as_ref().map_or(ViewNumber(u64::MAX), Replicator::view);
             let ahead = link.front().is_some_and(|message| message.view() > view);
             if !ahead {
                 steps.push(Step::Deliver(*from, *to, false));
-                if world.left.doubles > 0 {
+                if world.budget.duplicates > 0 {
                     steps.push(Step::Deliver(*from, *to, true));
                 }
             }
-            if world.left.breaks > 0 {
+            if world.budget.breaks > 0 {
                 steps.push(Step::Break(*from, *to));
             }
         }
-        for (member, copies) in world.members.iter().enumerate() {
-            let Some(copies) = copies else { continue };
-            if world.left.crashes > 0 && world.gone.len() + 1 < self.members {
+        for (member, replicator) in world.members.iter().enumerate() {
+            let Some(replicator) = replicator else { continue };
+            if world.budget.crashes > 0 && world.gone.len() + 1 < self.members {
                 steps.push(Step::Crash(member));
             }
-            if (copies.view() as usize) <= world.gone.len() {
-                steps.push(Step::View(member));
+            if (replicator.view().0 as usize) <= world.gone.len() {
+                steps.push(Step::UpdateView(member));
             }
         }
         for place in 0..world.running.len() {
-            steps.push(Step::RunEnds(place));
+            steps.push(Step::Complete(place));
         }
-        if world.left.doubts > 0 {
+        if world.budget.suspicions > 0 {
             let pairs = (0..self.members).flat_map(|one| (0..self.members).map(move |other| (one, other)));
             let live = |one: &usize| world.members[*one].is_some();
             steps.extend(
-                pairs.filter(|(one, other)| one != other && live(one)).map(|(a, b)| Step::Doubt(a, b)),
+                pairs.filter(|(one, other)| one != other && live(one)).map(|(a, b)| Step::Suspect(a, b)),
             );
         }
-        if world.left.gives_up > 0 {
-            for (place, member) in self.tries.iter().enumerate() {
-                if world.begun[place] && world.members[*member].is_some() {
-                    steps.push(Step::GivesUp(*member, 1));
+        if world.budget.cancels > 0 {
+            for (place, member) in self.attempts.iter().enumerate() {
+                if world.reserved[place] && world.members[*member].is_some() {
+                    steps.push(Step::Cancel(*member, RequestId(1)));
                 }
             }
         }
@@ -212,55 +229,55 @@
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut world = world.clone();
         let member = match step {
-            Step::Begin(place) => {
-                world.begun[place] = true;
-                let member = self.tries[place];
-                world.members[member].as_mut()?.begin(0.0, TICKET, 1e9, 1e6);
+            Step::Reserve(place) => {
+                world.reserved[place] = true;
+                let member = self.attempts[place];
+                world.members[member].as_mut()?.reserve(0.0, KEY, 1e9, 1e6);
                 member
             }
             Step::Deliver(from, to, stays) => {
-                let link = world.under_way.get_mut(&(from, to))?;
+                let link = world.in_flight.get_mut(&(from, to))?;
                 let message = if stays { link.front().cloned()? } else { link.pop_front()? };
-                world.left.doubles -= u8::from(stays);
-                if let Some(copies) = world.members[to].as_mut() {
-                    copies.hear(0.0, id(from), Message::clone(&message));
+                world.budget.duplicates -= u8::from(stays);
+                if let Some(replicator) = world.members[to].as_mut() {
+                    replicator.handle_message(0.0, id(from), Message::clone(&message));
                 }
                 to
             }
             Step::Break(from, to) => {
-                world.left.breaks -= 1;
-                world.under_way.remove(&(from, to));
+                world.budget.breaks -= 1;
+                world.in_flight.remove(&(from, to));
                 return Some(world);
             }
             Step::Crash(member) => {
-                world.left.crashes -= 1;
+                world.budget.crashes -= 1;
                 world.members[member] = None;
                 world.gone.push(member);
                 world.running.retain(|(at, _)| *at != member);
-                world.under_way.retain(|(_, to), _| *to != member);
+                world.in_flight.retain(|(_, to), _| *to != member);
                 return Some(world);
             }
-            Step::View(member) => {
-                let copies = world.members[member].as_mut()?;
-                let next = copies.view() + 1;
+            Step::UpdateView(member) => {
+                let replicator = world.members[member].as_mut()?;
+                let next = replicator.view().0 + 1;
                 let members = self.view(&world.gone[..next as usize - 1]);
-                copies.view_is(0.0, next, members);
+                replicator.update_view(0.0, ViewNumber(next), members);
                 member
             }
-            Step::RunEnds(place) => {
-                let (member, number) = world.running.remove(place);
-                let ending = Ending::Succeeded(vec![member as u8, number as u8]);
-                world.members[member].as_mut()?.ended(0.0, number, ending);
+            Step::Complete(place) => {
+                let (member, request) = world.running.remove(place);
+                let outcome = Outcome::Succeeded(vec![member as u8, request.0 as u8]);
+                world.members[member].as_mut()?.complete(0.0, request, outcome);
                 member
             }
-            Step::Doubt(member, of) => {
-                world.left.doubts -= 1;
-                world.members[member].as_mut()?.doubts(0.0, BTreeSet::from([id(of)]));
+            Step::Suspect(member, of) => {
+                world.budget.suspicions -= 1;
+                world.members[member].as_mut()?.update_suspected(0.0, BTreeSet::from([id(of)]));
                 member
             }
-            Step::GivesUp(member, number) => {
-                world.left.gives_up -= 1;
-                world.members[member].as_mut()?.given_up(0.0, number);
+            Step::Cancel(member, request) => {
+                world.budget.cancels -= 1;
+                world.members[member].as_mut()?.cancel(0.0, request);
                 member
             }
         };
@@ -272,9 +289,9 @@
         vec![
             Property::always("no effect twice", |_, world: &World| seen(1, world.launches <= 1)),
             Property::always("one verdict for all", |_, world: &World| {
-                seen(2, world.told.windows(2).all(|pair| pair[0] == pair[1]))
+                seen(2, world.answers.windows(2).all(|pair| pair[0] == pair[1]))
             }),
-            Property::sometimes("it is answered", |_, world: &World| !world.told.is_empty()),
+            Property::sometimes("it is answered", |_, world: &World| !world.answers.is_empty()),
         ]
     }
 }
@@ -289,13 +306,13 @@
     holds
 }
 
-/// The holders of the ticket, the first at the front, as places.
-pub fn holders(members: usize, copies: usize) -> Vec<usize> {
-    let all = Tickets {
+/// The replicas of the key, the primary in front, as places.
+pub fn replica_places(members: usize, replication_factor: usize) -> Vec<usize> {
+    let all = KeyModel {
         members,
-        copies,
-        tries: vec![],
-        left: Left { crashes: 0, doubles: 0, breaks: 0, gives_up: 0, doubts: 0 },
+        replication_factor,
+        attempts: vec![],
+        budget: Budget { crashes: 0, duplicates: 0, breaks: 0, cancels: 0, suspicions: 0 },
     };
-    place(TICKET, &all.view(&[]), copies).into_iter().map(|id| id.0 as usize - 1).collect()
+    replica_set(KEY, &all.view(&[]), replication_factor).into_iter().map(|id| id.0 as usize - 1).collect()
 }
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -10,7 +10,7 @@
 
 pub use crate::links::now_ms;
 pub(crate) use folder::drawn;
-pub use replication::{Asked, Told};
+pub use replication::{ReplicationCommand, ReplicationEvent};
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -30,10 +30,12 @@
 use plovershelf_cluster::status::{Answer, Brief, CopiesStatus, HeldStatus, Question, Status, TicketStatus};
 use plovershelf_config::group::Group as Setup;
 use plovershelf_failover::plan::BANDS;
+use plovershelf_replication::{IdempotencyKey, Outcome};
 
 use crate::changes::{self, Word};
 use crate::links::{self, Heard, Links};
 use folder::Folder;
+use replication::{HandoffEnd, ReplicationDriver};
 
 /// What the owner tells of itself without being asked: when it last went round, and whether it does its work.
 #[derive(Default)]
@@ -108,9 +110,9 @@
         number: u64,
         bytes: Vec<u8>,
     },
-    /// What the owner wants of the copies.
-    Asked(Asked),
-    /// The notice to leave: what is held for others is to stand elsewhere within so long.
+    /// What the owner wants of replication.
+    Replication(ReplicationCommand),
+    /// The drain notice: replicated records are to be handed off within so long.
     Leave {
         within_ms: f64,
     },
@@ -135,7 +137,7 @@
     setup: Setup,
     name: String,
     pulse: Arc<Pulse>,
-    told: Option<Sender<Told>>,
+    replication_events: Option<Sender<ReplicationEvent>>,
 ) -> Result<Sender<Incoming>, String> {
     let listener = TcpListener::bind(setup.listen)
         .map_err(|error| format!("the group's listener on {}: {error}", setup.listen))?;
@@ -175,13 +177,14 @@
         let links = Links::new(executor, &setup.name, setup.ways.clone(), links::AMONG_MEMBERS, None);
         let group = Group::new(start, now_ms());
         let (own, life) = (group.about().id, group.members().me().life);
-        let copies = setup.copies.clone().zip(told);
-        let copies = copies.map(|(terms, told)| replication::Copied::new(own, life, terms, told));
+        let replication = setup.replication.clone().zip(replication_events);
+        let replication =
+            replication.map(|(config, events)| ReplicationDriver::new(own, life, config, events));
         let zoned = zoned.map(|zones| *zones);
         let keeper = Keeper {
             carrier,
             word: Word::default(),
-            copies,
+            replication,
             zoned,
             group,
             name: setup.name.clone(),
@@ -207,7 +210,7 @@
     /// Where changes are carried from here: the carrier's queue, and what it was told last.
     carrier: Option<Sender<changes::Incoming>>,
     word: Word,
-    copies: Option<replication::Copied>,
+    replication: Option<ReplicationDriver>,
     zoned: Option<zoned::Zoned>,
     name: String,
     folder: Option<Folder>,
@@ -239,11 +242,11 @@
     }
 
     fn next_at(&self) -> f64 {
-        let copies = self.copies.as_ref().map_or(f64::INFINITY, replication::Copied::next_at);
+        let replication = self.replication.as_ref().map_or(f64::INFINITY, ReplicationDriver::poll_timeout);
         let zoned = self.zoned.as_ref().map_or(f64::INFINITY, zoned::Zoned::next_at);
         self.group
             .next_at()
-            .min(copies)
+            .min(replication)
             .min(zoned)
             .min(self.pulse_at)
             .min(self.folder_again_at.unwrap_or(f64::INFINITY))
@@ -261,12 +264,12 @@
         if self.group.next_at() <= now {
             self.group.tick(now);
         }
-        if let Some(copies) = self.copies.as_mut().filter(|copies| copies.next_at() <= now) {
-            copies.tick(now);
+        if let Some(replication) = self.replication.as_mut().filter(|driver| driver.poll_timeout() <= now) {
+            replication.handle_timeout(now);
         }
         self.plan_zones(now);
         self.carry_out();
-        self.go_when_handed_on(now);
+        self.leave_after_handoff(now);
     }
 
     fn plan_zones(&mut self, now: f64) {
@@ -284,16 +287,17 @@
         }
     }
 
-    fn go_when_handed_on(&mut self, now: f64) {
-        let Some(left) = self.copies.as_mut().and_then(|copies| copies.may_go(now)) else { return };
-        if left == 0 {
-            tracing::info!(event = "handed_on", "all that was held for others stands elsewhere");
-        } else {
-            tracing::warn!(
-                event = "not_handed_on",
-                tickets = left,
-                "time is over before others had all that was held for them"
-            );
+    fn leave_after_handoff(&mut self, now: f64) {
+        let Some(end) = self.replication.as_mut().and_then(|driver| driver.poll_handoff(now)) else { return };
+        match end {
+            HandoffEnd::Complete | HandoffEnd::DeadlinePassed { remaining: 0 } => {
+                tracing::info!(event = "handoff_complete", "all replicated records are stored elsewhere");
+            }
+            HandoffEnd::DeadlinePassed { remaining } => tracing::warn!(
+                event = "handoff_incomplete",
+                keys = remaining,
+                "the drain deadline came before others had all replicated records"
+            ),
         }
         self.group.leave(now);
         self.carry_out();
@@ -310,27 +314,27 @@
                     let own = self.group.about().id;
                     if let Some(zoned) = self.zoned.as_mut().filter(|_| to == own) {
                         zoned.hear(now, from, &bytes);
-                    } else if let Some(copies) = self.copies.as_mut() {
-                        copies.hear(now, from, to, &bytes);
+                    } else if let Some(replication) = self.replication.as_mut() {
+                        replication.handle_message(now, from, to, &bytes);
                     }
                 }
             },
             Incoming::Heard(Heard::Odd(what)) => self.note(&what),
             Incoming::Propose { number, bytes } => drop(self.group.propose(now, changes::KEY, number, bytes)),
-            Incoming::Asked(asked) => {
-                if let Some(copies) = self.copies.as_mut() {
-                    copies.asked(now, asked);
+            Incoming::Replication(command) => {
+                if let Some(replication) = self.replication.as_mut() {
+                    replication.handle_command(now, command);
                 }
             }
             Incoming::Word { key, number, bytes } => drop(self.group.propose(now, &key, number, bytes)),
-            // With copies it stays a member until what it holds stands elsewhere; without any it goes at once.
+            // With replication it stays a member until its records are handed off; without any it leaves at once.
             Incoming::Leave { within_ms } => {
                 if let Some(carrier) = self.carrier.take() {
                     let _ = carrier.try_send(changes::Incoming::Leave);
                 }
-                match self.copies.as_mut() {
-                    Some(copies) => {
-                        copies.leave(now, now + within_ms);
+                match self.replication.as_mut() {
+                    Some(replication) => {
+                        replication.start_handoff(now, now + within_ms);
                         self.group.drain(now);
                     }
                     None => self.group.leave(now),
@@ -344,7 +348,7 @@
     fn asked(&mut self, question: Question, from_here: bool, answer: Sender<Answer>) {
         let now = now_ms();
         let told = match question {
-            Question::Copies | Question::Ticket { .. } => self.told_of_copies(question),
+            Question::Copies | Question::Ticket { .. } => self.replication_status(question),
             Question::Part { part, bytes } => match (self.zoned.as_mut(), frames::decode(&bytes)) {
                 (Some(zoned), Ok(ask)) if part == zoned::KEY => {
                     Answer::Part(frames::plain(&zoned.asked(now, ask, from_here, &self.group)))
@@ -372,63 +376,63 @@
         let _ = answer.try_send(told);
     }
 
-    fn told_of_copies(&self, question: Question) -> Answer {
-        let Some(copied) = &self.copies else {
+    fn replication_status(&self, question: Question) -> Answer {
+        let Some(driver) = &self.replication else {
             return Answer::Refused("there are no copies here: group.ini has no section [copies]".into());
         };
-        let (copies, view) = (copied.copies(), self.group.view());
-        let name = |id: &Id| self.group.name_of(*id).unwrap_or_else(|| shown(*id));
-        let holder = |id: &Id| copied.member(*id).map_or_else(|| shown(*id), |member| name(&member));
-        let own = self.group.about().name.clone();
         if let Question::Ticket { offering, ticket } = question {
-            let ticket = plovershelf_replication::placement::Ticket::of(&offering, ticket.as_bytes());
-            let held = copies.look_up(ticket).map(|record| HeldStatus {
-                runner: holder(&record.claim.runner),
-                holders: record.holders.iter().map(holder).collect(),
-                state: match &record.ending {
-                    None => "open".into(),
-                    Some(replication::Ending::Succeeded(result)) => {
-                        format!("succeeded, {} bytes", result.len())
-                    }
-                    Some(replication::Ending::Failed) => "failed".into(),
-                    Some(replication::Ending::InDoubt) => "in doubt".into(),
-                },
-                claimed_under_view: record.order.0,
-                keep_ms: record.keep_ms,
-            });
-            let placed = copies.placed(ticket).iter().map(holder).collect();
-            let hash = format!("{:032x}", ticket.0);
-            return Answer::Ticket(Box::new(TicketStatus {
-                name: own,
-                view: copies.view(),
-                hash,
-                placed,
-                held,
-            }));
+            let key = IdempotencyKey::new(&offering, ticket.as_bytes());
+            return Answer::Ticket(Box::new(self.key_status(driver, key)));
         }
-        let [asking, waiting, running, ending] = copies.own_counts();
-        let terms = copies.terms();
+        let (replicator, view) = (driver.replicator(), self.group.view());
+        let name = |id: &Id| self.group.name_of(*id).unwrap_or_else(|| shown(*id));
+        let (requests, config) = (replicator.request_counts(), replicator.config());
         let leaving = view.members.values().filter(|seat| seat.leaving).map(|seat| seat.name.clone());
         Answer::Copies(Box::new(CopiesStatus {
-            name: own,
-            view: copies.view(),
-            settled: copies.settled(),
-            copies: terms.copies as u64,
-            least: terms.least as u64,
-            held: copies.held_count() as u64,
-            held_most: terms.tickets as u64,
-            held_bytes: copies.held_bytes() as u64,
-            held_bytes_most: terms.bytes as u64,
-            low: copies.low() as u64,
-            asking,
-            waiting,
-            running,
-            ending,
+            name: self.group.about().name.clone(),
+            view: replicator.view().0,
+            settled: replicator.is_reconciled(),
+            copies: config.replication_factor as u64,
+            least: config.min_replicas as u64,
+            held: replicator.record_count() as u64,
+            held_most: config.max_records as u64,
+            held_bytes: replicator.outcome_bytes() as u64,
+            held_bytes_most: config.max_outcome_bytes as u64,
+            low: replicator.under_replicated_count() as u64,
+            asking: requests.reserving,
+            waiting: requests.waiting,
+            running: requests.running,
+            ending: requests.completing,
             doubted: self.group.doubted().iter().map(name).collect(),
             leaving: leaving.collect(),
         }))
     }
 
+    fn key_status(&self, driver: &ReplicationDriver, key: IdempotencyKey) -> TicketStatus {
+        let replicator = driver.replicator();
+        let name = |id: &Id| self.group.name_of(*id).unwrap_or_else(|| shown(*id));
+        let replica = |id: &Id| driver.member(*id).map_or_else(|| shown(*id), |member| name(&member));
+        let held = replicator.record(key).map(|record| HeldStatus {
+            runner: replica(&record.reservation.executor),
+            holders: record.replica_set.iter().map(replica).collect(),
+            state: match &record.outcome {
+                None => "open".into(),
+                Some(Outcome::Succeeded(result)) => format!("succeeded, {} bytes", result.len()),
+                Some(Outcome::Failed) => "failed".into(),
+                Some(Outcome::InDoubt) => "in doubt".into(),
+            },
+            claimed_under_view: record.order.view.0,
+            keep_ms: record.retention_ms,
+        });
+        TicketStatus {
+            name: self.group.about().name.clone(),
+            view: replicator.view().0,
+            hash: format!("{:032x}", key.0),
+            placed: replicator.replica_set(key).iter().map(replica).collect(),
+            held,
+        }
+    }
+
     /// Keeps first, then says.
     fn carry_out(&mut self) {
         let Out { save, mut send, events } = self.group.take();
@@ -451,10 +455,10 @@
             self.links.send(whereto.address, name.as_deref(), &Wire::Say(envelope));
         }
         events.into_iter().for_each(|event| self.tell(event));
-        if let Some(copies) = self.copies.as_mut() {
-            copies.doubts(now_ms(), &self.group.doubted());
+        if let Some(replication) = self.replication.as_mut() {
+            replication.update_suspected(now_ms(), &self.group.doubted());
         }
-        self.hand_out_copies();
+        self.send_replication();
         self.tell_carrier();
     }
 
@@ -476,12 +480,12 @@
         }
     }
 
-    /// What the copies say goes by the links of the group, to whom the agreed view says.
-    fn hand_out_copies(&mut self) {
-        let Some(copies) = self.copies.as_mut() else { return };
-        let (from, send) = copies.take();
-        for (to, bytes) in send {
-            let seat = copies.member(to).and_then(|member| self.group.view().members.get(&member));
+    /// Replication's messages go by the links of the group, to the addresses of the agreed view.
+    fn send_replication(&mut self) {
+        let Some(replication) = self.replication.as_mut() else { return };
+        let (from, messages) = replication.poll_actions();
+        for (to, bytes) in messages {
+            let seat = replication.member(to).and_then(|member| self.group.view().members.get(&member));
             let seat = seat.map(|seat| (seat.address, seat.name.clone()));
             if let Some((address, name)) = seat {
                 self.links.send(address, Some(&name), &Wire::Part { from, to, bytes });
@@ -512,8 +516,8 @@
             Event::View(view) => {
                 // What was decided may have come whole, with a plan in it.
                 self.heed_plan();
-                if let Some(copies) = self.copies.as_mut() {
-                    copies.view_is(now_ms(), &view);
+                if let Some(replication) = self.replication.as_mut() {
+                    replication.update_view(now_ms(), &view);
                 }
                 tracing::info!(
                     event = "view",
--- a/crates/plovershelf-server/src/group/replication.rs
+++ b/crates/plovershelf-server/src/group/replication.rs
@@ -1,200 +1,220 @@
-//! The copies' part of the group's thread: between the owner's wishes, the links, and the state machine that decides.
+//! Replication's part of the group's thread: the state machine between the owner's requests, the links and the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use async_channel::Sender;
 use plovershelf_cluster::council::Id;
-use plovershelf_cluster::decided::View;
-use plovershelf_replication::placement::{Holder, Ticket};
-pub use plovershelf_replication::replicator::Ending;
-use plovershelf_replication::replicator::{self, Copies, Message, Terms};
-
-/// What the owner wants for one of its open invocations, by its number there.
-pub enum Asked {
-    /// It would be launched, for so long; and is remembered for so long after its end.
-    Claim {
-        id: u32,
-        ticket: Ticket,
-        within_ms: f64,
-        window_ms: f64,
-    },
-    Ended {
-        id: u32,
-        ending: Ending,
-    },
-    /// It was given up; what was not launched is given back.
-    GivenUp {
-        id: u32,
-    },
+use plovershelf_cluster::decided::{Seat, View};
+use plovershelf_replication::{
+    Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
+};
+
+/// What the owner wants for one of its open requests, by its number there.
+pub enum ReplicationCommand {
+    /// It is to be launched, within so long; its outcome is retained for so long.
+    Reserve { id: u32, key: IdempotencyKey, within_ms: f64, retention_ms: f64 },
+    /// Its run ended.
+    Complete { id: u32, outcome: Outcome },
+    /// It was given up: released unless it was launched.
+    Cancel { id: u32 },
     /// It was to be launched and never was.
-    NeverLaunched {
-        id: u32,
-    },
+    CancelLaunch { id: u32 },
 }
 
-/// What the owner hears.
-pub enum Told {
+/// What the owner is told of its requests, by its number for each.
+pub enum ReplicationEvent {
     Launch(u32),
-    Ended(u32, Ending),
-    Answer(u32, Ending),
-    /// What there is to answer with if the due time comes before all copies have it.
-    Enough(u32, Ending),
-    Refuse(u32),
-    /// All that this member held stands elsewhere, or its time for that is over.
-    HandedOn,
+    AlreadyCompleted(u32, Outcome),
+    OutcomeReplicated(u32, Outcome),
+    /// What there is to answer with if the deadline comes before all replicas have it.
+    OutcomeProvisional(u32, Outcome),
+    Rejected(u32),
+    /// This member may leave: its records are stored elsewhere, or its time for that is over.
+    HandoffEnded,
 }
 
-/// Who holds copies is one start of one member's process: what was held is gone with it, though its folder may be kept.
-fn holder_of(id: Id, life: u64) -> Id {
-    let hash = (id.0 ^ life.rotate_left(29)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Id(hash ^ hash >> 31)
+/// How handing records off has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HandoffEnd {
+    Complete,
+    /// The deadline came first; for so many records and requests it is not certain that others have them.
+    DeadlinePassed {
+        remaining: usize,
+    },
 }
 
-pub struct Copied {
-    me: Id,
-    /// Members of the view by the holders that they are.
-    seats: BTreeMap<Id, Id>,
-    copies: Copies,
-    /// The owner's numbers by the copies' own, and the other way round.
-    ids: BTreeMap<u64, u32>,
-    numbers: BTreeMap<u32, u64>,
-    told: Sender<Told>,
-    /// Until when this member hands on what it holds, once it leaves.
-    leaves_by: Option<f64>,
+/// A member as replication knows it: one incarnation, as what a process stored is gone with it though its folder may be kept.
+/// Without this a process that is back at once would count as one that confirmed what it no longer has.
+fn replica_id(member: Id, incarnation: u64) -> Id {
+    let hash = (member.0 ^ incarnation.rotate_left(29)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    Id(hash ^ hash >> 31)
 }
 
-impl Copied {
-    pub fn new(me: Id, life: u64, terms: Terms, told: Sender<Told>) -> Self {
-        let me = holder_of(me, life);
-        let copies = Copies::new(me, terms, super::now_ms());
-        Copied {
-            me,
-            seats: BTreeMap::new(),
-            copies,
-            ids: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            told,
-            leaves_by: None,
-        }
+/// Names the machine of a member: its host where the view has several, else its whole address.
+fn machine(seat: &Seat, hosts: &BTreeSet<std::net::IpAddr>) -> String {
+    if hosts.len() > 1 {
+        seat.address.ip().to_string()
+    } else {
+        seat.address.to_string()
     }
+}
 
-    pub fn next_at(&self) -> f64 {
-        self.copies.next_at().min(self.leaves_by.unwrap_or(f64::INFINITY))
-    }
+pub struct ReplicationDriver {
+    local: Id,
+    /// Members of the view by their replica ids.
+    members: BTreeMap<Id, Id>,
+    replicator: Replicator,
+    /// The owner's numbers by the state machine's, and the other way round.
+    open: BTreeMap<RequestId, u32>,
+    requests: BTreeMap<u32, RequestId>,
+    events: Sender<ReplicationEvent>,
+    /// Until when this member hands its records off, once it leaves.
+    handoff_deadline_ms: Option<f64>,
+}
 
-    /// The member behind a holder of the view.
-    pub fn member(&self, holder: Id) -> Option<Id> {
-        self.seats.get(&holder).copied()
+impl ReplicationDriver {
+    pub fn new(
+        member: Id,
+        incarnation: u64,
+        config: ReplicationConfig,
+        events: Sender<ReplicationEvent>,
+    ) -> Self {
+        let local = replica_id(member, incarnation);
+        ReplicationDriver {
+            local,
+            members: BTreeMap::new(),
+            replicator: Replicator::new(local, config, super::now_ms()),
+            open: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            events,
+            handoff_deadline_ms: None,
+        }
     }
 
-    pub fn doubts(&mut self, now: f64, doubted: &BTreeSet<Id>) {
-        let holders =
-            self.seats.iter().filter(|(_, member)| doubted.contains(member)).map(|(holder, _)| *holder);
-        self.copies.doubts(now, holders.collect());
+    pub fn replicator(&self) -> &Replicator {
+        &self.replicator
     }
 
-    /// This member leaves: what it holds is to stand elsewhere by then.
-    pub fn leave(&mut self, now: f64, by: f64) {
-        self.leaves_by.get_or_insert(by);
-        self.copies.leave(now);
+    /// The member behind a replica id of the view.
+    pub fn member(&self, replica: Id) -> Option<Id> {
+        self.members.get(&replica).copied()
     }
 
-    /// Once, when all was handed on or the time for it is over: what then stands nowhere else for certain.
-    pub fn may_go(&mut self, now: f64) -> Option<usize> {
-        let by = self.leaves_by?;
-        let handed_on = self.copies.handed_on();
-        if !handed_on && now < by {
-            return None;
+    pub fn handle_command(&mut self, now_ms: f64, command: ReplicationCommand) {
+        match command {
+            ReplicationCommand::Reserve { id, key, within_ms, retention_ms } => {
+                let request = self.replicator.reserve(now_ms, key, now_ms + within_ms, retention_ms);
+                self.open.insert(request, id);
+                self.requests.insert(id, request);
+            }
+            ReplicationCommand::Complete { id, outcome } => {
+                if let Some(request) = self.requests.get(&id) {
+                    self.replicator.complete(now_ms, *request, outcome);
+                }
+            }
+            ReplicationCommand::Cancel { id } => {
+                if let Some(request) = self.requests.get(&id) {
+                    self.replicator.cancel(now_ms, *request);
+                }
+            }
+            ReplicationCommand::CancelLaunch { id } => {
+                if let Some(request) = self.requests.get(&id) {
+                    self.replicator.cancel_launch(now_ms, *request);
+                }
+            }
         }
-        self.leaves_by = None;
-        let _ = self.told.try_send(Told::HandedOn);
-        Some(if handed_on { 0 } else { self.copies.held_count() + self.numbers.len() })
     }
 
-    pub fn copies(&self) -> &Copies {
-        &self.copies
-    }
-
-    pub fn tick(&mut self, now: f64) {
-        self.copies.tick(now);
-    }
-
-    /// A member's machine is told by the host of its address where there are several hosts, else by its address. One that leaves
-    /// has no weight: nothing new is given to it.
-    pub fn view_is(&mut self, now: f64, view: &View) {
+    /// No key is placed on a member that leaves.
+    pub fn update_view(&mut self, now_ms: f64, view: &View) {
         let hosts: BTreeSet<_> = view.members.values().map(|seat| seat.address.ip()).collect();
-        let holder = |(id, seat): (&Id, &plovershelf_cluster::decided::Seat)| Holder {
-            id: holder_of(*id, seat.life),
+        let member = |(id, seat): (&Id, &Seat)| Member {
+            id: replica_id(*id, seat.life),
             zone: seat.zone.clone(),
-            machine: if hosts.len() > 1 { seat.address.ip().to_string() } else { seat.address.to_string() },
+            machine: machine(seat, &hosts),
             weight: if seat.leaving { 0.0 } else { 1.0 },
         };
-        self.seats = view.members.iter().map(|(id, seat)| (holder_of(*id, seat.life), *id)).collect();
-        self.copies.view_is(now, view.number, view.members.iter().map(holder).collect());
+        self.members = view.members.iter().map(|(id, seat)| (replica_id(*id, seat.life), *id)).collect();
+        let members = view.members.iter().map(member).collect();
+        self.replicator.update_view(now_ms, ViewNumber(view.number), members);
+    }
+
+    pub fn update_suspected(&mut self, now_ms: f64, suspected: &BTreeSet<Id>) {
+        let replicas = self.members.iter().filter(|(_, member)| suspected.contains(member));
+        self.replicator.update_suspected(now_ms, replicas.map(|(replica, _)| *replica).collect());
     }
 
-    pub fn hear(&mut self, now: f64, from: Id, to: Id, bytes: &[u8]) {
-        if to != self.me {
+    /// A message that cannot be read, or is for another incarnation, is dropped.
+    pub fn handle_message(&mut self, now_ms: f64, from: Id, to: Id, bytes: &[u8]) {
+        if to != self.local {
             return;
         }
         if let Ok(message) = plovershelf_cluster::frames::decode::<Message>(bytes) {
-            self.copies.hear(now, from, message);
+            self.replicator.handle_message(now_ms, from, message);
+        }
+    }
+
+    pub fn handle_timeout(&mut self, now_ms: f64) {
+        self.replicator.handle_timeout(now_ms);
+    }
+
+    pub fn poll_timeout(&self) -> f64 {
+        self.replicator.poll_timeout().min(self.handoff_deadline_ms.unwrap_or(f64::INFINITY))
+    }
+
+    /// This member leaves: its records are to be stored elsewhere by the deadline.
+    pub fn start_handoff(&mut self, now_ms: f64, deadline_ms: f64) {
+        self.handoff_deadline_ms.get_or_insert(deadline_ms);
+        self.replicator.start_handoff(now_ms);
+    }
+
+    /// Once, when handing off is complete or its deadline has come.
+    pub fn poll_handoff(&mut self, now_ms: f64) -> Option<HandoffEnd> {
+        let deadline_ms = self.handoff_deadline_ms?;
+        let complete = self.replicator.is_handoff_complete();
+        if !complete && now_ms < deadline_ms {
+            return None;
         }
+        self.handoff_deadline_ms = None;
+        let _ = self.events.try_send(ReplicationEvent::HandoffEnded);
+        let remaining = self.replicator.record_count() + self.requests.len();
+        Some(if complete { HandoffEnd::Complete } else { HandoffEnd::DeadlinePassed { remaining } })
     }
 
-    pub fn asked(&mut self, now: f64, asked: Asked) {
-        match asked {
-            Asked::Claim { id, ticket, within_ms, window_ms } => {
-                let number = self.copies.begin(now, ticket, now + within_ms, window_ms);
-                self.ids.insert(number, id);
-                self.numbers.insert(id, number);
+    /// Tells the owner its events, and returns what goes to other members: the local replica id, then receivers and bytes.
+    pub fn poll_actions(&mut self) -> (Id, Vec<(Id, Vec<u8>)>) {
+        let actions = self.replicator.poll_actions();
+        for event in actions.events {
+            if let Some(event) = self.owner_event(event) {
+                // The channel is unbounded, and holds no more than the owner has open.
+                let _ = self.events.try_send(event);
             }
-            Asked::Ended { id, ending } => {
-                if let Some(number) = self.numbers.get(&id) {
-                    self.copies.ended(now, *number, ending);
-                }
+        }
+        let encode = |(to, message): (Id, Message)| (to, plovershelf_cluster::frames::plain(&message));
+        (self.local, actions.messages.into_iter().map(encode).collect())
+    }
+
+    /// An event with the owner's number; the last one of a request forgets both numbers.
+    fn owner_event(&mut self, event: Event) -> Option<ReplicationEvent> {
+        Some(match event {
+            Event::Launch(request) => ReplicationEvent::Launch(*self.open.get(&request)?),
+            Event::OutcomeProvisional(request, outcome) => {
+                ReplicationEvent::OutcomeProvisional(*self.open.get(&request)?, outcome)
             }
-            Asked::GivenUp { id } => {
-                if let Some(number) = self.numbers.get(&id) {
-                    self.copies.given_up(now, *number);
-                }
+            Event::AlreadyCompleted(request, outcome) => {
+                ReplicationEvent::AlreadyCompleted(self.close(request)?, outcome)
             }
-            Asked::NeverLaunched { id } => {
-                if let Some(number) = self.numbers.get(&id) {
-                    self.copies.never_launched(now, *number);
-                }
+            Event::OutcomeReplicated(request, outcome) => {
+                ReplicationEvent::OutcomeReplicated(self.close(request)?, outcome)
             }
-        }
+            Event::Rejected(request) => ReplicationEvent::Rejected(self.close(request)?),
+        })
     }
 
-    /// Tells the owner what it hears, and hands back what goes to others.
-    pub fn take(&mut self) -> (Id, Vec<(Id, Vec<u8>)>) {
-        let (send, out) = self.copies.take();
-        for told in out {
-            let (number, over) = match &told {
-                replicator::Told::Launch(number) => (*number, false),
-                replicator::Told::Ended(number, _)
-                | replicator::Told::Answer(number, _)
-                | replicator::Told::Refuse(number) => (*number, true),
-                replicator::Told::Enough(number, _) => (*number, false),
-            };
-            let Some(id) = self.ids.get(&number).copied() else { continue };
-            if over {
-                self.ids.remove(&number);
-                self.numbers.remove(&id);
-            }
-            let told = match told {
-                replicator::Told::Launch(_) => Told::Launch(id),
-                replicator::Told::Ended(_, ending) => Told::Ended(id, ending),
-                replicator::Told::Answer(_, ending) => Told::Answer(id, ending),
-                replicator::Told::Enough(_, ending) => Told::Enough(id, ending),
-                replicator::Told::Refuse(_) => Told::Refuse(id),
-            };
-            // As many are under way at most as the owner has open.
-            let _ = self.told.try_send(told);
-        }
-        let plain = |(to, message): (Id, Message)| (to, plovershelf_cluster::frames::plain(&message));
-        (self.me, send.into_iter().map(plain).collect())
+    fn close(&mut self, request: RequestId) -> Option<u32> {
+        let id = self.open.remove(&request)?;
+        self.requests.remove(&id);
+        Some(id)
     }
 }
 
--- a/crates/plovershelf-server/src/group/replication/tests.rs
+++ b/crates/plovershelf-server/src/group/replication/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use plovershelf_cluster::decided::Seat;
 
-/// A process that is back with its memory's name holds nothing of what the one before it confirmed: to the copies it is another.
+/// A process is back under its member's name and has lost all that the one before it confirmed. To replication it must be another
+/// member, or its missing records would prove that nothing was launched.
 #[test]
-fn another_life_of_a_member_is_another_holder() {
-    let (told, _heard) = async_channel::unbounded();
-    let mut copied = Copied::new(Id(1), 7, Terms::default(), told);
-    let view = |number: u64, life: u64| {
+fn another_incarnation_of_a_member_is_another_replica() {
+    let (events, _received) = async_channel::unbounded();
+    let mut driver = ReplicationDriver::new(Id(1), 7, ReplicationConfig::default(), events);
+    let view = |number: u64, incarnation: u64| {
         let seat = |life: u64| Seat {
             name: "n".into(),
             zone: "z".into(),
@@ -15,11 +15,11 @@
             leaving: false,
             life,
         };
-        View { number, members: BTreeMap::from([(Id(1), seat(7)), (Id(2), seat(life))]) }
+        View { number, members: BTreeMap::from([(Id(1), seat(7)), (Id(2), seat(incarnation))]) }
     };
-    copied.view_is(0.0, &view(1, 20));
-    let before = holder_of(Id(2), 20);
-    assert_eq!((copied.member(copied.me), copied.member(before)), (Some(Id(1)), Some(Id(2))));
-    copied.view_is(1.0, &view(2, 21));
-    assert_eq!((copied.member(before), copied.member(holder_of(Id(2), 21))), (None, Some(Id(2))));
+    driver.update_view(0.0, &view(1, 20));
+    let before = replica_id(Id(2), 20);
+    assert_eq!((driver.member(driver.local), driver.member(before)), (Some(Id(1)), Some(Id(2))));
+    driver.update_view(1.0, &view(2, 21));
+    assert_eq!((driver.member(before), driver.member(replica_id(Id(2), 21))), (None, Some(Id(2))));
 }
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -60,21 +60,21 @@
     let (move_agent, agent_moved) = async_channel::bounded(1);
     let Launch { peers, fixed, pools, group, changes, .. } = launch;
     let pulse = group.is_some().then(std::sync::Arc::<group::Pulse>::default);
-    let (told_by_copies, copies_told) = async_channel::unbounded();
-    let with_copies = group.as_ref().is_some_and(|setup| setup.copies.is_some());
+    let (replication_events, replication_inbox) = async_channel::unbounded();
+    let with_replication = group.as_ref().is_some_and(|setup| setup.replication.is_some());
     let in_group = match (group, &pulse) {
         (Some(setup), Some(pulse)) => {
-            let told = with_copies.then_some(told_by_copies);
-            Some(group::start(setup, launch.name.clone(), pulse.clone(), told)?)
+            let replication_events = with_replication.then_some(replication_events);
+            Some(group::start(setup, launch.name.clone(), pulse.clone(), replication_events)?)
         }
         _ => None,
     };
-    let copied = in_group.clone().filter(|_| with_copies);
-    if with_copies {
+    let replication = in_group.clone().filter(|_| with_replication);
+    if with_replication {
         let events = events.clone();
         let hand_on = async move {
-            while let Ok(told) = copies_told.recv().await {
-                let _ = events.send(Event::Copies(told)).await;
+            while let Ok(event) = replication_inbox.recv().await {
+                let _ = events.send(Event::Replication(event)).await;
             }
         };
         executor.spawn(hand_on).detach();
@@ -134,7 +134,7 @@
     let start = launch.startup;
     let owner = Owner::new(start, stop_ms, limits.clone(), (inbox, notice), calls, leaving, Some(listening));
     let mut owner =
-        owner.with_pools(pools)?.with_pulse(pulse).with_copies(copied).with_changes(hears_changes);
+        owner.with_pools(pools)?.with_pulse(pulse).with_replication(replication).with_changes(hears_changes);
     let run = async {
         let left = owner.run().await;
         // What was answered last is still on its way out of the connections' own tasks.
--- a/crates/plovershelf-server/src/messages.rs
+++ b/crates/plovershelf-server/src/messages.rs
@@ -41,8 +41,8 @@
         id: AttemptId,
         over: CallOver,
     },
-    /// What the copies say of a ticketed invocation.
-    Copies(crate::group::Told),
+    /// What replication says of a keyed request.
+    Replication(crate::group::ReplicationEvent),
     /// The operator's file of pools was read again.
     Pools(plovershelf_bulkhead::Plan),
     /// Tenants' quotas that are in force from now on.
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -95,12 +95,8 @@
     mark: Option<Mark>,
     /// What its body says, where it has a mark.
     content: u64,
-    /// Where tickets have copies: how far its claim is.
-    copied: replication::Stage,
-    /// Its ending stands on enough copies to be told if the due time comes before the rest; or its caller was told that it
-    /// failed, so that no other ending is told to anybody.
-    enough: Option<plovershelf_replication::replicator::Ending>,
-    told_failed: bool,
+    /// How far its replication is, where it is replicated.
+    replication: replication::RequestReplication,
 }
 
 /// What an invocation is held to take of a core before any has run.
@@ -160,10 +156,10 @@
     pulse: Option<std::sync::Arc<crate::group::Pulse>>,
     /// Tenants' quotas that may change while this runs, where an operator has set it up.
     changed: Option<changed::Changed>,
-    /// Takes what is wanted of the copies, where tickets have any.
-    copies: Option<Sender<crate::group::Incoming>>,
-    /// What is held for others stands elsewhere, or nothing is.
-    handed_on: bool,
+    /// Takes commands for replication, where there is any.
+    replication: Option<Sender<crate::group::Incoming>>,
+    /// Records are handed off, or there were none.
+    handoff_ended: bool,
 }
 
 pub fn unix_ms() -> f64 {
@@ -221,8 +217,8 @@
             worked_at: 0.0,
             pulse: None,
             changed: None,
-            copies: None,
-            handed_on: true,
+            replication: None,
+            handoff_ended: true,
             limits,
         }
     }
@@ -245,9 +241,9 @@
         self
     }
 
-    pub fn with_copies(mut self, copies: Option<Sender<crate::group::Incoming>>) -> Self {
-        self.handed_on = copies.is_none();
-        self.copies = copies;
+    pub fn with_replication(mut self, replication: Option<Sender<crate::group::Incoming>>) -> Self {
+        self.handoff_ended = replication.is_none();
+        self.replication = replication;
         self
     }
 
@@ -398,7 +394,7 @@
             Event::Agent(said) => self.hear(said),
             Event::Odd(what) => self.complain(&what),
             Event::CallOver { id, over } => self.call_over(id, over),
-            Event::Copies(told) => self.copies_told(told),
+            Event::Replication(event) => self.handle_replication_event(event),
             Event::Pools(plan) => self.replan(plan),
             Event::Quotas(told) => self.quotas_told(&told),
         }
@@ -411,7 +407,7 @@
         }
         let idle = || self.connections.is_empty() && self.open.values().all(|open| open.answered);
         let accepts = !matches!(self.listener, Listener::Closed);
-        self.over |= self.grace_over && !accepts && self.handed_on && idle();
+        self.over |= self.grace_over && !accepts && self.handoff_ended && idle();
     }
 
     /// Asks the module and carries out what it says.
--- a/crates/plovershelf-server/src/owner/below.rs
+++ b/crates/plovershelf-server/src/owner/below.rs
@@ -195,7 +195,7 @@
 
     pub(super) fn run_over(&mut self, id: AttemptId, over: RunResult, result: Vec<u8>) {
         let Some(&id) = self.by_try.get(&id) else { return };
-        if self.holds_end(id, &over, &result) {
+        if self.defers_completion(id, &over, &result) {
             return;
         }
         let end = match over {
--- a/crates/plovershelf-server/src/owner/peers.rs
+++ b/crates/plovershelf-server/src/owner/peers.rs
@@ -202,9 +202,7 @@
             result: Vec::new(),
             mark,
             content,
-            copied: Default::default(),
-            enough: None,
-            told_failed: false,
+            replication: Default::default(),
         };
         self.open.insert(arrival.id, open);
         if self.pulse.is_some() {
--- a/crates/plovershelf-server/src/owner/replication.rs
+++ b/crates/plovershelf-server/src/owner/replication.rs
@@ -1,192 +1,216 @@
-//! Tickets that have copies in the group: a launch waits until its claim stands there, an answer until its ending does. Where
-//! there are no copies nothing here does anything.
+//! Requests whose records are replicated in the group: a launch waits until its reservation is replicated, an answer until its
+//! outcome is. Where there is no replication nothing here does anything.
 //!
-//! The module decides as before: it has let the invocation in and counts it as running while its claim is asked for; due
-//! times hold meanwhile, and what is given up is given back.
+//! Admission decides as it does without: it has admitted the request and counts it as running while its reservation is being
+//! replicated; deadlines hold meanwhile, and what is given up is released.
+//!
+//! | stage | event | next |
+//! | --- | --- | --- |
+//! | not replicated | a keyed request is to be launched | reserving |
+//! | reserving | `Launch` | launched |
+//! | reserving | `AlreadyCompleted`, `Rejected` | closed: answered without a run here |
+//! | launched | its run ended | completing |
+//! | launched | it was never run | closed |
+//! | completing | `OutcomeReplicated` | closed: answered |
 
-use plovershelf::api::{Completion as Answered, RunOutcome};
+use plovershelf::api::{Completion, RunOutcome};
 use plovershelf_codec::agent::RunResult;
-use plovershelf_replication::placement::Ticket;
-use plovershelf_replication::replicator::Ending;
+use plovershelf_replication::{IdempotencyKey, Outcome};
 
 use super::Owner;
-use crate::group::{Asked, Incoming, Told};
+use crate::group::{Incoming, ReplicationCommand, ReplicationEvent};
 use crate::repeats::Mark;
 
-/// How far the claim of an open invocation is.
+/// How far the replication of an open request is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// It has no ticket, or there are no copies.
+enum Stage {
+    /// It has no key, or there is no replication.
     #[default]
-    None,
-    /// Asked for; nothing was launched.
-    Asking,
+    NotReplicated,
+    /// Its reservation is being replicated; nothing was launched.
+    Reserving,
     Launched,
-    /// Its run is over; the ending is being copied.
-    Ending,
-    /// Told by the copies.
-    Over,
+    /// Its run ended; the outcome is being replicated.
+    Completing,
+    /// Nothing more is heard of it.
+    Closed,
+}
+
+/// What the owner knows of an open request's replication.
+#[derive(Default)]
+pub(super) struct RequestReplication {
+    stage: Stage,
+    /// What enough replicas have, to be answered if the deadline comes before the rest have it.
+    provisional: Option<Outcome>,
+    /// Its client was answered that it failed, so that no other outcome is told to anybody.
+    answered_failed: bool,
 }
 
-impl Stage {
+impl RequestReplication {
     /// The launch is held back, so no run will ever be heard of.
-    pub fn holds_launch(self) -> bool {
-        self == Stage::Asking
+    pub(super) fn defers_launch(&self) -> bool {
+        self.stage == Stage::Reserving
     }
 }
 
-/// What callers are told to wait where nothing can be promised.
-const COME_BACK_MS: f64 = 300.0;
+/// What clients are told to wait where no promise can be made, in milliseconds.
+const RETRY_AFTER_MS: f64 = 300.0;
 
 impl Owner {
-    /// Asks for the claim of a ticketed invocation that is to be launched. True where the launch waits for it.
-    pub(super) fn claim(&mut self, id: u32) -> bool {
-        let Some(copies) = &self.copies else { return false };
+    /// Reserves the key of a request that is to be launched. True where the launch waits for it.
+    pub(super) fn reserve_before_launch(&mut self, id: u32) -> bool {
+        let Some(replication) = &self.replication else { return false };
         let Some(open) = self.open.get_mut(&id) else { return false };
-        let Some(Mark::Ticket(offering, text)) = &open.mark else { return false };
-        let ticket = Ticket::of(&self.startup.classes[*offering], text.as_bytes());
-        let terms = &self.startup.config.classes[*offering];
-        let claim = Asked::Claim {
+        let Some(Mark::Ticket(class, client_key)) = &open.mark else { return false };
+        let key = IdempotencyKey::new(&self.startup.classes[*class], client_key.as_bytes());
+        let config = &self.startup.config.classes[*class];
+        let command = ReplicationCommand::Reserve {
             id,
-            ticket,
-            within_ms: terms.timeout_ms,
-            window_ms: terms.deduplication_window_ms,
+            key,
+            within_ms: config.timeout_ms,
+            retention_ms: config.deduplication_window_ms,
         };
-        open.copied = Stage::Asking;
-        if copies.try_send(Incoming::Asked(claim)).is_err() {
-            // The group takes nothing: nothing is promised, and nothing runs on a promise.
-            self.refuse_unclaimed(id);
+        open.replication.stage = Stage::Reserving;
+        if replication.try_send(Incoming::Replication(command)).is_err() {
+            // The group takes nothing: no promise is made, and nothing runs on one.
+            self.reject_unlaunched(id);
         }
         true
     }
 
-    fn ask(&self, asked: Asked) {
-        if let Some(copies) = &self.copies {
-            let _ = copies.try_send(Incoming::Asked(asked));
+    fn send_replication(&self, command: ReplicationCommand) {
+        if let Some(replication) = &self.replication {
+            let _ = replication.try_send(Incoming::Replication(command));
         }
     }
 
-    /// How it is answered if its time ends before the copies have told of it: while its claim is asked for nothing has run, so it
-    /// is dismissed; an ending that enough copies have is told; and a run that its caller is told to have failed has failed
-    /// for all, whatever it comes to.
-    pub(super) fn out_of_time(&mut self, id: u32, ending: Answered) -> Answered {
-        let dismissed = self.come_back();
-        let with_copies = self.copies.is_some();
-        match self.open.get_mut(&id) {
-            Some(open) if open.copied == Stage::Asking => dismissed,
-            // A repeat that waited here for another try's end: no verdict is known yet, so none is given.
-            Some(open)
-                if with_copies
-                    && open.copied == Stage::None
+    /// How a request is answered whose deadline comes before replication has told of it. While its key is being reserved nothing
+    /// has run, so it is rejected; an outcome that enough replicas have is answered; and a run whose client is told that it
+    /// failed has failed for all, whatever it comes to.
+    pub(super) fn completion_at_deadline(&mut self, id: u32, completion: Completion) -> Completion {
+        let rejected = self.retry_later();
+        let replicated = self.replication.is_some();
+        let Some(open) = self.open.get_mut(&id) else { return completion };
+        let failed = completion == Completion::Failed;
+        match open.replication.stage {
+            Stage::Reserving => rejected,
+            // A retry that waited here for another attempt's end: no outcome is known yet, so none is told.
+            Stage::NotReplicated
+                if replicated
                     && open.launched.is_none()
                     && matches!(open.mark, Some(Mark::Ticket(..)))
-                    && ending == Answered::Failed =>
+                    && failed =>
             {
-                dismissed
+                rejected
             }
-            Some(open) if open.copied == Stage::Ending && ending == Answered::Failed => {
-                match open.enough.take() {
-                    Some(Ending::Succeeded(result)) => {
-                        open.result = result;
-                        Answered::Succeeded
-                    }
-                    _ => ending,
+            Stage::Completing if failed => match open.replication.provisional.take() {
+                Some(Outcome::Succeeded(result)) => {
+                    open.result = result;
+                    Completion::Succeeded
                 }
+                _ => completion,
+            },
+            Stage::Launched if !open.answered => {
+                open.replication.answered_failed = failed;
+                completion
             }
-            Some(open) if open.copied == Stage::Launched && !open.answered => {
-                open.told_failed = ending == Answered::Failed;
-                ending
-            }
-            _ => ending,
+            _ => completion,
         }
     }
 
-    fn come_back(&self) -> Answered {
-        let retry_after_ms = COME_BACK_MS.min(self.startup.config.max_retry_after_ms);
-        Answered::Rejected { retry_after_ms, retry_elsewhere: true }
+    fn retry_later(&self) -> Completion {
+        let retry_after_ms = RETRY_AFTER_MS.min(self.startup.config.max_retry_after_ms);
+        Completion::Rejected { retry_after_ms, retry_elsewhere: true }
     }
 
-    /// Nobody waits for it any more.
-    pub(super) fn claim_given_up(&mut self, id: u32) {
-        if self.open.get(&id).is_some_and(|open| open.copied == Stage::Asking) {
-            self.ask(Asked::GivenUp { id });
+    /// Nobody waits for a request any more.
+    pub(super) fn cancel_reservation(&mut self, id: u32) {
+        if self.open.get(&id).is_some_and(|open| open.replication.stage == Stage::Reserving) {
+            self.send_replication(ReplicationCommand::Cancel { id });
         }
     }
 
-    /// A run is over: its end is held back until it is copied. True where it is.
-    pub(super) fn holds_end(&mut self, id: u32, over: &RunResult, result: &[u8]) -> bool {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.copied == Stage::Launched) else {
-            return false;
-        };
-        if matches!(over, RunResult::NotFound) {
-            open.copied = Stage::Over;
-            self.ask(Asked::NeverLaunched { id });
+    /// A run ended: its completion waits until the outcome is replicated. True where it does.
+    pub(super) fn defers_completion(&mut self, id: u32, run: &RunResult, result: &[u8]) -> bool {
+        let launched = |open: &&mut super::Open| open.replication.stage == Stage::Launched;
+        let Some(open) = self.open.get_mut(&id).filter(launched) else { return false };
+        if matches!(run, RunResult::NotFound) {
+            open.replication.stage = Stage::Closed;
+            self.send_replication(ReplicationCommand::CancelLaunch { id });
             return false;
         }
-        open.copied = Stage::Ending;
-        let well = matches!(over, RunResult::Succeeded) && !open.told_failed;
-        let ending = if well { Ending::Succeeded(result.to_vec()) } else { Ending::Failed };
-        self.ask(Asked::Ended { id, ending });
+        open.replication.stage = Stage::Completing;
+        let succeeded = matches!(run, RunResult::Succeeded) && !open.replication.answered_failed;
+        let outcome = if succeeded { Outcome::Succeeded(result.to_vec()) } else { Outcome::Failed };
+        self.send_replication(ReplicationCommand::Complete { id, outcome });
         true
     }
 
-    pub(super) fn copies_told(&mut self, told: Told) {
-        match told {
-            Told::Launch(id) => match self.open.get_mut(&id) {
-                Some(open) if open.copied == Stage::Asking && !open.answered => {
-                    open.copied = Stage::Launched;
-                    self.launch(id);
-                }
-                // It was given up meanwhile.
-                _ => self.ask(Asked::NeverLaunched { id }),
-            },
-            Told::Ended(id, ending) => {
-                let answered = match &ending {
-                    Ending::Succeeded(_) => Answered::Succeeded,
-                    Ending::Failed | Ending::InDoubt => Answered::Failed,
+    pub(super) fn handle_replication_event(&mut self, event: ReplicationEvent) {
+        match event {
+            ReplicationEvent::Launch(id) => self.launch_reserved(id),
+            ReplicationEvent::AlreadyCompleted(id, outcome) => {
+                let completion = match &outcome {
+                    Outcome::Succeeded(_) => Completion::Succeeded,
+                    Outcome::Failed | Outcome::InDoubt => Completion::Failed,
                 };
-                self.end_unlaunched(id, answered, ending);
+                self.complete_unlaunched(id, completion, outcome);
             }
-            Told::Answer(id, ending) => {
-                let Some(open) = self.open.get_mut(&id) else { return };
-                open.copied = Stage::Over;
-                let (end, result) = match ending {
-                    Ending::Succeeded(result) => (RunOutcome::Completed, result),
-                    Ending::Failed | Ending::InDoubt => (RunOutcome::Failed, Vec::new()),
-                };
-                self.run_ended(id, end, result);
-            }
-            Told::Enough(id, ending) => {
-                if let Some(open) = self.open.get_mut(&id).filter(|open| open.copied == Stage::Ending) {
-                    open.enough = Some(ending);
+            ReplicationEvent::OutcomeReplicated(id, outcome) => self.complete_replicated(id, outcome),
+            ReplicationEvent::OutcomeProvisional(id, outcome) => {
+                let completing = |open: &&mut super::Open| open.replication.stage == Stage::Completing;
+                if let Some(open) = self.open.get_mut(&id).filter(completing) {
+                    open.replication.provisional = Some(outcome);
                 }
             }
-            Told::Refuse(id) => self.refuse_unclaimed(id),
-            Told::HandedOn => self.handed_on = true,
+            ReplicationEvent::Rejected(id) => self.reject_unlaunched(id),
+            ReplicationEvent::HandoffEnded => self.handoff_ended = true,
+        }
+    }
+
+    fn launch_reserved(&mut self, id: u32) {
+        match self.open.get_mut(&id) {
+            Some(open) if open.replication.stage == Stage::Reserving && !open.answered => {
+                open.replication.stage = Stage::Launched;
+                self.launch(id);
+            }
+            // It was given up meanwhile.
+            _ => self.send_replication(ReplicationCommand::CancelLaunch { id }),
         }
     }
 
-    /// Nothing can be promised, and nothing was launched.
-    fn refuse_unclaimed(&mut self, id: u32) {
-        let answered = self.come_back();
-        self.end_unlaunched(id, answered, Ending::Failed);
+    fn complete_replicated(&mut self, id: u32, outcome: Outcome) {
+        let Some(open) = self.open.get_mut(&id) else { return };
+        open.replication.stage = Stage::Closed;
+        let (run, result) = match outcome {
+            Outcome::Succeeded(result) => (RunOutcome::Completed, result),
+            Outcome::Failed | Outcome::InDoubt => (RunOutcome::Failed, Vec::new()),
+        };
+        self.run_ended(id, run, result);
+    }
+
+    /// No promise can be made, and nothing was launched.
+    fn reject_unlaunched(&mut self, id: u32) {
+        let completion = self.retry_later();
+        self.complete_unlaunched(id, completion, Outcome::Failed);
     }
 
-    /// It is answered without a run here; so are those that wait for it.
-    fn end_unlaunched(&mut self, id: u32, answered: Answered, ending: Ending) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.copied == Stage::Asking) else { return };
-        open.copied = Stage::Over;
-        let result = match ending {
-            Ending::Succeeded(result) => Some(result),
-            Ending::Failed | Ending::InDoubt => None,
+    /// A request is answered without a run here; so are those that wait for it.
+    fn complete_unlaunched(&mut self, id: u32, completion: Completion, outcome: Outcome) {
+        let reserving = |open: &&mut super::Open| open.replication.stage == Stage::Reserving;
+        let Some(open) = self.open.get_mut(&id).filter(reserving) else { return };
+        open.replication.stage = Stage::Closed;
+        let result = match outcome {
+            Outcome::Succeeded(result) => Some(result),
+            Outcome::Failed | Outcome::InDoubt => None,
         };
         open.result = result.clone().unwrap_or_default();
         if let Some(mark) = open.mark.clone() {
-            for repeat in self.remembered.ended(&mark, id, result.as_deref(), self.now) {
-                self.end_repeat(repeat, result.as_deref());
+            for retry in self.remembered.ended(&mark, id, result.as_deref(), self.now) {
+                self.end_repeat(retry, result.as_deref());
             }
         }
-        self.answer(id, answered);
+        self.answer(id, completion);
         self.ended.push_back((id, RunOutcome::NotStarted));
     }
 }
--- a/crates/plovershelf-server/src/owner/work.rs
+++ b/crates/plovershelf-server/src/owner/work.rs
@@ -36,8 +36,8 @@
             }
         }
         match (change.from, change.to) {
-            // A ticket with copies is launched once its claim stands.
-            (Some(RequestState::Queued), RequestState::Running) if self.claim(id) => {}
+            // A keyed request is launched once its reservation is replicated.
+            (Some(RequestState::Queued), RequestState::Running) if self.reserve_before_launch(id) => {}
             (Some(RequestState::Queued), RequestState::Running) => self.launch(id),
             (Some(RequestState::AwaitingCall), RequestState::Running) => {
                 self.command_for(id, commands::skip_call)
@@ -45,19 +45,19 @@
             (_, RequestState::Calling { timeout_ms }) => self.place_call(id, timeout_ms),
             (_, RequestState::Joined) => self.join(id),
             (Some(_), RequestState::Answered { completion: ending, cancel: stop }) => {
-                let ending = self.out_of_time(id, ending);
+                let ending = self.completion_at_deadline(id, ending);
                 self.give_up_call(id);
                 self.answer(id, ending);
                 if stop {
                     self.command_for(id, commands::cancel_run);
                 }
-                self.claim_given_up(id);
+                self.cancel_reservation(id);
                 self.settle_doubt(id);
             }
             (Some(_), RequestState::Completed(ending)) => {
-                let ending = self.out_of_time(id, ending);
+                let ending = self.completion_at_deadline(id, ending);
                 self.give_up_call(id);
-                self.claim_given_up(id);
+                self.cancel_reservation(id);
                 self.answer(id, ending);
                 self.forget(id);
             }
@@ -68,7 +68,7 @@
     /// Work that is over for its caller and may never have reached the agent is not waited for.
     pub(super) fn settle_doubt(&mut self, id: u32) {
         let unheard =
-            |open: &&Open| open.doubtful || open.launched == Some(NEVER) || open.copied.holds_launch();
+            |open: &&Open| open.doubtful || open.launched == Some(NEVER) || open.replication.defers_launch();
         if self.open.get(&id).filter(unheard).is_some() {
             self.ended.push_back((id, RunOutcome::NotStarted));
         }
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -17,8 +17,9 @@
 use plovershelf_failover::asks::Say as Report;
 use plovershelf_failover::planner;
 use plovershelf_failover::seen::Report as Seen;
-use plovershelf_replication::placement::Holder;
-use plovershelf_replication::replicator::{Copies, Message as Copied, Terms as CopiesTerms};
+use plovershelf_replication::{
+    Member, Message as ReplicationMessage, ReplicationConfig, Replicator, ViewNumber,
+};
 use plovershelf_simulation::statistics::Fit;
 
 const SIZES: [usize; 5] = [30, 100, 300, 600, 920];
@@ -74,36 +75,37 @@
 
 /// A change of view among so many that hold nothing: messages and bytes of all until they rest.
 fn view_change(members: usize) -> (f64, f64) {
-    let holders: Vec<Holder> = (0..members)
+    let view: Vec<Member> = (0..members)
         .map(|place| {
             let about = about(place);
-            Holder { id: about.id, zone: about.zone, machine: about.name, weight: 1.0 }
+            Member { id: about.id, zone: about.zone, machine: about.name, weight: 1.0 }
         })
         .collect();
-    let all: Vec<Id> = holders.iter().map(|holder| holder.id).collect();
-    let mut group: Vec<Copies> = all.iter().map(|id| Copies::new(*id, CopiesTerms::default(), 0.0)).collect();
+    let all: Vec<Id> = view.iter().map(|member| member.id).collect();
+    let mut group: Vec<Replicator> =
+        all.iter().map(|id| Replicator::new(*id, ReplicationConfig::default(), 0.0)).collect();
     let place_of: std::collections::BTreeMap<Id, usize> =
         all.iter().enumerate().map(|(place, id)| (*id, place)).collect();
-    for copies in &mut group {
-        copies.view_is(1.0, 1, holders.clone());
+    for replicator in &mut group {
+        replicator.update_view(1.0, ViewNumber(1), view.clone());
     }
     let (mut messages, mut bytes, mut now) = (0.0, 0.0, 1.0);
     for _ in 0..8 {
         now += 1.0;
-        let mut under_way: Vec<(usize, Id, Copied)> = Vec::new();
-        for (place, copies) in group.iter_mut().enumerate() {
-            for (to, message) in copies.take().0 {
+        let mut in_flight: Vec<(usize, Id, ReplicationMessage)> = Vec::new();
+        for (place, replicator) in group.iter_mut().enumerate() {
+            for (to, message) in replicator.poll_actions().messages {
                 messages += 1.0;
                 let wire = Wire::Part { from: all[place], to, bytes: plain(&message) };
                 bytes += encode(&wire).len() as f64;
-                under_way.push((place_of[&to], all[place], message));
+                in_flight.push((place_of[&to], all[place], message));
             }
         }
-        if under_way.is_empty() {
+        if in_flight.is_empty() {
             break;
         }
-        for (to, from, message) in under_way {
-            group[to].hear(now, from, message);
+        for (to, from, message) in in_flight {
+            group[to].handle_message(now, from, message);
         }
     }
     (messages, bytes)
--- /dev/null
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -0,0 +1,468 @@
+//! The event loop of a run: members, the ways between them, clients and faults.
+
+use std::collections::BTreeMap;
+
+use plovershelf_cluster::council::Id;
+use plovershelf_replication::{
+    Event as ReplicationEvent, IdempotencyKey, Message, Outcome, Replicator, RequestId, ViewNumber,
+};
+use rand::{RngExt, SeedableRng};
+use rand_distr::{Distribution, Exp1, LogNormal};
+use rand_pcg::Pcg32;
+
+use super::events::{Event, Process, ProcessEvent};
+use super::node::{Attempt, LocalRecord, Node};
+use super::plan::{Mode, Plan};
+use super::report::{KeyHistory, Report, Visit};
+use super::views::{Seen, ViewService};
+use crate::net::{Net, Queue};
+use crate::schedule::{third, Fault};
+
+/// How long a request may be launched, and how long its client waits at the median, in milliseconds.
+const DEADLINE_MS: f64 = 3000.0;
+const PATIENCE_MS: f64 = 600.0;
+const RETRIES: u32 = 5;
+/// The group looks at its members so often, in milliseconds.
+const AGREE_INTERVAL_MS: f64 = 50.0;
+/// The run goes on for so long after the last fault, in milliseconds.
+const AFTERMATH_MS: f64 = 10_000.0;
+
+/// Whether a fault begins or ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Edge {
+    Begins,
+    Ends,
+}
+
+/// One run.
+pub struct World {
+    plan: Plan,
+    queue: Queue<Event>,
+    net: Net,
+    rng: Pcg32,
+    nodes: Vec<Node>,
+    views: ViewService,
+    histories: BTreeMap<u64, KeyHistory>,
+    under_replicated_since_ms: Option<f64>,
+    report: Report,
+    last_key: u64,
+    ends_ms: f64,
+}
+
+impl World {
+    /// Plays a run to its end.
+    pub fn run(plan: Plan) -> Report {
+        let mut rng = Pcg32::seed_from_u64(plan.seed ^ 0xc0_91e5);
+        let mut net = Net::new(rng.random(), plan.one_way_ms);
+        net.between_zones_ms = plan.between_zones_ms;
+        let nodes = (0..plan.schedule.members).map(|_| Node::new(drawn_id(&mut rng))).collect();
+        let ends_ms = plan.schedule.ends_ms();
+        let mut world = World {
+            plan,
+            queue: Queue::default(),
+            net,
+            rng,
+            nodes,
+            views: ViewService::default(),
+            histories: BTreeMap::new(),
+            under_replicated_since_ms: None,
+            report: Report::default(),
+            last_key: 0,
+            ends_ms,
+        };
+        world.play();
+        let mut report = world.report.judged(&world.histories);
+        report.messages = world.net.sent;
+        report
+    }
+
+    fn play(&mut self) {
+        for member in 0..self.nodes.len() {
+            self.start(member);
+        }
+        let all = self.nodes.iter().enumerate().map(|(member, node)| (member, node.id)).collect();
+        self.install_view(all);
+        for (place, step) in self.plan.schedule.steps.iter().enumerate() {
+            self.queue.put(step.at_ms, Event::FaultBegins(place));
+            self.queue.put(step.at_ms + step.for_ms, Event::FaultEnds(place));
+        }
+        self.queue.put(300.0, Event::NewKey);
+        self.queue.put(AGREE_INTERVAL_MS, Event::Agree);
+        while let Some(event) = self.queue.take_next() {
+            if self.queue.now() > self.ends_ms + AFTERMATH_MS {
+                break;
+            }
+            self.handle_event(event);
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Process(process, event) => self.handle_process_event(process, event),
+            Event::FaultBegins(place) => self.apply_fault(place, Edge::Begins),
+            Event::FaultEnds(place) => self.apply_fault(place, Edge::Ends),
+            Event::Agree => self.agree(),
+            Event::NewKey => self.new_key(),
+            Event::Attempt { key, retries_left } => self.attempt(key, retries_left),
+        }
+    }
+
+    fn handle_process_event(&mut self, process: Process, event: ProcessEvent) {
+        let member = process.member;
+        let node = &mut self.nodes[member];
+        if node.paused {
+            return node.defer(process, event);
+        }
+        if !node.is_current(process) {
+            return;
+        }
+        match event {
+            ProcessEvent::Message { from, message } => {
+                let from = self.nodes[from].id;
+                self.drive(member, |replicator, now_ms| replicator.handle_message(now_ms, from, *message));
+            }
+            ProcessEvent::Timeout => {
+                node.timeout_at_ms = f64::INFINITY;
+                self.drive(member, |replicator, now_ms| replicator.handle_timeout(now_ms));
+            }
+            ProcessEvent::View { number } => {
+                let members = self.views.members(number, self.plan.schedule.zones);
+                let view = ViewNumber(number);
+                self.drive(member, |replicator, now_ms| replicator.update_view(now_ms, view, members));
+            }
+            ProcessEvent::RunEnds(request) => self.run_ended(member, request),
+            ProcessEvent::ClientGone(request) => self.client_gone(member, request),
+        }
+    }
+
+    // ---- views -----------------------------------------------------------------------------------------
+
+    fn install_view(&mut self, view: Vec<(usize, Id)>) {
+        self.views.add(view);
+        for member in 0..self.nodes.len() {
+            self.send_view(member);
+        }
+    }
+
+    /// The last view reaches each member by its own way, some after a while; one that is cut off not before it is back.
+    fn send_view(&mut self, member: usize) {
+        let within_ms = if self.rng.random::<f64>() < 0.1 { 300.0 } else { 5.0 };
+        let at_ms = self.queue.now() + within_ms * self.rng.random::<f64>();
+        let event = ProcessEvent::View { number: self.views.last_number() };
+        self.queue.put(at_ms, Event::Process(self.nodes[member].process(member), event));
+    }
+
+    fn agree(&mut self) {
+        let now_ms = self.queue.now();
+        self.queue.put(now_ms + AGREE_INTERVAL_MS, Event::Agree);
+        let seen: Vec<Seen> = (0..self.nodes.len())
+            .map(|member| Seen { id: self.nodes[member].id, reachable: self.is_reachable(member) })
+            .collect();
+        if let Some(view) = self.views.next(now_ms, &seen) {
+            self.install_view(view);
+        }
+        // Members that missed the last view are sent it again.
+        let last = self.views.last_number();
+        for member in (0..seen.len()).filter(|member| seen[*member].reachable) {
+            let behind = |replicator: &Replicator| replicator.view().0 < last;
+            if self.nodes[member].replicator.as_ref().is_some_and(behind) && self.rng.random::<f64>() < 0.5 {
+                self.send_view(member);
+            }
+        }
+        self.observe_replicas(now_ms);
+    }
+
+    /// Up, not paused, and with ways to and from more than half of all.
+    fn is_reachable(&self, member: usize) -> bool {
+        let count = self.nodes.len();
+        let linked = |other: &usize| !self.net.is_cut(member, *other) && !self.net.is_cut(*other, member);
+        let node = &self.nodes[member];
+        node.is_up() && !node.paused && (0..count).filter(linked).count() * 2 > count
+    }
+
+    fn observe_replicas(&mut self, now_ms: f64) {
+        let live = || self.nodes.iter().filter_map(|node| node.replicator.as_ref());
+        let lacking: usize = live().map(Replicator::under_replicated_count).sum();
+        let records = live().map(Replicator::record_count).max().unwrap_or(0);
+        self.report.max_records = self.report.max_records.max(records);
+        match (lacking > 0, self.under_replicated_since_ms) {
+            (true, None) => self.under_replicated_since_ms = Some(now_ms),
+            (false, Some(since_ms)) => {
+                self.report.max_under_replicated_ms =
+                    self.report.max_under_replicated_ms.max(now_ms - since_ms);
+                self.under_replicated_since_ms = None;
+            }
+            _ => {}
+        }
+    }
+
+    // ---- one member ------------------------------------------------------------------------------------
+
+    fn start(&mut self, member: usize) {
+        let id = drawn_id(&mut self.rng);
+        self.nodes[member].start(id, self.plan.config.clone(), self.queue.now());
+        self.drive(member, |_, _| ());
+    }
+
+    /// A machine is lost with all that it stores. Its clients find the connection broken and go elsewhere.
+    fn kill(&mut self, member: usize) {
+        self.report.machines_lost += 1;
+        let remains = self.nodes[member].kill();
+        for key in remains.running_keys {
+            if let Some(history) = self.histories.get_mut(&key) {
+                history.lost_while_running();
+            }
+        }
+        let down = self.nodes.iter().filter(|node| !node.is_up()).count() as u64;
+        self.report.max_lost_at_once = self.report.max_lost_at_once.max(down);
+        for attempt in remains.attempts {
+            self.retry(attempt.key, attempt.retries_left, 5.0);
+        }
+    }
+
+    /// One input of a member's state machine, and what it leads to.
+    fn drive(&mut self, member: usize, input: impl FnOnce(&mut Replicator, f64)) {
+        let now_ms = self.queue.now();
+        let Some(replicator) = self.nodes[member].replicator.as_mut() else { return };
+        input(replicator, now_ms);
+        let actions = replicator.poll_actions();
+        let timeout_at_ms = replicator.poll_timeout();
+        for (to, message) in actions.messages {
+            self.send(member, to, message);
+        }
+        for event in actions.events {
+            self.handle_replication_event(member, event);
+        }
+        let node = &mut self.nodes[member];
+        if timeout_at_ms < node.timeout_at_ms - 0.5 {
+            node.timeout_at_ms = timeout_at_ms;
+            let process = node.process(member);
+            self.queue.put(timeout_at_ms, Event::Process(process, ProcessEvent::Timeout));
+        }
+    }
+
+    fn send(&mut self, from: usize, to: Id, message: Message) {
+        let Some(to) = self.nodes.iter().position(|node| node.id == to && node.is_up()) else { return };
+        let process = self.nodes[to].process(to);
+        for delay_ms in self.net.ways(from, to, self.plan.schedule.zones, 0) {
+            let event = ProcessEvent::Message { from, message: Box::new(message.clone()) };
+            self.queue.put(self.queue.now() + delay_ms, Event::Process(process, event));
+        }
+    }
+
+    fn handle_replication_event(&mut self, member: usize, event: ReplicationEvent) {
+        match event {
+            ReplicationEvent::Launch(request) => self.launch(member, request),
+            ReplicationEvent::AlreadyCompleted(request, outcome)
+            | ReplicationEvent::OutcomeReplicated(request, outcome) => {
+                let succeeded = matches!(outcome, Outcome::Succeeded(_));
+                let attempt = self.nodes[member].attempts.get(&request).filter(|_| succeeded);
+                if let Some(completed_at_ms) = attempt.and_then(|attempt| attempt.completed_at_ms) {
+                    self.report.answer_wait_ms.put(self.queue.now() - completed_at_ms);
+                }
+                self.answer(member, request, outcome);
+            }
+            ReplicationEvent::OutcomeProvisional(..) => {}
+            ReplicationEvent::Rejected(request) => self.reject(member, request),
+        }
+    }
+
+    fn launch(&mut self, member: usize, request: RequestId) {
+        let now_ms = self.queue.now();
+        let node = &mut self.nodes[member];
+        let Some(attempt) = node.attempts.get(&request).copied() else { return };
+        node.running.insert(request);
+        let process = node.process(member);
+        self.report.launch_wait_ms.put(now_ms - attempt.started_at_ms);
+        if let Some(history) = self.histories.get_mut(&attempt.key) {
+            history.launched();
+        }
+        let run_ms = LogNormal::new(self.plan.run_ms.ln(), 0.4)
+            .map_or(self.plan.run_ms, |spread| spread.sample(&mut self.rng));
+        self.queue.put(now_ms + run_ms, Event::Process(process, ProcessEvent::RunEnds(request)));
+    }
+
+    fn run_ended(&mut self, member: usize, request: RequestId) {
+        let now_ms = self.queue.now();
+        let outcome = Outcome::Succeeded(self.rng.random::<u64>().to_be_bytes().to_vec());
+        let node = &mut self.nodes[member];
+        node.running.remove(&request);
+        if let Some(attempt) = node.attempts.get_mut(&request) {
+            attempt.completed_at_ms = Some(now_ms);
+        }
+        match self.plan.mode {
+            Mode::Replicated => {
+                self.drive(member, |replicator, now_ms| replicator.complete(now_ms, request, outcome));
+            }
+            Mode::Alone => {
+                if let Some(attempt) = node.attempts.get(&request) {
+                    node.local_records.insert(attempt.key, LocalRecord::Completed(outcome.clone()));
+                }
+                self.answer(member, request, outcome);
+            }
+        }
+    }
+
+    // ---- clients ---------------------------------------------------------------------------------------
+
+    fn new_key(&mut self) {
+        let gap: f64 = Exp1.sample(&mut self.rng);
+        let now_ms = self.queue.now();
+        if now_ms < self.ends_ms {
+            self.queue.put(now_ms + gap * 1000.0 / self.plan.keys_per_second, Event::NewKey);
+        }
+        self.last_key += 1;
+        let key = self.last_key;
+        self.report.keys += 1;
+        self.histories.insert(key, KeyHistory::default());
+        self.queue.put(now_ms, Event::Attempt { key, retries_left: RETRIES });
+        // Some clients try two backends in the same instant.
+        if self.rng.random::<f64>() < 0.15 {
+            self.queue.put(now_ms, Event::Attempt { key, retries_left: 2 });
+        }
+    }
+
+    fn retry(&mut self, key: u64, retries_left: u32, after_ms: f64) {
+        if retries_left > 0 {
+            let event = Event::Attempt { key, retries_left: retries_left - 1 };
+            self.queue.put(self.queue.now() + after_ms, event);
+        }
+    }
+
+    /// An attempt comes to a backend whose machine is not lost.
+    fn attempt(&mut self, key: u64, retries_left: u32) {
+        let live: Vec<usize> = (0..self.nodes.len()).filter(|member| self.nodes[*member].is_up()).collect();
+        let Some(member) = live.get(self.rng.random_range(0..live.len().max(1))).copied() else { return };
+        let Some(history) = self.histories.get_mut(&key) else { return };
+        self.report.retries_elsewhere += u64::from(history.attempted_at(member) == Visit::Elsewhere);
+        if self.nodes[member].paused {
+            // Nobody answers there; the client loses its patience.
+            return self.retry(key, retries_left, PATIENCE_MS);
+        }
+        let now_ms = self.queue.now();
+        let node = &mut self.nodes[member];
+        let request = node.next_request();
+        let attempt = Attempt { key, retries_left, started_at_ms: now_ms, completed_at_ms: None };
+        node.attempts.insert(request, attempt);
+        let process = node.process(member);
+        let patience_ms = PATIENCE_MS * (0.7 + 0.6 * self.rng.random::<f64>());
+        self.queue.put(now_ms + patience_ms, Event::Process(process, ProcessEvent::ClientGone(request)));
+        match self.plan.mode {
+            Mode::Replicated => self.reserve(member, request, key),
+            Mode::Alone => self.attempt_alone(member, request, key),
+        }
+    }
+
+    fn reserve(&mut self, member: usize, request: RequestId, key: u64) {
+        let key = IdempotencyKey::new("book", &key.to_be_bytes());
+        let retention_ms = self.plan.retention_ms;
+        self.drive(member, |replicator, now_ms| {
+            let given = replicator.reserve(now_ms, key, now_ms + DEADLINE_MS, retention_ms);
+            debug_assert_eq!(given, request);
+        });
+    }
+
+    fn attempt_alone(&mut self, member: usize, request: RequestId, key: u64) {
+        match self.nodes[member].local_records.get(&key).cloned() {
+            Some(LocalRecord::Completed(outcome)) => self.answer(member, request, outcome),
+            Some(LocalRecord::Running) => {}
+            None => {
+                self.nodes[member].local_records.insert(key, LocalRecord::Running);
+                self.launch(member, request);
+            }
+        }
+    }
+
+    /// The client's patience is over: what was not launched is released, and it tries elsewhere.
+    fn client_gone(&mut self, member: usize, request: RequestId) {
+        let Some(attempt) = self.nodes[member].attempts.get_mut(&request) else { return };
+        let (key, retries_left) = (attempt.key, std::mem::take(&mut attempt.retries_left));
+        if self.plan.mode == Mode::Replicated {
+            self.drive(member, |replicator, now_ms| replicator.cancel(now_ms, request));
+        }
+        self.retry(key, retries_left, 10.0);
+    }
+
+    fn reject(&mut self, member: usize, request: RequestId) {
+        let Some(attempt) = self.nodes[member].attempts.remove(&request) else { return };
+        self.report.rejected += 1;
+        self.retry(attempt.key, attempt.retries_left, 100.0);
+    }
+
+    fn answer(&mut self, member: usize, request: RequestId, outcome: Outcome) {
+        let Some(Attempt { key, retries_left, .. }) = self.nodes[member].attempts.remove(&request) else {
+            return;
+        };
+        let Some(history) = self.histories.get_mut(&key) else { return };
+        // Some ask again, though they had it.
+        if matches!(outcome, Outcome::Succeeded(_)) && self.rng.random::<f64>() < 0.2 && retries_left > 0 {
+            let at_ms = self.queue.now() + 2000.0 * self.rng.random::<f64>();
+            self.queue.put(at_ms, Event::Attempt { key, retries_left: 0 });
+        }
+        history.answered(outcome);
+    }
+
+    // ---- faults ----------------------------------------------------------------------------------------
+
+    fn apply_fault(&mut self, place: usize, edge: Edge) {
+        let begins = edge == Edge::Begins;
+        match self.plan.schedule.steps[place].fault.clone() {
+            Fault::Cut { these, those, one_way } => {
+                let links = these.iter().flat_map(|one| those.iter().map(move |other| (*one, *other)));
+                for (one, other) in links {
+                    self.net.cut(one, other, begins);
+                    if !one_way {
+                        self.net.cut(other, one, begins);
+                    }
+                }
+            }
+            Fault::Loss { share } => {
+                self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0);
+            }
+            Fault::Slow { member, by_ms } => self.net.slow(member, begins.then_some(by_ms)),
+            // Without the time that leaving takes: as hard as a loss.
+            Fault::Kill { member, .. } | Fault::Leave { member } => self.lose(member, edge),
+            // Two at once, next to each other and so in two zones: what three replicas are promised to outlive.
+            Fault::KillThird { first } => {
+                let lost: Vec<usize> = third(first, self.nodes.len()).take(2).collect();
+                lost.into_iter().for_each(|member| self.lose(member, edge));
+            }
+            Fault::Stop { member } => self.pause(member, edge),
+            Fault::Unfit { .. } | Fault::Full { .. } | Fault::Clock { .. } => {}
+        }
+    }
+
+    fn pause(&mut self, member: usize, edge: Edge) {
+        match edge {
+            Edge::Begins => self.nodes[member].paused = self.nodes[member].is_up(),
+            Edge::Ends => {
+                let Some(deferred) = self.nodes[member].resume() else { return };
+                for (process, event) in deferred {
+                    self.handle_process_event(process, event);
+                }
+                self.drive(member, |replicator, now_ms| replicator.handle_timeout(now_ms));
+            }
+        }
+    }
+
+    fn lose(&mut self, member: usize, edge: Edge) {
+        match edge {
+            Edge::Begins => {
+                self.nodes[member].begin_fault();
+                if self.nodes[member].is_up() {
+                    self.kill(member);
+                }
+            }
+            Edge::Ends => {
+                if self.nodes[member].end_fault() {
+                    self.start(member);
+                }
+            }
+        }
+    }
+}
+
+/// Never 0, which names no member.
+fn drawn_id(rng: &mut Pcg32) -> Id {
+    Id(rng.random::<u64>() | 1)
+}
