--- a/crates/plovershelf-cli/src/call.rs
+++ b/crates/plovershelf-cli/src/call.rs
@@ -49,7 +49,7 @@
     let body = match options.body.as_str() {
         "-" => {
             let mut bytes = Vec::new();
-            let most = plovershelf_client::link::LONGEST_BODY as u64 + 1;
+            let most = plovershelf_client::transport::LONGEST_BODY as u64 + 1;
             let read = std::io::stdin().take(most).read_to_end(&mut bytes);
             read.map_err(|error| format!("standard input: {error}"))?;
             bytes
--- a/crates/plovershelf-client/src/caller/members.rs
+++ b/crates/plovershelf-client/src/caller/balancer.rs
@@ -8,11 +8,11 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::breaker::Breaker;
+use super::circuit_breaker::Breaker;
+use super::latency::Mean;
 use super::subset;
-use super::terms::Terms;
-use super::times::Mean;
 use super::LinkId;
+use crate::config::Terms;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId(pub u32);
--- a/crates/plovershelf-client/src/caller/breaker.rs
+++ b/crates/plovershelf-client/src/caller/circuit_breaker.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::terms::Terms;
+use crate::config::Terms;
 
 /// | state | left by | to |
 /// | --- | --- | --- |
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -1,5 +1,5 @@
 //! All that a caller decides, without a socket, a clock or a thread. It is told what happens and hands back orders;
-//! whoever drives it carries these out ([`crate::link`] does).
+//! whoever drives it carries these out ([`crate::transport`] does).
 //!
 //! A call from its asking to its end:
 //!
@@ -14,13 +14,12 @@
 //! All changes go through [`Caller::change`], and every end through `finish`, which forgets the call in the same step:
 //! so none ends twice, and none is left.
 
-mod again;
-mod breaker;
-mod budget;
-mod members;
+mod balancer;
+mod circuit_breaker;
+mod latency;
+mod retry_budget;
+mod retry_policy;
 mod subset;
-pub mod terms;
-mod times;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -32,12 +31,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::list::MemberList;
-use again::{again, Again, TryOver};
-use budget::{RetryBudget, Throttle};
-use members::{Choice, Member, MemberId, Members, Room, Wants};
-use terms::Terms;
-use times::{Percentile, Quickest};
+use crate::config::Terms;
+use crate::endpoint_list::MemberList;
+use balancer::{Choice, Member, MemberId, Members, Room, Wants};
+use latency::{Percentile, Quickest};
+use retry_budget::{RetryBudget, Throttle};
+use retry_policy::{again, Again, TryOver};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
--- a/crates/plovershelf-client/src/caller/budget.rs
+++ b/crates/plovershelf-client/src/caller/retry_budget.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::terms::Terms;
+use crate::config::Terms;
 
 /// The span over which the share of repeats holds.
 const WINDOW_MS: f64 = 1000.0;
--- a/crates/plovershelf-client/src/lib.rs
+++ b/crates/plovershelf-client/src/lib.rs
@@ -1,11 +1,12 @@
 #![doc = include_str!("../README.md")]
 
 pub mod caller;
-pub mod link;
-pub mod list;
+pub mod config;
+pub mod endpoint_list;
+pub mod transport;
 
-pub use caller::terms::Terms;
 pub use caller::{Counts, Ending, Why};
-pub use link::{Builder, Client, Invocation, Reply};
-pub use list::{BadList, MemberList};
+pub use config::Terms;
+pub use endpoint_list::{BadList, MemberList};
 pub use plovershelf::api::{BackpressureSignal, Idempotency};
+pub use transport::{Builder, Client, Invocation, Reply};
--- a/crates/plovershelf-client/src/link/driver.rs
+++ b/crates/plovershelf-client/src/transport/driver.rs
@@ -21,9 +21,9 @@
 
 use super::connection::{self, Event};
 use super::{Ask, Invocation, Reply, Shared};
-use crate::caller::terms::Terms;
 use crate::caller::{CallFacts, CallId, Caller, Ending, LinkId, Order};
-use crate::list::MemberList;
+use crate::config::Terms;
+use crate::endpoint_list::MemberList;
 
 /// Between two looks at the list file; a change counts when two looks agree on it.
 const LIST_MS: f64 = 250.0;
--- a/crates/plovershelf-client/src/link/mod.rs
+++ b/crates/plovershelf-client/src/transport/mod.rs
@@ -15,9 +15,9 @@
 use async_channel::{Receiver, Sender};
 use plovershelf::api::Idempotency;
 
-use crate::caller::terms::Terms;
 use crate::caller::{Caller, Counts, Why};
-use crate::list::MemberList;
+use crate::config::Terms;
+use crate::endpoint_list::MemberList;
 
 /// Bodies and results are no longer than backends take and give.
 pub const LONGEST_BODY: usize = 2 << 10;
