--- a/crates/plovershelf-cli/src/call.rs
+++ b/crates/plovershelf-cli/src/call.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use plovershelf_client::{Builder, Invocation, Reply};
+use plovershelf_client::{ClientBuilder, NotSentReason, Request, Response, MAX_BODY_BYTES};
 use serde_json::json;
 
 #[derive(Args)]
@@ -49,7 +49,7 @@
     let body = match options.body.as_str() {
         "-" => {
             let mut bytes = Vec::new();
-            let most = plovershelf_client::transport::LONGEST_BODY as u64 + 1;
+            let most = MAX_BODY_BYTES as u64 + 1;
             let read = std::io::stdin().take(most).read_to_end(&mut bytes);
             read.map_err(|error| format!("standard input: {error}"))?;
             bytes
@@ -57,53 +57,64 @@
         text => text.as_bytes().to_vec(),
     };
     let within = Duration::from_millis(options.within_ms);
-    let mut invocation =
-        Invocation::new(&*options.offering, body, within).tenant(&*options.tenant).rank(options.rank);
+    let mut request =
+        Request::new(&*options.offering, body, within).tenant(&*options.tenant).priority(options.rank);
     if let Some(ticket) = &options.ticket {
-        invocation = invocation.ticketed(&**ticket);
+        request = request.idempotency_key(&**ticket);
     }
     if options.exclusive {
-        invocation = invocation.exclusive();
+        request = request.non_idempotent();
     }
     let builder = match &options.members {
-        Some(file) => Builder::new().member_file(file),
-        None => Builder::new().members(&options.to),
+        Some(file) => ClientBuilder::new().endpoint_file(file),
+        None => ClientBuilder::new().endpoints(&options.to),
     };
-    let client = builder.start()?;
+    let client = builder.start().map_err(|error| error.to_string())?;
     let began = Instant::now();
-    let reply = client.call_blocking(invocation);
+    let response = client.call_blocking(request);
     let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-    let well = matches!(reply, Reply::Succeeded(_));
+    let well = matches!(response, Response::Succeeded(_));
     if options.json {
-        println!("{}", told(&reply, took_ms));
-    } else if let Reply::Succeeded(result) = &reply {
+        println!("{}", told(&response, took_ms));
+    } else if let Response::Succeeded(result) = &response {
         std::io::stdout().write_all(result).map_err(|error| format!("standard output: {error}"))?;
         println!();
     } else {
-        eprintln!("plovershelf: {}", told(&reply, took_ms));
+        eprintln!("plovershelf: {}", told(&response, took_ms));
     }
     Ok(u8::from(!well))
 }
 
-fn told(reply: &Reply, took_ms: f64) -> serde_json::Value {
+/// The word of the JSON output.
+fn why(reason: NotSentReason) -> &'static str {
+    match reason {
+        NotSentReason::LimitReached => "full",
+        NotSentReason::Throttled => "throttled",
+        NotSentReason::Backpressure => "advised",
+        NotSentReason::NoEndpoint => "nobody",
+        NotSentReason::Closed => "closed",
+    }
+}
+
+fn told(response: &Response, took_ms: f64) -> serde_json::Value {
     let took_ms = (took_ms * 10.0).round() / 10.0;
     let ms = |span: &Option<Duration>| span.map(|span| span.as_millis() as u64);
-    match reply {
-        Reply::Succeeded(result) => {
+    match response {
+        Response::Succeeded(result) => {
             json!({"end": "succeeded", "took_ms": took_ms, "result": String::from_utf8_lossy(result)})
         }
-        Reply::Dismissed { come_back, last } => {
-            json!({"end": "dismissed", "took_ms": took_ms, "come_back_ms": ms(come_back), "elsewhere_helps": !last})
+        Response::Rejected { retry_after, retry_elsewhere } => {
+            json!({"end": "dismissed", "took_ms": took_ms, "come_back_ms": ms(retry_after), "elsewhere_helps": retry_elsewhere})
         }
-        Reply::Scrapped { may_have_run } => {
+        Response::Failed { may_have_run } => {
             json!({"end": "scrapped", "took_ms": took_ms, "may_have_run": may_have_run})
         }
-        Reply::OutOfTime { may_have_run } => {
+        Response::DeadlineExceeded { may_have_run } => {
             json!({"end": "out of time", "took_ms": took_ms, "may_have_run": may_have_run})
         }
-        Reply::GivenUp { why, come_back } => {
-            json!({"end": "given up", "took_ms": took_ms, "why": format!("{why:?}").to_lowercase(), "come_back_ms": ms(come_back)})
+        Response::NotSent { reason, retry_after } => {
+            json!({"end": "given up", "took_ms": took_ms, "why": why(*reason), "come_back_ms": ms(retry_after)})
         }
-        Reply::Invalid(what) => json!({"end": "invalid", "why": what}),
+        Response::Invalid(what) => json!({"end": "invalid", "why": what}),
     }
 }
--- a/crates/plovershelf-cli/src/demo.rs
+++ b/crates/plovershelf-cli/src/demo.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use clap::Args;
 use comfy_table::{presets, Table};
-use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
 use plovershelf_testkit::backend::{self, Fleet, Plan};
 use plovershelf_testkit::{cores, ledger, Clock, Executor};
 
@@ -62,9 +62,14 @@
         let mut askers = Vec::new();
         for number in 0..CLIENTS {
             let seed = options.seed * 1000 + number as u64 + 1;
-            let terms = Terms { seed, advice: BackpressureSignal::MinimumPriority, ..Terms::default() };
-            let builder = Builder::new().members(&members).number(number as u32).terms(terms);
-            let (client, drive) = builder.build()?;
+            let config = ClientConfig {
+                seed,
+                backpressure: BackpressureSignal::MinimumPriority,
+                ..ClientConfig::default()
+            };
+            let builder =
+                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
+            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             askers.push(Asker::Library(client));
         }
--- a/crates/plovershelf-cli/src/load.rs
+++ b/crates/plovershelf-cli/src/load.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{Client, Invocation, Reply, Why};
+use plovershelf_client::{Client, NotSentReason, Request, Response};
 use plovershelf_testkit::plain::{Asked, Ended, Plain};
 use plovershelf_testkit::work::{Effect, Work};
 use plovershelf_testkit::{Clock, Executor};
@@ -184,7 +184,7 @@
     Dismissed,
     Scrapped,
     OutOfTime,
-    GivenUp(Option<Why>),
+    GivenUp(Option<NotSentReason>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -213,20 +213,20 @@
         let succeeded = |result: Vec<u8>| if result == made { End::Succeeded } else { End::Wrong };
         match self {
             Asker::Library(client) => {
-                let mut one = Invocation::new(offering.name, body, within);
-                one = one.tenant(TENANTS[planned.tenant]).rank(planned.rank);
+                let mut one = Request::new(offering.name, body, within);
+                one = one.tenant(TENANTS[planned.tenant]).priority(planned.rank);
                 one = match offering.effect {
                     Effect::Rerunnable => one,
-                    Effect::Ticketed => one.ticketed(ticket),
-                    Effect::Exclusive => one.exclusive(),
+                    Effect::Ticketed => one.idempotency_key(ticket),
+                    Effect::Exclusive => one.non_idempotent(),
                 };
                 match client.call(one).await {
-                    Reply::Succeeded(result) => succeeded(result),
-                    Reply::Dismissed { .. } => End::Dismissed,
-                    Reply::Scrapped { .. } => End::Scrapped,
-                    Reply::OutOfTime { .. } => End::OutOfTime,
-                    Reply::GivenUp { why, .. } => End::GivenUp(Some(why)),
-                    Reply::Invalid(_) => End::GivenUp(None),
+                    Response::Succeeded(result) => succeeded(result),
+                    Response::Rejected { .. } => End::Dismissed,
+                    Response::Failed { .. } => End::Scrapped,
+                    Response::DeadlineExceeded { .. } => End::OutOfTime,
+                    Response::NotSent { reason, .. } => End::GivenUp(Some(reason)),
+                    Response::Invalid(_) => End::GivenUp(None),
                 }
             }
             Asker::Plain(plain) => {
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
 use plovershelf_testkit::backend::{Backend, Fleet, Plan};
 use plovershelf_testkit::plain::Plain;
 use plovershelf_testkit::tap::{Reading, Seen, Tap};
@@ -88,14 +88,15 @@
                 askers.push(Asker::Plain(Plain::new(executor, &members, number as u32)));
                 continue;
             }
-            let terms = Terms {
+            let config = ClientConfig {
                 seed: ground.seed * 1000 + number as u64 + 1,
-                place: Some(number as u64),
-                advice: BackpressureSignal::MinimumPriority,
-                ..Terms::default()
+                subset_index: Some(number as u64),
+                backpressure: BackpressureSignal::MinimumPriority,
+                ..ClientConfig::default()
             };
-            let builder = Builder::new().members(&members).number(number as u32).terms(terms);
-            let (client, drive) = builder.build()?;
+            let builder =
+                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
+            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             askers.push(Asker::Library(client));
         }
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, Builder, Client, Terms};
+use plovershelf_client::{BackpressureSignal, Client, ClientBuilder, ClientConfig};
 use plovershelf_testkit::backend::Fleet;
 use plovershelf_testkit::Clock;
 
@@ -35,13 +35,14 @@
         let (mut taps, members) = taps(executor, clock, &fleet).await?;
         let mut clients: Vec<Client> = Vec::new();
         for number in 0..CLIENTS {
-            let terms = Terms {
+            let config = ClientConfig {
                 seed: ground.seed * 1000 + number as u64 + 1,
-                advice: BackpressureSignal::MinimumPriority,
-                ..Terms::default()
+                backpressure: BackpressureSignal::MinimumPriority,
+                ..ClientConfig::default()
             };
-            let builder = Builder::new().members(&members).number(number as u32).terms(terms);
-            let (client, drive) = builder.build()?;
+            let builder =
+                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
+            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             clients.push(client);
         }
@@ -156,7 +157,7 @@
 async fn connects(clients: &[Client]) -> u64 {
     let mut sum = 0;
     for client in clients {
-        sum += client.counts().await.connects;
+        sum += client.counters().await.connects;
     }
     sum
 }
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
 use plovershelf_cluster::status::{Answer, Question, Status};
 use plovershelf_simulation::audit::{self, Event, Seen};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step, CALM_MS};
@@ -78,9 +78,14 @@
         let mut askers = Vec::new();
         for number in 0..CLIENTS {
             let seed = ground.seed * 1000 + number as u64 + 1;
-            let terms = Terms { seed, advice: BackpressureSignal::MinimumPriority, ..Terms::default() };
-            let builder = Builder::new().members(&addresses).number(number as u32).terms(terms);
-            let (client, drive) = builder.build()?;
+            let config = ClientConfig {
+                seed,
+                backpressure: BackpressureSignal::MinimumPriority,
+                ..ClientConfig::default()
+            };
+            let builder =
+                ClientBuilder::new().endpoints(&addresses).client_number(number as u32).config(config);
+            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             askers.push(Asker::Library(client));
         }
--- a/crates/plovershelf-cli/src/trial/pools.rs
+++ b/crates/plovershelf-cli/src/trial/pools.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use async_io::Timer;
-use plovershelf_client::{Builder, Terms};
+use plovershelf_client::{ClientBuilder, ClientConfig};
 use plovershelf_testkit::backend::{Fleet, Plan};
 use plovershelf_testkit::{cores, ledger, Clock};
 
@@ -105,9 +105,10 @@
         for number in 0..CLIENTS {
             // Callers that neither throttle nor heed a rank, so that the flood reaches the backends.
             let seed = ground.seed * 1000 + number as u64 + 1;
-            let terms = Terms { seed, throttle_times: 1000.0, ..Terms::default() };
-            let builder = Builder::new().members(&members).number(number as u32).terms(terms);
-            let (client, drive) = builder.build()?;
+            let config = ClientConfig { seed, throttle_ratio: 1000.0, ..ClientConfig::default() };
+            let builder =
+                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
+            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             askers.push(Asker::Library(client));
         }
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, Builder, Terms};
+use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
 use plovershelf_testkit::backend::{Fleet, Plan};
 use plovershelf_testkit::plain::Plain;
 use plovershelf_testkit::{cores, ledger, Clock};
@@ -103,10 +103,19 @@
                 continue;
             };
             let seed = ground.seed * 1000 + number as u64 + 1;
-            let advice = BackpressureSignal::ConcurrencyPerClient;
-            let terms = Terms { seed, advice, place: Some(number as u64), ..Terms::default() };
-            let (client, drive) =
-                Builder::new().members(&members).number(number as u32).terms(terms).build()?;
+            let backpressure = BackpressureSignal::ConcurrencyPerClient;
+            let config = ClientConfig {
+                seed,
+                backpressure,
+                subset_index: Some(number as u64),
+                ..ClientConfig::default()
+            };
+            let (client, drive) = ClientBuilder::new()
+                .endpoints(&members)
+                .client_number(number as u32)
+                .config(config)
+                .build()
+                .map_err(|error| error.to_string())?;
             executor.spawn(drive).detach();
             askers.push(Asker::Library(client));
         }
--- a/crates/plovershelf-client/benches/caller.rs
+++ b/crates/plovershelf-client/benches/caller.rs
@@ -4,63 +4,60 @@
 use std::net::SocketAddr;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use plovershelf_client::caller::{CallFacts, Caller, LinkId, Order};
-use plovershelf_client::{Idempotency, MemberList, Terms};
+use plovershelf_client::{Action, CallSpec, Caller, ClientConfig, ConnectionId, EndpointList, Idempotency};
 use plovershelf_codec::front::client::{dispatch, Attempt, Response};
 use plovershelf_codec::front::ServerSignals;
 
-fn facts(due: f64) -> CallFacts {
-    CallFacts {
-        offering: "plan".into(),
-        repeats: Idempotency::Idempotent,
-        rank: 0.5,
-        due,
+fn spec(deadline_ms: f64) -> CallSpec {
+    CallSpec {
+        class: "plan".into(),
+        idempotency: Idempotency::Idempotent,
+        priority: 0.5,
+        deadline_ms,
         subject: 0,
         bytes: 600,
     }
 }
 
-/// A caller on so many members, with all that it wants to be connected to.
-fn connected(members: u16) -> Caller {
+/// A caller on so many endpoints, connected to all that it wants.
+fn connected(endpoints: u16) -> Caller {
     let all: Vec<SocketAddr> =
-        (0..members).map(|n| SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9000))).collect();
-    let mut caller = Caller::new(Terms { seed: 3, ..Terms::default() }).expect("fit terms");
-    caller.list(0.0, &MemberList::of(&all));
+        (0..endpoints).map(|n| SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9000))).collect();
+    let config = ClientConfig { seed: 3, ..ClientConfig::default() };
+    let mut caller = Caller::new(config).expect("valid settings");
+    caller.update_endpoints(0.0, &EndpointList::from_addresses(&all));
     for n in 0..2000 {
-        whole(&mut caller, 1.0 + f64::from(n));
+        run_call(&mut caller, 1.0 + f64::from(n));
     }
     caller
 }
 
-/// A call from its asking to its result.
-fn whole(caller: &mut Caller, now: f64) {
-    caller.call(now, facts(now + 1000.0));
-    let mut sent: Vec<(LinkId, i32)> = Vec::new();
+/// A call from its start to its result.
+fn run_call(caller: &mut Caller, now_ms: f64) {
+    caller.start_call(now_ms, &spec(now_ms + 1000.0));
+    let mut sent: Vec<(ConnectionId, i32)> = Vec::new();
     loop {
-        let orders = caller.take_orders();
-        if orders.is_empty() && sent.is_empty() {
+        let actions = caller.poll_actions();
+        if actions.is_empty() && sent.is_empty() {
             return;
         }
-        for order in orders {
-            match order {
-                Order::Connect { link, .. } => caller.connected(now, link),
-                Order::Send { link, seqid, .. } => sent.push((link, seqid)),
+        for action in actions {
+            match action {
+                Action::Connect { connection, .. } => caller.handle_connected(now_ms, connection),
+                Action::Send { connection, sequence, .. } => sent.push((connection, sequence)),
                 _ => {}
             }
         }
-        if let Some((link, seqid)) = sent.pop() {
-            caller.heard(
-                now,
-                link,
-                &Response::Succeeded { seqid, result: b"", signals: ServerSignals::default() },
-            );
+        if let Some((connection, seqid)) = sent.pop() {
+            let signals = ServerSignals::default();
+            caller.handle_message(now_ms, connection, &Response::Succeeded { seqid, result: b"", signals });
         }
     }
 }
 
 fn costs(criterion: &mut Criterion) {
     let body = [7; 512];
-    let one = Attempt {
+    let attempt = Attempt {
         class: "plan",
         id: *b"9b1f03aa5c7e2d41",
         sent_ms: 1_764_576_000_123,
@@ -75,15 +72,15 @@
         marked_retry: false,
         body: &body,
     };
-    criterion
-        .bench_function("encoding alone", |bench| bench.iter(|| black_box(dispatch(7, black_box(&one)))));
-    for members in [10, 300, 3000] {
-        let mut caller = connected(members);
-        let mut now = 10_000.0;
-        criterion.bench_function(&format!("a call's decisions, {members} members"), |bench| {
+    let encode = || black_box(dispatch(7, black_box(&attempt)));
+    criterion.bench_function("encoding alone", |bench| bench.iter(encode));
+    for endpoints in [10, 300, 3000] {
+        let mut caller = connected(endpoints);
+        let mut now_ms = 10_000.0;
+        criterion.bench_function(&format!("a call's decisions, {endpoints} endpoints"), |bench| {
             bench.iter(|| {
-                now += 1.0;
-                whole(&mut caller, now);
+                now_ms += 1.0;
+                run_call(&mut caller, now_ms);
             });
         });
     }
--- a/crates/plovershelf-client/examples/many_calls.rs
+++ b/crates/plovershelf-client/examples/many_calls.rs
@@ -1,30 +1,28 @@
 //! Many calls at once on one thread, the client's task among them: `cargo run --example many_calls -- FILE`, a file
-//! that lists members. It is watched: change it while this runs.
+//! that lists endpoints. It is watched: change it while this runs.
 
+use std::error::Error;
 use std::time::Duration;
 
 use futures_lite::future;
-use plovershelf_client::{Builder, Invocation, Reply, Terms};
+use plovershelf_client::{ClientBuilder, ClientConfig, Request, Response};
 
-fn main() -> Result<(), String> {
-    let file = std::env::args().nth(1).ok_or("a file that lists members is wanted")?;
-    let terms = Terms { subset: 10, ..Terms::default() };
-    let (client, drive) = Builder::new().member_file(file).terms(terms).build()?;
-    let ask = async {
+fn main() -> Result<(), Box<dyn Error>> {
+    let file = std::env::args().nth(1).ok_or("a file that lists endpoints is wanted")?;
+    let config = ClientConfig { subset_size: 10, ..ClientConfig::default() };
+    let (client, task) = ClientBuilder::new().endpoint_file(file).config(config).build()?;
+    let calls = async {
+        let request = || Request::new("quote", &b"body"[..], Duration::from_millis(800)).priority(0.2);
         for round in 0..100 {
-            let calls: Vec<_> = (0..20)
-                .map(|_| {
-                    client.call(Invocation::new("quote", &b"body"[..], Duration::from_millis(800)).rank(0.2))
-                })
-                .collect();
+            let calls: Vec<_> = (0..20).map(|_| client.call(request())).collect();
             let mut succeeded = 0;
             for call in calls {
-                succeeded += u32::from(matches!(call.await, Reply::Succeeded(_)));
+                succeeded += u32::from(matches!(call.await, Response::Succeeded(_)));
             }
-            println!("round {round}: {succeeded} of 20, {:?}", client.counts().await);
+            println!("round {round}: {succeeded} of 20, {:?}", client.counters().await);
         }
         client.close().await;
     };
-    async_io::block_on(future::zip(drive, ask));
+    async_io::block_on(future::zip(task, calls));
     Ok(())
 }
--- a/crates/plovershelf-client/src/caller/balancer.rs
+++ b/crates/plovershelf-client/src/caller/balancer.rs
@@ -1,345 +1,317 @@
-//! What a caller knows of each member, and which of them a call goes to.
+//! Decides which endpoint an attempt goes to.
+//!
+//! Inputs: what is known of each endpoint; whether a connection there has capacity; what the call requires.
+//!
+//! Rule: of two endpoints drawn at random, the one with the lower cost, which is its attempts in flight plus one, times its
+//! latency (power of two choices). Endpoints that drain or had an earlier attempt of the call are taken last; ejected ones, and those
+//! in their Retry-After, not at all. With fewer healthy endpoints than the panic threshold, ejections are ignored. With subject
+//! affinity the endpoint with the highest hash of subject and address is taken, unless it has more than its share (rendezvous
+//! hashing with bounded loads). Where the better endpoint is not connected, the call goes to a connected one, and a connection to the
+//! better one is made beside it.
+//!
+//! Why: clients that all know the same least loaded endpoint run to it together; two draws avoid that at almost the same
+//! balance. Without the panic threshold a client's own trouble would leave it no endpoint at all. Source: Mitzenmacher, "The Power of
+//! Two Choices in Randomized Load Balancing"; panic threshold in Envoy.
 
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-
-use plovershelf::api::BackpressureSignal;
-use plovershelf_codec::front::ServerSignals;
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::circuit_breaker::Breaker;
-use super::latency::Mean;
+use super::backpressure::AddedLoad;
+use super::endpoint::{Endpoint, EndpointId, Endpoints};
+use super::latency::MovingAverage;
 use super::subset;
-use super::LinkId;
-use crate::config::Terms;
+use crate::config::ClientConfig;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MemberId(pub u32);
+/// Latency that is assumed before any was measured.
+const INITIAL_LATENCY_MS: f64 = 1.0;
+/// Below this, latencies are not told apart.
+const MIN_LATENCY_MS: f64 = 0.01;
+/// With subject affinity an endpoint takes this many times the mean of attempts in flight.
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-#[derive(Debug)]
-pub struct Member {
-    pub address: SocketAddr,
-    /// Since when it is not among the chosen any more.
-    pub left_since: Option<f64>,
-    pub outstanding: usize,
-    pub links: Vec<LinkId>,
-    pub breaker: Breaker,
-    mean: Mean,
-    learnt_at: f64,
-    /// It said so, or closes connections in use.
-    pub away_until: f64,
-    pub leaving_until: f64,
-    advice: Option<(f64, f64)>,
-    /// After a loss: how many in a row without a word from it, and when it is met again.
-    pub losses: u32,
-    pub rest_until: f64,
-}
-
-impl Member {
-    fn new(address: SocketAddr) -> Self {
-        Member {
-            address,
-            left_since: None,
-            outstanding: 0,
-            links: Vec::new(),
-            breaker: Breaker::default(),
-            mean: Mean::default(),
-            learnt_at: 0.0,
-            away_until: 0.0,
-            leaving_until: 0.0,
-            advice: None,
-            losses: 0,
-            rest_until: 0.0,
-        }
-    }
-
-    /// What it says of itself counts for itself alone.
-    pub fn told(&mut self, now: f64, words: &ServerSignals, terms: &Terms) {
-        if let Some(value) = words.backpressure {
-            self.advice = Some((value, now + terms.heeded_ms));
-        }
-        if let Some(span) = words.retry_after_ms {
-            self.away_until = self.away_until.max(now + span.min(terms.cool_down_most_ms));
-        }
-    }
-
-    /// The value that counts now, and until when.
-    pub fn advice(&self, now: f64) -> Option<(f64, f64)> {
-        self.advice.filter(|(_, until)| *until > now)
-    }
-}
-
-/// Can a call be written to a member?
+/// Can an attempt be written to an endpoint?
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Room {
-    Now,
-    /// After a connection that is being made, or may be.
-    Soon,
+pub(super) enum Capacity {
+    Available,
+    /// Once a connection is established that is being made, or may be.
+    AfterConnecting,
     None,
 }
 
-/// What a call asks of the member it goes to.
+/// What a call requires of its endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Wants<'a> {
-    pub rank: f64,
-    pub subject: u64,
-    /// Members of earlier tries, taken only where there is no other.
-    pub avoid: &'a [MemberId],
-    /// Only this one will do.
-    pub only: Option<MemberId>,
+pub(super) struct Requirements<'a> {
+    pub(super) priority: f64,
+    /// 0 for none.
+    pub(super) subject: u64,
+    /// Endpoints of earlier attempts.
+    pub(super) avoid: &'a [EndpointId],
+    /// No other endpoint will do.
+    pub(super) only: Option<EndpointId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Choice {
-    /// `warm` would have been better, were it connected: it should be.
-    Member { id: MemberId, warm: Option<MemberId> },
-    /// Nobody takes it before this time.
-    After(f64),
-    /// Members that could take it advise against calls like it; the advice is over at this time.
-    Declined(f64),
-    /// Nobody will.
-    Nobody,
+pub(super) enum Choice {
+    Endpoint {
+        id: EndpointId,
+        /// The one that would have been better, were it connected.
+        connect_also: Option<EndpointId>,
+    },
+    /// No endpoint takes it before this time.
+    NotBefore(f64),
+    /// Endpoints that could take it advise against it until this time.
+    AdvisedAgainst { until_ms: f64 },
+    /// No endpoint takes it.
+    NoEndpoint,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Willing {
-    Yes,
-    /// Only where nobody else is.
-    AtLast,
-    After(f64),
-    Declined(f64),
-    Never,
+enum Eligibility {
+    Eligible,
+    LastResort,
+    NotBefore(f64),
+    AdvisedAgainst(f64),
+    Excluded,
 }
 
 #[derive(Debug, Default)]
-pub struct Members {
-    table: BTreeMap<MemberId, Member>,
-    /// Those that calls go to.
-    chosen: Vec<MemberId>,
-    last_id: u32,
-    /// What calls take anywhere, for members of which nothing is known of late.
-    usual: Mean,
+pub(super) struct Balancer {
+    /// Latency over all endpoints, for those of which nothing is known.
+    usual_latency: MovingAverage,
 }
 
-impl Members {
-    pub fn get(&self, id: MemberId) -> Option<&Member> {
-        self.table.get(&id)
+impl Balancer {
+    /// An attempt at any endpoint succeeded.
+    pub(super) fn record_latency(&mut self, took_ms: f64) {
+        self.usual_latency.record(took_ms);
     }
 
-    pub fn get_mut(&mut self, id: MemberId) -> Option<&mut Member> {
-        self.table.get_mut(&id)
+    pub(super) fn choose(
+        &self,
+        now_ms: f64,
+        endpoints: &Endpoints,
+        requirements: &Requirements<'_>,
+        capacity_of: impl Fn(&Endpoint) -> Capacity,
+        config: &ClientConfig,
+        random: &mut Pcg32,
+    ) -> Choice {
+        let usual_latency_ms = self.usual_latency.value().unwrap_or(INITIAL_LATENCY_MS);
+        let mut selection = Selection {
+            now_ms,
+            endpoints,
+            requirements,
+            capacity_of,
+            config,
+            usual_latency_ms,
+            ignores_ejections: false,
+        };
+        selection.ignores_ejections = selection.too_few_are_healthy();
+        selection.choose(random)
     }
+}
 
-    pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.table.iter().map(|(id, member)| (*id, member))
-    }
+/// One choice, with all that it depends on.
+struct Selection<'a, F> {
+    now_ms: f64,
+    endpoints: &'a Endpoints,
+    requirements: &'a Requirements<'a>,
+    capacity_of: F,
+    config: &'a ClientConfig,
+    usual_latency_ms: f64,
+    ignores_ejections: bool,
+}
 
-    #[cfg(test)]
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (MemberId, &mut Member)> {
-        self.table.iter_mut().map(|(id, member)| (*id, member))
-    }
+/// Endpoints by eligibility, and what the others wait for.
+struct Candidates {
+    eligible: Vec<EndpointId>,
+    last_resort: Vec<EndpointId>,
+    not_before_ms: f64,
+    advised_until_ms: Option<f64>,
+}
 
-    /// A call took so long there.
-    pub fn learn(&mut self, now: f64, id: MemberId, took_ms: f64) {
-        self.usual.learn(took_ms);
-        if let Some(member) = self.table.get_mut(&id) {
-            member.mean.learn(took_ms);
-            member.learnt_at = now;
+impl<F: Fn(&Endpoint) -> Capacity> Selection<'_, F> {
+    fn choose(&self, random: &mut Pcg32) -> Choice {
+        if let Some(id) = self.better_of_two_available(random) {
+            return Choice::Endpoint { id, connect_also: None };
         }
-    }
-
-    pub fn chosen(&self) -> &[MemberId] {
-        &self.chosen
-    }
-
-    /// Takes a new list. Those that stay keep all that is known of them; those that left go when nothing is out there.
-    pub fn replace(&mut self, now: f64, chosen: &[SocketAddr]) {
-        self.chosen.clear();
-        for address in chosen {
-            let known = self.table.iter().find(|(_, member)| member.address == *address).map(|(id, _)| *id);
-            let id = known.unwrap_or_else(|| {
-                self.last_id += 1;
-                self.table.insert(MemberId(self.last_id), Member::new(*address));
-                MemberId(self.last_id)
-            });
-            self.chosen.push(id);
+        let candidates = self.candidates(random);
+        for group in [candidates.eligible, candidates.last_resort] {
+            if let Some(choice) = self.best_of(&group, random) {
+                return choice;
+            }
         }
-        for (id, member) in &mut self.table {
-            let stays = self.chosen.contains(id);
-            member.left_since = if stays { None } else { member.left_since.or(Some(now)) };
+        match candidates.advised_until_ms {
+            Some(until_ms) => Choice::AdvisedAgainst { until_ms },
+            None if candidates.not_before_ms.is_finite() => Choice::NotBefore(candidates.not_before_ms),
+            None => Choice::NoEndpoint,
         }
     }
 
-    pub fn forget(&mut self, id: MemberId) {
-        self.table.remove(&id);
+    /// The ordinary path, whose cost does not grow with the subset: two at random, if both can take the call now.
+    fn better_of_two_available(&self, random: &mut Pcg32) -> Option<EndpointId> {
+        let selected = self.endpoints.selected();
+        if self.requirements.only.is_some() || selected.len() <= 2 || self.has_affinity() {
+            return None;
+        }
+        let (first, second) = draw_two(selected, random);
+        let available = |id: EndpointId, random: &mut Pcg32| {
+            let eligible = self.eligibility(id, random) == Eligibility::Eligible;
+            (eligible && self.capacity(id) == Capacity::Available).then_some(id)
+        };
+        // Both are asked in any case: each asking may draw.
+        let (first, second) = (available(first, random), available(second, random));
+        Some(self.cheaper(first?, second?))
     }
 
-    /// Members that look well are so few that breakers are not believed.
-    fn list_is_believed(&self, now: f64, terms: &Terms) -> bool {
-        let well = self.chosen.iter().filter(|id| self.table[id].breaker.looks_well(now)).count();
-        (well as f64) < terms.believe_list_under * self.chosen.len() as f64
+    fn candidates(&self, random: &mut Pcg32) -> Candidates {
+        let mut found = Candidates {
+            eligible: Vec::new(),
+            last_resort: Vec::new(),
+            not_before_ms: f64::INFINITY,
+            advised_until_ms: None,
+        };
+        let selected = self.endpoints.selected().iter().copied();
+        for id in selected.chain(self.removed_candidates()) {
+            match self.eligibility(id, random) {
+                Eligibility::Eligible => found.eligible.push(id),
+                Eligibility::LastResort => found.last_resort.push(id),
+                Eligibility::NotBefore(at_ms) => found.not_before_ms = found.not_before_ms.min(at_ms),
+                Eligibility::AdvisedAgainst(until_ms) => {
+                    found.advised_until_ms = Some(found.advised_until_ms.unwrap_or(until_ms).min(until_ms));
+                }
+                Eligibility::Excluded => {}
+            }
+        }
+        found
     }
 
-    /// Outstanding work by the time that calls take there of late. What was learnt long ago counts for little, so that
-    /// one that was slow once is tried again.
-    fn cost(&self, now: f64, id: MemberId) -> f64 {
-        let member = &self.table[&id];
-        let usual_ms = self.usual.value().unwrap_or(1.0);
-        let weight = (-(now - member.learnt_at).max(0.0) / 5000.0).exp();
-        let own = member.mean.value().unwrap_or(usual_ms);
-        (member.outstanding as f64 + 1.0) * (usual_ms + weight * (own - usual_ms)).max(0.01)
+    /// Endpoints that left the subset: where no other is connected, or where the call can go nowhere else.
+    fn removed_candidates(&self) -> Vec<EndpointId> {
+        let is_pinned = self.requirements.only.is_some();
+        let is_available = |id: &EndpointId| self.capacity(*id) == Capacity::Available;
+        if !is_pinned && self.endpoints.selected().iter().any(is_available) {
+            return Vec::new();
+        }
+        let still_serves = |endpoint: &Endpoint| {
+            let in_time = |since: f64| self.now_ms - since < self.config.make_before_break_ms;
+            let connected = !endpoint.connections.is_empty();
+            endpoint.removed_ms.is_some_and(|since| is_pinned || (in_time(since) && connected))
+        };
+        let all = self.endpoints.iter();
+        all.filter(|(_, endpoint)| still_serves(endpoint)).map(|(id, _)| id).collect()
     }
 
-    fn willing(
-        &self,
-        now: f64,
-        id: MemberId,
-        wants: &Wants<'_>,
-        believed: bool,
-        terms: &Terms,
-        chance: &mut Pcg32,
-    ) -> Willing {
-        let Some(member) = self.table.get(&id) else { return Willing::Never };
-        if wants.only.is_some_and(|only| only != id) {
-            return Willing::Never;
+    fn eligibility(&self, id: EndpointId, random: &mut Pcg32) -> Eligibility {
+        let Some(endpoint) = self.endpoints.get(id) else { return Eligibility::Excluded };
+        let Requirements { priority, avoid, only, .. } = *self.requirements;
+        if only.is_some_and(|only| only != id) {
+            return Eligibility::Excluded;
         }
-        if member.away_until > now {
-            return Willing::After(member.away_until);
+        let retry_after_until_ms = endpoint.backpressure.retry_after_until_ms();
+        if retry_after_until_ms > self.now_ms {
+            return Eligibility::NotBefore(retry_after_until_ms);
         }
-        if member.rest_until > now && member.links.is_empty() {
-            return Willing::After(member.rest_until);
+        if endpoint.reconnect_at_ms > self.now_ms && endpoint.connections.is_empty() {
+            return Eligibility::NotBefore(endpoint.reconnect_at_ms);
         }
-        if !believed && !member.breaker.admits(now, terms, chance) {
-            return Willing::After(
-                member.breaker.opens_at(now).map_or(now + terms.sweep_ms, |at| at.max(now + 1.0)),
-            );
+        if !self.ignores_ejections && !endpoint.breaker.admits(self.now_ms, self.config, random) {
+            return Eligibility::NotBefore(self.ejected_until(endpoint));
         }
-        if let Some((value, until)) = member.advice(now) {
-            let declines = match terms.advice {
-                BackpressureSignal::None => false,
-                BackpressureSignal::MinimumPriority => wants.rank < value,
-                // A fraction counts by chance.
-                BackpressureSignal::ConcurrencyPerClient => {
-                    let more = f64::from(chance.random::<f64>() < value.fract());
-                    member.outstanding as f64 >= value.floor() + more
-                }
-                BackpressureSignal::RateFraction => chance.random::<f64>() >= value,
-            };
-            if declines {
-                return Willing::Declined(until);
-            }
+        let load = AddedLoad { priority, in_flight: endpoint.in_flight };
+        let advised = endpoint.backpressure.advises_against_until(self.now_ms, load, self.config, random);
+        if let Some(until_ms) = advised {
+            return Eligibility::AdvisedAgainst(until_ms);
         }
-        let last = member.leaving_until > now || (wants.only.is_none() && wants.avoid.contains(&id));
-        if last {
-            Willing::AtLast
+        if endpoint.draining_until_ms > self.now_ms || (only.is_none() && avoid.contains(&id)) {
+            Eligibility::LastResort
         } else {
-            Willing::Yes
+            Eligibility::Eligible
         }
     }
 
-    /// The member that a call goes to. `room` tells of each whether one more call can be written there.
-    pub fn choose(
-        &self,
-        now: f64,
-        wants: &Wants<'_>,
-        room: impl Fn(&Member) -> Room,
-        terms: &Terms,
-        chance: &mut Pcg32,
-    ) -> Choice {
-        let believed = self.list_is_believed(now, terms);
-        let ask =
-            |id: MemberId, chance: &mut Pcg32| match self.willing(now, id, wants, believed, terms, chance) {
-                Willing::Yes if room(&self.table[&id]) == Room::Now => Some(id),
-                _ => None,
-            };
-        let count = self.chosen.len();
-        // The ordinary path: two at random, both can take it.
-        if wants.only.is_none() && count > 2 && !(terms.by_subject && wants.subject != 0) {
-            let first = chance.random_range(0..count);
-            let second = (first + 1 + chance.random_range(0..count - 1)) % count;
-            if let (Some(a), Some(b)) = (ask(self.chosen[first], chance), ask(self.chosen[second], chance)) {
-                let better = self.cost(now, a) <= self.cost(now, b);
-                return Choice::Member { id: if better { a } else { b }, warm: None };
-            }
-        }
-        // Else all that there are, those that have left the list where nobody else is connected.
-        let connected = |id: &MemberId| room(&self.table[id]) == Room::Now;
-        let bridge = wants.only.is_some() || !self.chosen.iter().any(connected);
-        let left = |member: &Member| {
-            member
-                .left_since
-                .is_some_and(|since| now - since < terms.make_before_break_ms || wants.only.is_some())
+    fn ejected_until(&self, endpoint: &Endpoint) -> f64 {
+        let admits_from = endpoint.breaker.admits_from(self.now_ms);
+        admits_from.map_or(self.now_ms + self.config.sweep_interval_ms, |at_ms| at_ms.max(self.now_ms + 1.0))
+    }
+
+    fn best_of(&self, group: &[EndpointId], random: &mut Pcg32) -> Option<Choice> {
+        let with = |capacity: Capacity| -> Vec<EndpointId> {
+            group.iter().copied().filter(|id| self.capacity(*id) == capacity).collect()
         };
-        let gone = self.table.iter().filter(|(_, member)| {
-            bridge && left(member) && (wants.only.is_some() || !member.links.is_empty())
-        });
-        let all: Vec<MemberId> = self.chosen.iter().copied().chain(gone.map(|(id, _)| *id)).collect();
-        let (mut good, mut last) = (Vec::new(), Vec::new());
-        let (mut after, mut declined) = (f64::INFINITY, None);
-        for id in all {
-            match self.willing(now, id, wants, believed, terms, chance) {
-                Willing::Yes => good.push(id),
-                Willing::AtLast => last.push(id),
-                Willing::After(at) => after = after.min(at),
-                Willing::Declined(until) => declined = Some(declined.unwrap_or(until).min(until)),
-                Willing::Never => {}
-            }
+        let available = with(Capacity::Available);
+        let usable = [available.clone(), with(Capacity::AfterConnecting)].concat();
+        if self.has_affinity() {
+            // It waits for the connection to the subject's own endpoint rather than go to another.
+            let id = self.of_subject(&usable)?;
+            return Some(Choice::Endpoint { id, connect_also: None });
         }
-        for group in [good, last] {
-            if let Some((id, warm)) = self.best(now, group, wants, &room, terms, chance) {
-                return Choice::Member { id, warm };
-            }
-        }
-        match (declined, after.is_finite()) {
-            (Some(until), _) => Choice::Declined(until),
-            (None, true) => Choice::After(after),
-            (None, false) => Choice::Nobody,
+        let best = self.better_of_two(&usable, random)?;
+        if available.is_empty() || available.contains(&best) {
+            return Some(Choice::Endpoint { id: best, connect_also: None });
         }
+        let id = self.better_of_two(&available, random)?;
+        Some(Choice::Endpoint { id, connect_also: Some(best) })
     }
 
-    /// The best of those that would take a call: the subject's own, or the less loaded of two at random. Where that is not
-    /// connected, the better of two that are, and beside it the one that should be.
-    fn best(
-        &self,
-        now: f64,
-        group: Vec<MemberId>,
-        wants: &Wants<'_>,
-        room: &impl Fn(&Member) -> Room,
-        terms: &Terms,
-        chance: &mut Pcg32,
-    ) -> Option<(MemberId, Option<MemberId>)> {
-        let of = |wanted: Room| -> Vec<MemberId> {
-            group.iter().copied().filter(|id| room(&self.table[id]) == wanted).collect()
+    fn of_subject(&self, usable: &[EndpointId]) -> Option<EndpointId> {
+        let in_flight = |id: &EndpointId| self.endpoints.get(*id).map_or(0, |endpoint| endpoint.in_flight);
+        let sum: usize = usable.iter().map(in_flight).sum();
+        let most = AFFINITY_LOAD_FACTOR * (sum as f64 + 1.0) / usable.len().max(1) as f64 + 1.0;
+        let weight = |id: &&EndpointId| {
+            let address_hash =
+                self.endpoints.get(**id).map_or(0, |endpoint| subset::address_hash(&endpoint.address));
+            subset::mix_bits(self.requirements.subject ^ address_hash)
         };
-        let ready = of(Room::Now);
-        let both = [ready.clone(), of(Room::Soon)].concat();
-        if terms.by_subject && wants.subject != 0 {
-            // It waits for the connection to the subject's own, unless that has more than its part.
-            let sum: usize = both.iter().map(|id| self.table[id].outstanding).sum();
-            let most = 1.25 * (sum as f64 + 1.0) / both.len().max(1) as f64 + 1.0;
-            let bounded = both.iter().filter(|id| (self.table[id].outstanding as f64) < most);
-            let weight =
-                |id: &MemberId| subset::mixed(wants.subject ^ subset::order(&self.table[id].address));
-            return bounded.max_by_key(|id| weight(id)).or(both.first()).map(|id| (*id, None));
-        }
-        let best = self.better_of_two(now, &both, chance)?;
-        if ready.is_empty() || ready.contains(&best) {
-            return Some((best, None));
-        }
-        Some((self.better_of_two(now, &ready, chance)?, Some(best)))
+        let below_bound = usable.iter().filter(|id| (in_flight(id) as f64) < most);
+        below_bound.max_by_key(weight).or(usable.first()).copied()
     }
 
-    fn better_of_two(&self, now: f64, from: &[MemberId], chance: &mut Pcg32) -> Option<MemberId> {
+    fn better_of_two(&self, from: &[EndpointId], random: &mut Pcg32) -> Option<EndpointId> {
         if from.len() < 2 {
             return from.first().copied();
         }
-        let first = chance.random_range(0..from.len());
-        let second = (first + 1 + chance.random_range(0..from.len() - 1)) % from.len();
-        let (a, b) = (from[first], from[second]);
-        Some(if self.cost(now, a) <= self.cost(now, b) { a } else { b })
+        let (first, second) = draw_two(from, random);
+        Some(self.cheaper(first, second))
+    }
+
+    fn cheaper(&self, first: EndpointId, second: EndpointId) -> EndpointId {
+        if self.cost(first) <= self.cost(second) {
+            first
+        } else {
+            second
+        }
+    }
+
+    fn cost(&self, id: EndpointId) -> f64 {
+        let Some(endpoint) = self.endpoints.get(id) else { return f64::INFINITY };
+        let latency_ms = endpoint.latency.estimate_ms(self.now_ms, self.usual_latency_ms);
+        (endpoint.in_flight as f64 + 1.0) * latency_ms.max(MIN_LATENCY_MS)
+    }
+
+    fn capacity(&self, id: EndpointId) -> Capacity {
+        self.endpoints.get(id).map_or(Capacity::None, &self.capacity_of)
+    }
+
+    fn has_affinity(&self) -> bool {
+        self.config.subject_affinity && self.requirements.subject != 0
+    }
+
+    fn too_few_are_healthy(&self) -> bool {
+        let selected = self.endpoints.selected();
+        let is_healthy = |id: &&EndpointId| {
+            self.endpoints.get(**id).is_some_and(|endpoint| endpoint.breaker.looks_healthy(self.now_ms))
+        };
+        let healthy = selected.iter().filter(is_healthy).count();
+        (healthy as f64) < self.config.panic_threshold * selected.len() as f64
     }
 }
 
+/// Two different places of at least two.
+fn draw_two(from: &[EndpointId], random: &mut Pcg32) -> (EndpointId, EndpointId) {
+    let first = random.random_range(0..from.len());
+    let second = (first + 1 + random.random_range(0..from.len() - 1)) % from.len();
+    (from[first], from[second])
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/plovershelf-client/src/caller/circuit_breaker/tests.rs
+++ b/crates/plovershelf-client/src/caller/circuit_breaker/tests.rs
@@ -1,63 +1,63 @@
 use super::*;
 use rand::SeedableRng;
 
-fn of() -> (Breaker, Terms, Pcg32) {
-    (Breaker::default(), Terms::default(), Pcg32::seed_from_u64(3))
+fn new() -> (CircuitBreaker, ClientConfig, Pcg32) {
+    (CircuitBreaker::new(), ClientConfig::default(), Pcg32::seed_from_u64(3))
 }
 
-fn open_until(breaker: &Breaker) -> f64 {
+fn open_until(breaker: &CircuitBreaker) -> f64 {
     match breaker.state() {
-        BreakerState::Open { until } => until,
+        BreakerState::Open { until_ms } => until_ms,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn it_opens_when_half_of_late_has_failed_and_not_before() {
-    let (mut breaker, terms, mut chance) = of();
-    (0..8).for_each(|_| breaker.well(0.0, &terms));
-    (0..7).for_each(|_| breaker.failed(1.0, &terms, &mut chance));
+fn endpoint_is_ejected_when_half_of_its_attempts_failed_and_not_before() {
+    let (mut breaker, config, mut random) = new();
+    (0..8).for_each(|_| breaker.record_success(0.0, &config));
+    (0..7).for_each(|_| breaker.record_failure(1.0, &config, &mut random));
     assert_eq!(breaker.state(), BreakerState::Closed);
-    breaker.failed(1.0, &terms, &mut chance);
+    breaker.record_failure(1.0, &config, &mut random);
     assert!(open_until(&breaker) > 100.0);
 }
 
 #[test]
-fn one_call_tells_whether_it_is_well_and_the_rest_come_back_slowly() {
-    let (mut breaker, terms, mut chance) = of();
-    breaker.fault(0.0, &terms, &mut chance);
+fn one_attempt_tells_whether_it_is_well_and_the_rest_come_back_slowly() {
+    let (mut breaker, config, mut random) = new();
+    breaker.record_protocol_fault(0.0, &config, &mut random);
     let until = open_until(&breaker);
-    assert!(!breaker.admits(until - 1.0, &terms, &mut chance));
-    assert!(breaker.admits(until, &terms, &mut chance));
-    breaker.sent(until, &terms);
-    assert!(!breaker.admits(until + 5000.0, &terms, &mut chance));
-    breaker.well(until + 10.0, &terms);
-    let let_in = |breaker: &Breaker, at: f64, chance: &mut Pcg32| {
-        (0..1000).filter(|_| breaker.admits(at, &terms, chance)).count()
+    assert!(!breaker.admits(until - 1.0, &config, &mut random));
+    assert!(breaker.admits(until, &config, &mut random));
+    breaker.record_sent(until, &config);
+    assert!(!breaker.admits(until + 5000.0, &config, &mut random));
+    breaker.record_success(until + 10.0, &config);
+    let admitted = |breaker: &CircuitBreaker, at: f64, random: &mut Pcg32| {
+        (0..1000).filter(|_| breaker.admits(at, &config, random)).count()
     };
-    let early = let_in(&breaker, until + 10.0, &mut chance);
-    let half = let_in(&breaker, until + 10.0 + terms.breaker_return_ms / 2.0, &mut chance);
+    let early = admitted(&breaker, until + 10.0, &mut random);
+    let half = admitted(&breaker, until + 10.0 + config.slow_start_ms / 2.0, &mut random);
     assert!((50..200).contains(&early) && (450..650).contains(&half), "{early}, {half}");
-    breaker.sent(until + 10.0 + terms.breaker_return_ms, &terms);
+    breaker.record_sent(until + 10.0 + config.slow_start_ms, &config);
     assert_eq!(breaker.state(), BreakerState::Closed);
 }
 
 #[test]
-fn each_rest_is_longer_up_to_the_most_and_one_whose_call_is_unheard_is_not() {
-    let (mut breaker, terms, mut chance) = of();
+fn each_ejection_is_longer_up_to_the_bound_and_one_without_outcome_is_not() {
+    let (mut breaker, config, mut random) = new();
     let (mut now, mut longest) = (0.0, 0.0f64);
-    breaker.fault(now, &terms, &mut chance);
+    breaker.record_protocol_fault(now, &config, &mut random);
     let first = open_until(&breaker);
     for _ in 0..40 {
         now = open_until(&breaker);
-        breaker.sent(now, &terms);
-        breaker.failed(now, &terms, &mut chance);
+        breaker.record_sent(now, &config);
+        breaker.record_failure(now, &config, &mut random);
         longest = longest.max(open_until(&breaker) - now);
     }
-    assert!(first <= terms.breaker_rest_ms);
-    assert!((terms.breaker_rest_most_ms / 2.0..=terms.breaker_rest_most_ms).contains(&longest));
+    assert!(first <= config.base_ejection_ms);
+    assert!((config.max_ejection_ms / 2.0..=config.max_ejection_ms).contains(&longest));
     now = open_until(&breaker);
-    breaker.sent(now, &terms);
-    breaker.unheard(now + 1.0);
-    assert!(breaker.admits(now + 1.0, &terms, &mut chance));
+    breaker.record_sent(now, &config);
+    breaker.record_no_outcome(now + 1.0);
+    assert!(breaker.admits(now + 1.0, &config, &mut random));
 }
--- a/crates/plovershelf-client/src/caller/latency.rs
+++ b/crates/plovershelf-client/src/caller/latency.rs
@@ -1,81 +1,93 @@
-//! What calls of late have taken: the quickest, the mean, and a high percentile, of one offering or of the way.
+//! Statistics of how long calls take: the fastest, a mean and a high percentile, each in constant memory.
 
-/// The quickest of late, over two windows that take turns, so that what was quick once is forgotten.
+/// The fastest time in a window. Two windows take turns, so that an old time is forgotten after one to two of them.
 #[derive(Clone, Copy, Debug)]
-pub struct Quickest {
-    span_ms: f64,
-    began: f64,
-    now_ms: Option<f64>,
-    before_ms: Option<f64>,
+pub(super) struct FastestTime {
+    window_ms: f64,
+    window_began_ms: f64,
+    in_window_ms: Option<f64>,
+    in_last_window_ms: Option<f64>,
 }
 
-impl Quickest {
-    pub fn new(span_ms: f64) -> Self {
-        Quickest { span_ms, began: f64::NEG_INFINITY, now_ms: None, before_ms: None }
-    }
-
-    fn turn(&mut self, now: f64) {
-        if now - self.began >= 2.0 * self.span_ms {
-            (self.began, self.now_ms, self.before_ms) = (now, None, None);
-        } else if now - self.began >= self.span_ms {
-            (self.began, self.before_ms, self.now_ms) = (self.began + self.span_ms, self.now_ms, None);
+impl FastestTime {
+    pub(super) fn new(window_ms: f64) -> Self {
+        FastestTime {
+            window_ms,
+            window_began_ms: f64::NEG_INFINITY,
+            in_window_ms: None,
+            in_last_window_ms: None,
         }
     }
 
-    pub fn learn(&mut self, now: f64, took_ms: f64) {
-        self.turn(now);
-        self.now_ms = Some(self.now_ms.map_or(took_ms, |least| least.min(took_ms)));
+    pub(super) fn record(&mut self, now_ms: f64, took_ms: f64) {
+        self.turn_window(now_ms);
+        self.in_window_ms = Some(self.in_window_ms.map_or(took_ms, |fastest| fastest.min(took_ms)));
     }
 
-    /// `None` where nothing of late is known.
-    pub fn of_late(&mut self, now: f64) -> Option<f64> {
-        self.turn(now);
-        match (self.now_ms, self.before_ms) {
+    /// `None` where there is no time of the last windows.
+    pub(super) fn value(&mut self, now_ms: f64) -> Option<f64> {
+        self.turn_window(now_ms);
+        match (self.in_window_ms, self.in_last_window_ms) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
     }
+
+    fn turn_window(&mut self, now_ms: f64) {
+        let elapsed_ms = now_ms - self.window_began_ms;
+        if elapsed_ms >= 2.0 * self.window_ms {
+            self.window_began_ms = now_ms;
+            (self.in_window_ms, self.in_last_window_ms) = (None, None);
+        } else if elapsed_ms >= self.window_ms {
+            self.window_began_ms += self.window_ms;
+            (self.in_last_window_ms, self.in_window_ms) = (self.in_window_ms, None);
+        }
+    }
 }
 
-/// A percentile that follows what comes: up by much and down by little, in the ratio that leaves as many above it as
-/// told. One number, however many calls.
+/// A percentile that follows its input in steps: up by much and down by little, in the ratio that leaves the wanted part below.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Percentile {
+pub(super) struct PercentileEstimate {
     value_ms: Option<f64>,
 }
 
-impl Percentile {
-    pub fn learn(&mut self, took_ms: f64, percentile: f64) {
-        let part = percentile / 100.0;
-        let Some(value) = self.value_ms else {
+/// One step, as a fraction of the present value.
+const PERCENTILE_STEP_FRACTION: f64 = 0.05;
+
+impl PercentileEstimate {
+    pub(super) fn record(&mut self, took_ms: f64, percentile: f64) {
+        let fraction = percentile / 100.0;
+        let Some(value_ms) = self.value_ms else {
             self.value_ms = Some(took_ms);
             return;
         };
-        let step = 0.05 * value.max(0.1);
-        let moved = if took_ms > value { value + step * part } else { value - step * (1.0 - part) };
+        let step = PERCENTILE_STEP_FRACTION * value_ms.max(0.1);
+        let moved =
+            if took_ms > value_ms { value_ms + step * fraction } else { value_ms - step * (1.0 - fraction) };
         self.value_ms = Some(moved.max(0.05));
     }
 
-    pub fn value(&self) -> Option<f64> {
+    pub(super) fn value(&self) -> Option<f64> {
         self.value_ms
     }
 }
 
-/// A mean that looks back on about so many.
+/// An exponentially weighted moving average.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mean {
+pub(super) struct MovingAverage {
     value_ms: Option<f64>,
 }
 
-impl Mean {
-    const BACK: f64 = 16.0;
+impl MovingAverage {
+    /// One new time counts for this part of the average.
+    const LOOK_BACK_COUNT: f64 = 16.0;
 
-    pub fn learn(&mut self, took_ms: f64) {
+    pub(super) fn record(&mut self, took_ms: f64) {
         let before = self.value_ms.unwrap_or(took_ms);
-        self.value_ms = Some(before + (took_ms - before) / Self::BACK);
+        self.value_ms = Some(before + (took_ms - before) / Self::LOOK_BACK_COUNT);
     }
 
-    pub fn value(&self) -> Option<f64> {
+    pub(super) fn value(&self) -> Option<f64> {
         self.value_ms
     }
 }
--- a/crates/plovershelf-client/src/caller/retry_policy.rs
+++ b/crates/plovershelf-client/src/caller/retry_policy.rs
@@ -1,46 +1,57 @@
-//! May a call be tried again, and where? The one table that rule "no effect twice" rests on.
+//! Decides whether a call may be sent again after an attempt, and where.
+//!
+//! Inputs: the call's idempotency; how the attempt ended; whether an earlier attempt may have run.
+//!
+//! | | no attempt can have run | an attempt may have run |
+//! | --- | --- | --- |
+//! | idempotent | any endpoint | any endpoint |
+//! | with an idempotency key | any endpoint | the same endpoint |
+//! | non-idempotent | any endpoint | never |
+//!
+//! Why: an endpoint knows the idempotency keys that it has run, not those of others. Without this table a lost connection would
+//! have non-idempotent work run twice.
 
 use plovershelf::api::Idempotency;
 
-/// How a try came to its end without a result.
+/// How an attempt ended without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryOver {
-    /// The member said that it never ran.
-    Dismissed,
-    /// It crossed the member's `closing` and was never read.
-    Crossed,
-    /// The member answered that it failed.
+pub(super) enum AttemptEnd {
+    /// The endpoint rejected it, so it did not run.
+    Rejected,
+    /// It crossed the endpoint's `closing` and was never read.
+    Unread,
+    /// The endpoint answered that it failed.
     Failed,
-    /// Its connection ended, which proves nothing.
-    Lost,
+    /// Its connection was lost, which proves nothing.
+    ConnectionLost,
 }
 
-impl TryOver {
-    /// It surely never ran.
-    pub fn proves_not_run(self) -> bool {
-        matches!(self, TryOver::Dismissed | TryOver::Crossed)
+impl AttemptEnd {
+    pub(super) fn proves_not_run(self) -> bool {
+        matches!(self, AttemptEnd::Rejected | AttemptEnd::Unread)
     }
 }
 
+/// Where a call may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
-    Anywhere,
-    /// Only where it may have run, as that member alone knows its ticket.
-    SameMember,
-    No,
+pub(super) enum RetryDecision {
+    AnyEndpoint,
+    /// Only where it may have run, as that endpoint alone knows its idempotency key.
+    SameEndpoint,
+    Never,
 }
 
-/// | | never ran | may have run |
-/// | --- | --- | --- |
-/// | rerunnable | anywhere | anywhere |
-/// | ticketed | anywhere; the same member once a try may have run there | the same member |
-/// | exclusive | anywhere | no |
-pub fn again(repeats: Idempotency, over: TryOver, may_have_run_before: bool) -> Again {
-    let unsure = may_have_run_before || !over.proves_not_run();
-    match (repeats, unsure) {
-        (Idempotency::Idempotent, _) | (_, false) => Again::Anywhere,
-        (Idempotency::Keyed, true) => Again::SameMember,
-        (Idempotency::NonIdempotent, true) => Again::No,
+/// The table above. `may_have_run_before` tells of the attempts before this one.
+pub(super) fn retry_decision(
+    idempotency: Idempotency,
+    end: AttemptEnd,
+    may_have_run_before: bool,
+) -> RetryDecision {
+    let may_have_run = may_have_run_before || !end.proves_not_run();
+    match (idempotency, may_have_run) {
+        (Idempotency::Idempotent, _) | (_, false) => RetryDecision::AnyEndpoint,
+        (Idempotency::Keyed, true) => RetryDecision::SameEndpoint,
+        (Idempotency::NonIdempotent, true) => RetryDecision::Never,
     }
 }
 
--- a/crates/plovershelf-client/src/caller/subset.rs
+++ b/crates/plovershelf-client/src/caller/subset.rs
@@ -1,45 +1,52 @@
-//! Which of many members a caller talks to, so that a large fleet of callers opens tens of connections each and all
-//! members are met by about as many callers.
+//! Decides which of the listed endpoints a client talks to (deterministic subsetting).
 //!
-//! Members stand on a ring in the order of a hash of their address. A caller takes as many in a row as it wants, from
-//! a place of its own. Places follow the golden ratio, so those of callers that are numbered in a row lie evenly, each
-//! member is met by about the same number, and no list of callers is needed. One member more or less moves a caller's
-//! row by one place at most, so a change of the list closes few connections.
+//! Inputs: the addresses; the client's place on the ring, from 0 to under 1; the wanted size.
+//!
+//! Rule: endpoints stand on a ring in the order of a hash of their addresses. A client takes consecutive ones from its own place.
+//! Places follow the golden ratio, so that those of clients with consecutive indices lie evenly.
+//!
+//! Why: a large fleet of clients opens tens of connections each, and every endpoint has about as many clients. Random subsets
+//! leave some endpoints half and others one and a half times the mean; fixed blocks reshuffle when the list changes, while here one
+//! endpoint more or less moves a client's subset by one place at most. Source: "Load Balancing in the Datacenter" in Site Reliability
+//! Engineering, deterministic subsetting; `DeterministicAperture` in Finagle, for the ring.
 
 use std::net::SocketAddr;
 
-/// Where on the ring a caller begins, from 0 to under 1.
-pub fn begins(place: u64) -> f64 {
-    // The fraction of place times the golden ratio, in whole numbers, so that large places stay exact.
-    let turned = place.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+/// 2^64 times the fraction of the golden ratio.
+const GOLDEN_RATIO_TURN: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The place on the ring of the client with that index. In whole numbers, so that large indices stay exact.
+pub(super) fn ring_place(index: u64) -> f64 {
+    let turned = index.wrapping_mul(GOLDEN_RATIO_TURN);
     (turned >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Spreads bits; a few steps of multiplying and folding, the same on every machine.
-pub fn mixed(mut bits: u64) -> u64 {
+/// Spreads bits, the same on every machine.
+pub(super) fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     bits = (bits ^ (bits >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     bits ^ (bits >> 32)
 }
 
-/// The place of a member in the order of the ring.
-pub fn order(address: &SocketAddr) -> u64 {
-    let of =
-        |bytes: &[u8]| bytes.iter().fold(0u64, |sum, byte| mixed(sum ^ u64::from(*byte)).wrapping_add(1));
+/// The hash by which endpoints stand on the ring.
+pub(super) fn address_hash(address: &SocketAddr) -> u64 {
+    let hash_of =
+        |bytes: &[u8]| bytes.iter().fold(0u64, |sum, byte| mix_bits(sum ^ u64::from(*byte)).wrapping_add(1));
     let host = match address.ip() {
-        std::net::IpAddr::V4(ip) => of(&ip.octets()),
-        std::net::IpAddr::V6(ip) => of(&ip.octets()),
+        std::net::IpAddr::V4(ip) => hash_of(&ip.octets()),
+        std::net::IpAddr::V6(ip) => hash_of(&ip.octets()),
     };
-    mixed(host ^ u64::from(address.port()))
+    mix_bits(host ^ u64::from(address.port()))
 }
 
-/// The members to talk to out of all, each named once; all of them where there are no more than wanted.
-pub fn chosen(all: &[SocketAddr], begins: f64, wanted: usize) -> Vec<SocketAddr> {
-    let mut ring: Vec<(u64, SocketAddr)> = all.iter().map(|address| (order(address), *address)).collect();
+/// The subset, each address once; all of them where there are no more than wanted.
+pub(super) fn select(addresses: &[SocketAddr], place: f64, size: usize) -> Vec<SocketAddr> {
+    let mut ring: Vec<(u64, SocketAddr)> =
+        addresses.iter().map(|address| (address_hash(address), *address)).collect();
     ring.sort_unstable();
     ring.dedup();
-    let first = (begins * ring.len() as f64) as usize;
-    ring.iter().cycle().skip(first).take(wanted.min(ring.len())).map(|(_, address)| *address).collect()
+    let first = (place * ring.len() as f64) as usize;
+    ring.iter().cycle().skip(first).take(size.min(ring.len())).map(|(_, address)| *address).collect()
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-client/src/config.rs
+++ b/crates/plovershelf-client/src/config.rs
@@ -1,190 +1,244 @@
-//! All sizes, counts and times that bound a caller, and what they may be.
+//! Settings of a client: limits, times and rates, each with its unit, its default and the range in which it is accepted.
 
 use plovershelf::api::BackpressureSignal;
 
-/// The bounds of one caller. Times are milliseconds. The defaults suit most; [`Terms::check`] names what can't be.
+/// Settings of one client. Times are milliseconds. [`ClientConfig::validate`] checks the ranges.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    /// For all chance; 0 has one drawn at the start. Callers of one fleet must differ in it, as the spread of their
-    /// reconnects hangs on it.
+pub struct ClientConfig {
+    /// Seed of all random draws; 0 (the default) has one drawn at start. Clients of one fleet must differ in it, since the
+    /// spread of their reconnects depends on it.
     pub seed: u64,
-    /// This caller's place among its fleet, from 0. Places in a row give the most even subsets; without one the
-    /// place follows from the seed.
-    pub place: Option<u64>,
-    /// Calls about the same subject go to the same member as long as that has no more than its part.
-    pub by_subject: bool,
-    /// Calls open at once, and what their bodies may take together. One more is given up at once.
-    pub calls: usize,
-    pub call_bytes: usize,
-    /// Offerings that are told apart; those beyond share their tallies.
-    pub offerings: usize,
-    /// Open calls on one connection; connections to one member, and in all.
-    pub open_each: usize,
-    pub links_each: usize,
-    pub links: usize,
-    /// Members that are talked to, of however many are listed.
-    pub subset: usize,
-    /// Members in a list; one that names more is taken as far as this.
-    pub members: usize,
-    /// Repeats in any second, as a share of the first tries in it, and one more in each span, however few those are.
-    pub repeat_share: f64,
-    pub repeat_floor_ms: f64,
-    /// Calls are turned away here once members accept less than one in so many, by offering, over the span.
-    pub throttle_times: f64,
-    pub throttle_span_ms: f64,
-    /// What the way there and back is taken for until it is known.
-    pub way_ms: f64,
-    /// How long the quickest and the mean time of an offering look back.
-    pub times_span_ms: f64,
-    /// What callers take the advised value for, and how long it is heeded.
-    pub advice: BackpressureSignal,
-    pub heeded_ms: f64,
-    /// No wait that a member names is believed to be longer.
-    pub cool_down_most_ms: f64,
-    /// A request that was written less than this before `closing` was heard, and never answered, was never read.
-    pub crossing_ms: f64,
-    /// A member that closes connections in use is chosen last for so long.
-    pub leaving_ms: f64,
-    /// A breaker opens at this share of failures, of at least so many within the span; then it rests, longer each
-    /// time up to the most, and comes back over the last span.
-    pub breaker_share: f64,
-    pub breaker_least: f64,
-    pub breaker_span_ms: f64,
-    pub breaker_rest_ms: f64,
-    pub breaker_rest_most_ms: f64,
-    pub breaker_return_ms: f64,
-    /// Where less than this share of the members looks well, breakers are not believed.
-    pub believe_list_under: f64,
-    /// A member that was lost is met again within this span, at the caller's own place in it; later tries fall at
-    /// random within the second.
+    /// Index of this client in its fleet, from 0. Consecutive indices give the most even subsets; with `None` (the default) the
+    /// place on the ring is drawn.
+    pub subset_index: Option<u64>,
+    /// Whether calls about the same subject go to the same endpoint while that has no more than its share. Default: false.
+    pub subject_affinity: bool,
+    /// Calls open at once; one more ends at once as [`NotSentReason::LimitReached`](crate::NotSentReason::LimitReached). Default: 4096.
+    pub max_open_calls: usize,
+    /// Bytes that open calls may hold together. Default: 8 MiB.
+    pub max_open_bytes: usize,
+    /// Request classes with statistics of their own; classes beyond this share those of the last. Default: 64.
+    pub max_request_classes: usize,
+    /// Attempts in flight on one connection. Default: 32.
+    pub max_in_flight_per_connection: usize,
+    /// Connections to one endpoint. Default: 4.
+    pub max_connections_per_endpoint: usize,
+    /// Connections in all. Default: 64.
+    pub max_connections: usize,
+    /// Endpoints that this client talks to, of however many are listed. Default: 20.
+    pub subset_size: usize,
+    /// Endpoints taken from a list; the rest of a longer one is ignored. Default: 10,000.
+    pub max_endpoints: usize,
+    /// Retries in any second, as a fraction of the first attempts in it. Default: 0.07.
+    pub retry_budget_fraction: f64,
+    /// One retry is allowed at this interval whatever the fraction says. Default: 10 s.
+    pub min_retry_interval_ms: f64,
+    /// Calls of a class are rejected locally once endpoints accept less than one in this many. Default: 2.
+    pub throttle_ratio: f64,
+    /// Window over which acceptance is counted for throttling. Default: 10 s.
+    pub throttle_window_ms: f64,
+    /// Round trip that is assumed until one was measured. Default: 1 ms.
+    pub initial_round_trip_ms: f64,
+    /// Window over which the fastest time of a class and the fastest round trip are remembered. Default: 5 s.
+    pub latency_window_ms: f64,
+    /// What backends mean by the value that they advise. Default: nothing.
+    pub backpressure: BackpressureSignal,
+    /// How long an advised value holds. Default: 1 s.
+    pub backpressure_ttl_ms: f64,
+    /// A longer Retry-After is cut to this. Default: 60 s.
+    pub max_retry_after_ms: f64,
+    /// A request written less than this before `closing` was received, and never answered, was never read. Default: 50 ms.
+    pub closing_race_ms: f64,
+    /// How long an endpoint that drains or reports itself unready is chosen last. Default: 1 s.
+    pub draining_hold_ms: f64,
+    /// An endpoint is ejected when at least this fraction of its attempts fails. Default: 0.5.
+    pub ejection_failure_fraction: f64,
+    /// Failures in the window below which an endpoint is not ejected. Default: 5.
+    pub ejection_min_failures: f64,
+    /// Window over which attempts count for ejection. Default: 5 s.
+    pub ejection_window_ms: f64,
+    /// Length of the first ejection; each further one doubles it. Default: 250 ms.
+    pub base_ejection_ms: f64,
+    /// Longest ejection. Default: 10 s.
+    pub max_ejection_ms: f64,
+    /// Slow start after an ejection: time in which the endpoint's traffic rises to its usual share. Default: 3 s.
+    pub slow_start_ms: f64,
+    /// Panic threshold: with a smaller fraction of endpoints healthy, ejections are ignored. Default: 0.5.
+    pub panic_threshold: f64,
+    /// After the first loss of an endpoint, clients reconnect at places spread evenly over this time. Default: 3 s.
     pub reconnect_spread_ms: f64,
-    pub reconnect_most_ms: f64,
-    /// Reconnects in hand at first and at most, and how many more a second.
-    pub reconnects: f64,
-    pub reconnects_a_second: f64,
-    /// A connection is made within this, or was refused.
-    pub connect_ms: f64,
-    /// A connection with calls out that has said nothing for the one span is asked for its health, and given up
-    /// when that is not answered within the other.
+    /// Upper bound of the backoff with full jitter after further losses. Default: 4 s.
+    pub max_reconnect_backoff_ms: f64,
+    /// Reconnects that can be made at once after a calm period. Default: 10.
+    pub reconnect_burst: f64,
+    /// Reconnects a second after that. Default: 2.
+    pub reconnects_per_second: f64,
+    /// Time in which a connection must be established. Default: 1 s.
+    pub connect_timeout_ms: f64,
+    /// A connection with attempts in flight that has been silent for this long is health-checked. Default: 250 ms.
     pub probe_after_ms: f64,
-    pub probe_patience_ms: f64,
-    /// A connection without calls is closed after this, unless it is its member's only one and the other span is
-    /// not over.
-    pub idle_ms: f64,
-    pub idle_last_ms: f64,
-    /// Those that left the list still serve for so long where no other member is connected.
+    /// Time in which a health check must be answered. Default: 500 ms.
+    pub probe_timeout_ms: f64,
+    /// An unused connection is closed after this. Default: 5 s.
+    pub idle_timeout_ms: f64,
+    /// The same for the only connection to an endpoint. Default: 60 s.
+    pub last_idle_timeout_ms: f64,
+    /// How long endpoints that left the list still serve while no other is connected. Default: 5 s.
     pub make_before_break_ms: f64,
-    /// Second copies of slow rerunnable calls, sent when a call takes longer than so many in a hundred did.
+    /// An idempotent call is hedged once it takes longer than this percentile of its class. Default: no hedging.
     pub hedge_percentile: Option<f64>,
-    /// Between two looks at idle, silent and slow connections.
-    pub sweep_ms: f64,
+    /// Interval between two checks for idle, silent and slow connections. Default: 50 ms.
+    pub sweep_interval_ms: f64,
 }
 
-impl Default for Terms {
+impl Default for ClientConfig {
     fn default() -> Self {
-        Terms {
+        ClientConfig {
             seed: 0,
-            place: None,
-            by_subject: false,
-            calls: 4096,
-            call_bytes: 8 << 20,
-            offerings: 64,
-            open_each: 32,
-            links_each: 4,
-            links: 64,
-            subset: 20,
-            members: 10_000,
-            repeat_share: 0.07,
-            repeat_floor_ms: 10_000.0,
-            throttle_times: 2.0,
-            throttle_span_ms: 10_000.0,
-            way_ms: 1.0,
-            times_span_ms: 5000.0,
-            advice: BackpressureSignal::None,
-            heeded_ms: 1000.0,
-            cool_down_most_ms: 60_000.0,
-            crossing_ms: 50.0,
-            leaving_ms: 1000.0,
-            breaker_share: 0.5,
-            breaker_least: 5.0,
-            breaker_span_ms: 5000.0,
-            breaker_rest_ms: 250.0,
-            breaker_rest_most_ms: 10_000.0,
-            breaker_return_ms: 3000.0,
-            believe_list_under: 0.5,
+            subset_index: None,
+            subject_affinity: false,
+            max_open_calls: 4096,
+            max_open_bytes: 8 << 20,
+            max_request_classes: 64,
+            max_in_flight_per_connection: 32,
+            max_connections_per_endpoint: 4,
+            max_connections: 64,
+            subset_size: 20,
+            max_endpoints: 10_000,
+            retry_budget_fraction: 0.07,
+            min_retry_interval_ms: 10_000.0,
+            throttle_ratio: 2.0,
+            throttle_window_ms: 10_000.0,
+            initial_round_trip_ms: 1.0,
+            latency_window_ms: 5000.0,
+            backpressure: BackpressureSignal::None,
+            backpressure_ttl_ms: 1000.0,
+            max_retry_after_ms: 60_000.0,
+            closing_race_ms: 50.0,
+            draining_hold_ms: 1000.0,
+            ejection_failure_fraction: 0.5,
+            ejection_min_failures: 5.0,
+            ejection_window_ms: 5000.0,
+            base_ejection_ms: 250.0,
+            max_ejection_ms: 10_000.0,
+            slow_start_ms: 3000.0,
+            panic_threshold: 0.5,
             reconnect_spread_ms: 3000.0,
-            reconnect_most_ms: 4000.0,
-            reconnects: 10.0,
-            reconnects_a_second: 2.0,
-            connect_ms: 1000.0,
+            max_reconnect_backoff_ms: 4000.0,
+            reconnect_burst: 10.0,
+            reconnects_per_second: 2.0,
+            connect_timeout_ms: 1000.0,
             probe_after_ms: 250.0,
-            probe_patience_ms: 500.0,
-            idle_ms: 5000.0,
-            idle_last_ms: 60_000.0,
+            probe_timeout_ms: 500.0,
+            idle_timeout_ms: 5000.0,
+            last_idle_timeout_ms: 60_000.0,
             make_before_break_ms: 5000.0,
             hedge_percentile: None,
-            sweep_ms: 50.0,
+            sweep_interval_ms: 50.0,
         }
     }
 }
 
-impl Terms {
-    /// The first figure that is out of its range, by its name with what would be right.
-    pub fn check(&self) -> Result<(), String> {
-        let counts = [
-            ("calls", self.calls, 1, 1_000_000),
-            ("call_bytes", self.call_bytes, 2048, 1 << 30),
-            ("offerings", self.offerings, 1, 4096),
-            ("open_each", self.open_each, 1, 32),
-            ("links_each", self.links_each, 1, 64),
-            ("links", self.links, 1, 4096),
-            ("subset", self.subset, 1, 1000),
-            ("members", self.members, 1, 100_000),
-        ];
-        for (name, value, least, most) in counts {
-            if !(least..=most).contains(&value) {
-                return Err(format!("{name} = {value}: a whole number from {least} to {most}"));
+/// A setting outside its range.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ConfigError {
+    /// A count.
+    #[error("{name} = {value}: a whole number from {min} to {max}")]
+    Count {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: usize,
+        /// The least that is accepted.
+        min: usize,
+        /// The most that is accepted.
+        max: usize,
+    },
+    /// A time, rate or fraction.
+    #[error("{name} = {value}: a number from {min} to {max}")]
+    Measure {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: f64,
+        /// The least that is accepted.
+        min: f64,
+        /// The most that is accepted.
+        max: f64,
+    },
+}
+
+const HOUR_MS: f64 = 3_600_000.0;
+
+/// Above this, work could run twice: an older request may have been read before `closing` was written.
+const MAX_CLOSING_RACE_MS: f64 = 50.0;
+
+impl ClientConfig {
+    /// Checks all ranges.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is outside its range.
+    pub fn validate(&self) -> Result<(), ConfigError> {
+        for (name, value, min, max) in self.counts() {
+            if !(min..=max).contains(&value) {
+                return Err(ConfigError::Count { name, value, min, max });
             }
         }
-        let hour = 3_600_000.0;
-        let measures = [
-            ("repeat_share", self.repeat_share, 0.0, 1.0),
-            ("repeat_floor_ms", self.repeat_floor_ms, 100.0, hour),
-            ("throttle_times", self.throttle_times, 1.0, 1000.0),
-            ("throttle_span_ms", self.throttle_span_ms, 100.0, hour),
-            ("way_ms", self.way_ms, 0.0, 10_000.0),
-            ("times_span_ms", self.times_span_ms, 100.0, hour),
-            ("heeded_ms", self.heeded_ms, 0.0, hour),
-            ("cool_down_most_ms", self.cool_down_most_ms, 0.0, hour),
-            ("crossing_ms", self.crossing_ms, 0.0, 50.0),
-            ("leaving_ms", self.leaving_ms, 0.0, hour),
-            ("breaker_share", self.breaker_share, 0.05, 1.0),
-            ("breaker_least", self.breaker_least, 1.0, 10_000.0),
-            ("breaker_span_ms", self.breaker_span_ms, 100.0, hour),
-            ("breaker_rest_ms", self.breaker_rest_ms, 1.0, hour),
-            ("breaker_rest_most_ms", self.breaker_rest_most_ms, self.breaker_rest_ms, hour),
-            ("breaker_return_ms", self.breaker_return_ms, 0.0, hour),
-            ("believe_list_under", self.believe_list_under, 0.0, 1.0),
-            ("reconnect_spread_ms", self.reconnect_spread_ms, 0.0, hour),
-            ("reconnect_most_ms", self.reconnect_most_ms, 1.0, hour),
-            ("reconnects", self.reconnects, 1.0, 10_000.0),
-            ("reconnects_a_second", self.reconnects_a_second, 0.01, 10_000.0),
-            ("connect_ms", self.connect_ms, 1.0, hour),
-            ("probe_after_ms", self.probe_after_ms, 1.0, hour),
-            ("probe_patience_ms", self.probe_patience_ms, 1.0, hour),
-            ("idle_ms", self.idle_ms, 1.0, hour),
-            ("idle_last_ms", self.idle_last_ms, self.idle_ms, hour),
-            ("make_before_break_ms", self.make_before_break_ms, 0.0, hour),
-            ("hedge_percentile", self.hedge_percentile.unwrap_or(95.0), 50.0, 99.9),
-            ("sweep_ms", self.sweep_ms, 1.0, 10_000.0),
-        ];
-        for (name, value, least, most) in measures {
-            if !(least..=most).contains(&value) {
-                return Err(format!("{name} = {value}: a number from {least} to {most}"));
+        for (name, value, min, max) in self.measures() {
+            if !(min..=max).contains(&value) {
+                return Err(ConfigError::Measure { name, value, min, max });
             }
         }
         Ok(())
     }
+
+    fn counts(&self) -> [(&'static str, usize, usize, usize); 8] {
+        [
+            ("max_open_calls", self.max_open_calls, 1, 1_000_000),
+            ("max_open_bytes", self.max_open_bytes, 2048, 1 << 30),
+            ("max_request_classes", self.max_request_classes, 1, 4096),
+            ("max_in_flight_per_connection", self.max_in_flight_per_connection, 1, 32),
+            ("max_connections_per_endpoint", self.max_connections_per_endpoint, 1, 64),
+            ("max_connections", self.max_connections, 1, 4096),
+            ("subset_size", self.subset_size, 1, 1000),
+            ("max_endpoints", self.max_endpoints, 1, 100_000),
+        ]
+    }
+
+    fn measures(&self) -> [(&'static str, f64, f64, f64); 29] {
+        [
+            ("retry_budget_fraction", self.retry_budget_fraction, 0.0, 1.0),
+            ("min_retry_interval_ms", self.min_retry_interval_ms, 100.0, HOUR_MS),
+            ("throttle_ratio", self.throttle_ratio, 1.0, 1000.0),
+            ("throttle_window_ms", self.throttle_window_ms, 100.0, HOUR_MS),
+            ("initial_round_trip_ms", self.initial_round_trip_ms, 0.0, 10_000.0),
+            ("latency_window_ms", self.latency_window_ms, 100.0, HOUR_MS),
+            ("backpressure_ttl_ms", self.backpressure_ttl_ms, 0.0, HOUR_MS),
+            ("max_retry_after_ms", self.max_retry_after_ms, 0.0, HOUR_MS),
+            ("closing_race_ms", self.closing_race_ms, 0.0, MAX_CLOSING_RACE_MS),
+            ("draining_hold_ms", self.draining_hold_ms, 0.0, HOUR_MS),
+            ("ejection_failure_fraction", self.ejection_failure_fraction, 0.05, 1.0),
+            ("ejection_min_failures", self.ejection_min_failures, 1.0, 10_000.0),
+            ("ejection_window_ms", self.ejection_window_ms, 100.0, HOUR_MS),
+            ("base_ejection_ms", self.base_ejection_ms, 1.0, HOUR_MS),
+            ("max_ejection_ms", self.max_ejection_ms, self.base_ejection_ms, HOUR_MS),
+            ("slow_start_ms", self.slow_start_ms, 0.0, HOUR_MS),
+            ("panic_threshold", self.panic_threshold, 0.0, 1.0),
+            ("reconnect_spread_ms", self.reconnect_spread_ms, 0.0, HOUR_MS),
+            ("max_reconnect_backoff_ms", self.max_reconnect_backoff_ms, 1.0, HOUR_MS),
+            ("reconnect_burst", self.reconnect_burst, 1.0, 10_000.0),
+            ("reconnects_per_second", self.reconnects_per_second, 0.01, 10_000.0),
+            ("connect_timeout_ms", self.connect_timeout_ms, 1.0, HOUR_MS),
+            ("probe_after_ms", self.probe_after_ms, 1.0, HOUR_MS),
+            ("probe_timeout_ms", self.probe_timeout_ms, 1.0, HOUR_MS),
+            ("idle_timeout_ms", self.idle_timeout_ms, 1.0, HOUR_MS),
+            ("last_idle_timeout_ms", self.last_idle_timeout_ms, self.idle_timeout_ms, HOUR_MS),
+            ("make_before_break_ms", self.make_before_break_ms, 0.0, HOUR_MS),
+            ("hedge_percentile", self.hedge_percentile.unwrap_or(95.0), 50.0, 99.9),
+            ("sweep_interval_ms", self.sweep_interval_ms, 1.0, 10_000.0),
+        ]
+    }
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-client/src/transport/connection.rs
+++ b/crates/plovershelf-client/src/transport/connection.rs
@@ -8,85 +8,96 @@
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_codec::front::client;
+use plovershelf_codec::front::client as codec;
 
-use crate::caller::LinkId;
+use crate::caller::ConnectionId;
 
-/// What a connection tells the task that owns the caller.
-pub enum Event {
-    Connected(LinkId),
-    NotConnected(LinkId),
+/// The longest frame that a backend may send: a result of 4 KiB, its signals, and reserve.
+const MAX_FRAME_BYTES: usize = 16 << 10;
+const READ_BYTES: usize = 4 << 10;
+
+/// What a connection reports to the task that owns the caller.
+pub(super) enum Event {
+    Connected(ConnectionId),
+    ConnectFailed(ConnectionId),
     /// A whole frame without its length.
-    Frame(LinkId, Vec<u8>),
-    Ended {
-        link: LinkId,
-        garbled: Option<&'static str>,
+    Frame(ConnectionId, Vec<u8>),
+    Closed {
+        connection: ConnectionId,
+        /// What was wrong with the last bytes, if anything.
+        malformed: Option<&'static str>,
     },
 }
 
-/// The longest frame that a backend may send: a result of 4 KiB, its words, and room.
-const LONGEST_FRAME: usize = 16 << 10;
-const READ_BYTES: usize = 4 << 10;
+/// Frames to write, and how many bytes of them are not written yet.
+pub(super) struct Outgoing {
+    pub(super) frames: Receiver<Vec<u8>>,
+    pub(super) unwritten: Rc<Cell<usize>>,
+}
 
-/// Serves one connection; dropping the task ends it.
-pub async fn serve(
-    link: LinkId,
-    to: SocketAddr,
-    frames: Receiver<Vec<u8>>,
-    unwritten: Rc<Cell<usize>>,
+/// Serves one connection; dropping the future ends it.
+pub(super) async fn serve(
+    connection: ConnectionId,
+    address: SocketAddr,
+    outgoing: Outgoing,
     events: Sender<Event>,
 ) {
-    let Ok(stream) = Async::<TcpStream>::connect(to).await else {
-        let _ = events.send(Event::NotConnected(link)).await;
+    let Ok(stream) = Async::<TcpStream>::connect(address).await else {
+        let _ = events.send(Event::ConnectFailed(connection)).await;
         return;
     };
     let _ = stream.get_ref().set_nodelay(true);
-    if events.send(Event::Connected(link)).await.is_err() {
+    if events.send(Event::Connected(connection)).await.is_err() {
         return;
     }
-    let write = async {
-        while let Ok(mut bytes) = frames.recv().await {
-            while let Ok(more) = frames.try_recv() {
-                bytes.extend_from_slice(&more);
-            }
-            if (&stream).write_all(&bytes).await.is_err() {
-                break;
-            }
-            unwritten.set(unwritten.get().saturating_sub(bytes.len()));
+    let malformed = future::or(read(&stream, connection, &events), write(&stream, outgoing)).await;
+    let _ = events.send(Event::Closed { connection, malformed }).await;
+}
+
+/// Writes frames. It never ends: what the peer wrote before it closed is read first.
+async fn write(stream: &Async<TcpStream>, outgoing: Outgoing) -> Option<&'static str> {
+    let Outgoing { frames, unwritten } = outgoing;
+    while let Ok(mut bytes) = frames.recv().await {
+        while let Ok(more) = frames.try_recv() {
+            bytes.extend_from_slice(&more);
         }
-        // What the peer still said before it ended is read first.
-        future::pending::<()>().await;
-        None
-    };
-    let garbled = future::or(read(&stream, link, &events), write).await;
-    let _ = events.send(Event::Ended { link, garbled }).await;
+        if (&mut &*stream).write_all(&bytes).await.is_err() {
+            break;
+        }
+        unwritten.set(unwritten.get().saturating_sub(bytes.len()));
+    }
+    future::pending().await
 }
 
-/// Hands on whole frames until the connection ends; tells what is wrong where they can't be told apart.
-async fn read(stream: &Async<TcpStream>, link: LinkId, events: &Sender<Event>) -> Option<&'static str> {
+/// Reports whole frames until the connection ends; hands back what is wrong with bytes that are none.
+async fn read(
+    stream: &Async<TcpStream>,
+    connection: ConnectionId,
+    events: &Sender<Event>,
+) -> Option<&'static str> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
         let mut used = 0;
         loop {
-            match client::decode_first(&bytes[used..], LONGEST_FRAME) {
+            match codec::decode_first(&bytes[used..], MAX_FRAME_BYTES) {
                 Ok(Some((frame, length))) => {
-                    if events.send(Event::Frame(link, frame.to_vec())).await.is_err() {
+                    if events.send(Event::Frame(connection, frame.to_vec())).await.is_err() {
                         return None;
                     }
                     used += length;
                 }
                 Ok(None) => break,
-                Err(what) => return Some(what),
+                Err(fault) => return Some(fault),
             }
         }
         bytes.drain(..used);
-        if bytes.is_empty() && bytes.capacity() > LONGEST_FRAME {
+        if bytes.is_empty() && bytes.capacity() > MAX_FRAME_BYTES {
             bytes = Vec::new();
         }
-        let had = bytes.len();
-        bytes.resize(had + READ_BYTES, 0);
-        let got: io::Result<usize> = (&mut &*stream).read(&mut bytes[had..]).await;
-        bytes.truncate(had + got.as_ref().copied().unwrap_or(0));
+        let kept = bytes.len();
+        bytes.resize(kept + READ_BYTES, 0);
+        let got: io::Result<usize> = (&mut &*stream).read(&mut bytes[kept..]).await;
+        bytes.truncate(kept + got.as_ref().copied().unwrap_or(0));
         match got {
             Ok(count) if count > 0 => {}
             _ if !bytes.is_empty() => return Some("the connection ends inside a frame"),
--- a/crates/plovershelf-client/src/transport/driver.rs
+++ b/crates/plovershelf-client/src/transport/driver.rs
@@ -1,12 +1,8 @@
-//! The task that owns a caller: takes what handles ask and what connections tell, and carries out orders.
+//! The task that owns a caller: hands it the commands of handles and the events of connections, and carries out its actions.
 
 use std::cell::Cell;
 use std::collections::HashMap;
-use std::fs;
-use std::hash::{BuildHasher, Hasher};
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use std::sync::atomic::Ordering;
 use std::sync::Weak;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -14,397 +10,401 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use futures_lite::future;
-use plovershelf_codec::front::client::{self as front, Attempt, Response};
+use plovershelf_codec::front::client as codec;
 use plovershelf_codec::AttemptId;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::connection::{self, Event};
-use super::{Ask, Invocation, Reply, Shared};
-use crate::caller::{CallFacts, CallId, Caller, Ending, LinkId, Order};
-use crate::config::Terms;
-use crate::endpoint_list::MemberList;
+use super::connection::{self, Event, Outgoing};
+use super::endpoint_file::EndpointFile;
+use super::entropy;
+use crate::caller::{Action, AttemptKind, CallId, CallOutcome, CallSpec, Caller, CloseReason, ConnectionId};
+use crate::client::{Command, Shared};
+use crate::endpoint_list::EndpointList;
+use crate::request::{Request, Response};
 
-/// Between two looks at the list file; a change counts when two looks agree on it.
-const LIST_MS: f64 = 250.0;
 /// A peer that leaves more than this unread has stopped reading.
-const MOST_UNWRITTEN: usize = 256 << 10;
-/// Events that are taken before orders are carried out.
-const EVENTS_AT_ONCE: usize = 64;
-
-/// Bits that no other process has, from the source that seeds the standard library's tables.
-pub fn entropy() -> u64 {
-    let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
-    hasher.write_u32(std::process::id());
-    hasher.finish()
-}
-
-/// Reads a list of members; the error names the file.
-pub fn read_list(path: &Path, most: usize) -> Result<MemberList, String> {
-    let shown = path.display();
-    let text = fs::read(path).map_err(|error| format!("{shown}: {error}"))?;
-    let text = String::from_utf8(text).map_err(|_| format!("{shown}: it is not UTF-8"))?;
-    MemberList::parse(&text, most).map_err(|bad| format!("{shown}: {bad}"))
-}
-
-/// What tells one state of a file from another.
-type Stamp = (Option<SystemTime>, u64);
-
-fn stamp(path: &Path) -> Option<Stamp> {
-    fs::metadata(path).ok().map(|about| (about.modified().ok(), about.len()))
-}
-
-/// A list file that is watched.
-struct Watched {
-    path: PathBuf,
-    used: Option<Stamp>,
-    seen: Option<Stamp>,
-    look_at: f64,
-}
+const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
+/// Events or commands that are taken before others have their turn.
+const BATCH: usize = 64;
+/// Events that connections may report before the driver takes them.
+const MAX_QUEUED_EVENTS: usize = 256;
+/// Memory that a call occupies beside its body.
+const CALL_OVERHEAD_BYTES: usize = 512;
 
-/// The queue of asks. What stands in it when its task ends would keep its askers waiting for good.
-struct Asked(Receiver<Ask>);
+/// The queue of commands. What is left in it when its task ends would keep its senders waiting for good.
+struct CommandQueue(Receiver<Command>);
 
-impl Drop for Asked {
+impl Drop for CommandQueue {
     fn drop(&mut self) {
         self.0.close();
         while self.0.try_recv().is_ok() {}
     }
 }
 
-struct Wire {
+/// The driver's end of a connection.
+struct ConnectionHandle {
     frames: Sender<Vec<u8>>,
     unwritten: Rc<Cell<usize>>,
     /// Dropping it ends the connection.
     _task: Task<()>,
 }
 
-struct Pending {
+struct PendingRequest {
     number: u64,
-    invocation: Box<Invocation>,
-    reply: Sender<Reply>,
+    request: Box<Request>,
+    response: Sender<Response>,
+}
+
+/// What the driver waits for.
+enum Wakeup {
+    Command(Option<Command>),
+    Event(Option<Event>),
+    Timeout,
 }
 
-struct Driver {
+/// Whether the driver goes on.
+#[derive(PartialEq, Eq)]
+enum Flow {
+    Continue,
+    Stop,
+}
+
+/// The timer, set anew only where its time changes.
+struct Alarm {
+    timer: Timer,
+    at_ms: Option<f64>,
+}
+
+impl Alarm {
+    fn set(&mut self, start: Instant, at_ms: Option<f64>) {
+        if self.at_ms.map(f64::to_bits) == at_ms.map(f64::to_bits) {
+            return;
+        }
+        self.at_ms = at_ms;
+        match at_ms {
+            Some(at_ms) => self.timer.set_at(start + Duration::from_secs_f64(at_ms.max(0.0) / 1000.0)),
+            None => self.timer = Timer::never(),
+        }
+    }
+
+    async fn expired(&mut self) -> Wakeup {
+        (&mut self.timer).await;
+        self.at_ms = None;
+        Wakeup::Timeout
+    }
+}
+
+pub(crate) struct Driver {
     caller: Caller,
-    terms: Terms,
-    number: u32,
+    client_number: u32,
     executor: Rc<LocalExecutor<'static>>,
     start: Instant,
-    ids: Pcg64,
-    wires: HashMap<LinkId, Wire>,
-    pending: HashMap<CallId, Pending>,
-    numbers: HashMap<u64, CallId>,
+    attempt_ids: Pcg64,
+    connections: HashMap<ConnectionId, ConnectionHandle>,
+    pending: HashMap<CallId, PendingRequest>,
+    calls_by_number: HashMap<u64, CallId>,
     events: Sender<Event>,
-    watched: Option<Watched>,
-    shared: Weak<Shared>,
-}
-
-pub async fn drive(
-    caller: Caller,
-    terms: Terms,
-    number: u32,
-    list: MemberList,
-    file: Option<PathBuf>,
-    asked: Receiver<Ask>,
+    reported: Receiver<Event>,
+    endpoint_file: Option<EndpointFile>,
     shared: Weak<Shared>,
-) {
-    let executor = Rc::new(LocalExecutor::new());
-    let (events, inbox) = async_channel::bounded(256);
-    let watched = file.map(|path| {
-        let used = stamp(&path);
-        Watched { path, used, seen: used, look_at: LIST_MS }
-    });
-    let ids = Pcg64::seed_from_u64(entropy());
-    let mut driver = Driver {
-        caller,
-        terms,
-        number,
-        executor: executor.clone(),
-        start: Instant::now(),
-        ids,
-        wires: HashMap::new(),
-        pending: HashMap::new(),
-        numbers: HashMap::new(),
-        events,
-        watched,
-        shared,
-    };
-    driver.caller.list(0.0, &list);
-    driver.carry_out(None);
-    executor.run(driver.run(Asked(asked), inbox)).await;
 }
 
 impl Driver {
-    fn now(&self) -> f64 {
-        self.start.elapsed().as_secs_f64() * 1000.0
+    pub(crate) fn new(
+        caller: Caller,
+        client_number: u32,
+        endpoint_file: Option<EndpointFile>,
+        shared: Weak<Shared>,
+    ) -> Self {
+        let (events, reported) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        Driver {
+            caller,
+            client_number,
+            executor: Rc::new(LocalExecutor::new()),
+            start: Instant::now(),
+            attempt_ids: Pcg64::seed_from_u64(entropy()),
+            connections: HashMap::new(),
+            pending: HashMap::new(),
+            calls_by_number: HashMap::new(),
+            events,
+            reported,
+            endpoint_file,
+            shared,
+        }
+    }
+
+    /// Runs until a command closes the client, or no handle is left.
+    pub(crate) async fn run(mut self, list: EndpointList, commands: Receiver<Command>) {
+        self.start = Instant::now();
+        self.caller.update_endpoints(0.0, &list);
+        self.carry_out(&[]);
+        let executor = self.executor.clone();
+        executor.run(self.drive(CommandQueue(commands))).await;
     }
 
-    async fn run(&mut self, queue: Asked, inbox: Receiver<Event>) {
-        let asked = &queue.0;
-        let mut timer = Timer::never();
-        let mut timer_for = None;
+    async fn drive(&mut self, queue: CommandQueue) {
+        let commands = &queue.0;
+        let reported = self.reported.clone();
+        let mut alarm = Alarm { timer: Timer::never(), at_ms: None };
         loop {
-            let due = self.next_due();
-            if due.map(f64::to_bits) != timer_for {
-                timer_for = due.map(f64::to_bits);
-                match due {
-                    Some(at) => timer.set_at(self.start + Duration::from_secs_f64(at.max(0.0) / 1000.0)),
-                    None => timer = Timer::never(),
-                }
-            }
-            enum Next {
-                Ask(Option<Ask>),
-                Event(Option<Event>),
-                Due,
-            }
-            let ask = async { Next::Ask(asked.recv().await.ok()) };
-            let event = async { Next::Event(inbox.recv().await.ok()) };
-            let late = async {
-                (&mut timer).await;
-                Next::Due
-            };
-            match future::or(event, future::or(late, ask)).await {
-                Next::Event(Some(event)) => {
-                    self.take(event);
-                    for _ in 0..EVENTS_AT_ONCE {
-                        let Ok(event) = inbox.try_recv() else { break };
-                        self.take(event);
-                    }
-                }
-                Next::Event(None) => return,
-                Next::Due => timer_for = None,
-                Next::Ask(Some(Ask::Close(done))) => {
-                    self.end();
-                    drop(done);
-                    return;
-                }
-                Next::Ask(Some(ask)) => {
-                    self.asked(ask);
-                    for _ in 0..EVENTS_AT_ONCE {
-                        // One that closes is left for the next turn.
-                        if asked.is_empty() || asked.is_closed() {
-                            break;
-                        }
-                        match asked.try_recv() {
-                            Ok(Ask::Close(done)) => {
-                                self.end();
-                                drop(done);
-                                return;
-                            }
-                            Ok(ask) => self.asked(ask),
-                            Err(_) => break,
-                        }
-                    }
-                }
-                // The last handle is gone, and nobody waits for a call.
-                Next::Ask(None) => {
-                    self.end();
-                    return;
-                }
+            alarm.set(self.start, self.next_timeout_ms());
+            let command = async { Wakeup::Command(commands.recv().await.ok()) };
+            let event = async { Wakeup::Event(reported.recv().await.ok()) };
+            let wakeup = future::or(event, future::or(alarm.expired(), command)).await;
+            if self.handle_wakeup(wakeup, commands) == Flow::Stop {
+                return;
             }
-            let now = self.now();
-            if self.caller.next_wake().is_some_and(|at| at <= now) {
-                self.caller.woke(now);
-                self.carry_out(None);
+            let now_ms = self.now_ms();
+            if self.caller.poll_timeout().is_some_and(|at_ms| at_ms <= now_ms) {
+                self.caller.handle_timeout(now_ms);
+                self.carry_out(&[]);
             }
-            self.look_at_list(now);
+            self.check_endpoint_file(now_ms);
             // Handles that ask without end must not keep the connections from their turn.
             future::yield_now().await;
         }
     }
 
-    fn next_due(&self) -> Option<f64> {
-        let list = self.watched.as_ref().map(|watched| watched.look_at);
-        match (self.caller.next_wake(), list) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+    fn now_ms(&self) -> f64 {
+        self.start.elapsed().as_secs_f64() * 1000.0
+    }
+
+    fn next_timeout_ms(&self) -> Option<f64> {
+        let check_ms = self.endpoint_file.as_ref().map(EndpointFile::next_check_ms);
+        [self.caller.poll_timeout(), check_ms].into_iter().flatten().reduce(f64::min)
+    }
+
+    fn handle_wakeup(&mut self, wakeup: Wakeup, commands: &Receiver<Command>) -> Flow {
+        match wakeup {
+            Wakeup::Event(Some(event)) => {
+                self.handle_event(event);
+                for _ in 0..BATCH {
+                    let Ok(event) = self.reported.try_recv() else { break };
+                    self.handle_event(event);
+                }
+                Flow::Continue
+            }
+            Wakeup::Event(None) => Flow::Stop,
+            Wakeup::Timeout => Flow::Continue,
+            Wakeup::Command(Some(command)) => self.handle_commands(command, commands),
+            // The last handle is gone, and nobody waits for a call.
+            Wakeup::Command(None) => self.close(),
         }
     }
 
-    fn end(&mut self) {
-        self.caller.close(self.now());
-        self.carry_out(None);
+    fn handle_commands(&mut self, first: Command, commands: &Receiver<Command>) -> Flow {
+        if self.handle_command(first) == Flow::Stop {
+            return Flow::Stop;
+        }
+        for _ in 0..BATCH {
+            // A closed queue is left for the next turn.
+            if commands.is_empty() || commands.is_closed() {
+                break;
+            }
+            let Ok(command) = commands.try_recv() else { break };
+            if self.handle_command(command) == Flow::Stop {
+                return Flow::Stop;
+            }
+        }
+        Flow::Continue
     }
 
-    fn asked(&mut self, ask: Ask) {
-        match ask {
-            Ask::Call { number, invocation, due, reply } => {
-                let due = due.saturating_duration_since(self.start).as_secs_f64() * 1000.0;
-                let facts = CallFacts {
-                    offering: invocation.offering.clone(),
-                    repeats: invocation.repeats,
-                    rank: invocation.rank,
-                    due,
-                    subject: invocation.subject.unwrap_or(0),
-                    bytes: invocation.body.len() + 512,
-                };
-                let call = self.caller.call(self.now(), facts);
-                self.numbers.insert(number, call);
-                self.pending.insert(call, Pending { number, invocation, reply });
+    fn handle_command(&mut self, command: Command) -> Flow {
+        let now_ms = self.now_ms();
+        match command {
+            Command::Call { number, request, deadline, response } => {
+                let spec = self.spec_of(&request, deadline);
+                let call = self.caller.start_call(now_ms, &spec);
+                self.calls_by_number.insert(number, call);
+                self.pending.insert(call, PendingRequest { number, request, response });
             }
-            Ask::Gone { number } => {
-                if let Some(call) = self.numbers.get(&number).copied() {
-                    self.caller.cancelled(self.now(), call);
+            Command::Dropped { number } => {
+                if let Some(call) = self.calls_by_number.get(&number).copied() {
+                    self.caller.cancel_call(now_ms, call);
                     self.forget(call);
                 }
             }
-            Ask::Members(list) => self.caller.list(self.now(), &list),
-            Ask::Counts(give) => drop(give.try_send(self.caller.counts())),
-            Ask::Close(_) => {}
+            Command::UpdateEndpoints(list) => self.caller.update_endpoints(now_ms, &list),
+            Command::Counters(sender) => drop(sender.try_send(self.caller.counters())),
+            Command::Close(_done) => return self.close(),
+        }
+        self.carry_out(&[]);
+        Flow::Continue
+    }
+
+    fn close(&mut self) -> Flow {
+        self.caller.close(self.now_ms());
+        self.carry_out(&[]);
+        Flow::Stop
+    }
+
+    fn spec_of(&self, request: &Request, deadline: Instant) -> CallSpec {
+        CallSpec {
+            class: request.class.clone(),
+            idempotency: request.idempotency,
+            priority: request.priority,
+            deadline_ms: deadline.saturating_duration_since(self.start).as_secs_f64() * 1000.0,
+            subject: request.subject.unwrap_or(0),
+            bytes: request.body.len() + CALL_OVERHEAD_BYTES,
         }
-        self.carry_out(None);
     }
 
-    fn forget(&mut self, call: CallId) -> Option<Pending> {
+    fn forget(&mut self, call: CallId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&call)?;
-        self.numbers.remove(&pending.number);
+        self.calls_by_number.remove(&pending.number);
         if let Some(shared) = self.shared.upgrade() {
-            shared.in_hand.fetch_sub(1, Ordering::Relaxed);
+            shared.release();
         }
         Some(pending)
     }
 
-    fn take(&mut self, event: Event) {
-        let now = self.now();
+    fn handle_event(&mut self, event: Event) {
+        let now_ms = self.now_ms();
         match event {
-            Event::Connected(link) => self.caller.connected(now, link),
-            Event::NotConnected(link) => {
-                tracing::debug!(event = "not_connected", link = link.0);
-                self.caller.not_connected(now, link);
+            Event::Connected(connection) => self.caller.handle_connected(now_ms, connection),
+            Event::ConnectFailed(connection) => {
+                tracing::debug!(event = "connect_failed", connection = connection.0);
+                self.caller.handle_connect_failed(now_ms, connection);
             }
-            Event::Ended { link, garbled } => {
-                if self.wires.contains_key(&link) {
-                    tracing::debug!(event = "connection_ended", link = link.0, garbled);
-                    self.caller.ended(now, link, garbled.is_some());
+            Event::Closed { connection, malformed } => {
+                if self.connections.contains_key(&connection) {
+                    tracing::debug!(event = "connection_closed", connection = connection.0, malformed);
+                    let reason =
+                        if malformed.is_some() { CloseReason::Malformed } else { CloseReason::Ended };
+                    self.caller.handle_connection_closed(now_ms, connection, reason);
                 }
-                self.wires.remove(&link);
+                self.connections.remove(&connection);
             }
-            Event::Frame(link, frame) => match front::decode_response(&frame) {
-                Ok(heard) => {
-                    let result = match heard {
-                        Response::Succeeded { result, .. } => Some(result),
-                        _ => None,
-                    };
-                    self.caller.heard(now, link, &heard);
-                    return self.carry_out(result);
-                }
-                Err(what) => {
-                    tracing::warn!(event = "garbled", link = link.0, what);
-                    self.caller.ended(now, link, true);
-                    self.wires.remove(&link);
-                }
-            },
+            Event::Frame(connection, frame) => return self.handle_frame(now_ms, connection, &frame),
         }
-        self.carry_out(None);
+        self.carry_out(&[]);
     }
 
-    /// `result` is that of the answer that was just heard, if it was a result.
-    fn carry_out(&mut self, result: Option<&[u8]>) {
+    fn handle_frame(&mut self, now_ms: f64, connection: ConnectionId, frame: &[u8]) {
+        match codec::decode_response(frame) {
+            Ok(message) => {
+                self.caller.handle_message(now_ms, connection, &message);
+                let result = match message {
+                    codec::Response::Succeeded { result, .. } => result,
+                    _ => &[],
+                };
+                self.carry_out(result);
+            }
+            Err(fault) => {
+                tracing::warn!(event = "malformed_message", connection = connection.0, fault);
+                self.caller.handle_connection_closed(now_ms, connection, CloseReason::Malformed);
+                self.connections.remove(&connection);
+                self.carry_out(&[]);
+            }
+        }
+    }
+
+    /// Carries out actions until there are none. `result` is that of the answer that was just handled.
+    fn carry_out(&mut self, result: &[u8]) {
         loop {
-            let orders = self.caller.take_orders();
-            if orders.is_empty() {
+            let actions = self.caller.poll_actions();
+            if actions.is_empty() {
                 return;
             }
-            for order in orders {
-                match order {
-                    Order::Connect { link, to } => {
-                        tracing::debug!(event = "connect", link = link.0, to = %to);
-                        let (frames, taken) = async_channel::unbounded();
-                        let unwritten = Rc::new(Cell::new(0));
-                        let serve =
-                            connection::serve(link, to, taken, unwritten.clone(), self.events.clone());
-                        let _task = self.executor.spawn(serve);
-                        self.wires.insert(link, Wire { frames, unwritten, _task });
-                    }
-                    Order::Send { link, seqid, call, waits_ms, marked } => {
-                        self.send(link, seqid, call, waits_ms, marked);
-                    }
-                    Order::Cancel { link, seqid } => self.write(link, front::cancel(seqid)),
-                    Order::Probe { link, seqid } => self.write(link, front::alive(seqid)),
-                    Order::Close { link } => drop(self.wires.remove(&link)),
-                    Order::Finish { call, ending } => {
-                        let Some(pending) = self.forget(call) else { continue };
-                        let _ = pending.reply.try_send(reply(ending, result));
-                    }
+            for action in actions {
+                self.carry_out_one(action, result);
+            }
+        }
+    }
+
+    fn carry_out_one(&mut self, action: Action, result: &[u8]) {
+        match action {
+            Action::Connect { connection, address } => self.connect(connection, address),
+            Action::Send { connection, sequence, call, timeout_ms, kind } => {
+                if let Some(frame) = self.encode_attempt(sequence, call, timeout_ms, kind) {
+                    self.write(connection, frame);
                 }
             }
+            Action::Cancel { connection, sequence } => self.write(connection, codec::cancel(sequence)),
+            Action::Probe { connection, sequence } => self.write(connection, codec::alive(sequence)),
+            Action::Close { connection } => drop(self.connections.remove(&connection)),
+            Action::Complete { call, outcome } => self.complete(call, outcome, result),
         }
     }
 
-    fn send(&mut self, link: LinkId, seqid: i32, call: CallId, waits_ms: f64, marked: bool) {
-        let id = self.attempt_id();
-        let Some(Pending { invocation, .. }) = self.pending.get(&call) else { return };
-        let came = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let one = Attempt {
-            class: &invocation.offering,
+    fn complete(&mut self, call: CallId, outcome: CallOutcome, result: &[u8]) {
+        if let Some(pending) = self.forget(call) {
+            let _ = pending.response.try_send(Response::new(outcome, result));
+        }
+    }
+
+    fn connect(&mut self, connection: ConnectionId, address: std::net::SocketAddr) {
+        tracing::debug!(event = "connecting", connection = connection.0, address = %address);
+        let (frames, receiver) = async_channel::unbounded();
+        let unwritten = Rc::new(Cell::new(0));
+        let outgoing = Outgoing { frames: receiver, unwritten: unwritten.clone() };
+        let serve = connection::serve(connection, address, outgoing, self.events.clone());
+        let handle = ConnectionHandle { frames, unwritten, _task: self.executor.spawn(serve) };
+        self.connections.insert(connection, handle);
+    }
+
+    fn encode_attempt(
+        &mut self,
+        sequence: i32,
+        call: CallId,
+        timeout_ms: f64,
+        kind: AttemptKind,
+    ) -> Option<Vec<u8>> {
+        let id = self.next_attempt_id();
+        let request = &self.pending.get(&call)?.request;
+        let sent = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let attempt = codec::Attempt {
+            class: &request.class,
             id,
-            sent_ms: came.as_millis() as u64,
-            caller: self.number,
-            tenant: &invocation.tenant,
-            timeout_ms: Some(waits_ms),
-            memory_kb: invocation.footprint_kb,
-            rank: invocation.rank,
-            object: invocation.subject,
-            idempotency_key: invocation.ticket.as_deref(),
-            work_hint_ms: invocation.work_hint_ms,
-            marked_retry: marked,
-            body: &invocation.body,
+            sent_ms: sent.as_millis() as u64,
+            caller: self.client_number,
+            tenant: &request.tenant,
+            timeout_ms: Some(timeout_ms),
+            memory_kb: request.footprint_kb,
+            rank: request.priority,
+            object: request.subject,
+            idempotency_key: request.idempotency_key.as_deref(),
+            work_hint_ms: request.work_hint_ms,
+            marked_retry: kind == AttemptKind::Retry,
+            body: &request.body,
         };
-        let frame = front::dispatch(seqid, &one);
-        self.write(link, frame);
+        Some(codec::dispatch(sequence, &attempt))
     }
 
-    fn attempt_id(&mut self) -> AttemptId {
+    fn next_attempt_id(&mut self) -> AttemptId {
         let mut id: AttemptId = [0; 16];
-        let bits: u64 = self.ids.random();
+        let bits: u64 = self.attempt_ids.random();
         for (place, digit) in id.iter_mut().enumerate() {
             *digit = b"0123456789abcdef"[(bits >> (4 * place) & 15) as usize];
         }
         id
     }
 
-    /// A peer that has stopped reading is lost.
-    fn write(&mut self, link: LinkId, frame: Vec<u8>) {
-        let Some(wire) = self.wires.get(&link) else { return };
-        wire.unwritten.set(wire.unwritten.get() + frame.len());
-        let full = wire.unwritten.get() > MOST_UNWRITTEN;
-        if full || wire.frames.try_send(frame).is_err() {
-            self.wires.remove(&link);
-            self.caller.ended(self.now(), link, full);
+    /// Hands a frame to a connection. A peer that has stopped reading is lost.
+    fn write(&mut self, connection: ConnectionId, frame: Vec<u8>) {
+        let Some(handle) = self.connections.get(&connection) else { return };
+        handle.unwritten.set(handle.unwritten.get() + frame.len());
+        let is_full = handle.unwritten.get() > MAX_UNWRITTEN_BYTES;
+        if is_full || handle.frames.try_send(frame).is_err() {
+            self.connections.remove(&connection);
+            let reason = if is_full { CloseReason::Malformed } else { CloseReason::Ended };
+            self.caller.handle_connection_closed(self.now_ms(), connection, reason);
         }
     }
 
-    /// Reads the list file again where it has changed and two looks agree, so that one that is being written counts
-    /// only when it is whole.
-    fn look_at_list(&mut self, now: f64) {
-        let Some(watched) = self.watched.as_mut().filter(|watched| watched.look_at <= now) else { return };
-        watched.look_at = now + LIST_MS;
-        let seen = stamp(&watched.path);
-        let settled = seen == watched.seen;
-        watched.seen = seen;
-        if !settled || seen == watched.used {
-            return;
-        }
-        watched.used = seen;
-        match read_list(&watched.path, self.terms.members) {
-            Ok(list) => {
-                tracing::info!(event = "members", count = list.members.len(), doubled = list.doubled);
-                self.caller.list(now, &list);
-                self.carry_out(None);
+    fn check_endpoint_file(&mut self, now_ms: f64) {
+        match self.endpoint_file.as_mut().and_then(|file| file.check(now_ms)) {
+            Some(Ok(list)) => {
+                let (count, duplicates) = (list.addresses.len(), list.duplicates);
+                tracing::info!(event = "endpoints_updated", count, duplicates);
+                self.caller.update_endpoints(now_ms, &list);
+                self.carry_out(&[]);
             }
-            Err(error) => tracing::warn!(event = "members_kept", "the list of before stays: {error}"),
+            Some(Err(error)) => {
+                tracing::warn!(event = "endpoints_kept", "the list of before stays: {error}");
+            }
+            None => {}
         }
     }
 }
-
-fn reply(ending: Ending, result: Option<&[u8]>) -> Reply {
-    let span = |ms: Option<f64>| ms.map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0));
-    match ending {
-        Ending::Succeeded => Reply::Succeeded(result.unwrap_or_default().to_vec()),
-        Ending::Dismissed { come_back_ms, last } => Reply::Dismissed { come_back: span(come_back_ms), last },
-        Ending::Scrapped { may_have_run } => Reply::Scrapped { may_have_run },
-        Ending::OutOfTime { may_have_run } => Reply::OutOfTime { may_have_run },
-        Ending::GivenUp { why, come_back_ms } => Reply::GivenUp { why, come_back: span(come_back_ms) },
-    }
-}
--- a/crates/plovershelf-client/tests/faults.rs
+++ b/crates/plovershelf-client/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The client on real sockets, against members that do what they should not.
+//! The client on real sockets, against endpoints that do what they should not.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,25 +7,28 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future;
-use plovershelf_client::{Builder, Client, Invocation, Reply, Terms, Why};
+use plovershelf_client::{Client, ClientBuilder, ClientConfig, NotSentReason, Request, Response};
 use plovershelf_codec::front::{self, Message, ServerSignals};
 
-/// A member that does this with each connection, on a thread of its own.
-fn member(each: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+const NO_SIGNALS: ServerSignals =
+    ServerSignals { backpressure: None, retry_after_ms: None, no_retry_elsewhere: false };
+
+/// An endpoint that does this with each connection, on a thread of its own.
+fn endpoint(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let each = Arc::new(each);
+    let serve = Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let each = each.clone();
-            std::thread::spawn(move || each(stream));
+            let serve = serve.clone();
+            std::thread::spawn(move || serve(stream));
         }
     });
     address
 }
 
 /// The next whole frame, without its length.
-fn frame(stream: &mut TcpStream) -> Option<Vec<u8>> {
+fn read_frame(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -33,142 +36,163 @@
     Some(frame)
 }
 
-/// The sequence number of the next dispatch, and whether it is marked as a repeat; health is answered on the way.
-fn dispatch(stream: &mut TcpStream) -> Option<(i32, bool)> {
+/// A request that an endpoint has read.
+struct Dispatch {
+    sequence: i32,
+    is_retry: bool,
+}
+
+/// The next request; health checks are answered on the way.
+fn read_dispatch(stream: &mut TcpStream) -> Option<Dispatch> {
     loop {
-        match front::decode(&frame(stream)?) {
-            Ok(Message::Dispatch { seqid, request }) => return Some((seqid, request.marked_retry)),
+        match front::decode(&read_frame(stream)?) {
+            Ok(Message::Dispatch { seqid, request }) => {
+                return Some(Dispatch { sequence: seqid, is_retry: request.marked_retry });
+            }
             Ok(Message::Alive { seqid }) => {
-                stream.write_all(&front::health(seqid, true, &ServerSignals::default())).ok()?;
+                stream.write_all(&front::health(seqid, true, &NO_SIGNALS)).ok()?;
             }
             _ => {}
         }
     }
 }
 
-/// One that serves all at once and counts what it served.
-fn good() -> (SocketAddr, Arc<AtomicUsize>) {
+/// One that serves all requests at once, and counts them.
+fn healthy_endpoint() -> (SocketAddr, Arc<AtomicUsize>) {
     let served = Arc::new(AtomicUsize::new(0));
     let count = served.clone();
     let serve = move |mut stream: TcpStream| {
-        while let Some((seqid, _)) = dispatch(&mut stream) {
+        while let Some(Dispatch { sequence, .. }) = read_dispatch(&mut stream) {
             count.fetch_add(1, Ordering::Relaxed);
-            if stream.write_all(&front::succeeded(seqid, b"well", &ServerSignals::default())).is_err() {
+            if stream.write_all(&front::succeeded(sequence, b"well", &NO_SIGNALS)).is_err() {
                 return;
             }
         }
     };
-    (member(serve), served)
+    (endpoint(serve), served)
+}
+
+fn client(endpoints: &[SocketAddr]) -> Client {
+    let config = ClientConfig {
+        seed: 7,
+        reconnect_spread_ms: 300.0,
+        max_reconnect_backoff_ms: 400.0,
+        ..ClientConfig::default()
+    };
+    ClientBuilder::new().endpoints(endpoints).config(config).start().expect("a client")
 }
 
-fn client(members: &[SocketAddr]) -> Client {
-    let terms = Terms { seed: 7, reconnect_spread_ms: 300.0, reconnect_most_ms: 400.0, ..Terms::default() };
-    Builder::new().members(members).terms(terms).start().expect("a client")
+fn request(timeout_ms: u64) -> Request {
+    Request::new("plan", &b"work"[..], Duration::from_millis(timeout_ms))
 }
 
-fn within(ms: u64) -> Invocation {
-    Invocation::new("plan", &b"work"[..], Duration::from_millis(ms))
+fn is_success(response: &Response) -> bool {
+    matches!(response, Response::Succeeded(_))
 }
 
-/// Makes so many calls at once and hands back their ends.
-fn all(client: &Client, count: usize, of: impl Fn() -> Invocation) -> Vec<Reply> {
-    let calls: Vec<_> = (0..count).map(|_| client.call(of())).collect();
+/// Makes so many calls at once and hands back their responses.
+fn call_all(client: &Client, count: usize, request: impl Fn() -> Request) -> Vec<Response> {
+    let calls: Vec<_> = (0..count).map(|_| client.call(request())).collect();
     future::block_on(async {
-        let mut replies = Vec::new();
+        let mut responses = Vec::new();
         for call in calls {
-            replies.push(call.await);
+            responses.push(call.await);
         }
-        replies
+        responses
     })
 }
 
 #[test]
-fn a_call_is_answered_in_any_order_and_from_any_thread() {
-    let (address, served) = good();
+fn calls_are_answered_in_any_order_and_from_any_thread() {
+    let (address, served) = healthy_endpoint();
     let client = client(&[address]);
     let threads: Vec<_> = (0..4)
         .map(|_| {
             let client = client.clone();
-            std::thread::spawn(move || client.call_blocking(within(5000)))
+            std::thread::spawn(move || client.call_blocking(request(5000)))
         })
         .collect();
     for thread in threads {
-        assert_eq!(thread.join().expect("it ends"), Reply::Succeeded(b"well".to_vec()));
+        assert_eq!(thread.join().expect("it ends"), Response::Succeeded(b"well".to_vec()));
     }
-    assert!(all(&client, 100, || within(5000)).iter().all(|reply| matches!(reply, Reply::Succeeded(_))));
+    assert!(call_all(&client, 100, || request(5000)).iter().all(is_success));
     assert_eq!(served.load(Ordering::Relaxed), 104);
 }
 
+/// An endpoint sends garbage, answers what nobody asked, answers twice, announces 3 GB, sends half a frame, or resets. Only calls on
+/// it may fail; beside a healthy one most calls succeed.
 #[test]
-fn members_that_talk_nonsense_cost_their_own_calls_only() {
-    let nonsense: [fn(&mut TcpStream, i32); 6] = [
-        // Garbage, an unknown number, the same answer twice, a length of 3 GB, half a frame, a reset.
+fn endpoint_that_violates_the_protocol_costs_its_own_calls_only() {
+    let violations: [fn(&mut TcpStream, i32); 6] = [
         |stream, _| drop(stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n")),
-        |stream, _| drop(stream.write_all(&front::succeeded(4711, b"x", &ServerSignals::default()))),
-        |stream, seqid| {
-            let twice = [
-                front::failed(seqid, &ServerSignals::default()),
-                front::failed(seqid, &ServerSignals::default()),
-            ];
+        |stream, _| drop(stream.write_all(&front::succeeded(4711, b"x", &NO_SIGNALS))),
+        |stream, sequence| {
+            let twice = [front::failed(sequence, &NO_SIGNALS), front::failed(sequence, &NO_SIGNALS)];
             let _ = stream.write_all(&twice.concat());
         },
         |stream, _| drop(stream.write_all(&3_000_000_000u32.to_be_bytes())),
-        |stream, seqid| {
-            let whole = front::succeeded(seqid, b"long enough", &ServerSignals::default());
+        |stream, sequence| {
+            let whole = front::succeeded(sequence, b"long enough", &NO_SIGNALS);
             let _ = stream.write_all(&whole[..whole.len() / 2]);
             let _ = stream.shutdown(std::net::Shutdown::Write);
         },
         |_, _| {},
     ];
-    for (case, spoil) in nonsense.into_iter().enumerate() {
-        let bad = member(move |mut stream| {
-            while let Some((seqid, _)) = dispatch(&mut stream) {
-                spoil(&mut stream, seqid);
+    for (case, violate) in violations.into_iter().enumerate() {
+        let faulty = endpoint(move |mut stream| {
+            while let Some(Dispatch { sequence, .. }) = read_dispatch(&mut stream) {
+                violate(&mut stream, sequence);
                 if matches!(case, 3..=5) {
                     return;
                 }
             }
         });
-        let alone = client(&[bad]);
-        for reply in all(&alone, 3, || within(700).exclusive()) {
-            let failed = matches!(reply, Reply::Scrapped { may_have_run: true } | Reply::GivenUp { .. });
-            assert!(failed || matches!(reply, Reply::OutOfTime { .. }), "{case}: {reply:?}");
+        let alone = client(&[faulty]);
+        for response in call_all(&alone, 3, || request(700).non_idempotent()) {
+            let has_failed =
+                matches!(response, Response::Failed { may_have_run: true } | Response::NotSent { .. });
+            assert!(
+                has_failed || matches!(response, Response::DeadlineExceeded { .. }),
+                "{case}: {response:?}"
+            );
         }
-        let (well, _) = good();
-        let both = client(&[bad, well]);
-        let replies: Vec<Reply> = (0..60).map(|_| both.call_blocking(within(3000))).collect();
-        let succeeded = replies.iter().filter(|reply| matches!(reply, Reply::Succeeded(_))).count();
+        let (healthy, _) = healthy_endpoint();
+        let both = client(&[faulty, healthy]);
+        let responses: Vec<Response> = (0..60).map(|_| both.call_blocking(request(3000))).collect();
+        let succeeded = responses.iter().filter(|response| is_success(response)).count();
         assert!(succeeded >= 50, "{case}: {succeeded} of 60");
     }
 }
 
+/// An endpoint accepts connections and says nothing. How many of the first calls go there is chance; they end, and later calls are
+/// served by the other endpoint.
 #[test]
-fn a_member_that_accepts_and_says_nothing_is_left_for_another() {
-    let silent = member(|mut stream| {
+fn silent_endpoint_is_left_for_another() {
+    let silent = endpoint(|mut stream| {
         let mut bytes = [0; 4096];
         while stream.read(&mut bytes).is_ok_and(|count| count > 0) {}
     });
-    let (well, _) = good();
-    let client = client(&[silent, well]);
-    // How many of the first go there is chance; they end, and what comes after them is served.
-    assert_eq!(all(&client, 40, || within(4000)).len(), 40);
-    let later = all(&client, 20, || within(4000));
-    assert!(later.iter().all(|reply| matches!(reply, Reply::Succeeded(_))), "{later:?}");
+    let (healthy, _) = healthy_endpoint();
+    let client = client(&[silent, healthy]);
+    assert_eq!(call_all(&client, 40, || request(4000)).len(), 40);
+    let later = call_all(&client, 20, || request(4000));
+    assert!(later.iter().all(is_success), "{later:?}");
 }
 
+/// A peer reads nothing while thousands of calls are made. They end by their deadlines, and what is not written is bounded.
 #[test]
-fn a_peer_that_reads_nothing_holds_neither_memory_nor_calls() {
-    let deaf = member(|stream| {
+fn peer_that_reads_nothing_holds_neither_memory_nor_calls() {
+    let not_reading = endpoint(|stream| {
         std::thread::sleep(Duration::from_secs(20));
         drop(stream);
     });
-    let client = client(&[deaf]);
+    let client = client(&[not_reading]);
     let body = vec![7; 2048];
-    let long = || Invocation::new("plan", body.clone(), Duration::from_millis(400));
+    let long = || Request::new("plan", body.clone(), Duration::from_millis(400));
     for _ in 0..5 {
         let began = Instant::now();
-        let replies = all(&client, 1000, long);
-        assert!(replies.iter().all(|reply| !matches!(reply, Reply::Succeeded(_))));
+        let responses = call_all(&client, 1000, long);
+        assert!(!responses.iter().any(is_success));
         // Not a verdict on speed: a call that is never ended would hang here for good.
         assert!(began.elapsed() < Duration::from_secs(15));
     }
@@ -178,23 +202,24 @@
     assert!(peak_kb < 200 << 10, "{peak_kb} kB");
 }
 
+/// Thousands of calls are dropped at once. Each that was written must be cancelled at its endpoint, and none must be left.
 #[test]
-fn thousands_that_are_dropped_at_once_are_cancelled_below() {
+fn calls_dropped_at_once_are_cancelled_at_their_endpoint() {
     let cancelled = Arc::new(AtomicUsize::new(0));
     let count = cancelled.clone();
-    let holds = member(move |mut stream| {
-        while let Some(frame) = frame(&mut stream) {
+    let holding = endpoint(move |mut stream| {
+        while let Some(frame) = read_frame(&mut stream) {
             match front::decode(&frame) {
                 Ok(Message::Cancel { .. }) => drop(count.fetch_add(1, Ordering::Relaxed)),
                 Ok(Message::Alive { seqid }) => {
-                    let _ = stream.write_all(&front::health(seqid, true, &ServerSignals::default()));
+                    let _ = stream.write_all(&front::health(seqid, true, &NO_SIGNALS));
                 }
                 _ => {}
             }
         }
     });
-    let client = client(&[holds]);
-    let calls: Vec<_> = (0..3000).map(|_| client.call(within(10_000))).collect();
+    let client = client(&[holding]);
+    let calls: Vec<_> = (0..3000).map(|_| client.call(request(10_000))).collect();
     let until = |what: &str, reached: &dyn Fn() -> bool| {
         for _ in 0..2000 {
             if reached() {
@@ -203,73 +228,75 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         panic!(
-            "{what}: {:?}, {} cancelled below",
-            future::block_on(client.counts()),
+            "{what}: {:?}, {} cancelled at the endpoint",
+            future::block_on(client.counters()),
             cancelled.load(Ordering::Relaxed)
         );
     };
-    until("some are out", &|| future::block_on(client.counts()).first_tries >= 32);
+    until("some are sent", &|| future::block_on(client.counters()).first_attempts >= 32);
     drop(calls);
-    until("all are cancelled", &|| future::block_on(client.counts()).cancelled == 3000);
-    // Each that had been written was given up at the member too.
-    let written = future::block_on(client.counts()).first_tries as usize;
-    until("all are given up below", &|| cancelled.load(Ordering::Relaxed) == written);
+    until("all are cancelled", &|| future::block_on(client.counters()).cancelled == 3000);
+    let written = future::block_on(client.counters()).first_attempts as usize;
+    until("all are cancelled at the endpoint", &|| cancelled.load(Ordering::Relaxed) == written);
 }
 
+/// One of two endpoints rejects everything. Its calls are retried at the other, marked, within the budget.
 #[test]
-fn a_dismissal_is_tried_elsewhere_and_marked() {
-    let marks = Arc::new(AtomicUsize::new(0));
-    let dismisses = |marks: Arc<AtomicUsize>| {
-        member(move |mut stream| {
-            while let Some((seqid, marked)) = dispatch(&mut stream) {
-                marks.fetch_add(usize::from(marked), Ordering::Relaxed);
-                let _ = stream.write_all(&front::rejected(seqid, &ServerSignals::default()));
+fn rejected_call_is_retried_elsewhere_within_the_budget() {
+    let retries_read = Arc::new(AtomicUsize::new(0));
+    let rejecting = |retries_read: Arc<AtomicUsize>| {
+        endpoint(move |mut stream| {
+            while let Some(Dispatch { sequence, is_retry }) = read_dispatch(&mut stream) {
+                retries_read.fetch_add(usize::from(is_retry), Ordering::Relaxed);
+                let _ = stream.write_all(&front::rejected(sequence, &NO_SIGNALS));
             }
         })
     };
-    let (well, _) = good();
-    let client = client(&[well, dismisses(marks.clone())]);
-    let replies: Vec<Reply> = (0..300).map(|_| client.call_blocking(within(3000).exclusive())).collect();
-    let succeeded = replies.iter().filter(|reply| matches!(reply, Reply::Succeeded(_))).count();
+    let (healthy, _) = healthy_endpoint();
+    let client = client(&[healthy, rejecting(retries_read.clone())]);
+    let responses: Vec<Response> =
+        (0..300).map(|_| client.call_blocking(request(3000).non_idempotent())).collect();
+    let succeeded = responses.iter().filter(|response| is_success(response)).count();
     assert!(succeeded > 140, "{succeeded}");
-    let counts = future::block_on(client.counts());
-    assert!(counts.repeats > 0 && counts.repeats * 10 <= counts.first_tries + 20, "{counts:?}");
+    let counters = future::block_on(client.counters());
+    assert!(counters.retries > 0 && counters.retries * 10 <= counters.first_attempts + 20, "{counters:?}");
 }
 
+/// An endpoint file is truncated, emptied and spoilt, then names another endpoint. Only the last changes anything.
 #[test]
-fn a_list_file_is_read_again_and_one_that_is_spoilt_changes_nothing() {
-    let (first, _) = good();
-    let (second, served) = good();
+fn endpoint_file_is_read_again_and_a_corrupt_one_changes_nothing() {
+    let (first, _) = healthy_endpoint();
+    let (second, served) = healthy_endpoint();
     let file = std::env::temp_dir().join(format!("plovershelf-members-{}", std::process::id()));
     std::fs::write(&file, format!("{first}\n{first}\n")).expect("a file of its own");
-    let client = Builder::new().member_file(&file).start().expect("a client");
-    let goes = || matches!(client.call_blocking(within(2000)), Reply::Succeeded(_));
-    assert!(goes());
-    for spoilt in ["", "# nobody\n", "not an address\n"] {
-        std::fs::write(&file, spoilt).expect("a file of its own");
+    let client = ClientBuilder::new().endpoint_file(&file).start().expect("a client");
+    let succeeds = || is_success(&client.call_blocking(request(2000)));
+    assert!(succeeds());
+    for corrupt in ["", "# nobody\n", "not an address\n"] {
+        std::fs::write(&file, corrupt).expect("a file of its own");
         std::thread::sleep(Duration::from_millis(700));
-        assert!(goes());
+        assert!(succeeds());
     }
     assert_eq!(served.load(Ordering::Relaxed), 0);
     std::fs::write(&file, format!("{second}\n")).expect("a file of its own");
     while served.load(Ordering::Relaxed) == 0 {
-        assert!(goes());
+        assert!(succeeds());
     }
     std::fs::remove_file(&file).expect("it is there");
-    let missing = Builder::new().member_file(&file).start().err().expect("no file");
+    let missing = ClientBuilder::new().endpoint_file(&file).start().err().expect("no file").to_string();
     assert!(missing.contains(&file.display().to_string()), "{missing}");
 }
 
 #[test]
-fn what_no_backend_takes_never_leaves_and_a_closed_client_takes_nothing() {
-    let (address, served) = good();
+fn invalid_request_is_never_sent_and_a_closed_client_refuses_calls() {
+    let (address, served) = healthy_endpoint();
     let client = client(&[address]);
-    let long = Invocation::new("plan", vec![0; 2049], Duration::from_secs(1));
-    assert_eq!(client.call_blocking(long), Reply::Invalid("the body is longer than 2 KiB"));
-    let nobody = Builder::new().start().expect("a client");
-    let alone = nobody.call_blocking(within(1000));
-    assert_eq!(alone, Reply::GivenUp { why: Why::Nobody, come_back: None });
+    let long = Request::new("plan", vec![0; 2049], Duration::from_secs(1));
+    assert_eq!(client.call_blocking(long), Response::Invalid("the body is longer than 2 KiB"));
+    let not_sent = |reason| Response::NotSent { reason, retry_after: None };
+    let alone = ClientBuilder::new().start().expect("a client");
+    assert_eq!(alone.call_blocking(request(1000)), not_sent(NotSentReason::NoEndpoint));
     future::block_on(client.close());
-    assert_eq!(client.call_blocking(within(1000)), Reply::GivenUp { why: Why::Closed, come_back: None });
+    assert_eq!(client.call_blocking(request(1000)), not_sent(NotSentReason::Closed));
     assert_eq!(served.load(Ordering::Relaxed), 0);
 }
--- a/crates/plovershelf-server/tests/clients.rs
+++ b/crates/plovershelf-server/tests/clients.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use plovershelf_client::{Builder, Client, Invocation, Reply, Terms};
+use plovershelf_client::{Client, ClientBuilder, ClientConfig, Request, Response};
 use plovershelf_testkit::backend::{Fleet, Plan};
 use plovershelf_testkit::work::{Effect, Work};
 use plovershelf_testkit::{cores, ledger, Clock, Executor};
@@ -41,23 +41,28 @@
     }
 }
 
-fn terms(seed: u64) -> Terms {
-    Terms { seed, reconnect_spread_ms: 400.0, reconnect_most_ms: 500.0, ..Terms::default() }
+fn config(seed: u64) -> ClientConfig {
+    ClientConfig {
+        seed,
+        reconnect_spread_ms: 400.0,
+        max_reconnect_backoff_ms: 500.0,
+        ..ClientConfig::default()
+    }
 }
 
-fn invocation(work: &Work) -> Invocation {
+fn request(work: &Work) -> Request {
     let within = Duration::from_millis(5000);
     match work.effect {
-        Effect::Rerunnable => Invocation::new("plain", work.body(), within).tenant("north"),
-        Effect::Ticketed => Invocation::new("marked", work.body(), within)
+        Effect::Rerunnable => Request::new("plain", work.body(), within).tenant("north"),
+        Effect::Ticketed => Request::new("marked", work.body(), within)
             .tenant("north")
-            .ticketed(format!("t{}", work.number)),
-        Effect::Exclusive => Invocation::new("single", work.body(), within).tenant("north").exclusive(),
+            .idempotency_key(format!("t{}", work.number)),
+        Effect::Exclusive => Request::new("single", work.body(), within).tenant("north").non_idempotent(),
     }
 }
 
 /// Asks for work of all three effects in turn, a few at a time, until told to stop; hands back each one's end.
-async fn ask(client: Client, first: u64, stop: Rc<std::cell::Cell<bool>>) -> BTreeMap<u64, (Work, Reply)> {
+async fn ask(client: Client, first: u64, stop: Rc<std::cell::Cell<bool>>) -> BTreeMap<u64, (Work, Response)> {
     let mut ends = BTreeMap::new();
     let mut number = first;
     while !stop.get() {
@@ -68,7 +73,7 @@
             })
             .collect();
         number += 6;
-        let calls: Vec<_> = works.iter().map(|work| client.call(invocation(work))).collect();
+        let calls: Vec<_> = works.iter().map(|work| client.call(request(work))).collect();
         for (work, call) in works.into_iter().zip(calls) {
             ends.insert(work.number, (work, call.await));
         }
@@ -86,13 +91,13 @@
     let run = async {
         assert!(fleet.up(clock, 20_000.0).await, "the backends do not come up");
         let stop = Rc::new(std::cell::Cell::new(false));
-        let members = fleet.addresses();
+        let endpoints = fleet.addresses();
         let asking: Vec<_> = (0..4u64)
             .map(|n| {
-                let (client, drive) = Builder::new()
-                    .members(&members)
-                    .number(n as u32)
-                    .terms(terms(n + 1))
+                let (client, drive) = ClientBuilder::new()
+                    .endpoints(&endpoints)
+                    .client_number(n as u32)
+                    .config(config(n + 1))
                     .build()
                     .expect("a client");
                 executor.spawn(drive).detach();
@@ -105,9 +110,9 @@
         stop.set(true);
         let (mut all, mut succeeded) = (0u32, 0u32);
         for task in asking {
-            for (number, (work, reply)) in task.await {
+            for (number, (work, response)) in task.await {
                 all += 1;
-                if let Reply::Succeeded(result) = reply {
+                if let Response::Succeeded(result) = response {
                     succeeded += 1;
                     assert_eq!(result, work.result());
                     assert!(fleet.account.borrow().made(number), "{number} was made by no run");
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -5,8 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use plovershelf_client::caller::Caller;
-use plovershelf_client::{MemberList, Terms as CallerTerms};
+use plovershelf_client::{Caller, ClientConfig, EndpointList};
 use plovershelf_cluster::council::{Id, Mark, Whole};
 use plovershelf_cluster::decided::{Decided, Seat, View};
 use plovershelf_cluster::frames::{encode, plain, Wire};
@@ -156,10 +155,13 @@
     for size in SIZES {
         let all: Vec<SocketAddr> = (0..size).map(address).collect();
         let each = bytes_each(1000, |place| {
-            let terms =
-                CallerTerms { seed: place as u64 + 1, place: Some(place as u64), ..CallerTerms::default() };
-            let mut caller = Caller::new(terms).unwrap_or_else(|wrong| panic!("default terms: {wrong}"));
-            caller.list(0.0, &MemberList::of(&all));
+            let terms = ClientConfig {
+                seed: place as u64 + 1,
+                subset_index: Some(place as u64),
+                ..ClientConfig::default()
+            };
+            let mut caller = Caller::new(terms).unwrap_or_else(|wrong| panic!("default settings: {wrong}"));
+            caller.update_endpoints(0.0, &EndpointList::from_addresses(&all));
             caller
         });
         rows.extend(each.map(|each| (size as f64, each)));
@@ -221,17 +223,17 @@
 
     let all: Vec<SocketAddr> = (0..920).map(address).collect();
     let rows = [30, 100, 300, 600, 920].map(|size: usize| {
-        let list = MemberList::of(&all[..size]);
+        let list = EndpointList::from_addresses(&all[..size]);
         let mut callers: Vec<Caller> = (1..=50)
-            .map(|seed| Caller::new(CallerTerms { seed, ..CallerTerms::default() }))
+            .map(|seed| Caller::new(ClientConfig { seed, ..ClientConfig::default() }))
             .collect::<Result<_, _>>()
-            .unwrap_or_else(|wrong| panic!("default terms: {wrong}"));
+            .unwrap_or_else(|wrong| panic!("default settings: {wrong}"));
         let began = Instant::now();
-        callers.iter_mut().for_each(|caller| caller.list(0.0, &list));
+        callers.iter_mut().for_each(|caller| caller.update_endpoints(0.0, &list));
         (size as f64, began.elapsed().as_secs_f64() * 1e6 / 50.0)
     });
     told("a caller of the library takes a list", "us", &rows, at);
-    let subset = CallerTerms::default().subset as f64;
+    let subset = ClientConfig::default().subset_size as f64;
     println!(
         "callers' connections at a backend | connections | {subset} members a caller of the library, evenly | {:.0} with 13,000 callers and {at:.0} backends",
         13_000.0 * subset / at
