--- a/crates/plovershelf-client/src/link/connection.rs
+++ b/crates/plovershelf-client/src/link/connection.rs
@@ -20,7 +20,7 @@
     Frame(LinkId, Vec<u8>),
     Ended {
         link: LinkId,
-        garbled: Option<&'static str>,
+        garbled: Option<String>,
     },
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Hands on whole frames until the connection ends; tells what is wrong where they can't be told apart.
-async fn read(stream: &Async<TcpStream>, link: LinkId, events: &Sender<Event>) -> Option<&'static str> {
+async fn read(stream: &Async<TcpStream>, link: LinkId, events: &Sender<Event>) -> Option<String> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
         let mut used = 0;
@@ -76,7 +76,7 @@
                     used += length;
                 }
                 Ok(None) => break,
-                Err(what) => return Some(what),
+                Err(error) => return Some(error.to_string()),
             }
         }
         bytes.drain(..used);
@@ -89,7 +89,7 @@
         bytes.truncate(had + got.as_ref().copied().unwrap_or(0));
         match got {
             Ok(count) if count > 0 => {}
-            _ if !bytes.is_empty() => return Some("the connection ends inside a frame"),
+            _ if !bytes.is_empty() => return Some("the connection ends inside a frame".to_string()),
             _ => return None,
         }
     }
--- a/crates/plovershelf-client/src/link/driver.rs
+++ b/crates/plovershelf-client/src/link/driver.rs
@@ -289,8 +289,8 @@
                     self.caller.heard(now, link, &heard);
                     return self.carry_out(result);
                 }
-                Err(what) => {
-                    tracing::warn!(event = "garbled", link = link.0, what);
+                Err(error) => {
+                    tracing::warn!(event = "garbled", link = link.0, what = error.to_string());
                     self.caller.ended(now, link, true);
                     self.wires.remove(&link);
                 }
--- a/crates/plovershelf-codec/src/front.rs
+++ b/crates/plovershelf-codec/src/front.rs
@@ -1,391 +1,370 @@
-//! What sidecars and backends say to each other: Thrift's strict binary protocol in frames.
+//! Messages between clients and a backend: Thrift's strict binary protocol in frames. This is the backend's side.
+
+use thiserror::Error;
 
 use crate::{attempt_id, AttemptId};
 
+mod binary_protocol;
 pub mod client;
 
-/// Bounds on what one frame may hold, beside the frame's own size.
-const MOST_NESTED: u32 = 16;
-const MOST_FIELDS: usize = 64;
-const LONGEST_TICKET: usize = 128;
-
-const STRICT: u32 = 0x8001_0000;
-const CALL: u8 = 1;
-const REPLY: u8 = 2;
-const EXCEPTION: u8 = 3;
-const ONEWAY: u8 = 4;
+pub use binary_protocol::FrameError;
+use binary_protocol::{
+    Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, LENGTH_BYTES, MAP, MAX_NESTED, ONEWAY,
+    REPLY, STRING, STRUCT,
+};
 
-const STOP: u8 = 0;
-const BOOL: u8 = 2;
-const I32: u8 = 8;
-const STRING: u8 = 11;
-const STRUCT: u8 = 12;
-const MAP: u8 = 13;
+/// The longest idempotency key, in bytes.
+const MAX_KEY: usize = 128;
+/// Memory that one request may claim, in KiB; below this.
+const MEMORY_LIMIT_KB: f64 = 2000.0;
+/// As much of an unknown method's name as its exception repeats, in bytes.
+const SHOWN_OF_METHOD: usize = 64;
 
 /// Kinds of application exceptions, as the protocol numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceptionKind {
+    /// There is no such method.
     UnknownMethod = 1,
+    /// The message is of another type than its method's.
     WrongType = 2,
+    /// The backend can't take it now.
     Internal = 6,
+    /// What the message holds is malformed.
     Protocol = 7,
 }
 
-/// An invocation as its caller describes it.
+/// A request as its client describes it.
 #[derive(Debug, PartialEq)]
 pub struct Request<'a> {
+    /// Name of the request class.
     pub class: &'a str,
+    /// The client's name for this attempt.
     pub id: AttemptId,
+    /// When the client handed it over, in Unix milliseconds.
     pub sent_ms: f64,
+    /// Name of the tenant; empty where there are none.
     pub tenant: &'a str,
-    /// How long the caller waits for this try.
+    /// How long the client waits for this attempt.
     pub timeout_ms: Option<f64>,
+    /// Memory while it is queued, in KiB.
     pub memory_kb: f64,
     /// What a read is about; 0 for nothing.
     pub object: u64,
-    /// The mark by which repeats of a ticketed invocation are known.
+    /// By what a retry of a keyed request is recognised.
     pub idempotency_key: Option<&'a str>,
+    /// Core time that the client expects it to need.
     pub work_hint_ms: Option<f64>,
+    /// The client has marked it as a retry.
     pub marked_retry: bool,
+    /// What the run is given.
     pub body: &'a [u8],
 }
 
+/// What a client sends.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
+    /// A request.
     Dispatch {
+        /// Sequence number, which the response repeats.
         seqid: i32,
+        /// The request.
         request: Request<'a>,
     },
+    /// The client no longer waits for this request.
     Cancel {
+        /// Sequence number of the request.
         seqid: i32,
     },
+    /// A health check.
     Alive {
+        /// Sequence number, which the response repeats.
         seqid: i32,
     },
-    /// A message that wants no answer and is not known.
+    /// An unknown message that wants no answer.
     Other,
 }
 
-/// A frame that can't be taken.
-#[derive(Debug, PartialEq, Eq)]
+/// A frame that is not accepted.
+#[derive(Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// What is said can't be told apart from noise: the connection is no good.
-    Malformed(&'static str),
-    /// It is a call, and its caller is told what is wrong.
-    Rejected { seqid: i32, method: String, kind: ExceptionKind, what: String },
-}
-
-/// The length of the frame that the bytes begin with, or `None` while its four bytes are not all there.
-pub fn frame_length(read: &[u8], most: usize) -> Result<Option<usize>, &'static str> {
-    let Some(head) = read.first_chunk::<4>() else { return Ok(None) };
-    match usize::try_from(i32::from_be_bytes(*head)) {
-        Ok(length) if length <= most => Ok(Some(length)),
-        Ok(_) => Err("a frame is too long"),
-        Err(_) => Err("a frame has a negative length"),
-    }
+    /// It can't be told apart from noise: the connection is no good.
+    #[error("{0}")]
+    Malformed(FrameError),
+    /// It is a call, and its client is told what is wrong.
+    #[error("{reason}")]
+    Rejected {
+        /// Sequence number, which the exception repeats.
+        seqid: i32,
+        /// The method, cut to a length that can be repeated.
+        method: String,
+        /// Kind of the exception.
+        kind: ExceptionKind,
+        /// What is wrong.
+        reason: RejectReason,
+    },
 }
 
-/// A field's name and its value.
-type Pair<'a> = (&'a [u8], &'a [u8]);
-
-struct Input<'a> {
-    left: &'a [u8],
+/// What is wrong with a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RejectReason {
+    /// Its bytes are malformed.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// It has no map of fields.
+    #[error("no fields are there")]
+    NoFields,
+    /// It has no body.
+    #[error("no body is there")]
+    NoBody,
+    /// A field is missing.
+    #[error("field {0:?} is missing")]
+    MissingField(&'static str),
+    /// A field is not text.
+    #[error("field {0:?} is not UTF-8")]
+    NotUtf8(&'static str),
+    /// A field is not a finite number of at least 0.
+    #[error("field {0:?} is no measure")]
+    NotAMeasure(&'static str),
+    /// The attempt's name has another form.
+    #[error("field \"i\" is not 16 hex digits")]
+    BadAttemptId,
+    /// The priority is 1 or more.
+    #[error("field \"p\" is not under 1")]
+    PriorityTooHigh,
+    /// The memory is 0 or more than any request may claim.
+    #[error("field \"m\" is out of bounds")]
+    MemoryOutOfBounds,
+    /// The object is no number.
+    #[error("field \"o\" is not hex")]
+    BadObject,
+    /// The idempotency key is too long.
+    #[error("field \"k\" is too long")]
+    KeyTooLong,
+    /// A call was sent as a one-way message.
+    #[error("this is no oneway message")]
+    NotOneway,
+    /// There is no such method.
+    #[error("no such method")]
+    UnknownMethod,
 }
 
-const SHORT: &str = "the frame ends inside a value";
-
-impl<'a> Input<'a> {
-    fn bytes(&mut self, length: usize) -> Result<&'a [u8], &'static str> {
-        let (taken, left) = self.left.split_at_checked(length).ok_or(SHORT)?;
-        self.left = left;
-        Ok(taken)
-    }
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], &'static str> {
-        let (taken, left) = self.left.split_first_chunk::<N>().ok_or(SHORT)?;
-        self.left = left;
-        Ok(*taken)
-    }
-    fn u8(&mut self) -> Result<u8, &'static str> {
-        Ok(self.array::<1>()?[0])
-    }
-    fn i32(&mut self) -> Result<i32, &'static str> {
-        Ok(i32::from_be_bytes(self.array()?))
-    }
-    fn count(&mut self) -> Result<usize, &'static str> {
-        usize::try_from(self.i32()?).map_err(|_| "a negative length")
-    }
-    fn binary(&mut self) -> Result<&'a [u8], &'static str> {
-        let length = self.count()?;
-        self.bytes(length)
-    }
-    /// The type and number of the next field, or `None` at the end of the struct.
-    fn field(&mut self) -> Result<Option<(u8, i16)>, &'static str> {
-        match self.u8()? {
-            STOP => Ok(None),
-            kind => Ok(Some((kind, i16::from_be_bytes(self.array()?)))),
-        }
-    }
-    fn skip(&mut self, kind: u8, depth: u32) -> Result<(), &'static str> {
-        if depth == 0 {
-            return Err("values are nested too deep");
-        }
-        match kind {
-            BOOL | 3 => self.bytes(1).map(drop),
-            6 => self.bytes(2).map(drop),
-            I32 => self.bytes(4).map(drop),
-            4 | 10 => self.bytes(8).map(drop),
-            STRING => self.binary().map(drop),
-            STRUCT => {
-                while let Some((kind, _)) = self.field()? {
-                    self.skip(kind, depth - 1)?;
-                }
-                Ok(())
-            }
-            MAP => {
-                let (key, value) = (self.u8()?, self.u8()?);
-                for _ in 0..self.count()? {
-                    self.skip(key, depth - 1)?;
-                    self.skip(value, depth - 1)?;
-                }
-                Ok(())
-            }
-            14 | 15 => {
-                let of = self.u8()?;
-                for _ in 0..self.count()? {
-                    self.skip(of, depth - 1)?;
-                }
-                Ok(())
-            }
-            _ => Err("a value of an unknown type"),
-        }
-    }
-    fn text_map(&mut self) -> Result<Vec<Pair<'a>>, &'static str> {
-        let kinds = (self.u8()?, self.u8()?);
-        let count = self.count()?;
-        if count > 0 && kinds != (STRING, STRING) {
-            return Err("the fields are not text");
-        }
-        if count > MOST_FIELDS {
-            return Err("too many fields");
-        }
-        (0..count).map(|_| Ok((self.binary()?, self.binary()?))).collect()
+/// Length of the frame that the bytes begin with, or `None` while its four bytes are not complete.
+///
+/// # Errors
+/// The length is negative or above `max_length`.
+pub fn frame_length(read: &[u8], max_length: usize) -> Result<Option<usize>, FrameError> {
+    let Some(head) = read.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    match usize::try_from(i32::from_be_bytes(*head)) {
+        Ok(length) if length <= max_length => Ok(Some(length)),
+        Ok(_) => Err(FrameError::TooLong),
+        Err(_) => Err(FrameError::NegativeFrameLength),
     }
 }
 
-/// Takes the message out of one whole frame, without its length.
+/// Decodes a client's message out of one frame without its length.
+///
+/// # Errors
+/// The frame is malformed, or a call that its client has to be told about.
 pub fn decode(frame: &[u8]) -> Result<Message<'_>, DecodeError> {
-    let mut input = Input { left: frame };
-    let (kind, method, seqid) = head(&mut input).map_err(DecodeError::Malformed)?;
-    if kind != CALL && kind != ONEWAY {
-        return Err(DecodeError::Malformed("not a call"));
+    let mut reader = Reader::new(frame);
+    let Header { message_type, method, seqid } = reader.header().map_err(DecodeError::Malformed)?;
+    if message_type != CALL && message_type != ONEWAY {
+        return Err(DecodeError::Malformed(FrameError::NotACall));
     }
-    let refused = |kind: ExceptionKind, what: String| DecodeError::Rejected {
+    let rejected = |kind: ExceptionKind, reason: RejectReason| DecodeError::Rejected {
         seqid,
-        method: String::from_utf8_lossy(&method[..method.len().min(64)]).into_owned(),
+        method: String::from_utf8_lossy(&method[..method.len().min(SHOWN_OF_METHOD)]).into_owned(),
         kind,
-        what,
+        reason,
     };
-    match (method, kind) {
-        (b"dispatch", CALL) => match dispatch(&mut input) {
+    match (method, message_type) {
+        (b"dispatch", CALL) => match dispatch(&mut reader) {
             Ok(request) => Ok(Message::Dispatch { seqid, request }),
-            Err(what) => Err(refused(ExceptionKind::Protocol, what)),
+            Err(reason) => Err(rejected(ExceptionKind::Protocol, reason)),
         },
-        (b"cancelRequest", _) => match cancel(&mut input) {
-            Ok(of) => Ok(Message::Cancel { seqid: of }),
-            Err(_) if kind == ONEWAY => Ok(Message::Other),
-            Err(what) => Err(refused(ExceptionKind::Protocol, what.to_string())),
+        (b"cancelRequest", _) => match cancel(&mut reader) {
+            Ok(seqid) => Ok(Message::Cancel { seqid }),
+            Err(_) if message_type == ONEWAY => Ok(Message::Other),
+            Err(error) => Err(rejected(ExceptionKind::Protocol, error.into())),
         },
-        (b"alive", CALL) => match input.skip(STRUCT, MOST_NESTED) {
+        (b"alive", CALL) => match reader.skip(STRUCT, MAX_NESTED) {
             Ok(()) => Ok(Message::Alive { seqid }),
-            Err(what) => Err(refused(ExceptionKind::Protocol, what.to_string())),
+            Err(error) => Err(rejected(ExceptionKind::Protocol, error.into())),
         },
-        (b"dispatch" | b"alive", _) => {
-            Err(refused(ExceptionKind::WrongType, "this is no oneway message".into()))
-        }
+        (b"dispatch" | b"alive", _) => Err(rejected(ExceptionKind::WrongType, RejectReason::NotOneway)),
         (_, ONEWAY) => Ok(Message::Other),
-        _ => Err(refused(ExceptionKind::UnknownMethod, "no such method".into())),
+        _ => Err(rejected(ExceptionKind::UnknownMethod, RejectReason::UnknownMethod)),
     }
 }
 
-fn head<'a>(input: &mut Input<'a>) -> Result<(u8, &'a [u8], i32), &'static str> {
-    let version = u32::from_be_bytes(input.array()?);
-    if version & 0xffff_0000 != STRICT {
-        return Err("not the strict binary protocol");
+fn cancel(reader: &mut Reader<'_>) -> Result<i32, FrameError> {
+    let mut seqid = None;
+    while let Some((value_type, number)) = reader.field()? {
+        match (value_type, number) {
+            (I32, 1) => seqid = Some(reader.i32()?),
+            _ => reader.skip(value_type, MAX_NESTED)?,
+        }
     }
-    let method = input.binary()?;
-    Ok((version as u8, method, input.i32()?))
+    seqid.ok_or(FrameError::NoSequenceNumber)
 }
 
-fn cancel(input: &mut Input<'_>) -> Result<i32, &'static str> {
-    let mut of = None;
-    while let Some((kind, number)) = input.field()? {
-        match (kind, number) {
-            (I32, 1) => of = Some(input.i32()?),
-            _ => input.skip(kind, MOST_NESTED)?,
+fn dispatch<'a>(reader: &mut Reader<'a>) -> Result<Request<'a>, RejectReason> {
+    let (mut fields, mut body) = (None, None);
+    while let Some((value_type, number)) = reader.field()? {
+        match (value_type, number) {
+            (MAP, 1) => fields = Some(reader.text_map()?),
+            (STRING, 2) => body = Some(reader.binary()?),
+            _ => reader.skip(value_type, MAX_NESTED)?,
         }
     }
-    of.ok_or("no sequence number is named")
+    let fields = Fields(fields.ok_or(RejectReason::NoFields)?);
+    request(&fields, body.ok_or(RejectReason::NoBody)?)
 }
 
-fn dispatch<'a>(input: &mut Input<'a>) -> Result<Request<'a>, String> {
-    let (mut fields, mut body) = (None, None);
-    while let Some((kind, number)) = input.field()? {
-        match (kind, number) {
-            (MAP, 1) => fields = Some(input.text_map()?),
-            (STRING, 2) => body = Some(input.binary()?),
-            _ => input.skip(kind, MOST_NESTED)?,
+/// The named fields of a request.
+struct Fields<'a>(Vec<TextField<'a>>);
+
+impl<'a> Fields<'a> {
+    fn find(&self, name: &str) -> Option<&'a [u8]> {
+        self.0.iter().find(|(key, _)| *key == name.as_bytes()).map(|(_, value)| *value)
+    }
+
+    fn text(&self, name: &'static str) -> Result<Option<&'a str>, RejectReason> {
+        match self.find(name).map(std::str::from_utf8) {
+            Some(Ok(value)) => Ok(Some(value)),
+            None => Ok(None),
+            Some(Err(_)) => Err(RejectReason::NotUtf8(name)),
         }
     }
-    let fields = fields.ok_or("no fields are there")?;
-    let body = body.ok_or("no body is there")?;
-    let find = |name: &str| fields.iter().find(|(key, _)| *key == name.as_bytes()).map(|(_, value)| *value);
-    let text = |name: &str| match find(name).map(std::str::from_utf8) {
-        Some(Ok(value)) => Ok(Some(value)),
-        None => Ok(None),
-        Some(Err(_)) => Err(format!("field {name:?} is not UTF-8")),
-    };
-    let needed = |name: &str| text(name)?.ok_or_else(|| format!("field {name:?} is missing"));
-    let measure = |name: &str| match text(name)? {
-        None => Ok(None),
-        Some(value) => match value.parse::<f64>() {
-            Ok(number) if number.is_finite() && number >= 0.0 => Ok(Some(number)),
-            _ => Err(format!("field {name:?} is no measure")),
-        },
-    };
-    let needed_measure = |name: &str| measure(name)?.ok_or_else(|| format!("field {name:?} is missing"));
-    let id = attempt_id(needed("i")?.as_bytes()).ok_or("field \"i\" is not 16 hex digits")?;
-    if needed_measure("p")? >= 1.0 {
-        return Err("field \"p\" is not under 1".into());
+
+    fn required_text(&self, name: &'static str) -> Result<&'a str, RejectReason> {
+        self.text(name)?.ok_or(RejectReason::MissingField(name))
+    }
+
+    fn measure(&self, name: &'static str) -> Result<Option<f64>, RejectReason> {
+        match self.text(name)?.map(str::parse::<f64>) {
+            None => Ok(None),
+            Some(Ok(number)) if number.is_finite() && number >= 0.0 => Ok(Some(number)),
+            Some(_) => Err(RejectReason::NotAMeasure(name)),
+        }
+    }
+
+    fn required_measure(&self, name: &'static str) -> Result<f64, RejectReason> {
+        self.measure(name)?.ok_or(RejectReason::MissingField(name))
+    }
+}
+
+fn request<'a>(fields: &Fields<'a>, body: &'a [u8]) -> Result<Request<'a>, RejectReason> {
+    let id = attempt_id(fields.required_text("i")?.as_bytes()).ok_or(RejectReason::BadAttemptId)?;
+    if fields.required_measure("p")? >= 1.0 {
+        return Err(RejectReason::PriorityTooHigh);
     }
-    let memory_kb = needed_measure("m")?;
-    if memory_kb <= 0.0 || memory_kb >= 2000.0 {
-        return Err("field \"m\" is out of bounds".into());
+    let memory_kb = fields.required_measure("m")?;
+    if memory_kb <= 0.0 || memory_kb >= MEMORY_LIMIT_KB {
+        return Err(RejectReason::MemoryOutOfBounds);
     }
-    let object = match text("o")? {
+    let object = match fields.text("o")? {
         None => 0,
-        Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| "field \"o\" is not hex")?,
+        Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| RejectReason::BadObject)?,
     };
-    let idempotency_key = text("k")?;
-    if idempotency_key.is_some_and(|idempotency_key| idempotency_key.len() > LONGEST_TICKET) {
-        return Err("field \"k\" is too long".into());
+    let idempotency_key = fields.text("k")?;
+    if idempotency_key.is_some_and(|key| key.len() > MAX_KEY) {
+        return Err(RejectReason::KeyTooLong);
     }
     Ok(Request {
-        class: needed("c")?,
+        class: fields.required_text("c")?,
         id,
-        sent_ms: needed_measure("s")?,
-        tenant: text("t")?.unwrap_or(""),
-        timeout_ms: measure("d")?,
+        sent_ms: fields.required_measure("s")?,
+        tenant: fields.text("t")?.unwrap_or(""),
+        timeout_ms: fields.measure("d")?,
         memory_kb,
         object,
         idempotency_key,
-        work_hint_ms: measure("h")?.filter(|hint| *hint > 0.0),
-        marked_retry: find("r").is_some_and(|value| value != b"0"),
+        work_hint_ms: fields.measure("h")?.filter(|hint| *hint > 0.0),
+        marked_retry: fields.find("r").is_some_and(|value| value != b"0"),
         body,
     })
 }
 
-// ---- what a backend says ----------------------------------------------------------------------------
+// ---- responses --------------------------------------------------------------------------------------
 
-/// What a backend says of itself beside an answer.
+/// What a backend says of itself beside a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSignals {
-    /// The free value that callers may go by.
+    /// The backpressure level; the settings say how clients interpret it.
     pub backpressure: Option<f64>,
-    /// Stay away for so long.
+    /// Send nothing here for this long.
     pub retry_after_ms: Option<f64>,
-    /// Trying another backend would not help.
+    /// A retry at another backend would not help.
     pub no_retry_elsewhere: bool,
 }
 
-struct Output(Vec<u8>);
-
-impl Output {
-    fn message(kind: u8, method: &str, seqid: i32) -> Self {
-        let mut out = Output(vec![0; 4]);
-        out.0.extend_from_slice(&(STRICT | u32::from(kind)).to_be_bytes());
-        out.binary(method.as_bytes());
-        out.0.extend_from_slice(&seqid.to_be_bytes());
-        out
-    }
-    fn binary(&mut self, value: &[u8]) {
-        self.0.extend_from_slice(&(value.len() as u32).to_be_bytes());
-        self.0.extend_from_slice(value);
-    }
-    fn field(&mut self, kind: u8, number: i16) {
-        self.0.push(kind);
-        self.0.extend_from_slice(&number.to_be_bytes());
-    }
-    fn words(&mut self, number: i16, signals: &ServerSignals) {
-        let told = [
-            signals.backpressure.map(|value| ("v", format!("{value:.4}"))),
-            signals.retry_after_ms.map(|span| ("w", format!("{}", span.ceil() as u64))),
-            signals.no_retry_elsewhere.then(|| ("l", "1".to_string())),
+impl ServerSignals {
+    fn write(&self, writer: &mut Writer, number: i16) {
+        let fields = [
+            self.backpressure.map(|level| ("v", format!("{level:.4}"))),
+            self.retry_after_ms.map(|span| ("w", format!("{}", span.ceil() as u64))),
+            self.no_retry_elsewhere.then(|| ("l", "1".to_string())),
         ];
-        self.field(MAP, number);
-        self.0.extend_from_slice(&[STRING, STRING]);
-        self.0.extend_from_slice(&(told.iter().flatten().count() as u32).to_be_bytes());
-        for (name, value) in told.iter().flatten() {
-            self.binary(name.as_bytes());
-            self.binary(value.as_bytes());
-        }
-    }
-    /// Ends the structs that are open and writes the frame's length.
-    fn finish(mut self, open: usize) -> Vec<u8> {
-        self.0.resize(self.0.len() + open, STOP);
-        let length = (self.0.len() - 4) as u32;
-        self.0[..4].copy_from_slice(&length.to_be_bytes());
-        self.0
+        let present = fields.iter().flatten();
+        let fields: Vec<TextField<'_>> =
+            present.map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect();
+        writer.text_map(number, &fields);
     }
 }
 
-fn answer(method: &str, seqid: i32, result: &[u8], signals: &ServerSignals, good: bool) -> Vec<u8> {
-    let mut out = Output::message(REPLY, method, seqid);
-    out.field(STRUCT, 0);
-    out.field(STRING, 1);
-    out.binary(result);
-    out.words(2, signals);
-    out.field(BOOL, 3);
-    out.0.push(u8::from(good));
-    out.finish(2)
+fn response(method: &str, seqid: i32, result: &[u8], signals: &ServerSignals, good: bool) -> Vec<u8> {
+    let mut writer = Writer::message(REPLY, method, seqid);
+    writer.field(STRUCT, 0);
+    writer.field(STRING, 1);
+    writer.binary(result);
+    signals.write(&mut writer, 2);
+    writer.field(BOOL, 3);
+    writer.u8(u8::from(good));
+    writer.finish(2)
 }
 
-/// The result that a run made, as it came.
+/// The result that a run returned, unchanged.
 pub fn succeeded(seqid: i32, result: &[u8], signals: &ServerSignals) -> Vec<u8> {
-    answer("dispatch", seqid, result, signals, true)
+    response("dispatch", seqid, result, signals, true)
 }
 
+/// The answer to a health check.
 pub fn health(seqid: i32, ready: bool, signals: &ServerSignals) -> Vec<u8> {
-    answer("alive", seqid, b"", signals, ready)
+    response("alive", seqid, b"", signals, ready)
 }
 
-fn thrown(seqid: i32, number: i16, signals: &ServerSignals) -> Vec<u8> {
-    let mut out = Output::message(REPLY, "dispatch", seqid);
-    out.field(STRUCT, number);
-    out.words(1, signals);
-    out.finish(2)
+/// A declared exception, by its number in the method's definition.
+fn declared_exception(seqid: i32, number: i16, signals: &ServerSignals) -> Vec<u8> {
+    let mut writer = Writer::message(REPLY, "dispatch", seqid);
+    writer.field(STRUCT, number);
+    signals.write(&mut writer, 1);
+    writer.finish(2)
 }
 
-/// This try never ran.
+/// The attempt never ran.
 pub fn rejected(seqid: i32, signals: &ServerSignals) -> Vec<u8> {
-    thrown(seqid, 1, signals)
+    declared_exception(seqid, 1, signals)
 }
 
+/// The attempt failed and may have taken effect.
 pub fn failed(seqid: i32, signals: &ServerSignals) -> Vec<u8> {
-    thrown(seqid, 2, signals)
+    declared_exception(seqid, 2, signals)
 }
 
+/// An application exception: the backend does not accept the message.
 pub fn exception(seqid: i32, method: &str, kind: ExceptionKind, what: &str) -> Vec<u8> {
-    let mut out = Output::message(EXCEPTION, method, seqid);
-    out.field(STRING, 1);
-    out.binary(what.as_bytes());
-    out.field(I32, 2);
-    out.0.extend_from_slice(&(kind as i32).to_be_bytes());
-    out.finish(1)
+    let mut writer = Writer::message(EXCEPTION, method, seqid);
+    writer.field(STRING, 1);
+    writer.binary(what.as_bytes());
+    writer.field(I32, 2);
+    writer.i32(kind as i32);
+    writer.finish(1)
 }
 
-/// No new invocation is to come on this connection.
+/// No new request is to come on this connection.
 pub fn closing() -> Vec<u8> {
-    Output::message(ONEWAY, "closing", 0).finish(1)
+    Writer::message(ONEWAY, "closing", 0).finish(1)
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-codec/src/front/client.rs
+++ b/crates/plovershelf-codec/src/front/client.rs
@@ -1,192 +1,221 @@
-//! The callers' side of the front: what they write, and what they hear from a backend.
+//! The clients' side of the front: what they send, and what they receive from a backend.
 
-use super::{
-    frame_length, head, Input, Output, ServerSignals, BOOL, CALL, EXCEPTION, I32, MAP, MOST_NESTED, ONEWAY,
+use super::binary_protocol::{
+    FrameError, Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, LENGTH_BYTES, MAP, MAX_NESTED,
+    ONEWAY, REPLY, STRING, STRUCT,
 };
-use super::{REPLY, STRING, STRUCT};
+use super::{frame_length, ExceptionKind, ServerSignals};
 use crate::AttemptId;
 
-/// One try of an invocation, as a caller describes it.
+/// One attempt of a request, as its client describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt<'a> {
+    /// Name of the request class.
     pub class: &'a str,
-    /// New with every try.
+    /// New with every attempt.
     pub id: AttemptId,
-    /// When this try was handed over, in Unix milliseconds.
+    /// When this attempt was handed over, in Unix milliseconds.
     pub sent_ms: u64,
-    /// The caller's number.
+    /// The client's number.
     pub caller: u32,
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// How long the caller waits for this try, from `came_ms`.
+    /// How long the client waits for this attempt, from `sent_ms` on.
     pub timeout_ms: Option<f64>,
-    /// Memory to book for it, above 0 and under 2,000.
+    /// Memory to book for it in KiB, above 0 and under 2,000.
     pub memory_kb: f64,
-    /// From 0 to under 1.
+    /// Priority, from 0 to under 1.
     pub rank: f64,
     /// What a read is about.
     pub object: Option<u64>,
+    /// By what a retry of a keyed request is recognised.
     pub idempotency_key: Option<&'a str>,
+    /// Core time that it is expected to need.
     pub work_hint_ms: Option<f64>,
-    /// It is not the first try. Backends that do not know the field skip it.
+    /// It is not the first attempt. Backends that do not know the field skip it.
     pub marked_retry: bool,
+    /// What the run is given.
     pub body: &'a [u8],
 }
 
-/// What a backend says.
+/// What a backend sends.
 #[derive(Debug, PartialEq)]
 pub enum Response<'a> {
+    /// The result of a run.
     Succeeded {
+        /// Sequence number of the request.
         seqid: i32,
+        /// The result.
         result: &'a [u8],
+        /// What the backend says of itself.
         signals: ServerSignals,
     },
-    /// This try never ran.
+    /// The attempt never ran.
     Rejected {
+        /// Sequence number of the request.
         seqid: i32,
+        /// What the backend says of itself.
         signals: ServerSignals,
     },
+    /// The attempt failed and may have taken effect.
     Failed {
+        /// Sequence number of the request.
         seqid: i32,
+        /// What the backend says of itself.
         signals: ServerSignals,
     },
-    /// The backend can't take what was sent. `ours` says that it would be the same anywhere.
+    /// The backend does not accept what was sent.
     Exception {
+        /// Sequence number of the message.
         seqid: i32,
+        /// Every other backend would say the same.
         permanent: bool,
+        /// What is wrong.
         what: &'a [u8],
     },
+    /// The answer to a health check.
     Health {
+        /// Sequence number of the health check.
         seqid: i32,
+        /// The backend is ready for requests.
         ready: bool,
+        /// What the backend says of itself.
         signals: ServerSignals,
     },
-    /// No new invocation is to come on this connection.
+    /// No new request is to come on this connection.
     Closing,
-    /// A message that wants no answer and is not known.
+    /// An unknown message that wants no answer.
     Other,
 }
 
-/// A whole frame with a try; its length stands before it.
-pub fn dispatch(seqid: i32, one: &Attempt<'_>) -> Vec<u8> {
-    let mut out = Output::message(CALL, "dispatch", seqid);
-    let came = one.sent_ms.to_string();
-    let caller = one.caller.to_string();
-    let booked = format!("{:.1}", one.memory_kb.clamp(0.1, 1999.9));
-    let rank = format!("{:.4}", one.rank.clamp(0.0, 0.9999));
+/// Encodes a request as a complete frame.
+pub fn dispatch(seqid: i32, attempt: &Attempt<'_>) -> Vec<u8> {
+    let mut writer = Writer::message(CALL, "dispatch", seqid);
+    let sent = attempt.sent_ms.to_string();
+    let caller = attempt.caller.to_string();
+    let memory = format!("{:.1}", attempt.memory_kb.clamp(0.1, 1999.9));
+    let rank = format!("{:.4}", attempt.rank.clamp(0.0, 0.9999));
     // Rounded down, so that a backend never believes in more time than there is.
-    let waits = one.timeout_ms.map(|waits| format!("{}", waits.max(0.0).floor() as u64));
-    let hint = one.work_hint_ms.map(|hint| format!("{hint:.1}"));
-    let object = one.object.map(|object| format!("{object:016x}"));
-    let told: [Option<(&str, &[u8])>; 12] = [
-        Some(("c", one.class.as_bytes())),
-        Some(("i", &one.id)),
-        Some(("s", came.as_bytes())),
+    let timeout = attempt.timeout_ms.map(|timeout| format!("{}", timeout.max(0.0).floor() as u64));
+    let hint = attempt.work_hint_ms.map(|hint| format!("{hint:.1}"));
+    let object = attempt.object.map(|object| format!("{object:016x}"));
+    let fields: [Option<(&str, &[u8])>; 12] = [
+        Some(("c", attempt.class.as_bytes())),
+        Some(("i", &attempt.id)),
+        Some(("s", sent.as_bytes())),
         Some(("f", caller.as_bytes())),
-        Some(("t", one.tenant.as_bytes())),
-        waits.as_ref().map(|waits| ("d", waits.as_bytes())),
-        Some(("m", booked.as_bytes())),
+        Some(("t", attempt.tenant.as_bytes())),
+        timeout.as_ref().map(|timeout| ("d", timeout.as_bytes())),
+        Some(("m", memory.as_bytes())),
         Some(("p", rank.as_bytes())),
         object.as_ref().map(|object| ("o", object.as_bytes())),
-        one.idempotency_key.map(|idempotency_key| ("k", idempotency_key.as_bytes())),
+        attempt.idempotency_key.map(|key| ("k", key.as_bytes())),
         hint.as_ref().map(|hint| ("h", hint.as_bytes())),
-        one.marked_retry.then_some(("r", b"1")),
+        attempt.marked_retry.then_some(("r", b"1")),
     ];
-    out.field(MAP, 1);
-    out.0.extend_from_slice(&[STRING, STRING]);
-    out.0.extend_from_slice(&(told.iter().flatten().count() as u32).to_be_bytes());
-    for (name, value) in told.iter().flatten() {
-        out.binary(name.as_bytes());
-        out.binary(value);
-    }
-    out.field(STRING, 2);
-    out.binary(one.body);
-    out.finish(1)
+    let present = fields.into_iter().flatten();
+    let fields: Vec<TextField<'_>> = present.map(|(name, value)| (name.as_bytes(), value)).collect();
+    writer.text_map(1, &fields);
+    writer.field(STRING, 2);
+    writer.binary(attempt.body);
+    writer.finish(1)
 }
 
-/// The caller of this sequence number waits no longer.
-pub fn cancel(of: i32) -> Vec<u8> {
-    let mut out = Output::message(ONEWAY, "cancelRequest", 0);
-    out.field(I32, 1);
-    out.0.extend_from_slice(&of.to_be_bytes());
-    out.finish(1)
+/// The client no longer waits for the request of this sequence number.
+pub fn cancel(seqid: i32) -> Vec<u8> {
+    let mut writer = Writer::message(ONEWAY, "cancelRequest", 0);
+    writer.field(I32, 1);
+    writer.i32(seqid);
+    writer.finish(1)
 }
 
+/// A health check.
 pub fn alive(seqid: i32) -> Vec<u8> {
-    let mut out = Output::message(CALL, "alive", seqid);
-    out.field(BOOL, 1);
-    out.0.push(1);
-    out.finish(1)
+    let mut writer = Writer::message(CALL, "alive", seqid);
+    writer.field(BOOL, 1);
+    writer.u8(1);
+    writer.finish(1)
 }
 
-/// The first whole frame of what was read, without its length, and the bytes it takes; `None` until it is whole.
-pub fn decode_first(read: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
-    let Some(length) = frame_length(read, most)? else { return Ok(None) };
-    Ok(read.get(4..4 + length).map(|frame| (frame, 4 + length)))
+/// The first complete frame without its length, and the bytes it takes; `None` until it is complete.
+///
+/// # Errors
+/// The frame's length is negative or above `max_length`.
+pub fn decode_first(read: &[u8], max_length: usize) -> Result<Option<(&[u8], usize)>, FrameError> {
+    let Some(length) = frame_length(read, max_length)? else { return Ok(None) };
+    let end = LENGTH_BYTES + length;
+    Ok(read.get(LENGTH_BYTES..end).map(|frame| (frame, end)))
 }
 
-/// Takes what a backend says out of one whole frame, without its length.
-pub fn decode_response(frame: &[u8]) -> Result<Response<'_>, &'static str> {
-    let mut input = Input { left: frame };
-    let (kind, method, seqid) = head(&mut input)?;
-    match (kind, method) {
-        (REPLY, b"dispatch") => dispatched(&mut input, seqid),
-        (REPLY, b"alive") => match result(&mut input)? {
-            (0, answer) => Ok(Response::Health { seqid, ready: answer.good, signals: answer.signals }),
-            _ => Err("a health check is answered with an exception"),
+/// Decodes a backend's message out of one frame without its length.
+///
+/// # Errors
+/// The frame is no message of a backend.
+pub fn decode_response(frame: &[u8]) -> Result<Response<'_>, FrameError> {
+    let mut reader = Reader::new(frame);
+    let Header { message_type, method, seqid } = reader.header()?;
+    match (message_type, method) {
+        (REPLY, b"dispatch") => read_dispatch_reply(&mut reader, seqid),
+        (REPLY, b"alive") => match read_reply(&mut reader)? {
+            Reply { number: 0, good, signals, .. } => Ok(Response::Health { seqid, ready: good, signals }),
+            _ => Err(FrameError::HealthException),
         },
-        (EXCEPTION, _) => exception(&mut input, seqid),
+        (EXCEPTION, _) => read_exception(&mut reader, seqid),
         (ONEWAY, b"closing") => Ok(Response::Closing),
         (ONEWAY, _) => Ok(Response::Other),
-        _ => Err("no answer to anything"),
+        _ => Err(FrameError::NotAnAnswer),
     }
 }
 
+/// The struct that a reply holds.
 #[derive(Default)]
-struct Answered<'a> {
-    body: Option<&'a [u8]>,
+struct Reply<'a> {
+    /// Its number in the method's definition: 0 is the result, others are declared exceptions.
+    number: i16,
+    result: Option<&'a [u8]>,
     signals: ServerSignals,
     good: bool,
 }
 
-fn dispatched<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Response<'a>, &'static str> {
-    let (number, answer) = result(input)?;
-    let signals = answer.signals;
-    match (number, answer.body) {
+fn read_dispatch_reply<'a>(reader: &mut Reader<'a>, seqid: i32) -> Result<Response<'a>, FrameError> {
+    let Reply { number, result, signals, .. } = read_reply(reader)?;
+    match (number, result) {
         (0, Some(result)) => Ok(Response::Succeeded { seqid, result, signals }),
-        (0, None) => Err("an answer without a result"),
+        (0, None) => Err(FrameError::NoResult),
         (1, _) => Ok(Response::Rejected { seqid, signals }),
         _ => Ok(Response::Failed { seqid, signals }),
     }
 }
 
-/// The struct that a reply holds, and its field number: 0 the answer, else an exception.
-fn result<'a>(input: &mut Input<'a>) -> Result<(i16, Answered<'a>), &'static str> {
+fn read_reply<'a>(reader: &mut Reader<'a>) -> Result<Reply<'a>, FrameError> {
     let mut found = None;
-    while let Some((kind, number)) = input.field()? {
-        match (kind, number) {
-            (STRUCT, 0..=2) if found.is_none() => {
-                let mut answer = Answered::default();
-                while let Some((kind, field)) = input.field()? {
-                    match (kind, field, number) {
-                        (STRING, 1, 0) => answer.body = Some(input.binary()?),
-                        (MAP, 2, 0) | (MAP, 1, 1 | 2) => answer.signals = read_signals(input)?,
-                        (BOOL, 3, 0) => answer.good = input.u8()? != 0,
-                        _ => input.skip(kind, MOST_NESTED)?,
-                    }
-                }
-                found = Some((number, answer));
-            }
-            _ => input.skip(kind, MOST_NESTED)?,
+    while let Some((value_type, number)) = reader.field()? {
+        match (value_type, number) {
+            (STRUCT, 0..=2) if found.is_none() => found = Some(read_reply_struct(reader, number)?),
+            _ => reader.skip(value_type, MAX_NESTED)?,
+        }
+    }
+    found.ok_or(FrameError::EmptyReply)
+}
+
+fn read_reply_struct<'a>(reader: &mut Reader<'a>, number: i16) -> Result<Reply<'a>, FrameError> {
+    let mut reply = Reply { number, ..Reply::default() };
+    while let Some((value_type, field)) = reader.field()? {
+        match (value_type, field, number) {
+            (STRING, 1, 0) => reply.result = Some(reader.binary()?),
+            (MAP, 2, 0) | (MAP, 1, 1 | 2) => reply.signals = read_signals(reader)?,
+            (BOOL, 3, 0) => reply.good = reader.u8()? != 0,
+            _ => reader.skip(value_type, MAX_NESTED)?,
         }
     }
-    found.ok_or("a reply holds nothing")
+    Ok(reply)
 }
 
-fn read_signals(input: &mut Input<'_>) -> Result<ServerSignals, &'static str> {
+fn read_signals(reader: &mut Reader<'_>) -> Result<ServerSignals, FrameError> {
     let mut signals = ServerSignals::default();
-    for (name, value) in input.text_map()? {
-        let measure = || std::str::from_utf8(value).ok().and_then(|value| value.parse::<f64>().ok());
-        let measure = || measure().filter(|value| value.is_finite() && *value >= 0.0);
+    for (name, value) in reader.text_map()? {
+        let number = || std::str::from_utf8(value).ok().and_then(|value| value.parse::<f64>().ok());
+        let measure = || number().filter(|value| value.is_finite() && *value >= 0.0);
         match name {
             b"v" => signals.backpressure = measure(),
             b"w" => signals.retry_after_ms = measure(),
@@ -197,17 +226,18 @@
     Ok(signals)
 }
 
-fn exception<'a>(input: &mut Input<'a>, seqid: i32) -> Result<Response<'a>, &'static str> {
-    let (mut what, mut number) = (&b""[..], 0);
-    while let Some((kind, field)) = input.field()? {
-        match (kind, field) {
-            (STRING, 1) => what = input.binary()?,
-            (I32, 2) => number = input.i32()?,
-            _ => input.skip(kind, MOST_NESTED)?,
+fn read_exception<'a>(reader: &mut Reader<'a>, seqid: i32) -> Result<Response<'a>, FrameError> {
+    let (mut what, mut kind) = (&b""[..], 0);
+    while let Some((value_type, field)) = reader.field()? {
+        match (value_type, field) {
+            (STRING, 1) => what = reader.binary()?,
+            (I32, 2) => kind = reader.i32()?,
+            _ => reader.skip(value_type, MAX_NESTED)?,
         }
     }
-    // Unknown method, wrong type, protocol error: another backend would say the same.
-    Ok(Response::Exception { seqid, permanent: matches!(number, 1 | 2 | 7), what })
+    let permanent = [ExceptionKind::UnknownMethod, ExceptionKind::WrongType, ExceptionKind::Protocol];
+    let permanent = permanent.iter().any(|one| *one as i32 == kind);
+    Ok(Response::Exception { seqid, permanent, what })
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-codec/src/front/tests.rs
+++ b/crates/plovershelf-codec/src/front/tests.rs
@@ -76,8 +76,8 @@
     for name in ["c", "i", "s", "m", "p"] {
         let fields: Vec<_> = FIELDS.into_iter().filter(|(known, _)| *known != name).collect();
         let frame = dispatch_with(&fields, b"");
-        let Err(DecodeError::Rejected { seqid: 7, what, .. }) = decode(&frame) else { panic!("{name}") };
-        assert!(what.contains(name), "{what}");
+        let Err(DecodeError::Rejected { seqid: 7, reason, .. }) = decode(&frame) else { panic!("{name}") };
+        assert!(reason.to_string().contains(name), "{reason}");
     }
     let bad =
         [("i", "9b1f"), ("i", "9b1f03aa5c7e2d4g"), ("s", "soon"), ("d", "-1"), ("d", "NaN"), ("m", "0")];
@@ -103,10 +103,10 @@
     let deep = message("alive", TMessageType::Call, |out| {
         (0..1000).try_for_each(|_| out.write_field_begin(&TFieldIdentifier::new("in", TType::Struct, 1)))
     });
-    let Err(DecodeError::Rejected { kind: ExceptionKind::Protocol, what, .. }) = decode(&deep) else {
+    let Err(DecodeError::Rejected { kind: ExceptionKind::Protocol, reason, .. }) = decode(&deep) else {
         panic!()
     };
-    assert!(what.contains("deep"), "{what}");
+    assert!(reason.to_string().contains("deep"), "{reason}");
 }
 
 #[test]
--- a/crates/plovershelf-codec/src/registry.rs
+++ b/crates/plovershelf-codec/src/registry.rs
@@ -1,6 +1,7 @@
-//! The datagrams by which a backend stays on the roster.
+//! Heartbeats to the service registry, one datagram each.
 
-pub fn heartbeat(name: &str, leaving: bool) -> Vec<u8> {
-    let state = if leaving { "draining" } else { "ready" };
+/// A heartbeat of the backend of this name, ready for requests or draining.
+pub fn heartbeat(name: &str, draining: bool) -> Vec<u8> {
+    let state = if draining { "draining" } else { "ready" };
     format!("BEAT {name} {state}").into_bytes()
 }
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -102,12 +102,15 @@
     ]
 }
 
+/// Reads bytes back and compares them with a value.
+type ReadBack = Box<dyn Fn(&[u8])>;
+
 /// A message or a part of one, whose bytes are pinned.
 struct Pin {
     name: &'static str,
     bytes: Vec<u8>,
     /// Reads bytes back and compares them with the value.
-    reads_back: Box<dyn Fn(&[u8])>,
+    reads_back: ReadBack,
 }
 
 fn pin<T>(name: &'static str, value: T) -> Pin
--- a/crates/plovershelf-server/src/agent.rs
+++ b/crates/plovershelf-server/src/agent.rs
@@ -147,7 +147,8 @@
         let mut missed = false;
         let mut sender = Some(sender);
         loop {
-            let took = agent::decode_first(inflow.bytes(), limits.body_bytes).map_err(|bad| broken(bad.0))?;
+            let took = agent::decode_first(inflow.bytes(), limits.body_bytes)
+                .map_err(|error| broken(error.to_string()))?;
             let Some((notice, used)) = took else {
                 if !inflow.fill(stream).await? {
                     return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/plovershelf-server/src/ledger.rs
+++ b/crates/plovershelf-server/src/ledger.rs
@@ -226,8 +226,8 @@
     let read = async {
         let mut inflow = Inflow::new(limits.line_bytes, limits.read_bytes);
         loop {
-            let took = dependency::decode_first(inflow.bytes(), limits.body_bytes)
-                .map_err(|b| io::Error::other(b.0))?;
+            let took =
+                dependency::decode_first(inflow.bytes(), limits.body_bytes).map_err(io::Error::other)?;
             let Some((id, answer, used)) = took else {
                 // An answer that has begun comes whole at once, or never.
                 let begun = !inflow.bytes().is_empty();
--- a/crates/plovershelf-server/src/messages.rs
+++ b/crates/plovershelf-server/src/messages.rs
@@ -7,11 +7,27 @@
 use async_channel::{Receiver, Sender};
 use plovershelf::api::CallOutcome;
 use plovershelf_codec::agent::RunResult;
+use plovershelf_codec::front::FrameError;
 use plovershelf_codec::AttemptId;
+use thiserror::Error;
 
 use crate::connection::{Shared, Step};
 use crate::limits::Limits;
 
+/// Why nothing more is read from a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ReadError {
+    /// Its bytes are no frames.
+    #[error("{0}")]
+    Frame(#[from] FrameError),
+    /// It goes on sending after its end.
+    #[error("more came after its end")]
+    AfterEnd,
+    /// A message was not complete in time.
+    #[error("no whole message came in time")]
+    Late,
+}
+
 /// All that can happen to the owner from outside.
 pub enum Event {
     Opened {
@@ -25,7 +41,7 @@
     /// The peer is gone, or what it sends can't be read any more.
     Ended {
         connection: u64,
-        garbled: Option<&'static str>,
+        error: Option<ReadError>,
     },
     /// Descriptors are short: an idle connection must go. So many are open, those that are ending with them.
     Crowded {
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -391,8 +391,8 @@
                 self.connections.get(&connection).into_iter().for_each(|peer| peer.outbox.arrived());
                 self.read(connection, frame);
             }
-            Event::Ended { connection, garbled: Some(what) } => self.deafen(connection, what),
-            Event::Ended { connection, garbled: None } => self.lost(connection),
+            Event::Ended { connection, error: Some(error) } => self.deafen(connection, &error.to_string()),
+            Event::Ended { connection, error: None } => self.lost(connection),
             Event::Crowded { why, open } => self.crowded(&why, open),
             Event::ListenerClosed => self.listener = Listener::Closed,
             Event::Agent(said) => self.hear(said),
--- a/crates/plovershelf-server/src/owner/peers.rs
+++ b/crates/plovershelf-server/src/owner/peers.rs
@@ -84,11 +84,12 @@
                 self.send(connection, front::health(seqid, self.fit, &words));
             }
             Ok(Message::Other) => self.complain("a message that is not known"),
-            Err(DecodeError::Rejected { seqid, method, kind, what }) => {
+            Err(DecodeError::Rejected { seqid, method, kind, reason }) => {
+                let what = reason.to_string();
                 self.refuse(connection, seqid, &method, kind, &what);
                 self.at_fault(connection, &what);
             }
-            Err(DecodeError::Malformed(what)) => self.deafen(connection, what),
+            Err(DecodeError::Malformed(error)) => self.deafen(connection, &error.to_string()),
         }
     }
 
--- a/crates/plovershelf-server/src/owner/tests.rs
+++ b/crates/plovershelf-server/src/owner/tests.rs
@@ -153,7 +153,7 @@
     stage.send(peer, dispatch(1, 5, "plain", &[], b""));
     stage.send(peer, dispatch(2, 6, "better", &[], b""));
     stage.send(other, dispatch(1, 7, "better", &[], b""));
-    stage.owner.take(Event::Ended { connection: peer, garbled: None });
+    stage.owner.take(Event::Ended { connection: peer, error: None });
     assert_eq!(stage.commands()[3..], ["freeze 0000000000000005", "freeze 0000000000000006"]);
     stage.run_over(7, RunResult::Succeeded, b"x");
     assert_eq!(stage.heard(other), [Heard::Succeeded(1, b"x".to_vec())]);
@@ -533,7 +533,7 @@
     assert!(!stage.owner.over);
     stage.pass(2570.0);
     assert_eq!(stage.heard(peer), [Heard::Dismissed(1)]);
-    stage.owner.take(Event::Ended { connection: peer, garbled: None });
+    stage.owner.take(Event::Ended { connection: peer, error: None });
     stage.owner.settle();
     assert!(stage.owner.over);
 }
@@ -547,7 +547,7 @@
     let peer = stage.connect();
     stage.send(peer, dispatch(1, 1, "plain", &[], b""));
     assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Heard::Complaint(1)], 0));
-    stage.owner.take(Event::Ended { connection: peer, garbled: None });
+    stage.owner.take(Event::Ended { connection: peer, error: None });
     stage.pass(400.0);
     assert!(stage.owner.over);
 }
--- a/crates/plovershelf-server/src/sidecars.rs
+++ b/crates/plovershelf-server/src/sidecars.rs
@@ -15,7 +15,7 @@
 
 use crate::connection::{Shared, Step};
 use crate::limits::Limits;
-use crate::messages::{written, Event, Outbox};
+use crate::messages::{written, Event, Outbox, ReadError};
 use crate::streams::{gather, within, write_all, Inflow};
 
 /// Listens there. While a predecessor still holds the address it is tried again, within the bound that limits set.
@@ -98,9 +98,9 @@
         executor.spawn(write).detach();
         let (inbox, limits) = (inbox.clone(), limits.clone());
         let read = async move {
-            let garbled = read_frames(&shared, number, &inbox, &limits).await;
-            let told = inbox.send(Event::Ended { connection: number, garbled }).await.is_ok();
-            if told && garbled.is_some() {
+            let error = read_frames(&shared, number, &inbox, &limits).await;
+            let told = inbox.send(Event::Ended { connection: number, error }).await.is_ok();
+            if told && error.is_some() {
                 throw_away(&shared, &limits).await;
             }
             drop((shared, reads));
@@ -163,13 +163,13 @@
     connection: u64,
     inbox: &Sender<Event>,
     limits: &Limits,
-) -> Option<&'static str> {
+) -> Option<ReadError> {
     let stream = shared.stream()?;
     let mut inflow = Inflow::new(4 + limits.frame_bytes, limits.read_bytes);
     let mut whole_by = Some(Instant::now() + Duration::from_millis(limits.whole_ms));
     loop {
         if !shared.phase().takes() {
-            return Some("more came after its end");
+            return Some(ReadError::AfterEnd);
         }
         shared.inside.set(!inflow.bytes().is_empty());
         match front::frame_length(inflow.bytes(), limits.frame_bytes) {
@@ -200,10 +200,10 @@
                 match future::or(async { Some(inflow.fill(stream).await) }, late).await {
                     Some(Ok(true)) => {}
                     Some(_) => return None,
-                    None => return Some("no whole message came in time"),
+                    None => return Some(ReadError::Late),
                 }
             }
-            Err(what) => return Some(what),
+            Err(error) => return Some(error.into()),
         }
     }
 }
--- a/crates/plovershelf-server/src/sidecars/tests.rs
+++ b/crates/plovershelf-server/src/sidecars/tests.rs
@@ -134,7 +134,7 @@
         loop {
             match inbox.recv().await.expect("a word") {
                 Event::Frame { .. } => frames += 1,
-                Event::Ended { garbled, .. } => break assert_eq!((frames, garbled), (40, None)),
+                Event::Ended { error, .. } => break assert_eq!((frames, error), (40, None)),
                 _ => panic!("nothing else is said"),
             }
         }
