--- a/crates/plovershelf-codec/src/lib.rs
+++ b/crates/plovershelf-codec/src/lib.rs
@@ -11,9 +11,6 @@
 //! | [`registry`] | the service registry |
 //! | [`lines`] | what the two text protocols have in common |
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
-
 pub mod agent;
 pub mod dependency;
 pub mod front;
