--- a/crates/plovershelf-client/src/lib.rs
+++ b/crates/plovershelf-client/src/lib.rs
@@ -9,8 +9,6 @@
 //! | `caller` | the state machine that decides when, where and how often a call is sent |
 //! | `transport` | the task that carries out its actions on sockets |
 
-#![warn(missing_docs, unreachable_pub)]
-
 mod builder;
 mod caller;
 mod client;
--- a/crates/plovershelf-client/src/transport/connection.rs
+++ b/crates/plovershelf-client/src/transport/connection.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_codec::front::client as codec;
+use plovershelf_codec::front::{client as codec, FrameError};
 
 use crate::caller::ConnectionId;
 
@@ -16,6 +16,15 @@
 const MAX_FRAME_BYTES: usize = 16 << 10;
 const READ_BYTES: usize = 4 << 10;
 
+/// Why what came on a connection can't be read.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum MalformedStream {
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error("the connection ends inside a frame")]
+    Truncated,
+}
+
 /// What a connection reports to the task that owns the caller.
 pub(super) enum Event {
     Connected(ConnectionId),
@@ -25,7 +34,7 @@
     Closed {
         connection: ConnectionId,
         /// What was wrong with the last bytes, if anything.
-        malformed: Option<&'static str>,
+        malformed: Option<MalformedStream>,
     },
 }
 
@@ -55,7 +64,7 @@
 }
 
 /// Writes frames. It never ends: what the peer wrote before it closed is read first.
-async fn write(stream: &Async<TcpStream>, outgoing: Outgoing) -> Option<&'static str> {
+async fn write(stream: &Async<TcpStream>, outgoing: Outgoing) -> Option<MalformedStream> {
     let Outgoing { frames, unwritten } = outgoing;
     while let Ok(mut bytes) = frames.recv().await {
         while let Ok(more) = frames.try_recv() {
@@ -74,7 +83,7 @@
     stream: &Async<TcpStream>,
     connection: ConnectionId,
     events: &Sender<Event>,
-) -> Option<&'static str> {
+) -> Option<MalformedStream> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
         let mut used = 0;
@@ -87,7 +96,7 @@
                     used += length;
                 }
                 Ok(None) => break,
-                Err(fault) => return Some(fault),
+                Err(error) => return Some(error.into()),
             }
         }
         bytes.drain(..used);
@@ -100,7 +109,7 @@
         bytes.truncate(kept + got.as_ref().copied().unwrap_or(0));
         match got {
             Ok(count) if count > 0 => {}
-            _ if !bytes.is_empty() => return Some("the connection ends inside a frame"),
+            _ if !bytes.is_empty() => return Some(MalformedStream::Truncated),
             _ => return None,
         }
     }
--- a/crates/plovershelf-client/src/transport/driver.rs
+++ b/crates/plovershelf-client/src/transport/driver.rs
@@ -269,7 +269,8 @@
             }
             Event::Closed { connection, malformed } => {
                 if self.connections.contains_key(&connection) {
-                    tracing::debug!(event = "connection_closed", connection = connection.0, malformed);
+                    let fault = malformed.as_ref().map(ToString::to_string);
+                    tracing::debug!(event = "connection_closed", connection = connection.0, fault);
                     let reason =
                         if malformed.is_some() { CloseReason::Malformed } else { CloseReason::Ended };
                     self.caller.handle_connection_closed(now_ms, connection, reason);
@@ -291,7 +292,8 @@
                 };
                 self.carry_out(result);
             }
-            Err(fault) => {
+            Err(error) => {
+                let fault = error.to_string();
                 tracing::warn!(event = "malformed_message", connection = connection.0, fault);
                 self.caller.handle_connection_closed(now_ms, connection, CloseReason::Malformed);
                 self.connections.remove(&connection);
--- a/crates/plovershelf-client/tests/pins.rs
+++ b/crates/plovershelf-client/tests/pins.rs
@@ -26,6 +26,10 @@
 
 /// Settings that reach different rules, by name.
 fn scenarios() -> Vec<(&'static str, ClientConfig)> {
+    [placement_scenarios(), fault_scenarios()].concat()
+}
+
+fn placement_scenarios() -> Vec<(&'static str, ClientConfig)> {
     let config = ClientConfig::default;
     vec![
         ("defaults", config()),
@@ -53,6 +57,12 @@
                 ..config()
             },
         ),
+    ]
+}
+
+fn fault_scenarios() -> Vec<(&'static str, ClientConfig)> {
+    let config = ClientConfig::default;
+    vec![
         (
             "share_of_usual_with_a_quick_breaker",
             ClientConfig {
