--- a/crates/plovershelf-client/src/caller/connection_manager.rs
+++ b/crates/plovershelf-client/src/caller/connection_manager.rs
@@ -15,20 +15,12 @@
 use super::context::Context;
 use super::endpoint::EndpointId;
 use super::endpoint_set::{AnswerKind, EndpointSet};
+use super::lost_attempt::{lost_attempts, ClosingRace, LostAttempt};
 use super::reconnect::{Connectivity, ReconnectBackoff};
-use super::retry_policy::AttemptEnd;
 
 /// A connection without attempts in flight that was not used for this long ended idle, which is no loss.
 const IDLE_LOSS_MS: f64 = 1000.0;
 
-/// An attempt whose connection has ended.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct LostAttempt {
-    pub(super) call: CallId,
-    pub(super) attempt: InFlightAttempt,
-    pub(super) end: AttemptEnd,
-}
-
 /// What an answer turned out to belong to.
 #[derive(Debug)]
 pub(super) enum Answered {
@@ -483,28 +475,3 @@
     Ready,
     Unready,
 }
-
-/// Whether attempts may have crossed a `closing`.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum ClosingRace {
-    /// Those written this long before it was received did, and were never read.
-    Within { race_ms: f64 },
-    /// The endpoint is not believed.
-    Ignored,
-}
-
-/// The attempts of a connection that has ended.
-fn lost_attempts(id: ConnectionId, connection: Connection, race: ClosingRace) -> Vec<LostAttempt> {
-    let (endpoint, closing_ms) = (connection.endpoint(), connection.closing_received_ms());
-    let unread_from_ms = match (closing_ms, race) {
-        (Some(closing_ms), ClosingRace::Within { race_ms }) => closing_ms - race_ms,
-        _ => f64::INFINITY,
-    };
-    let in_flight = connection.into_in_flight().into_iter();
-    let lost = in_flight.map(|(sequence, sent)| {
-        let is_unread = sent.sent_ms >= unread_from_ms;
-        let end = if is_unread { AttemptEnd::Unread } else { AttemptEnd::ConnectionLost };
-        LostAttempt { call: sent.call, attempt: InFlightAttempt { connection: id, sequence, endpoint }, end }
-    });
-    lost.collect()
-}
--- a/crates/plovershelf-client/src/caller/dispatcher.rs
+++ b/crates/plovershelf-client/src/caller/dispatcher.rs
@@ -13,10 +13,11 @@
 use super::attempt_planner::{AttemptPlanner, Plan};
 use super::balancer::Choice;
 use super::call::{AfterAttempt, Call, CallState, CallTable, CallTimer, InFlightAttempt, NextAttempt};
-use super::connection_manager::{Answered, ConnectionManager, LostAttempt};
+use super::connection_manager::{Answered, ConnectionManager};
 use super::context::Context;
 use super::endpoint::EndpointId;
 use super::endpoint_set::AnswerKind;
+use super::lost_attempt::LostAttempt;
 use super::retry_policy::AttemptEnd;
 use super::throttle::Acceptance;
 
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -16,6 +16,7 @@
 //! | `request_class`, `latency` | latency of each class | whether an attempt can end in time; when a call is hedged |
 //! | `connection_manager` | endpoints and connections | which connections are made, kept and closed |
 //! | `endpoint_set` | endpoints, usual latency | what an answer means for its endpoint |
+//! | `lost_attempt` | | whether an attempt on a connection that ended may have run |
 //! | `connection`, `connection_pool` | one connection; all of them | which connection takes an attempt; when it is probed |
 //! | `balancer`, `subset` | | which endpoint an attempt goes to; which endpoints are talked to at all |
 //! | `endpoint`, `backpressure` | what is known of an endpoint; its signals | whether its signals keep a call away |
@@ -36,6 +37,7 @@
 mod endpoint;
 mod endpoint_set;
 mod latency;
+mod lost_attempt;
 mod reconnect;
 mod request_class;
 mod retry_budget;
