--- a/crates/plovershelf-client/src/caller/attempt_planner.rs
+++ b/crates/plovershelf-client/src/caller/attempt_planner.rs
@@ -110,3 +110,6 @@
         at_ms + fastest_ms.max(context.config.initial_round_trip_ms) < call.deadline_ms
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-client/src/caller/backpressure.rs
+++ b/crates/plovershelf-client/src/caller/backpressure.rs
@@ -77,3 +77,6 @@
         against.then_some(advised.until_ms)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-client/src/caller/connection_pool.rs
+++ b/crates/plovershelf-client/src/caller/connection_pool.rs
@@ -95,3 +95,6 @@
         self.connections.values()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-client/src/caller/endpoint_set.rs
+++ b/crates/plovershelf-client/src/caller/endpoint_set.rs
@@ -184,3 +184,6 @@
         self.endpoints.forget(id);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/plovershelf-client/src/caller/endpoint_set/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+
+const FIRST: EndpointId = EndpointId(1);
+
+fn set(count: u8) -> (EndpointSet, Context) {
+    let mut context = Context::new(ClientConfig { seed: 1, ..ClientConfig::default() });
+    let mut set = EndpointSet::new(&mut context);
+    let addresses: Vec<SocketAddr> = (0..count).map(|n| SocketAddr::from(([127, 0, 0, n], 9000))).collect();
+    set.update(&context, &addresses);
+    (set, context)
+}
+
+/// An endpoint was lost, then answers again, even with a rejection: its losses in a row are over, and its attempt is no longer counted.
+#[test]
+fn any_answer_ends_the_losses_of_its_endpoint() {
+    for kind in [AnswerKind::Succeeded, AnswerKind::Rejected, AnswerKind::Failed, AnswerKind::Invalid] {
+        let (mut set, mut context) = set(1);
+        set.get_mut(FIRST).expect("listed").losses = 3;
+        set.record_sent(&context, FIRST);
+        set.record_answer(&mut context, FIRST, kind, 5.0);
+        let endpoint = set.get(FIRST).expect("listed");
+        assert_eq!((endpoint.losses, endpoint.in_flight), (0, 0), "{kind:?}");
+    }
+}
+
+#[test]
+fn removed_endpoint_can_be_forgotten_once_its_last_connection_has_ended() {
+    let (mut set, context) = set(2);
+    let connection = ConnectionId(7);
+    set.get_mut(FIRST).expect("listed").connections.push(connection);
+    let removed = set.get(FIRST).expect("listed").address;
+    let kept = set.selected().iter().filter_map(|id| set.get(*id)).map(|endpoint| endpoint.address);
+    let kept: Vec<SocketAddr> = kept.filter(|address| *address != removed).collect();
+    set.update(&context, &kept);
+    assert_eq!(set.removed_and_unconnected(), []);
+    assert!(set.remove_connection(&context, FIRST, connection, 0));
+    assert_eq!(set.removed_and_unconnected(), [FIRST]);
+}
