--- a/crates/plovershelf-cluster/src/members.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim.rs
@@ -816,4 +816,5 @@
 }
 
 #[cfg(test)]
+#[path = "swim/tests.rs"]
 mod tests;
--- a/crates/plovershelf-cluster/src/lib.rs
+++ b/crates/plovershelf-cluster/src/lib.rs
@@ -5,10 +5,16 @@
 //! what its decisions come to; [`frames`] and [`store`] are the forms of both on streams and in a folder.
 
 pub mod broken;
+#[path = "consensus/raft.rs"]
 pub mod council;
+#[path = "state.rs"]
 pub mod decided;
+#[path = "wire/frame.rs"]
 pub mod frames;
+#[path = "node/cluster_node.rs"]
 pub mod group;
+#[path = "gossip/swim.rs"]
 pub mod members;
 pub mod status;
+#[path = "storage/mod.rs"]
 pub mod store;
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -5,6 +5,7 @@
 //! only then hands out what is to be said.
 
 mod copied;
+#[path = "group/storage.rs"]
 mod folder;
 mod zoned;
 
