--- a/crates/plovershelf-cli/src/config.rs
+++ b/crates/plovershelf-cli/src/config.rs
@@ -6,8 +6,8 @@
 
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
-use plovershelf_cluster::frames::{decode, plain};
 use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_cluster::wire::{decode, encode_payload as plain};
 use plovershelf_config_distribution::content::{Edit, Numbered, Version};
 use plovershelf_server::changes::asks::{Ask, Report, Told, KEY};
 use serde_json::{json, Value};
--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -8,8 +8,8 @@
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_cluster::frames::{decode, encode, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Question, Status};
+use plovershelf_cluster::wire::{decode, encode_frame, read_frame, Hello, Wire};
 
 /// Which member is asked.
 #[derive(Args)]
@@ -87,11 +87,11 @@
     let asked = async {
         let stream =
             Async::<std::net::TcpStream>::connect(at).await.map_err(|error| wrong(&error.to_string()))?;
-        let bytes = [encode(&Hello::of(group)), encode(&Wire::Ask(question))].concat();
+        let bytes = [encode_frame(&Hello::of(group)), encode_frame(&Wire::Question(question))].concat();
         (&stream).write_all(&bytes).await.map_err(|error| wrong(&error.to_string()))?;
         let (mut bytes, mut chunk) = (Vec::new(), vec![0; 16 << 10]);
         loop {
-            if let Some((content, _)) = unframed(&bytes).map_err(|spoilt| wrong(&spoilt.to_string()))? {
+            if let Some((content, _)) = read_frame(&bytes).map_err(|error| wrong(&error.to_string()))? {
                 return match decode::<Wire>(content) {
                     Ok(Wire::Answer(answer)) => Ok(*answer),
                     _ => Err(wrong("answered something else")),
@@ -210,7 +210,7 @@
 fn history(status: &Status) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["view", "joined", "left"]);
-    let names = |of: &[(plovershelf_cluster::council::Id, String)]| {
+    let names = |of: &[(plovershelf_cluster::NodeId, String)]| {
         of.iter().map(|(id, name)| format!("{name} ({:08x})", id.0 >> 32)).collect::<Vec<_>>().join(", ")
     };
     for step in &status.history {
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use clap::Args;
 use plovershelf_server::changes::{self, Sink};
-use plovershelf_server::group::{self, Incoming, Pulse};
+use plovershelf_server::group::{self, Incoming, OwnerHeartbeat};
 use serde_json::Value;
 
 #[derive(Args)]
@@ -81,10 +81,10 @@
         }
     }
     // One for all of them: there is no owner here that could be stuck.
-    let pulse = Arc::<Pulse>::default();
+    let pulse = Arc::<OwnerHeartbeat>::default();
     let beating = pulse.clone();
     let beat = move || loop {
-        beating.beat(true);
+        beating.record(true);
         std::thread::sleep(BEAT);
     };
     std::thread::Builder::new().spawn(beat).map_err(|error| format!("the pulse's thread: {error}"))?;
--- a/crates/plovershelf-cli/src/trial/scale/watch.rs
+++ b/crates/plovershelf-cli/src/trial/scale/watch.rs
@@ -9,8 +9,10 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Brief, Question, Status};
+use plovershelf_cluster::wire::{
+    decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
+};
 use plovershelf_config_distribution::content::Edit;
 use plovershelf_server::changes::asks::{self, Ask, Report, Told};
 use plovershelf_testkit::{Clock, Executor};
@@ -62,7 +64,7 @@
     }
 
     async fn ask(&mut self, question: &Question) -> std::io::Result<Answer> {
-        (&self.stream).write_all(&encode(&Wire::Ask(question.clone()))).await?;
+        (&self.stream).write_all(&encode(&Wire::Question(question.clone()))).await?;
         let mut chunk = vec![0; 16 << 10];
         loop {
             if let Some((content, used)) =
@@ -232,7 +234,7 @@
 
     /// Names of the dead that are asked about now.
     fn asked_about(&self) -> Vec<String> {
-        let last = self.deaths.len().saturating_sub(plovershelf_cluster::status::BRIEF_NAMES_MOST);
+        let last = self.deaths.len().saturating_sub(plovershelf_cluster::status::MAX_BRIEF_NAMES);
         self.deaths[last..].iter().map(|death| death.name.clone()).collect()
     }
 }
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
-use plovershelf_cluster::frames::{decode, plain};
 use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_cluster::wire::{decode, encode_payload as plain};
 use plovershelf_failover::asks::{Ask, Status, Told};
 use plovershelf_failover::plan::{Plan, Zone, BANDS};
 use plovershelf_failover::planner::{Forecast, Wish};
--- a/crates/plovershelf-cluster/benches/decision.rs
+++ b/crates/plovershelf-cluster/benches/decision.rs
@@ -1,64 +1,65 @@
-//! What a decision costs the council: from the leader's taking it to its being decided at the leader, without the network.
+//! What a proposal costs: from the leader's appending it to its being committed at the leader, without the network.
 
 use std::collections::BTreeSet;
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use plovershelf_cluster::council::{Council, Id, State, Terms, What};
+use plovershelf_cluster::consensus::{Payload, Raft, RaftConfig, StateMachine};
+use plovershelf_cluster::{Epoch, NodeId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Count(u64);
 
-impl State for Count {
-    type Decision = u64;
-    fn apply(&mut self, decision: &u64) {
-        self.0 += decision;
+impl StateMachine for Count {
+    type Command = u64;
+    fn apply(&mut self, command: &u64) {
+        self.0 += command;
     }
 }
 
-/// Hands all messages on until none is left.
-fn settle(councils: &mut [Council<Count>], now: f64) {
+/// Delivers all messages until none is left.
+fn deliver_all(nodes: &mut [Raft<Count>], now: f64) {
     loop {
         let mut all = Vec::new();
-        for council in councils.iter_mut() {
-            let from = council.me();
-            all.extend(council.take_effects().send.into_iter().map(|(to, message)| (from, to, message)));
+        for node in nodes.iter_mut() {
+            let from = node.id();
+            all.extend(node.poll_actions().send.into_iter().map(|(to, message)| (from, to, message)));
         }
         if all.is_empty() {
             return;
         }
         for (from, to, message) in all {
-            councils[to.0 as usize - 1].hear(now, from, message);
+            nodes[to.0 as usize - 1].handle_message(now, from, message);
         }
     }
 }
 
-fn led(voters: u64) -> Vec<Council<Count>> {
-    let ids: BTreeSet<Id> = (1..=voters).map(Id).collect();
-    let mut councils: Vec<Council<Count>> = ids
+fn group_with_leader(voters: u64) -> Vec<Raft<Count>> {
+    let ids: BTreeSet<NodeId> = (1..=voters).map(NodeId).collect();
+    let mut nodes: Vec<Raft<Count>> = ids
         .iter()
         .map(|id| {
-            let mut council = Council::new(*id, Terms::default(), None, Count::default(), id.0, 0.0);
-            council.found(0.0, 1 << 40, ids.clone(), Count::default());
-            council
+            let mut node = Raft::new(*id, RaftConfig::default(), None, Count::default(), id.0, 0.0);
+            node.bootstrap(0.0, Epoch::new(1, 0), ids.clone(), Count::default());
+            node
         })
         .collect();
-    settle(&mut councils, 0.0);
-    councils[0].tick(2000.0);
-    settle(&mut councils, 2000.0);
-    assert!(councils[0].leads());
-    councils
+    deliver_all(&mut nodes, 0.0);
+    nodes[0].handle_timeout(2000.0);
+    deliver_all(&mut nodes, 2000.0);
+    assert!(nodes[0].leads());
+    nodes
 }
 
 fn decisions(criterion: &mut Criterion) {
     for voters in [3, 5, 7] {
-        let councils = led(voters);
+        let nodes = group_with_leader(voters);
         criterion.bench_function(&format!("decided by {voters} voters"), |bench| {
             bench.iter_batched_ref(
-                || councils.clone(),
-                |councils| {
-                    councils[0].decide(2001.0, What::Word(1));
-                    settle(councils, 2001.0);
+                || nodes.clone(),
+                |nodes| {
+                    nodes[0].propose(2001.0, Payload::Command(1));
+                    deliver_all(nodes, 2001.0);
                 },
                 BatchSize::SmallInput,
             )
--- /dev/null
+++ b/crates/plovershelf-cluster/src/consensus/leader.rs
@@ -0,0 +1,152 @@
+//! What a leader does: it replicates its log, commits what a majority has, and knows for how long it leads for certain.
+
+use std::collections::BTreeSet;
+
+use super::entry::{LogPosition, StateMachine};
+use super::log::ReplicatedLog;
+use super::message::Message;
+use super::replication::{Batch, LogRange, ProgressTracker, SendMode};
+use super::role::RaftConfig;
+use crate::identity::NodeId;
+
+/// A leader's clock as it travels with its messages.
+fn to_us(now_ms: f64) -> u64 {
+    (now_ms.max(0.0) * 1000.0) as u64
+}
+
+/// A follower's answer in the leader's term.
+pub(super) struct AppendAnswer {
+    pub(super) from: NodeId,
+    pub(super) matches: bool,
+    pub(super) last_index: u64,
+    pub(super) sent_at_us: u64,
+}
+
+/// State of a leader; without meaning on all others.
+#[derive(Clone, Debug)]
+pub(super) struct Leadership {
+    own: NodeId,
+    config: RaftConfig,
+    since_ms: f64,
+    heartbeat_at_ms: f64,
+    tracker: ProgressTracker,
+}
+
+impl Leadership {
+    pub(super) fn new(own: NodeId, config: RaftConfig) -> Self {
+        let tracker = ProgressTracker::default();
+        Leadership { own, config, since_ms: 0.0, heartbeat_at_ms: f64::INFINITY, tracker }
+    }
+
+    pub(super) fn begin(&mut self, now_ms: f64) {
+        self.since_ms = now_ms;
+        self.schedule_heartbeat(now_ms);
+        self.tracker.clear();
+    }
+
+    pub(super) fn end(&mut self) {
+        self.tracker.clear();
+    }
+
+    pub(super) fn schedule_heartbeat(&mut self, now_ms: f64) {
+        self.heartbeat_at_ms = now_ms + self.config.heartbeat_interval_ms;
+    }
+
+    pub(super) fn heartbeat_at_ms(&self) -> f64 {
+        self.heartbeat_at_ms
+    }
+
+    pub(super) fn since_ms(&self) -> f64 {
+        self.since_ms
+    }
+
+    pub(super) fn set_learner(&mut self, learner: Option<NodeId>, voters: &BTreeSet<NodeId>) {
+        self.tracker.set_learner(learner, voters);
+    }
+
+    pub(super) fn matched(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
+        self.tracker.matched()
+    }
+
+    /// No majority has answered for two of the longest election timeouts.
+    pub(super) fn has_lost_quorum(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> bool {
+        let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters).max(self.since_ms);
+        contact_ms + 2.0 * self.config.election_timeout_ms[1] < now_ms
+    }
+
+    /// Until when no majority votes for another, by what the voters promised when they last answered.
+    pub(super) fn lease_until_ms(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
+        let drift = 2.0 * self.config.clock_drift_fraction;
+        let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters);
+        contact_ms + self.config.election_timeout_ms[0] * (1.0 - drift)
+    }
+
+    /// What each follower is to be sent now.
+    pub(super) fn messages<S: StateMachine>(
+        &mut self,
+        log: &ReplicatedLog<S>,
+        now_ms: f64,
+        mode: SendMode,
+    ) -> Vec<(NodeId, Message<S>)> {
+        let followers = self.tracker.track(self.own, log.voters(), log.last().index);
+        let message = |id| Some((id, self.message(id, log, now_ms, mode)?));
+        followers.into_iter().filter_map(message).collect()
+    }
+
+    /// What one follower is to be sent now.
+    pub(super) fn message<S: StateMachine>(
+        &mut self,
+        to: NodeId,
+        log: &ReplicatedLog<S>,
+        now_ms: f64,
+        mode: SendMode,
+    ) -> Option<Message<S>> {
+        let range = LogRange {
+            last_index: log.last().index,
+            first_known_index: log.persistent().snapshot.last.index,
+        };
+        let resend_ms = 2.0 * self.config.heartbeat_interval_ms;
+        let (term, sent_at_us) = (log.term(), to_us(now_ms));
+        Some(match self.tracker.next_batch(to, now_ms, resend_ms, mode, &range)? {
+            Batch::Snapshot => Message::InstallSnapshot { term, snapshot: log.snapshot(), sent_at_us },
+            Batch::Entries { previous_index, until } => {
+                let previous = LogPosition { term: log.term_at(previous_index)?, index: previous_index };
+                let entries = log.entries(previous_index + 1, until);
+                let commit_index = log.commit_index();
+                Message::AppendEntries { term, previous, entries, commit_index, sent_at_us }
+            }
+        })
+    }
+
+    /// Takes an answer in; false where its sender is sent nothing.
+    pub(super) fn handle_answer(&mut self, answer: &AppendAnswer, own_last: u64, now_ms: f64) -> bool {
+        if !self.tracker.is_tracked(answer.from) {
+            return false;
+        }
+        self.tracker.record_contact(answer.from, answer.sent_at_us.min(to_us(now_ms)));
+        if answer.matches {
+            self.tracker.acknowledge(answer.from, answer.last_index.min(own_last));
+        } else {
+            self.tracker.reject(answer.from, answer.last_index);
+        }
+        true
+    }
+
+    /// A follower restarted.
+    pub(super) fn forget(&mut self, follower: NodeId) {
+        self.tracker.forget(follower);
+    }
+
+    /// What may be committed now: what a majority has, once that includes an entry of the leader's own term (Raft, section
+    /// 5.4.2). Nothing where that is committed already.
+    pub(super) fn new_commit_index<S: StateMachine>(&self, log: &ReplicatedLog<S>) -> Option<u64> {
+        let index = self.tracker.quorum_index(self.own, log.last().index, log.voters())?;
+        let in_term = log.term_at(index) == Some(log.term());
+        (index > log.commit_index() && in_term).then_some(index)
+    }
+
+    /// Followers that have the whole log learn of a new commit index with the next messages.
+    pub(super) fn expedite_commit(&mut self, last_index: u64) {
+        self.tracker.expedite_up_to_date(last_index);
+    }
+}
--- a/crates/plovershelf-cluster/src/gossip/swim/tests.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim/tests.rs
@@ -1,137 +1,163 @@
 use super::*;
 
-fn about(number: u64) -> About {
-    About {
-        id: Id(number),
+fn node(number: u64) -> NodeInfo {
+    NodeInfo {
+        id: NodeId(number),
         name: format!("n{number}"),
         zone: "z1".into(),
         region: "r1".into(),
         address: SocketAddr::from(([127, 0, (number >> 8) as u8, number as u8], 7000)),
-        born: 1,
+        created_at_ms: 1,
     }
 }
 
-fn alive(number: u64) -> News {
-    let about = about(number);
-    let by = about.id;
-    News { about, stand: 1, fit: true, leaving: false, life: number, condition: Condition::Alive, by }
+fn alive(number: u64) -> MemberUpdate {
+    MemberUpdate { boot_id: number, ..MemberUpdate::initial(node(number)) }
 }
 
-fn member(number: u64) -> Members {
-    Members::new(about(number), Terms::default(), Vec::new(), number, 0.0)
+fn dead(number: u64) -> MemberUpdate {
+    MemberUpdate { state: MemberState::Dead, ..alive(number) }
 }
 
-/// One that has heard of so many, in messages of a few each.
-fn knowing(number: u64, others: impl Iterator<Item = u64>) -> Members {
+fn member(number: u64) -> Swim {
+    Swim::new(node(number), GossipConfig::default(), Vec::new(), number, 0.0)
+}
+
+/// A member that has heard of so many, in one message each.
+fn knowing(number: u64, others: impl Iterator<Item = u64>) -> Swim {
     let mut one = member(number);
     for other in others {
-        one.hear(0.0, Id(other), about(other).address, Message::Tell { news: vec![alive(other)] });
+        one.handle_message(
+            0.0,
+            NodeId(other),
+            node(other).address,
+            Message::Broadcast { updates: vec![alive(other)] },
+        );
     }
-    one.take();
+    one.poll_messages();
     one
 }
 
-fn news_of(message: &Message) -> &[News] {
+fn updates_of(message: &Message) -> &[MemberUpdate] {
     match message {
-        Message::Ping { news, .. } | Message::Pong { news, .. } => news,
-        Message::Through { news, .. } | Message::Reached { news, .. } => news,
-        Message::Tell { news } | Message::Part { news } => news,
-        Message::Sums { .. } => &[],
+        Message::Ping { updates, .. } | Message::Ack { updates, .. } => updates,
+        Message::PingRequest { updates, .. } | Message::IndirectAck { updates, .. } => updates,
+        Message::Broadcast { updates } | Message::Sync { updates } => updates,
+        Message::Digest { .. } => &[],
     }
 }
 
+/// Hundreds join at once, and one of them dies. The queue is full of joins; the death must go along with each of the next
+/// messages all the same.
 #[test]
 fn a_death_does_not_wait_for_hundreds_that_join() {
     let mut one = knowing(1, 2..400);
-    assert!(one.rumours() >= 390);
-    // All else was told less often than the death in the end.
+    assert!(one.pending_updates() >= 390);
+    // All else was transmitted less often than the death in the end.
     for turn in 0..8u32 {
-        let dead = News { condition: Condition::Dead, ..alive(399) };
-        let from = about(2).address;
+        let death = dead(399);
+        let from = node(2).address;
         if turn == 0 {
-            one.hear(1.0, Id(2), from, Message::Tell { news: vec![dead.clone()] });
-            one.take();
+            one.handle_message(1.0, NodeId(2), from, Message::Broadcast { updates: vec![death.clone()] });
+            one.poll_messages();
         }
-        one.hear(2.0, Id(2), from, Message::Ping { nonce: 1, news: vec![] });
-        let (sent, _) = one.take();
-        let told = sent.iter().flat_map(|(_, message)| news_of(message));
-        assert!(told.into_iter().any(|news| *news == dead), "turn {turn}: {sent:?}");
+        one.handle_message(2.0, NodeId(2), from, Message::Ping { nonce: 1, updates: vec![] });
+        let sent = one.poll_messages();
+        let told = sent.iter().flat_map(|(_, message)| updates_of(message));
+        assert!(told.into_iter().any(|update| *update == death), "turn {turn}: {sent:?}");
     }
 }
 
+/// A zone dies: a hundred deaths become known within 100 ms. The first is broadcast at once, the others together an interval
+/// later, so that the messages do not grow with the deaths.
 #[test]
-fn what_changed_is_told_to_a_few_at_once_and_a_zone_that_dies_is_no_flood() {
+fn a_death_is_broadcast_to_a_few_at_once_and_a_zone_that_dies_is_no_flood() {
     let mut one = knowing(1, 2..300);
-    one.tick(1000.0);
-    one.take();
+    one.handle_timeout(1000.0);
+    one.poll_messages();
     let mut told = 0;
     for step in 0..100u64 {
         let now = 1000.0 + step as f64;
-        let dead = News { condition: Condition::Dead, ..alive(200 + step) };
-        one.hear(now, Id(2), about(2).address, Message::Tell { news: vec![dead] });
-        assert!(one.next_at() <= now + Terms::default().tell_ms, "it is woken for it");
-        one.tick(now);
-        let (sent, _) = one.take();
-        let tells = sent.iter().filter(|(_, message)| matches!(message, Message::Tell { .. })).count();
-        assert!(step > 0 || tells == Terms::default().tell, "the first at once: {sent:?}");
+        let dead = dead(200 + step);
+        one.handle_message(now, NodeId(2), node(2).address, Message::Broadcast { updates: vec![dead] });
+        assert!(
+            one.poll_timeout() <= now + GossipConfig::default().broadcast_interval_ms,
+            "it is woken for it"
+        );
+        one.handle_timeout(now);
+        let sent = one.poll_messages();
+        let tells = sent.iter().filter(|(_, message)| matches!(message, Message::Broadcast { .. })).count();
+        assert!(step > 0 || tells == GossipConfig::default().broadcast_fanout, "the first at once: {sent:?}");
         told += tells;
     }
-    assert_eq!(told, Terms::default().tell, "the others of these 100 ms later, and together");
+    assert_eq!(
+        told,
+        GossipConfig::default().broadcast_fanout,
+        "the others of these 100 ms later, and together"
+    );
 }
 
 /// Carries messages between two until none is left; how many there were.
-fn converse(one: &mut Members, other: &mut Members, now: f64) -> usize {
+fn converse(one: &mut Swim, other: &mut Swim, now: f64) -> usize {
     let mut count = 0;
     loop {
-        let (to_other, to_one) = (one.take().0, other.take().0);
-        let (own, others) = (one.me.about.clone(), other.me.about.clone());
+        let (to_other, to_one) = (one.poll_messages(), other.poll_messages());
+        let (own, others) = (one.own.node.clone(), other.own.node.clone());
         if to_other.is_empty() && to_one.is_empty() {
             return count;
         }
         for (_, message) in to_other {
-            assert!(news_of(&message).len() <= Terms::default().exchange + Terms::default().news + 2);
+            assert!(
+                updates_of(&message).len()
+                    <= GossipConfig::default().updates_per_sync
+                        + GossipConfig::default().updates_per_message
+                        + 2
+            );
             count += 1;
-            other.hear(now, own.id, own.address, message);
+            other.handle_message(now, own.id, own.address, message);
         }
         for (_, message) in to_one {
             count += 1;
-            one.hear(now, others.id, others.address, message);
+            one.handle_message(now, others.id, others.address, message);
         }
     }
 }
 
+/// One joins a cluster of hundreds. Comparisons of digests must bring it all members in a few rounds of bounded messages, cost
+/// one message where nothing differs, and bring a death that gossip lost.
 #[test]
 fn comparisons_bring_all_to_one_that_joins_and_nothing_where_nothing_differs() {
     let (mut old, mut new) = (knowing(1, 2..601), knowing(1000, 1..2));
     let mut rounds = 0;
-    while new.sums() != old.sums() {
+    while new.checksums() != old.checksums() {
         rounds += 1;
         assert!(rounds <= 12, "{} known", new.table.len());
-        new.exchange();
+        new.send_digest();
         let count = converse(&mut new, &mut old, f64::from(rounds));
-        assert!(count <= 2 * PART_MESSAGES_MOST + 2, "bounded: {count}");
+        assert!(count <= 2 * MAX_SYNC_MESSAGES + 2, "bounded: {count}");
     }
     assert_eq!((new.table.len(), old.table.len()), (600, 600));
     // What came so is not told on by one that could tell of nothing else for minutes.
-    assert!(new.rumours() <= 1, "{}", new.rumours());
-    new.exchange();
+    assert!(new.pending_updates() <= 1, "{}", new.pending_updates());
+    new.send_digest();
     assert_eq!(converse(&mut new, &mut old, 20.0), 1, "the sums alone");
     // A death that never came here as news.
-    let dead = News { condition: Condition::Dead, ..alive(77) };
-    old.hear(21.0, Id(2), about(2).address, Message::Tell { news: vec![dead] });
-    old.take();
-    new.exchange();
+    let dead = dead(77);
+    old.handle_message(21.0, NodeId(2), node(2).address, Message::Broadcast { updates: vec![dead] });
+    old.poll_messages();
+    new.send_digest();
     converse(&mut new, &mut old, 21.0);
-    assert_eq!(new.find(Id(77)).map(|news| news.condition), Some(Condition::Dead));
-    assert_eq!(new.sums(), old.sums());
+    assert_eq!(new.find(NodeId(77)).map(|update| update.state), Some(MemberState::Dead));
+    assert_eq!(new.checksums(), old.checksums());
 }
 
+/// A digest of another version, or a malformed one, has another number of checksums. It is ignored, without an answer.
 #[test]
-fn sums_of_another_length_are_left_unread() {
+fn a_digest_of_another_length_is_ignored() {
     let mut one = knowing(1, 2..50);
-    for length in [0, 1, PARTS - 1, PARTS + 1, 5000] {
-        let sums = Message::Sums { sums: vec![7; length], answer: true };
-        one.hear(1.0, Id(2), about(2).address, sums);
-        assert!(one.take().0.is_empty(), "{length}");
+    for length in [0, 1, BUCKETS - 1, BUCKETS + 1, 5000] {
+        let digest = Message::Digest { checksums: vec![7; length], reply: true };
+        one.handle_message(1.0, NodeId(2), node(2).address, digest);
+        assert!(one.poll_messages().is_empty(), "{length}");
     }
 }
--- a/crates/plovershelf-cluster/src/state.rs
+++ b/crates/plovershelf-cluster/src/state.rs
@@ -1,107 +1,99 @@
-//! What the council's decisions come to: who belongs, and a few words that others of the product agree on.
+//! The replicated state: who belongs to the cluster, and a few values under keys that other parts of the product agree on.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::council::{Id, State};
+use crate::broken::{self, BrokenRule};
+use crate::consensus::StateMachine;
+use crate::identity::NodeId;
+use crate::view::{View, ViewChange, ViewMember};
 
-/// Views that are remembered as steps; words and their bytes.
-const STEPS_KEPT: usize = 64;
-pub const WORDS_MOST: usize = 256;
-pub const WORD_BYTES_MOST: usize = 64 << 10;
+/// Changes of the view that are remembered.
+const RETAINED_VIEW_CHANGES: usize = 64;
+/// Most keys that may have a value.
+pub const MAX_VALUES: usize = 256;
+/// Most bytes that a value may have.
+pub const MAX_VALUE_BYTES: usize = 64 << 10;
 
+/// A value under a key. Its version goes up by one with each change, so that what acts by an older one is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seat {
-    pub name: String,
-    pub zone: String,
-    pub region: String,
-    pub address: SocketAddr,
-    /// It belongs still and is about to go: nothing new is given to it.
-    pub leaving: bool,
-    /// Of which start of its process; see [`News::life`](crate::members::News::life).
-    pub life: u64,
-}
-
-/// Who belongs. Numbers go up by one, without gaps.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct View {
-    pub number: u64,
-    pub members: BTreeMap<Id, Seat>,
-}
-
-/// How one view came out of the one before.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Step {
-    pub number: u64,
-    pub joined: Vec<(Id, String)>,
-    pub left: Vec<(Id, String)>,
-}
-
-/// Something agreed under a key. `number` goes up by one with each change, so what acts by an older one is known.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
-    pub number: u64,
+pub struct VersionedValue {
+    /// How many values there were under the key, with this one.
+    pub version: u64,
+    /// The value.
     pub bytes: Vec<u8>,
 }
 
+/// What the consensus group commits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Decision {
-    /// Whoever is named among the joined and was there has a new seat.
-    View {
+pub enum Command {
+    /// The next view. Whoever is named among the joined and was a member has changed what it says of itself.
+    ChangeView {
+        /// The number of the next view.
         number: u64,
-        joined: Vec<(Id, Seat)>,
-        left: Vec<Id>,
+        /// Members that join or have changed.
+        joined: Vec<(NodeId, ViewMember)>,
+        /// Members that leave.
+        left: Vec<NodeId>,
     },
-    Word {
+    /// The next value under a key.
+    SetValue {
+        /// The key.
         key: String,
-        number: u64,
+        /// One more than the version there is.
+        version: u64,
+        /// The value.
         bytes: Vec<u8>,
     },
 }
 
+/// What all committed commands come to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Decided {
+pub struct ClusterState {
+    /// The view in force.
     pub view: View,
-    pub steps: VecDeque<Step>,
-    pub words: BTreeMap<String, Word>,
+    /// How it came about, oldest change first.
+    pub view_changes: VecDeque<ViewChange>,
+    /// Values by key.
+    pub values: BTreeMap<String, VersionedValue>,
 }
 
-impl State for Decided {
-    type Decision = Decision;
+impl StateMachine for ClusterState {
+    type Command = Command;
 
-    /// What does not follow on what there is changes nothing, and does so everywhere alike.
-    fn apply(&mut self, decision: &Decision) {
-        match decision {
-            Decision::View { number, joined, left } => {
-                let next = *number == self.view.number + 1;
-                if next || crate::broken::is(crate::broken::Broken::ViewNumberedTwice) {
-                    self.step(*number, joined, left);
+    /// A command that does not follow on the state there is changes nothing, and does so on every node alike.
+    fn apply(&mut self, command: &Command) {
+        match command {
+            Command::ChangeView { number, joined, left } => {
+                let follows = *number == self.view.number + 1;
+                if follows || broken::is(BrokenRule::DuplicateViewNumber) {
+                    self.change_view(*number, joined, left);
                 }
             }
-            Decision::Word { key, number, bytes } => {
-                let before = self.words.get(key).map_or(0, |word| word.number);
-                let room = self.words.contains_key(key) || self.words.len() < WORDS_MOST;
-                if *number == before + 1 && room && bytes.len() <= WORD_BYTES_MOST {
-                    self.words.insert(key.clone(), Word { number: *number, bytes: bytes.clone() });
+            Command::SetValue { key, version, bytes } => {
+                let before = self.values.get(key).map_or(0, |value| value.version);
+                let room = self.values.contains_key(key) || self.values.len() < MAX_VALUES;
+                if *version == before + 1 && room && bytes.len() <= MAX_VALUE_BYTES {
+                    let value = VersionedValue { version: *version, bytes: bytes.clone() };
+                    self.values.insert(key.clone(), value);
                 }
             }
         }
     }
 }
 
-impl Decided {
-    fn step(&mut self, number: u64, joined: &[(Id, Seat)], left: &[Id]) {
-        let names = |(id, seat): &(Id, Seat)| (*id, seat.name.clone());
-        let gone: Vec<(Id, String)> =
-            left.iter().filter_map(|id| Some((*id, self.view.members.remove(id)?.name))).collect();
-        let new = joined.iter().filter(|(id, _)| !self.view.members.contains_key(id)).map(names).collect();
-        self.view.members.extend(joined.iter().cloned());
+impl ClusterState {
+    fn change_view(&mut self, number: u64, joined: &[(NodeId, ViewMember)], left: &[NodeId]) {
+        let members = &mut self.view.members;
+        let gone = left.iter().filter_map(|id| Some((*id, members.remove(id)?.name))).collect();
+        let new = joined.iter().filter(|(id, _)| !members.contains_key(id));
+        let new = new.map(|(id, member)| (*id, member.name.clone())).collect();
+        members.extend(joined.iter().cloned());
         self.view.number = number;
-        self.steps.push_back(Step { number, joined: new, left: gone });
-        if self.steps.len() > STEPS_KEPT {
-            self.steps.pop_front();
+        self.view_changes.push_back(ViewChange { number, joined: new, left: gone });
+        if self.view_changes.len() > RETAINED_VIEW_CHANGES {
+            self.view_changes.pop_front();
         }
     }
 }
--- a/crates/plovershelf-cluster/src/status.rs
+++ b/crates/plovershelf-cluster/src/status.rs
@@ -1,267 +1,338 @@
-//! What a member tells people of itself and the group, and what they may ask of it.
+//! What a member tells people of itself and the cluster, and what they may ask of it.
+//!
+//! The names of fields are keys of the JSON that commands print, which people and scripts read: they stay as they are, also
+//! where the code has another term. Their documentation says which.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use crate::council::Role;
-use crate::decided::Step;
-use crate::group::{era_number, Group};
-use crate::members::Condition;
+use crate::consensus::Role;
+use crate::gossip::{MemberState, MemberUpdate};
+use crate::node::ClusterNode;
+use crate::view::ViewChange;
 
+/// What a member is asked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
+    /// Its [`Status`].
     Status,
-    /// Begins a new council without these; see [`Group::recover`].
+    /// Begins a new epoch without these; see [`ClusterNode::recover`].
     Recover {
+        /// Names of the nodes that are lost for good.
         lost: Vec<String>,
     },
+    /// Has a voter replaced at once; see [`ClusterNode::replace_voter`].
     Replace {
+        /// The voter's name.
         voter: String,
     },
-    /// What another part of the product is asked, in its own words.
+    /// What another subsystem of the product is asked, in its own encoding.
     Part {
+        /// The subsystem.
         part: String,
+        /// The question.
         bytes: Vec<u8>,
     },
-    /// What is held for others here.
+    /// Its [`CopiesStatus`].
     Copies,
-    /// What is held here of one ticket of an offering.
+    /// What it holds of one idempotency key of a request class: [`TicketStatus`].
     Ticket {
+        /// The request class.
         offering: String,
+        /// The idempotency key.
         ticket: String,
     },
-    /// The little that can be asked of each member of a large group often: see [`Brief`].
+    /// Its [`Brief`], which can be asked of each member of a large cluster often.
     Brief {
+        /// Members that are asked about, at most [`MAX_BRIEF_NAMES`].
         names: Vec<String>,
     },
 }
 
-/// Names that one brief question may carry.
-pub const BRIEF_NAMES_MOST: usize = 256;
+/// Members that a question for a [`Brief`] may name.
+pub const MAX_BRIEF_NAMES: usize = 256;
 
 /// What stays small however many members there are: its length grows with the names asked about alone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Brief {
+    /// The member's name.
     pub name: String,
+    /// Its node id.
     pub memory: u64,
+    /// Its epoch.
     pub era: u64,
+    /// Number of the view that it has.
     pub view: u64,
+    /// Whether it leads.
     pub leads: bool,
+    /// The leader's name, where it knows one.
     pub leader: Option<String>,
+    /// Whether it may act at this moment.
     pub may_act: bool,
-    /// Members in the view, and those that this one takes to be alive or merely suspects.
+    /// Members in the view.
     pub in_view: u64,
+    /// Members that it takes to be alive or merely suspects.
     pub alive: u64,
     /// Those of the names asked about that it takes to be alive or merely suspects.
     pub alive_of: Vec<String>,
-    /// Agreed words: key, number, checksum of the bytes.
+    /// Committed values: key, version, checksum of the bytes.
     pub words: Vec<(String, u64, u32)>,
 }
 
-/// What a member holds for others and asks of them.
+/// A member's part in the replication of deduplication records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CopiesStatus {
+    /// The member's name.
     pub name: String,
+    /// Number of the view that it places replicas by.
     pub view: u64,
-    /// Whether it knows all that there was of what it is first of, so that it orders new claims.
+    /// Whether it has all records that it is the primary of, so that it orders new reservations.
     pub settled: bool,
+    /// Replicas that each record should have.
     pub copies: u64,
+    /// Replicas that must confirm before a request runs.
     pub least: u64,
+    /// Records that it holds.
     pub held: u64,
+    /// Most records that it may hold.
     pub held_most: u64,
+    /// Bytes of the records that it holds.
     pub held_bytes: u64,
+    /// Most bytes that they may have.
     pub held_bytes_most: u64,
-    /// Tickets that it is first of and that have fewer copies than they should.
+    /// Records that it is the primary of and that have fewer replicas than they should.
     pub low: u64,
-    /// Its own invocations: whose claim is asked for, that wait for another's end, that run, whose end is being copied.
+    /// Its own requests that ask for a reservation.
     pub asking: u64,
+    /// Its own requests that wait for another's outcome.
     pub waiting: u64,
+    /// Its own requests that run.
     pub running: u64,
+    /// Its own requests whose outcome is being replicated.
     pub ending: u64,
-    /// Members that may be gone and are passed over.
+    /// Members that are suspected and skipped.
     pub doubted: Vec<String>,
+    /// Members of the view that are draining.
     pub leaving: Vec<String>,
 }
 
-/// A ticket as one member sees it.
+/// An idempotency key as one member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TicketStatus {
+    /// The member's name.
     pub name: String,
+    /// Number of the view that it places replicas by.
     pub view: u64,
+    /// Hash of class and key, by which replicas are placed.
     pub hash: String,
-    /// Where its copies lie by the view, the first at the front.
+    /// The replica set by the view, the primary first.
     pub placed: Vec<String>,
+    /// The record, where it holds one.
     pub held: Option<HeldStatus>,
 }
 
+/// A deduplication record that a member holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HeldStatus {
+    /// The member that executes the request.
     pub runner: String,
-    /// Who had to confirm the claim before anything was launched.
+    /// The replicas that had to confirm the reservation before anything ran.
     pub holders: Vec<String>,
     /// `open`, `succeeded` with the length of its result, `failed`, `in doubt`.
     pub state: String,
+    /// Number of the view by which it was reserved.
     pub claimed_under_view: u64,
+    /// For how long the record is kept.
     pub keep_ms: u64,
 }
 
+/// What a member answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
+    /// To [`Question::Status`].
     Status(Box<Status>),
+    /// To [`Question::Copies`].
     Copies(Box<CopiesStatus>),
+    /// To [`Question::Ticket`].
     Ticket(Box<TicketStatus>),
+    /// To [`Question::Part`].
     Part(Vec<u8>),
+    /// A command was carried out: what came of it, in a line.
     Done(String),
+    /// A question or command was refused: why, in a line.
     Refused(String),
+    /// To [`Question::Brief`].
     Brief(Box<Brief>),
 }
 
+/// One member as another sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
+    /// Its name.
     pub name: String,
+    /// Its node id.
     pub memory: u64,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The region of that zone.
     pub region: String,
+    /// Where it is reached.
     pub address: String,
+    /// Its state in gossip: `alive`, `suspected`, `dead`, `left`.
     pub condition: String,
+    /// Whether it is ready.
     pub fit: bool,
+    /// Whether it is draining.
     pub leaving: bool,
+    /// Whether it is in the view.
     pub in_view: bool,
+    /// Whether it is a voter.
     pub voter: bool,
-    /// How long it has been in its condition, in milliseconds.
+    /// For how long it has been in its state, in milliseconds.
     pub since_ms: f64,
-    /// By how many entries it lags behind the end of the leader's log; told by the leader of voters alone.
+    /// By how many entries it lags behind the end of the leader's log; known to the leader, of voters alone.
     pub lag: Option<u64>,
 }
 
+/// All that a member knows of the cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
+    /// The cluster's name.
     pub group: String,
+    /// The member's name.
     pub name: String,
+    /// Its node id.
     pub memory: u64,
-    /// The council's own number among those that were begun one after the other, and all of it.
+    /// Number of its epoch.
     pub council: u64,
+    /// Its epoch.
     pub era: u64,
+    /// Its term.
     pub term: u64,
+    /// Its role in consensus, in words.
     pub role: String,
+    /// Whether it leads.
     pub leads: bool,
+    /// The leader's name, where it knows one.
     pub leader: Option<String>,
+    /// Its commit index.
     pub decided: u64,
+    /// Number of the view that it has.
     pub view: u64,
-    /// The memories of the view, in order.
+    /// Node ids of the view's members, in order.
     pub view_members: Vec<u64>,
     /// By which view it may act at this moment.
     pub may_act: Option<u64>,
     /// For how long no leader's word has come, where that is longer than elections take.
     pub undecided_ms: Option<f64>,
+    /// Whether its storage works.
     pub keeps: bool,
+    /// All members that it knows.
     pub members: Vec<MemberStatus>,
-    pub history: Vec<Step>,
+    /// The last changes of the view.
+    pub history: Vec<ViewChange>,
+    /// Committed values: key and version.
     pub words: Vec<(String, u64)>,
 }
 
-fn condition(condition: Condition) -> &'static str {
-    match condition {
-        Condition::Alive => "alive",
-        Condition::Suspected => "suspected",
-        Condition::Dead => "dead",
-        Condition::Left => "left",
+fn state_in_words(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspected",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
 
-fn role(role: &Role) -> &'static str {
+fn role_in_words(role: &Role) -> &'static str {
     match role {
-        Role::Outside => "no voter",
-        Role::Returning { .. } => "returning",
-        Role::Following => "following",
-        Role::Asking { .. } => "asking for votes",
-        Role::Standing { .. } => "standing",
-        Role::Leading => "leading",
-        Role::Mute => "mute: its folder takes nothing",
+        Role::NonVoter => "no voter",
+        Role::Recovering(_) => "returning",
+        Role::Follower => "following",
+        Role::PreCandidate { .. } => "asking for votes",
+        Role::Candidate { .. } => "standing",
+        Role::Leader => "leading",
+        Role::StorageFailed => "mute: its folder takes nothing",
     }
 }
 
 impl Brief {
-    pub fn of(group: &Group, names: &[String], now: f64) -> Self {
-        let (view, own, council) = (group.view(), group.about(), group.council());
-        let asked: BTreeSet<&str> = names.iter().take(BRIEF_NAMES_MOST).map(String::as_str).collect();
-        let mut alive_of = BTreeSet::new();
-        let mut alive = 0;
-        for news in group.members().alive() {
-            alive += 1;
-            if asked.contains(news.about.name.as_str()) {
-                alive_of.insert(news.about.name.clone());
-            }
-        }
-        let word = |(key, word): (&String, &crate::decided::Word)| {
-            (key.clone(), word.number, crc32fast::hash(&word.bytes))
-        };
+    /// Of a node; `names` are those asked about.
+    pub fn of(node: &ClusterNode, names: &[String], now_ms: f64) -> Self {
+        let (view, raft) = (node.view(), node.raft());
+        let asked: BTreeSet<&str> = names.iter().take(MAX_BRIEF_NAMES).map(String::as_str).collect();
+        let present = || node.swim().present().map(|update| &update.node.name);
+        let alive_of: BTreeSet<&String> = present().filter(|name| asked.contains(name.as_str())).collect();
+        let values = raft.state().values.iter();
+        let words = values.map(|(key, value)| (key.clone(), value.version, crc32fast::hash(&value.bytes)));
         Brief {
-            name: own.name.clone(),
-            memory: own.id.0,
-            era: council.era(),
+            name: node.node().name.clone(),
+            memory: node.node().id.0,
+            era: raft.epoch().0,
             view: view.number,
-            leads: council.leads(),
-            leader: group.leader().and_then(|id| group.name_of(id)),
-            may_act: group.may_act(now).is_some(),
+            leads: raft.leads(),
+            leader: node.leader().and_then(|id| node.name_of(id)),
+            may_act: node.may_act(now_ms).is_some(),
             in_view: view.members.len() as u64,
-            alive,
-            alive_of: alive_of.into_iter().collect(),
-            words: council.state().words.iter().map(word).collect(),
+            alive: present().count() as u64,
+            alive_of: alive_of.into_iter().cloned().collect(),
+            words: words.collect(),
+        }
+    }
+}
+
+impl MemberStatus {
+    fn of(node: &ClusterNode, update: &MemberUpdate, since_ms: f64) -> Self {
+        let (raft, info) = (node.raft(), &update.node);
+        let voter = raft.voters().contains(&info.id);
+        let last = raft.persistent().last().index;
+        let matched = raft.matched().into_iter().find(|(id, _)| *id == info.id);
+        MemberStatus {
+            name: info.name.clone(),
+            memory: info.id.0,
+            zone: info.zone.clone(),
+            region: info.region.clone(),
+            address: info.address.to_string(),
+            condition: state_in_words(update.state).into(),
+            fit: update.ready,
+            leaving: update.draining,
+            in_view: node.view().members.contains_key(&info.id),
+            voter,
+            since_ms,
+            lag: matched.filter(|_| voter && raft.leads()).map(|(_, index)| last - index),
         }
     }
 }
 
 impl Status {
-    pub fn of(group: &Group, name: &str, now: f64) -> Self {
-        let council = group.council();
-        let (view, own) = (group.view(), group.about());
-        let last = council.kept().last().index;
-        let matched = council.matched();
-        let line = |news: &crate::members::News, since: f64| {
-            let about = &news.about;
-            let matched = matched.iter().find(|(id, _)| *id == about.id && council.leads());
-            MemberStatus {
-                name: about.name.clone(),
-                memory: about.id.0,
-                zone: about.zone.clone(),
-                region: about.region.clone(),
-                address: about.address.to_string(),
-                condition: condition(news.condition).into(),
-                fit: news.fit,
-                leaving: news.leaving,
-                in_view: view.members.contains_key(&about.id),
-                voter: council.voters().contains(&about.id),
-                since_ms: now - since,
-                lag: matched
-                    .filter(|_| council.voters().contains(&about.id))
-                    .map(|(_, matched)| last - matched),
-            }
-        };
+    /// Of a node in the cluster of that name.
+    pub fn of(node: &ClusterNode, cluster: &str, now_ms: f64) -> Self {
+        let (raft, view, info) = (node.raft(), node.view(), node.node());
+        let others = node.swim().others();
         let mut members: Vec<MemberStatus> =
-            group.members().others().map(|(news, since)| line(news, since)).collect();
-        members.push(line(group.members().me(), 0.0));
+            others.map(|(update, since_ms)| MemberStatus::of(node, update, now_ms - since_ms)).collect();
+        members.push(MemberStatus::of(node, node.swim().own(), now_ms));
         members.sort_by(|a, b| a.name.cmp(&b.name));
         Status {
-            group: name.to_string(),
-            name: own.name.clone(),
-            memory: own.id.0,
-            council: era_number(council.era()),
-            era: council.era(),
-            term: council.term(),
-            role: role(council.role()).into(),
-            leads: council.leads(),
-            leader: group.leader().and_then(|id| group.name_of(id)),
-            decided: council.decided(),
+            group: cluster.to_string(),
+            name: info.name.clone(),
+            memory: info.id.0,
+            council: raft.epoch().number(),
+            era: raft.epoch().0,
+            term: raft.term().0,
+            role: role_in_words(raft.role()).into(),
+            leads: raft.leads(),
+            leader: node.leader().and_then(|id| node.name_of(id)),
+            decided: raft.commit_index(),
             view: view.number,
             view_members: view.members.keys().map(|id| id.0).collect(),
-            may_act: group.may_act(now),
-            undecided_ms: group.undecided_since().map(|since| now - since.max(0.0)),
-            keeps: *council.role() != Role::Mute,
+            may_act: node.may_act(now_ms),
+            undecided_ms: node.no_leader_since_ms().map(|since_ms| now_ms - since_ms.max(0.0)),
+            keeps: *raft.role() != Role::StorageFailed,
             members,
-            history: council.state().steps.iter().cloned().collect(),
-            words: council.state().words.iter().map(|(key, word)| (key.clone(), word.number)).collect(),
+            history: raft.state().view_changes.iter().cloned().collect(),
+            words: raft.state().values.iter().map(|(key, value)| (key.clone(), value.version)).collect(),
         }
     }
 }
--- a/crates/plovershelf-cluster/src/wire/frame.rs
+++ b/crates/plovershelf-cluster/src/wire/frame.rs
@@ -1,128 +1,70 @@
-//! Envelopes to frames and back: length, checksum, version, then the envelope. Nothing is believed before its length and
-//! checksum are.
+//! Frames: length, checksum, payload. Nothing of a payload is believed before its length and checksum are.
 
-use std::net::SocketAddr;
+use serde::{de::DeserializeOwned, Serialize};
 
-use serde::{Deserialize, Serialize};
+/// The longest payload. The whole state of two thousand members takes about 160 KiB.
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Length and checksum, both big-endian.
+const HEADER_BYTES: usize = 8;
 
-use crate::council::Id;
-use crate::group::{Envelope, VERSION};
-use crate::status::{Answer, Question};
-
-/// The longest frame. A whole state of two thousand members takes about 160 KiB.
-pub const FRAME_MOST: usize = 1 << 20;
-const HEAD: usize = 8;
-
-/// The first frame of a link, each way.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
-    pub magic: [u8; 4],
-    pub major: u16,
-    pub minor: u16,
-    pub group: String,
-    pub build: String,
-}
-
-pub const MAGIC: [u8; 4] = *b"plvg";
-
-impl Hello {
-    pub fn of(group: &str) -> Self {
-        let build = env!("CARGO_PKG_VERSION").to_string();
-        Hello { magic: MAGIC, major: VERSION.0, minor: VERSION.1, group: group.to_string(), build }
-    }
-
-    /// Whether one that says this may be talked to; else what is wrong, in one line.
-    pub fn check(&self, group: &str) -> Result<(), String> {
-        if self.magic != MAGIC {
-            return Err("speaks something else".into());
-        }
-        if self.major != VERSION.0 {
-            return Err(format!(
-                "speaks version {}.{} of the group's protocol, here it is {}.{}",
-                self.major, self.minor, VERSION.0, VERSION.1
-            ));
-        }
-        if self.group != group {
-            return Err(format!("belongs to the group {:?}, not to {group:?}", self.group));
-        }
-        Ok(())
-    }
-}
-
-#[derive(Debug, PartialEq, Eq)]
-pub enum Spoilt {
+/// Why bytes are no frame.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// Its length is above [`MAX_FRAME_BYTES`].
+    #[error("a frame longer than any may be")]
     TooLong,
+    /// Its checksum is not its payload's.
+    #[error("a frame whose checksum does not fit")]
     Checksum,
-    Content,
+    /// Its payload does not decode.
+    #[error("a frame that is no message")]
+    Payload,
 }
 
-impl std::fmt::Display for Spoilt {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        out.write_str(match self {
-            Spoilt::TooLong => "a frame longer than any may be",
-            Spoilt::Checksum => "a frame whose checksum does not fit",
-            Spoilt::Content => "a frame that is no message",
-        })
-    }
+/// Puts length and checksum before a payload.
+pub fn frame(payload: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
+    frame.extend((payload.len() as u32).to_be_bytes());
+    frame.extend(crc32fast::hash(payload).to_be_bytes());
+    frame.extend(payload);
+    frame
 }
 
-/// Bytes to what goes on a stream or into a file: their length and checksum before them.
-pub fn framed(content: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEAD + content.len());
-    out.extend((content.len() as u32).to_be_bytes());
-    out.extend(crc32fast::hash(content).to_be_bytes());
-    out.extend(content);
-    out
-}
-
-/// The content of the first frame and how many bytes it took; `None` while it is not whole.
-pub fn unframed(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, Spoilt> {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return Ok(None) };
-    let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let length = word(0) as usize;
-    if length > FRAME_MOST {
-        return Err(Spoilt::TooLong);
+/// The payload of the first frame and how many bytes the frame took; `None` while it is incomplete.
+///
+/// Errors: it is too long, or its checksum does not fit.
+pub fn read_frame(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, FrameError> {
+    let Some((header, rest)) = bytes.split_at_checked(HEADER_BYTES) else { return Ok(None) };
+    let number = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    let length = number(0) as usize;
+    if length > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLong);
     }
-    let Some(content) = rest.get(..length) else { return Ok(None) };
-    if crc32fast::hash(content) != word(4) {
-        return Err(Spoilt::Checksum);
+    let Some(payload) = rest.get(..length) else { return Ok(None) };
+    if crc32fast::hash(payload) != number(4) {
+        return Err(FrameError::Checksum);
     }
-    Ok(Some((content, HEAD + length)))
+    Ok(Some((payload, HEADER_BYTES + length)))
 }
 
-pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    framed(&postcard::to_stdvec(value).unwrap_or_default())
+/// A value in a frame.
+pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
+    frame(&encode_payload(value))
 }
 
-/// How long the frame would be, without writing it.
-pub fn size<T: Serialize>(value: &T) -> usize {
-    HEAD + postcard::experimental::serialized_size(value).unwrap_or_default()
+/// How long a value's frame would be, without encoding it.
+pub fn frame_size<T: Serialize>(value: &T) -> usize {
+    HEADER_BYTES + postcard::experimental::serialized_size(value).unwrap_or_default()
 }
 
-/// Without length and checksum, for what stands in a frame.
-pub fn plain<T: Serialize>(value: &T) -> Vec<u8> {
+/// A value without a frame, for what travels inside of one.
+pub fn encode_payload<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-pub fn decode<T: serde::de::DeserializeOwned>(content: &[u8]) -> Result<T, Spoilt> {
-    postcard::from_bytes(content).map_err(|_| Spoilt::Content)
-}
-
-/// What follows the hello on a link.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wire {
-    Say(Envelope),
-    Ask(Question),
-    Answer(Box<Answer>),
-    /// What another part of the product says to its like: whose memory says it, for whose.
-    Part {
-        from: Id,
-        to: Id,
-        bytes: Vec<u8>,
-    },
-    /// A message of those that carry changes: its sender is reached at `at`.
-    Carried {
-        at: SocketAddr,
-        bytes: Vec<u8>,
-    },
+/// Decodes what [`encode_payload`] encodes.
+///
+/// Errors: the bytes are no such value.
+pub fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, FrameError> {
+    postcard::from_bytes(payload).map_err(|_| FrameError::Payload)
 }
--- a/crates/plovershelf-cluster/tests/checker.rs
+++ b/crates/plovershelf-cluster/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The council walked through completely by a model checker, within the bounds that each test names.
+//! Consensus walked through completely by a model checker, within the bounds that each test names.
 
 mod walk;
 
--- a/crates/plovershelf-cluster/tests/pins.rs
+++ b/crates/plovershelf-cluster/tests/pins.rs
@@ -8,15 +8,21 @@
 use std::fmt::Debug;
 use std::net::SocketAddr;
 
-use plovershelf_cluster::council::{Entry, Id, Kept, Mark, Message, Record, What, Whole};
-use plovershelf_cluster::decided::{Decided, Decision, Seat, Step, View, Word};
-use plovershelf_cluster::frames::{decode, encode, framed, plain, unframed, Hello, Wire, MAGIC};
-use plovershelf_cluster::group::{Envelope, Heading, Say};
-use plovershelf_cluster::members::{self, About, Condition, News};
+use plovershelf_cluster::consensus::{
+    Ballot, Entry, LogPosition, Message, Payload, PersistentState, Record, Snapshot, Term,
+};
+use plovershelf_cluster::gossip::{self, MemberState, MemberUpdate, NodeInfo};
 use plovershelf_cluster::status::{
     Answer, Brief, CopiesStatus, HeldStatus, MemberStatus, Question, Status, TicketStatus,
 };
-use plovershelf_cluster::store::{self, Identity, Read};
+use plovershelf_cluster::storage::{self, FileHeader, ReadOutcome};
+use plovershelf_cluster::wire::{
+    decode, encode_frame, encode_payload, frame, read_frame, Envelope, Hello, NodeMessage, StateDigest, Wire,
+    MAGIC,
+};
+use plovershelf_cluster::{
+    ClusterState, Command, Epoch, NodeId, VersionedValue, View, ViewChange, ViewMember,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -46,7 +52,7 @@
 
     /// Encodes to the fixture's bytes, and the fixture's bytes decode to the value.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
-        self.check_bytes(name, &plain(value));
+        self.check_bytes(name, &encode_payload(value));
         if let Some(hex) = self.expected.get(name) {
             let decoded: T = decode(&from_hex(hex)).expect("the fixture's bytes decode");
             assert_eq!(decoded, *value, "{name}");
@@ -73,142 +79,186 @@
     SocketAddr::from(([127, 0, 3, last], 7400 + u16::from(last)))
 }
 
-fn about(id: u64) -> About {
-    About {
-        id: Id(id),
+fn node(id: u64) -> NodeInfo {
+    NodeInfo {
+        id: NodeId(id),
         name: format!("name-{id}"),
         zone: format!("zone-{id}"),
         region: format!("region-{id}"),
         address: address(id as u8),
-        born: id + 1_000_000,
+        created_at_ms: id + 1_000_000,
     }
 }
 
-fn news(id: u64, fit: bool, condition: Condition) -> News {
-    News {
-        about: about(id),
-        stand: 300 + id as u32,
-        fit,
-        leaving: !fit,
-        life: 70_000 + id,
-        condition,
-        by: Id(id + 40),
+fn update(id: u64, ready: bool, state: MemberState) -> MemberUpdate {
+    MemberUpdate {
+        node: node(id),
+        incarnation: 300 + id as u32,
+        ready,
+        draining: !ready,
+        boot_id: 70_000 + id,
+        state,
+        reported_by: NodeId(id + 40),
     }
 }
 
-fn seat(id: u64, leaving: bool) -> Seat {
-    Seat {
+fn member(id: u64, draining: bool) -> ViewMember {
+    ViewMember {
         name: format!("seat-{id}"),
         zone: format!("zone-{id}"),
         region: format!("region-{id}"),
         address: address(id as u8),
-        leaving,
-        life: 90_000 + id,
+        draining,
+        boot_id: 90_000 + id,
     }
 }
 
-fn entries() -> Vec<Entry<Decision>> {
-    let view =
-        Decision::View { number: 12, joined: vec![(Id(13), seat(13, true))], left: vec![Id(14), Id(15)] };
-    let word = Decision::Word { key: "key".into(), number: 16, bytes: vec![17, 18] };
+fn entries() -> Vec<Entry<Command>> {
+    let view = Command::ChangeView {
+        number: 12,
+        joined: vec![(NodeId(13), member(13, true))],
+        left: vec![NodeId(14), NodeId(15)],
+    };
+    let value = Command::SetValue { key: "key".into(), version: 16, bytes: vec![17, 18] };
     vec![
-        Entry { term: 8, what: What::Begin },
-        Entry { term: 9, what: What::Voters([Id(10), Id(11)].into()) },
-        Entry { term: 19, what: What::Word(view) },
-        Entry { term: 20, what: What::Word(word) },
+        Entry { term: Term(8), payload: Payload::Noop },
+        Entry { term: Term(9), payload: Payload::Voters([NodeId(10), NodeId(11)].into()) },
+        Entry { term: Term(19), payload: Payload::Command(view) },
+        Entry { term: Term(20), payload: Payload::Command(value) },
     ]
 }
 
-fn state() -> Decided {
-    let step =
-        Step { number: 21, joined: vec![(Id(22), "joined".into())], left: vec![(Id(23), "left".into())] };
-    Decided {
-        view: View { number: 24, members: [(Id(25), seat(25, false)), (Id(26), seat(26, true))].into() },
-        steps: VecDeque::from([step]),
-        words: [("word".to_string(), Word { number: 27, bytes: vec![28, 29] })].into(),
+fn state() -> ClusterState {
+    let change = ViewChange {
+        number: 21,
+        joined: vec![(NodeId(22), "joined".into())],
+        left: vec![(NodeId(23), "left".into())],
+    };
+    ClusterState {
+        view: View {
+            number: 24,
+            members: [(NodeId(25), member(25, false)), (NodeId(26), member(26, true))].into(),
+        },
+        view_changes: VecDeque::from([change]),
+        values: [("word".to_string(), VersionedValue { version: 27, bytes: vec![28, 29] })].into(),
     }
 }
 
-fn whole() -> Whole<Decided> {
-    let at = Mark { term: 30, index: 31 };
-    Whole { at, voters: [Id(32), Id(33)].into(), voters_at: 34, state: state() }
+fn snapshot() -> Snapshot<ClusterState> {
+    let last = LogPosition { term: Term(30), index: 31 };
+    Snapshot { last, voters: [NodeId(32), NodeId(33)].into(), voters_index: 34, state: state() }
 }
 
-fn kept() -> Kept<Decided> {
-    Kept { era: 35 << 40, term: 36, voted: Some(Id(37)), promised: 38 << 40, base: whole(), log: entries() }
+fn persistent() -> PersistentState<ClusterState> {
+    PersistentState {
+        epoch: Epoch(35 << 40),
+        term: Term(36),
+        vote: Some(NodeId(37)),
+        promised_epoch: Epoch(38 << 40),
+        snapshot: snapshot(),
+        log: entries(),
+    }
 }
 
-fn council_messages() -> Vec<(&'static str, Message<Decided>)> {
-    let last = Mark { term: 41, index: 42 };
+fn consensus_messages() -> Vec<(&'static str, Message<ClusterState>)> {
+    let last = LogPosition { term: Term(41), index: 42 };
     vec![
-        ("ask", Message::Ask { term: 43, last, dry: true }),
-        ("said", Message::Said { term: 44, granted: true, dry: false }),
+        ("ask", Message::RequestVote { term: Term(43), last, ballot: Ballot::PreVote }),
+        ("said", Message::Vote { term: Term(44), granted: true, ballot: Ballot::Vote }),
         (
             "append",
-            Message::Append { term: 45, before: last, entries: entries(), decided: 46, stamp: 47_000 },
+            Message::AppendEntries {
+                term: Term(45),
+                previous: last,
+                entries: entries(),
+                commit_index: 46,
+                sent_at_us: 47_000,
+            },
+        ),
+        ("catch", Message::InstallSnapshot { term: Term(48), snapshot: snapshot(), sent_at_us: 49_000 }),
+        (
+            "took",
+            Message::AppendResponse { term: Term(50), matches: true, last_index: 51, sent_at_us: 52_000 },
         ),
-        ("catch", Message::Catch { term: 48, whole: whole(), stamp: 49_000 }),
-        ("took", Message::Took { term: 50, matches: true, up_to: 51, stamp: 52_000 }),
-        ("recall", Message::Recall { nonce: 53_000, at_least: 54 }),
+        ("recall", Message::RecoveryRequest { nonce: 53_000, min_term: Term(54) }),
         (
             "recalled",
-            Message::Recalled {
+            Message::RecoveryResponse {
                 nonce: 55_000,
-                term: 56,
+                term: Term(56),
                 last,
-                voters_at: 57,
-                voters: [Id(58)].into(),
-                settled: true,
+                voters_index: 57,
+                voters: [NodeId(58)].into(),
+                active: true,
                 leads: false,
             },
         ),
     ]
 }
 
-fn probe_messages() -> Vec<(&'static str, members::Message)> {
-    use members::Message;
-    let alive = || vec![news(1, true, Condition::Alive)];
+fn gossip_messages() -> Vec<(&'static str, gossip::Message)> {
+    use gossip::Message;
+    let alive = || vec![update(1, true, MemberState::Alive)];
     let all = vec![
-        news(1, true, Condition::Alive),
-        news(2, false, Condition::Suspected),
-        news(3, true, Condition::Dead),
-        news(4, false, Condition::Left),
+        update(1, true, MemberState::Alive),
+        update(2, false, MemberState::Suspect),
+        update(3, true, MemberState::Dead),
+        update(4, false, MemberState::Left),
     ];
     vec![
-        ("ping", Message::Ping { nonce: 5000, news: all }),
-        ("pong", Message::Pong { nonce: 5001, news: alive() }),
-        ("through", Message::Through { nonce: 5002, target: Id(6), address: address(7), news: alive() }),
-        ("reached", Message::Reached { nonce: 5003, news: alive() }),
-        ("tell", Message::Tell { news: alive() }),
-        ("sums", Message::Sums { sums: vec![1, 2_000_000, 3], answer: true }),
-        ("part", Message::Part { news: alive() }),
+        ("ping", Message::Ping { nonce: 5000, updates: all }),
+        ("pong", Message::Ack { nonce: 5001, updates: alive() }),
+        (
+            "through",
+            Message::PingRequest { nonce: 5002, target: NodeId(6), address: address(7), updates: alive() },
+        ),
+        ("reached", Message::IndirectAck { nonce: 5003, updates: alive() }),
+        ("tell", Message::Broadcast { updates: alive() }),
+        ("sums", Message::Digest { checksums: vec![1, 2_000_000, 3], reply: true }),
+        ("part", Message::Sync { updates: alive() }),
     ]
 }
 
-fn says() -> Vec<(String, Say)> {
+fn node_messages() -> Vec<(String, NodeMessage)> {
     let mut all = Vec::new();
-    for (name, message) in council_messages() {
-        all.push((format!("council-{name}"), Say::Council { era: 60 << 40, message }));
+    for (name, message) in consensus_messages() {
+        all.push((format!("council-{name}"), NodeMessage::Consensus { epoch: Epoch(60 << 40), message }));
     }
-    for (place, (name, message)) in probe_messages().into_iter().enumerate() {
-        let leader = (place % 2 == 0).then_some(Id(64));
-        let heading = Heading { era: 61 << 40, decided: 62, term: 63, leader };
-        all.push((format!("probe-{name}"), Say::Probe { message, heading }));
+    for (place, (name, message)) in gossip_messages().into_iter().enumerate() {
+        let leader = (place % 2 == 0).then_some(NodeId(64));
+        let digest = StateDigest { epoch: Epoch(61 << 40), commit_index: 62, term: Term(63), leader };
+        all.push((format!("probe-{name}"), NodeMessage::Gossip { message, digest }));
     }
-    let before = Mark { term: 65, index: 66 };
+    let previous = LogPosition { term: Term(65), index: 66 };
     let more = [
-        ("want", Say::Want { era: 67, index: 68 }),
-        ("more", Say::More { era: 69, before, entries: entries() }),
-        ("all", Say::All { era: 70, whole: whole() }),
-        ("ask-lease", Say::AskLease { stamp: 71_000 }),
-        ("lease", Say::Lease { stamp: 72_000, era: 73, view: 74, span_ms: 750.5 }),
-        ("propose", Say::Propose { nonce: 76_000, key: "key".into(), number: 77, bytes: vec![78, 79] }),
-        ("proposed", Say::Proposed { nonce: 80_000, taken: true }),
-        ("consent", Say::Consent { era: 81 }),
-        ("consented", Say::Consented { era: 82, kept: Some(Box::new(kept())), refused: None }),
-        ("consented-refused", Say::Consented { era: 83, kept: None, refused: Some("why".into()) }),
+        ("want", NodeMessage::FetchCommitted { epoch: Epoch(67), index: 68 }),
+        ("more", NodeMessage::CommittedEntries { epoch: Epoch(69), previous, entries: entries() }),
+        ("all", NodeMessage::CommittedSnapshot { epoch: Epoch(70), snapshot: snapshot() }),
+        ("ask-lease", NodeMessage::LeaseRequest { sent_at_us: 71_000 }),
+        (
+            "lease",
+            NodeMessage::LeaseGrant { sent_at_us: 72_000, epoch: Epoch(73), view: 74, duration_ms: 750.5 },
+        ),
+        (
+            "propose",
+            NodeMessage::Propose { nonce: 76_000, key: "key".into(), version: 77, bytes: vec![78, 79] },
+        ),
+        ("proposed", NodeMessage::ProposeResponse { nonce: 80_000, accepted: true }),
+        ("consent", NodeMessage::EpochConsentRequest { epoch: Epoch(81) }),
+        (
+            "consented",
+            NodeMessage::EpochConsent {
+                epoch: Epoch(82),
+                persistent: Some(Box::new(persistent())),
+                refusal: None,
+            },
+        ),
+        (
+            "consented-refused",
+            NodeMessage::EpochConsent { epoch: Epoch(83), persistent: None, refusal: Some("why".into()) },
+        ),
     ];
-    all.extend(more.map(|(name, say)| (name.to_string(), say)));
+    all.extend(more.map(|(name, message)| (name.to_string(), message)));
     all
 }
 
@@ -244,10 +294,10 @@
         undecided_ms: Some(96.5),
         keeps: false,
         members: vec![member],
-        history: vec![Step {
+        history: vec![ViewChange {
             number: 97,
-            joined: vec![(Id(98), "in".into())],
-            left: vec![(Id(99), "out".into())],
+            joined: vec![(NodeId(98), "in".into())],
+            left: vec![(NodeId(99), "out".into())],
         }],
         words: vec![("key".into(), 100)],
     }
@@ -325,72 +375,73 @@
 #[test]
 fn every_message_keeps_its_bytes() {
     let mut pins = Pins::of(MESSAGES);
-    for (name, message) in council_messages() {
+    for (name, message) in consensus_messages() {
         pins.check(&format!("council-message-{name}"), &message);
     }
-    for (name, message) in probe_messages() {
+    for (name, message) in gossip_messages() {
         pins.check(&format!("members-message-{name}"), &message);
     }
-    for (place, (name, say)) in says().into_iter().enumerate() {
-        let to = (place % 2 == 0).then_some(Id(126));
-        let envelope = Envelope { from: Id(127), at: address(128), to, say };
+    for (place, (name, message)) in node_messages().into_iter().enumerate() {
+        let to = (place % 2 == 0).then_some(NodeId(126));
+        let envelope = Envelope { from: NodeId(127), address: address(128), to, message };
         pins.check(&format!("envelope-{name}"), &envelope);
-        pins.check(&format!("wire-say-{name}"), &Wire::Say(envelope));
+        pins.check(&format!("wire-say-{name}"), &Wire::Envelope(envelope));
     }
     for (name, question) in questions() {
-        pins.check(&format!("wire-ask-{name}"), &Wire::Ask(question));
+        pins.check(&format!("wire-ask-{name}"), &Wire::Question(question));
     }
     for (name, answer) in answers() {
         pins.check(&format!("wire-answer-{name}"), &Wire::Answer(Box::new(answer)));
     }
-    pins.check("wire-part", &Wire::Part { from: Id(129), to: Id(130), bytes: vec![131, 132] });
-    pins.check("wire-carried", &Wire::Carried { at: address(133), bytes: vec![134, 135] });
-    let hello = Hello { magic: MAGIC, major: 3, minor: 1, group: "group".into(), build: "build".into() };
+    pins.check("wire-part", &Wire::Subsystem { from: NodeId(129), to: NodeId(130), bytes: vec![131, 132] });
+    pins.check("wire-carried", &Wire::ConfigDistribution { address: address(133), bytes: vec![134, 135] });
+    let hello = Hello { magic: MAGIC, major: 3, minor: 1, cluster: "group".into(), build: "build".into() };
     pins.check("hello", &hello);
-    pins.check_bytes("hello-frame", &encode(&hello));
-    pins.check_bytes("frame", &framed(&[136, 137, 138]));
+    pins.check_bytes("hello-frame", &encode_frame(&hello));
+    pins.check_bytes("frame", &frame(&[136, 137, 138]));
     pins.finish();
 }
 
-fn identity() -> Identity {
-    Identity {
-        magic: store::MAGIC,
-        major: store::MAJOR,
-        group: "group".into(),
+fn header() -> FileHeader {
+    FileHeader {
+        magic: storage::MAGIC,
+        version: storage::VERSION,
+        cluster: "group".into(),
         name: "name".into(),
-        id: Id(139),
-        born: 140,
+        id: NodeId(139),
+        created_at_ms: 140,
     }
 }
 
-fn records() -> Vec<(&'static str, Record<Decided>)> {
+fn records() -> Vec<(&'static str, Record<ClusterState>)> {
     vec![
-        ("term", Record::Term { era: 141 << 40, term: 142, voted: Some(Id(143)) }),
-        ("entries", Record::Entries { from: 36, entries: entries() }),
-        ("whole", Record::Whole(whole())),
-        ("promised", Record::Promised(144 << 40)),
+        ("term", Record::HardState { epoch: Epoch(141 << 40), term: Term(142), vote: Some(NodeId(143)) }),
+        ("entries", Record::Append { from: 36, entries: entries() }),
+        ("whole", Record::Snapshot(snapshot())),
+        ("promised", Record::PromisedEpoch(Epoch(144 << 40))),
     ]
 }
 
-/// What the file of the fixture `appended` comes to: [`kept`], and after it the records of [`records`] in their order.
-fn kept_with_records() -> Kept<Decided> {
-    let mut kept = kept();
-    records().into_iter().for_each(|(_, record)| kept.take(record));
-    kept
+/// What the file of the fixture `appended` comes to: [`persistent`], and after it the records of [`records`] in their order.
+fn persistent_with_records() -> PersistentState<ClusterState> {
+    let mut persistent = persistent();
+    records().into_iter().for_each(|(_, record)| persistent.apply(record));
+    persistent
 }
 
 #[test]
 fn every_record_of_a_folder_keeps_its_bytes() {
     let mut pins = Pins::of(FOLDER);
-    pins.check_bytes("identity", &encode(&identity()));
+    pins.check_bytes("identity", &encode_frame(&header()));
     for (name, record) in records() {
-        pins.check_bytes(&format!("record-{name}"), &store::record(&record));
+        pins.check_bytes(&format!("record-{name}"), &storage::encode_record(&record));
     }
-    let nothing = Kept::nothing(Decided::default());
-    pins.check_bytes("file-of-nothing", &store::written(&identity(), &nothing));
-    let written = store::written(&identity(), &kept());
+    let nothing = PersistentState::empty(ClusterState::default());
+    pins.check_bytes("file-of-nothing", &storage::encode_file(&header(), &nothing));
+    let written = storage::encode_file(&header(), &persistent());
     pins.check_bytes("file-written", &written);
-    let appended = records().iter().flat_map(|(_, record)| store::record(record)).collect::<Vec<u8>>();
+    let appended =
+        records().iter().flat_map(|(_, record)| storage::encode_record(record)).collect::<Vec<u8>>();
     pins.check_bytes("file-appended", &[written, appended].concat());
     pins.finish();
 }
@@ -401,15 +452,19 @@
 fn a_folder_that_an_earlier_build_wrote_is_read_back_whole() {
     let fixture = Pins::of(FOLDER).expected;
     let files = [
-        ("file-of-nothing", Kept::nothing(Decided::default())),
-        ("file-written", kept()),
-        ("file-appended", kept_with_records()),
+        ("file-of-nothing", PersistentState::empty(ClusterState::default())),
+        ("file-written", persistent()),
+        ("file-appended", persistent_with_records()),
     ];
     for (name, expected) in files {
         let bytes = from_hex(fixture[name]);
-        let read = store::read(&bytes, "group", "name");
-        let whole = bytes.len();
-        assert_eq!(read, Read::Kept { identity: identity(), kept: Box::new(expected), whole }, "{name}");
+        let outcome = storage::read_file(&bytes, "group", "name");
+        let restored = ReadOutcome::Restored {
+            header: header(),
+            persistent: Box::new(expected),
+            valid_bytes: bytes.len(),
+        };
+        assert_eq!(outcome, restored, "{name}");
     }
 }
 
@@ -418,8 +473,8 @@
     let fixture = Pins::of(FOLDER).expected;
     for (name, record) in records() {
         let bytes = from_hex(fixture[format!("record-{name}").as_str()]);
-        let (content, length) = unframed(&bytes).expect("a frame").expect("a whole frame");
+        let (payload, length) = read_frame(&bytes).expect("a frame").expect("a whole frame");
         assert_eq!(length, bytes.len());
-        assert_eq!(decode::<Record<Decided>>(content), Ok(record), "{name}");
+        assert_eq!(decode::<Record<ClusterState>>(payload), Ok(record), "{name}");
     }
 }
--- a/crates/plovershelf-cluster/tests/properties.rs
+++ b/crates/plovershelf-cluster/tests/properties.rs
@@ -3,164 +3,196 @@
 
 use std::net::SocketAddr;
 
-use plovershelf_cluster::council::{Id, Kept, Mark, Message, Record, What, Whole};
-use plovershelf_cluster::decided::{Decided, Decision};
-use plovershelf_cluster::frames::{decode, encode, framed, unframed, Hello, Wire};
-use plovershelf_cluster::group::{Envelope, Group, Heading, Say, Start, Terms};
-use plovershelf_cluster::members::{self, About, Condition, News};
-use plovershelf_cluster::store::{self, Identity, Read};
+use plovershelf_cluster::consensus::{
+    Ballot, Entry, LogPosition, Message, Payload, PersistentState, Record, Snapshot, Term,
+};
+use plovershelf_cluster::gossip::{self, MemberState, MemberUpdate, NodeInfo};
+use plovershelf_cluster::storage::{self, FileHeader, ReadOutcome};
+use plovershelf_cluster::wire::{
+    decode, encode_frame, frame, read_frame, Envelope, Hello, NodeMessage, StateDigest, Wire,
+};
+use plovershelf_cluster::{ClusterNode, ClusterState, Command, Epoch, NodeConfig, NodeId, Startup};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn about(number: u64) -> About {
-    About {
-        id: Id(number),
+fn node(number: u64) -> NodeInfo {
+    NodeInfo {
+        id: NodeId(number),
         name: format!("n{number}"),
         zone: format!("z{}", number % 3),
         region: "r".into(),
         address: SocketAddr::from(([127, 0, 0, number as u8], 7000)),
-        born: number,
+        created_at_ms: number,
     }
 }
 
-fn group(founded: bool) -> Group {
-    let (mut kept, me) = (None, about(1));
+fn cluster_node(founded: bool) -> ClusterNode {
+    let mut persistent = None;
     if founded {
-        let mut own = Kept::nothing(Decided::default());
-        own.take(Record::Term { era: 1 << 40, term: 1, voted: None });
-        let at = Mark { term: 1, index: 1 };
-        own.take(Record::Whole(Whole {
-            at,
-            voters: [Id(1), Id(2), Id(3)].into(),
-            voters_at: 1,
-            state: Decided::default(),
+        let mut own = PersistentState::empty(ClusterState::default());
+        own.apply(Record::HardState { epoch: Epoch(1 << 40), term: Term(1), vote: None });
+        let last = LogPosition { term: Term(1), index: 1 };
+        own.apply(Record::Snapshot(Snapshot {
+            last,
+            voters: [NodeId(1), NodeId(2), NodeId(3)].into(),
+            voters_index: 1,
+            state: ClusterState::default(),
         }));
-        kept = Some(own);
+        persistent = Some(own);
     }
-    let founders = vec!["n1".into(), "n2".into(), "n3".into()];
-    let start = Start { about: me, terms: Terms::default(), seeds: vec![], founders, kept, seed: 7 };
-    Group::new(start, 0.0)
+    let initial_voters = vec!["n1".into(), "n2".into(), "n3".into()];
+    let config = NodeConfig::default();
+    let startup = Startup { node: node(1), config, seeds: vec![], initial_voters, persistent, seed: 7 };
+    ClusterNode::new(startup, 0.0)
 }
 
-fn ids() -> impl Strategy<Value = Id> {
-    (0u64..6).prop_map(Id)
+fn ids() -> impl Strategy<Value = NodeId> {
+    (0u64..6).prop_map(NodeId)
 }
 
-fn marks() -> impl Strategy<Value = Mark> {
-    (0u64..5, 0u64..9).prop_map(|(term, index)| Mark { term, index })
+fn terms() -> impl Strategy<Value = Term> {
+    (0u64..6).prop_map(Term)
 }
 
-fn news() -> impl Strategy<Value = News> {
-    let condition = prop_oneof![
-        Just(Condition::Alive),
-        Just(Condition::Suspected),
-        Just(Condition::Dead),
-        Just(Condition::Left)
+fn ballots() -> impl Strategy<Value = Ballot> {
+    any::<bool>().prop_map(|pre_vote| if pre_vote { Ballot::PreVote } else { Ballot::Vote })
+}
+
+fn positions() -> impl Strategy<Value = LogPosition> {
+    (0u64..5, 0u64..9).prop_map(|(term, index)| LogPosition { term: Term(term), index })
+}
+
+fn updates() -> impl Strategy<Value = MemberUpdate> {
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
     ];
-    (1u64..40, 0u32..4, any::<bool>(), condition, ids()).prop_map(|(number, stand, fit, condition, by)| {
-        News {
-            about: about(number),
-            stand,
-            fit,
-            leaving: !fit && stand % 2 == 0,
-            life: u64::from(stand / 3),
-            condition,
-            by,
-        }
-    })
+    (1u64..40, 0u32..4, any::<bool>(), state, ids()).prop_map(
+        |(number, incarnation, ready, state, reported_by)| MemberUpdate {
+            node: node(number),
+            incarnation,
+            ready,
+            draining: !ready && incarnation % 2 == 0,
+            boot_id: u64::from(incarnation / 3),
+            state,
+            reported_by,
+        },
+    )
 }
 
-fn whats() -> impl Strategy<Value = What<Decision>> {
+fn payloads() -> impl Strategy<Value = Payload<Command>> {
     prop_oneof![
-        Just(What::Begin),
-        vec(ids(), 0..5).prop_map(|ids| What::Voters(ids.into_iter().collect())),
-        (0u64..4, vec(ids(), 0..3)).prop_map(|(number, left)| What::Word(Decision::View {
+        Just(Payload::Noop),
+        vec(ids(), 0..5).prop_map(|ids| Payload::Voters(ids.into_iter().collect())),
+        (0u64..4, vec(ids(), 0..3)).prop_map(|(number, left)| Payload::Command(Command::ChangeView {
             number,
             joined: vec![],
             left
         })),
-        (0u64..4).prop_map(|number| What::Word(Decision::Word { key: "k".into(), number, bytes: vec![1] })),
+        (0u64..4).prop_map(|version| Payload::Command(Command::SetValue {
+            key: "k".into(),
+            version,
+            bytes: vec![1]
+        })),
     ]
 }
 
-fn entries() -> impl Strategy<Value = Vec<plovershelf_cluster::council::Entry<Decision>>> {
-    vec((0u64..5, whats()).prop_map(|(term, what)| plovershelf_cluster::council::Entry { term, what }), 0..4)
+fn entries() -> impl Strategy<Value = Vec<Entry<Command>>> {
+    let entry = (0u64..5, payloads()).prop_map(|(term, payload)| Entry { term: Term(term), payload });
+    vec(entry, 0..4)
 }
 
-fn wholes() -> impl Strategy<Value = Whole<Decided>> {
-    (marks(), vec(ids(), 0..4)).prop_map(|(at, voters)| Whole {
-        at,
+fn snapshots() -> impl Strategy<Value = Snapshot<ClusterState>> {
+    (positions(), vec(ids(), 0..4)).prop_map(|(last, voters)| Snapshot {
+        last,
         voters: voters.into_iter().collect(),
-        voters_at: at.index,
-        state: Decided::default(),
+        voters_index: last.index,
+        state: ClusterState::default(),
     })
 }
 
-fn says() -> impl Strategy<Value = Say> {
-    let council = prop_oneof![
-        (0u64..6, marks(), any::<bool>()).prop_map(|(term, last, dry)| Message::Ask { term, last, dry }),
-        (0u64..6, any::<bool>(), any::<bool>()).prop_map(|(term, granted, dry)| Message::Said {
+fn node_messages() -> impl Strategy<Value = NodeMessage> {
+    let consensus = prop_oneof![
+        (terms(), positions(), ballots()).prop_map(|(term, last, ballot)| Message::RequestVote {
+            term,
+            last,
+            ballot
+        }),
+        (terms(), any::<bool>(), ballots()).prop_map(|(term, granted, ballot)| Message::Vote {
             term,
             granted,
-            dry
+            ballot
         }),
-        (0u64..6, marks(), entries(), 0u64..9, any::<u64>()).prop_map(
-            |(term, before, entries, decided, stamp)| Message::Append {
+        (terms(), positions(), entries(), 0u64..9, any::<u64>()).prop_map(
+            |(term, previous, entries, commit_index, sent_at_us)| Message::AppendEntries {
                 term,
-                before,
+                previous,
                 entries,
-                decided,
-                stamp
+                commit_index,
+                sent_at_us
             }
         ),
-        (0u64..6, wholes(), any::<u64>()).prop_map(|(term, whole, stamp)| Message::Catch {
-            term,
-            whole,
-            stamp
-        }),
-        (0u64..6, any::<bool>(), 0u64..12, any::<u64>())
-            .prop_map(|(term, matches, up_to, stamp)| Message::Took { term, matches, up_to, stamp }),
-        (any::<u64>(), 0u64..6).prop_map(|(nonce, at_least)| Message::Recall { nonce, at_least }),
-        (any::<u64>(), 0u64..6, marks(), vec(ids(), 0..4), any::<bool>()).prop_map(
-            |(nonce, term, last, voters, settled)| {
-                Message::Recalled {
+        (terms(), snapshots(), any::<u64>())
+            .prop_map(|(term, snapshot, sent_at_us)| Message::InstallSnapshot { term, snapshot, sent_at_us }),
+        (terms(), any::<bool>(), 0u64..12, any::<u64>()).prop_map(
+            |(term, matches, last_index, sent_at_us)| Message::AppendResponse {
+                term,
+                matches,
+                last_index,
+                sent_at_us
+            }
+        ),
+        (any::<u64>(), terms()).prop_map(|(nonce, min_term)| Message::RecoveryRequest { nonce, min_term }),
+        (any::<u64>(), terms(), positions(), vec(ids(), 0..4), any::<bool>()).prop_map(
+            |(nonce, term, last, voters, active)| {
+                Message::RecoveryResponse {
                     nonce,
                     term,
                     last,
-                    voters_at: last.index,
+                    voters_index: last.index,
                     voters: voters.into_iter().collect(),
-                    settled,
-                    leads: !settled,
+                    active,
+                    leads: !active,
                 }
             }
         ),
     ];
-    let eras = prop_oneof![Just(0u64), Just(1u64 << 40), Just(2u64 << 40), any::<u64>()];
-    let probes = prop_oneof![
-        (any::<u64>(), vec(news(), 0..5)).prop_map(|(nonce, news)| members::Message::Ping { nonce, news }),
-        (any::<u64>(), vec(news(), 0..5)).prop_map(|(nonce, news)| members::Message::Pong { nonce, news }),
-        (any::<u64>(), ids(), vec(news(), 0..2)).prop_map(|(nonce, target, news)| {
-            members::Message::Through { nonce, target, address: SocketAddr::from(([127, 0, 0, 9], 1)), news }
+    let epochs = prop_oneof![Just(0u64), Just(1u64 << 40), Just(2u64 << 40), any::<u64>()].prop_map(Epoch);
+    let gossip = prop_oneof![
+        (any::<u64>(), vec(updates(), 0..5))
+            .prop_map(|(nonce, updates)| gossip::Message::Ping { nonce, updates }),
+        (any::<u64>(), vec(updates(), 0..5))
+            .prop_map(|(nonce, updates)| gossip::Message::Ack { nonce, updates }),
+        (any::<u64>(), ids(), vec(updates(), 0..2)).prop_map(|(nonce, target, updates)| {
+            gossip::Message::PingRequest {
+                nonce,
+                target,
+                address: SocketAddr::from(([127, 0, 0, 9], 1)),
+                updates,
+            }
         }),
-        (any::<u64>(), vec(news(), 0..2)).prop_map(|(nonce, news)| members::Message::Reached { nonce, news }),
-        vec(news(), 0..60).prop_map(|news| members::Message::Tell { news }),
+        (any::<u64>(), vec(updates(), 0..2))
+            .prop_map(|(nonce, updates)| gossip::Message::IndirectAck { nonce, updates }),
+        vec(updates(), 0..60).prop_map(|updates| gossip::Message::Broadcast { updates }),
         (vec(any::<u32>(), 60..70), any::<bool>())
-            .prop_map(|(sums, answer)| members::Message::Sums { sums, answer }),
-        vec(news(), 0..60).prop_map(|news| members::Message::Part { news }),
+            .prop_map(|(checksums, reply)| gossip::Message::Digest { checksums, reply }),
+        vec(updates(), 0..60).prop_map(|updates| gossip::Message::Sync { updates }),
     ];
     prop_oneof![
-        4 => (eras.clone(), council).prop_map(|(era, message)| Say::Council { era, message }),
-        3 => (probes, eras.clone(), 0u64..9, 0u64..6, proptest::option::of(ids())).prop_map(|(message, era, decided, term, leader)| {
-            Say::Probe { message, heading: Heading { era, decided, term, leader } }
+        4 => (epochs.clone(), consensus).prop_map(|(epoch, message)| NodeMessage::Consensus { epoch, message }),
+        3 => (gossip, epochs.clone(), 0u64..9, terms(), proptest::option::of(ids())).prop_map(|(message, epoch, commit_index, term, leader)| {
+            NodeMessage::Gossip { message, digest: StateDigest { epoch, commit_index, term, leader } }
         }),
-        1 => (eras.clone(), 0u64..9).prop_map(|(era, index)| Say::Want { era, index }),
-        1 => (eras.clone(), marks(), entries()).prop_map(|(era, before, entries)| Say::More { era, before, entries }),
-        1 => (eras.clone(), wholes()).prop_map(|(era, whole)| Say::All { era, whole }),
-        1 => any::<u64>().prop_map(|stamp| Say::AskLease { stamp }),
-        1 => (any::<u64>(), eras.clone(), 0u64..4, any::<f64>()).prop_map(|(stamp, era, view, span_ms)| Say::Lease { stamp, era, view, span_ms }),
-        1 => (0u64..3).prop_map(|number| Say::Propose { nonce: 1, key: "k".into(), number, bytes: vec![0; 10] }),
-        1 => eras.prop_map(|era| Say::Consent { era }),
+        1 => (epochs.clone(), 0u64..9).prop_map(|(epoch, index)| NodeMessage::FetchCommitted { epoch, index }),
+        1 => (epochs.clone(), positions(), entries()).prop_map(|(epoch, previous, entries)| NodeMessage::CommittedEntries { epoch, previous, entries }),
+        1 => (epochs.clone(), snapshots()).prop_map(|(epoch, snapshot)| NodeMessage::CommittedSnapshot { epoch, snapshot }),
+        1 => any::<u64>().prop_map(|sent_at_us| NodeMessage::LeaseRequest { sent_at_us }),
+        1 => (any::<u64>(), epochs.clone(), 0u64..4, any::<f64>()).prop_map(|(sent_at_us, epoch, view, duration_ms)| NodeMessage::LeaseGrant { sent_at_us, epoch, view, duration_ms }),
+        1 => (0u64..3).prop_map(|version| NodeMessage::Propose { nonce: 1, key: "k".into(), version, bytes: vec![0; 10] }),
+        1 => epochs.prop_map(|epoch| NodeMessage::EpochConsentRequest { epoch }),
     ]
 }
 
@@ -170,32 +202,33 @@
     #[test]
     fn any_messages_in_any_state_leave_it_bounded(
         founded in any::<bool>(),
-        steps in vec((ids(), says(), 0u32..400), 1..120),
+        steps in vec((ids(), node_messages(), 0u32..400), 1..120),
     ) {
-        let mut group = group(founded);
+        let mut cluster = cluster_node(founded);
         let mut now = 0.0;
-        for (from, say, wait) in steps {
+        for (from, message, wait) in steps {
             now += f64::from(wait);
-            group.hear(now, Envelope { from, at: about(from.0).address, to: None, say });
+            let envelope = Envelope { from, address: node(from.0).address, to: None, message };
+            cluster.handle_message(now, envelope);
             if wait > 100 {
-                group.tick(now);
+                cluster.handle_timeout(now);
             }
-            let out = group.take();
-            prop_assert!(out.send.len() < 200, "{} messages", out.send.len());
-            prop_assert!(group.members().others().count() <= 2000);
-            prop_assert!(group.may_act(now).is_none_or(|_| group.view().members.contains_key(&Id(1))));
+            let actions = cluster.poll_actions();
+            prop_assert!(actions.send.len() < 200, "{} messages", actions.send.len());
+            prop_assert!(cluster.swim().others().count() <= 2000);
+            prop_assert!(cluster.may_act(now).is_none_or(|_| cluster.view().members.contains_key(&NodeId(1))));
         }
     }
 
     #[test]
     fn any_bytes_are_read_without_harm(bytes in vec(any::<u8>(), 0..300)) {
-        if let Ok(Some((content, used))) = unframed(&bytes) {
+        if let Ok(Some((content, used))) = read_frame(&bytes) {
             prop_assert!(used <= bytes.len());
             let _ = decode::<Wire>(content);
         }
         let _ = decode::<Wire>(&bytes);
         let _ = decode::<Hello>(&bytes);
-        let _ = store::read(&bytes, "g", "n1");
+        let _ = storage::read_file(&bytes, "g", "n1");
     }
 
     /// Cut anywhere it holds what was whole; a byte changed before the end is never believed as something else.
@@ -205,47 +238,47 @@
         cut in any::<prop::sample::Index>(),
         flip in any::<prop::sample::Index>(),
     ) {
-        let identity = Identity { magic: store::MAGIC, major: store::MAJOR, group: "g".into(), name: "n1".into(), id: Id(5), born: 1 };
-        let mut kept = Kept::nothing(Decided::default());
-        let mut bytes = store::written(&identity, &kept);
-        let mut ends = vec![(bytes.len(), kept.clone())];
+        let header = FileHeader { magic: storage::MAGIC, version: storage::VERSION, cluster: "g".into(), name: "n1".into(), id: NodeId(5), created_at_ms: 1 };
+        let mut state = PersistentState::empty(ClusterState::default());
+        let mut bytes = storage::encode_file(&header, &state);
+        let mut ends = vec![(bytes.len(), state.clone())];
         for entries in all {
-            let record = Record::Entries { from: kept.last().index + 1, entries };
-            bytes.extend(store::record(&record));
-            kept.take(record);
-            ends.push((bytes.len(), kept.clone()));
+            let record = Record::Append { from: state.last().index + 1, entries };
+            bytes.extend(storage::encode_record(&record));
+            state.apply(record);
+            ends.push((bytes.len(), state.clone()));
         }
         let at = ends[0].0 + cut.index(bytes.len() - ends[0].0 + 1);
         let held = &ends.iter().rev().find(|(end, _)| *end <= at).expect("the first").1;
-        match store::read(&bytes[..at], "g", "n1") {
-            Read::Kept { kept: found, identity: who, .. } => {
+        match storage::read_file(&bytes[..at], "g", "n1") {
+            ReadOutcome::Restored { persistent: found, header: whose, .. } => {
                 prop_assert_eq!(&*found, held);
-                prop_assert_eq!(who, identity);
+                prop_assert_eq!(whose, header);
             }
             other => prop_assert!(false, "{:?}", other),
         }
-        let mut spoilt = bytes.clone();
+        let mut corrupt = bytes.clone();
         let at = flip.index(bytes.len());
-        spoilt[at] ^= 0x10;
+        corrupt[at] ^= 0x10;
         // Either not believed, or believed only as far as before the byte.
-        if let Read::Kept { kept: found, whole, .. } = store::read(&spoilt, "g", "n1") {
-            prop_assert!(whole <= at);
-            let held = ends.iter().any(|(end, kept)| *end == whole && *kept == *found);
-            prop_assert!(held || whole < ends[0].0);
+        if let ReadOutcome::Restored { persistent: found, valid_bytes, .. } = storage::read_file(&corrupt, "g", "n1") {
+            prop_assert!(valid_bytes <= at);
+            let held = ends.iter().any(|(end, state)| *end == valid_bytes && *state == *found);
+            prop_assert!(held || valid_bytes < ends[0].0);
         }
     }
 }
 
 #[test]
-fn a_stranger_another_version_and_another_group_are_told_apart() {
+fn a_stranger_another_version_and_another_cluster_are_told_apart() {
     let hello = Hello::of("fleet");
     assert_eq!(hello.check("fleet"), Ok(()));
-    assert!(hello.check("other").expect_err("another group").contains("\"fleet\""));
+    assert!(hello.check("other").expect_err("another cluster").to_string().contains("\"fleet\""));
     let newer = Hello { major: 9, ..hello.clone() };
-    assert!(newer.check("fleet").expect_err("another version").contains("version 9."));
+    assert!(newer.check("fleet").expect_err("another version").to_string().contains("version 9."));
     assert!(Hello { magic: *b"HTTP", ..hello }.check("fleet").is_err());
-    let frame = encode(&Hello::of("fleet"));
-    assert_eq!(unframed(&frame[..frame.len() - 1]), Ok(None));
-    assert!(unframed(&framed(&[0; 10])).is_ok());
-    assert!(unframed(&[0xff; 20]).is_err());
+    let greeting = encode_frame(&Hello::of("fleet"));
+    assert_eq!(read_frame(&greeting[..greeting.len() - 1]), Ok(None));
+    assert!(read_frame(&frame(&[0; 10])).is_ok());
+    assert!(read_frame(&[0xff; 20]).is_err());
 }
--- a/crates/plovershelf-cluster/tests/walk/mod.rs
+++ b/crates/plovershelf-cluster/tests/walk/mod.rs
@@ -1,13 +1,15 @@
-//! A few councils as a model that a checker walks through: each order of messages, elections, crashes, folders lost or set
-//! back, links that break, within bounds.
+//! A few consensus nodes as a model that a checker walks through: each order of messages, elections, crashes, storage lost or
+//! set back, connections that break, within bounds.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-use plovershelf_cluster::council::{
-    Council, Effects, Entry, Id, Kept, Mark, Message, Role, State, Terms, What, Whole,
+use plovershelf_cluster::consensus::{
+    Actions, Entry, LogPosition, Message, Payload, PersistentState, Raft, RaftConfig, Role, Snapshot,
+    StateMachine, Term,
 };
+use plovershelf_cluster::{Epoch, NodeId};
 use serde::{Deserialize, Serialize};
 use stateright::{Model, Property};
 
@@ -15,10 +17,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Taken(Vec<u8>);
 
-impl State for Taken {
-    type Decision = u8;
-    fn apply(&mut self, decision: &u8) {
-        self.0.push(*decision);
+impl StateMachine for Taken {
+    type Command = u8;
+    fn apply(&mut self, command: &u8) {
+        self.0.push(*command);
     }
 }
 
@@ -52,8 +54,8 @@
 
 #[derive(Clone, Debug)]
 pub struct Member {
-    council: Option<Council<Taken>>,
-    folder: Kept<Taken>,
+    node: Option<Raft<Taken>>,
+    folder: PersistentState<Taken>,
     starts: u64,
 }
 
@@ -61,17 +63,17 @@
     /// All that its future hangs on, but for chance.
     fn hash_into<H: Hasher>(&self, hasher: &mut H) {
         (&self.folder, self.starts).hash(hasher);
-        let Some(council) = &self.council else { return };
-        (council.decided(), council.matched(), council.leader()).hash(hasher);
-        match council.role() {
-            Role::Asking { granted } | Role::Standing { granted } => (1, granted).hash(hasher),
-            Role::Returning { nonce, at_least, of, answers, .. } => {
-                (2, nonce, at_least, of, answers).hash(hasher)
+        let Some(node) = &self.node else { return };
+        (node.commit_index(), node.matched(), node.leader()).hash(hasher);
+        match node.role() {
+            Role::PreCandidate { granted } | Role::Candidate { granted } => (1, granted).hash(hasher),
+            Role::Recovering(recovery) => {
+                (2, recovery.nonce, recovery.min_term, &recovery.asked, &recovery.reports).hash(hasher)
             }
-            Role::Outside => 3.hash(hasher),
-            Role::Following => 4.hash(hasher),
-            Role::Leading => 5.hash(hasher),
-            Role::Mute => 6.hash(hasher),
+            Role::NonVoter => 3.hash(hasher),
+            Role::Follower => 4.hash(hasher),
+            Role::Leader => 5.hash(hasher),
+            Role::StorageFailed => 6.hash(hasher),
         }
     }
 }
@@ -82,7 +84,7 @@
     /// From whom, to whom: in order, as on a link. What is sent again alike right behind itself is one.
     under_way: BTreeMap<(usize, usize), VecDeque<Arc<Message<Taken>>>>,
     left: Left,
-    leaders: BTreeMap<u64, usize>,
+    leaders: BTreeMap<Term, usize>,
     decided: BTreeMap<u64, Entry<u8>>,
     wrong: Option<&'static str>,
 }
@@ -120,45 +122,52 @@
     Crash(usize, Folder),
 }
 
-fn id(member: usize) -> Id {
-    Id(member as u64 + 1)
+fn id(member: usize) -> NodeId {
+    NodeId(member as u64 + 1)
 }
 
 /// Spans of nothing: time does not decide anything here, each election is a step of its own.
-const TERMS: Terms =
-    Terms { beat_ms: 0.0, election_ms: [0.0, 0.0], recall_ms: 0.0, drift: 0.0, ask_first: false };
+const CONFIG: RaftConfig = RaftConfig {
+    heartbeat_interval_ms: 0.0,
+    election_timeout_ms: [0.0, 0.0],
+    recovery_retry_ms: 0.0,
+    clock_drift_fraction: 0.0,
+    pre_vote: false,
+};
 
 impl Group {
-    fn first(&self) -> Kept<Taken> {
+    fn first(&self) -> PersistentState<Taken> {
         let voters = (0..self.voters).map(id).collect();
-        let base = Whole { at: Mark { term: 1, index: 1 }, voters, voters_at: 1, state: Taken::default() };
-        Kept { era: 1, term: 1, voted: None, promised: 0, base, log: Vec::new() }
+        let last = LogPosition { term: Term(1), index: 1 };
+        let snapshot = Snapshot { last, voters, voters_index: 1, state: Taken::default() };
+        let (epoch, promised_epoch) = (Epoch(1), Epoch::NONE);
+        PersistentState { epoch, term: Term(1), vote: None, promised_epoch, snapshot, log: Vec::new() }
     }
 
     /// Carries out what a member's call asked for, and looks at what it shows.
-    fn carry_out(&self, world: &mut World, member: usize, effects: Effects<Taken>) {
-        for record in effects.save {
-            world.members[member].folder.take(record);
+    fn carry_out(&self, world: &mut World, member: usize, actions: Actions<Taken>) {
+        for record in actions.save {
+            world.members[member].folder.apply(record);
         }
-        for (to, message) in effects.send {
+        for (to, message) in actions.send {
             // A refusal may get lost: so may all, and what it tells comes in other ways too.
-            let idle = matches!(message, Message::Said { granted: false, .. });
+            let idle = matches!(message, Message::Vote { granted: false, .. });
             let link = world.under_way.entry((member, to.0 as usize - 1)).or_default();
             if to.0 as usize <= self.voters && !idle && link.back().is_none_or(|last| **last != message) {
                 link.push_back(Arc::new(message));
             }
         }
         world.under_way.retain(|_, link| !link.is_empty());
-        let Some(council) = &world.members[member].council else { return };
-        if council.leads() {
-            let first = *world.leaders.entry(council.term()).or_insert(member);
+        let Some(node) = &world.members[member].node else { return };
+        if node.leads() {
+            let first = *world.leaders.entry(node.term()).or_insert(member);
             if first != member {
                 world.wrong = Some("two leaders of one term");
             }
         }
-        let base = council.kept().base.at.index;
-        for index in base + 1..=council.decided() {
-            let Some((_, entries)) = council.since(index - 1) else { continue };
+        let base = node.persistent().snapshot.last.index;
+        for index in base + 1..=node.commit_index() {
+            let Some((_, entries)) = node.committed_after(index - 1) else { continue };
             let entry = entries[0].clone();
             if *world.decided.entry(index).or_insert_with(|| entry.clone()) != entry {
                 world.wrong = Some("something decided was forgotten");
@@ -183,10 +192,10 @@
         };
         for member in 0..self.voters {
             // All begin as founded, so none has anything to ask.
-            let mut council = Council::new(id(member), TERMS, None, Taken::default(), member as u64, 0.0);
-            council.adopt(1, folder.base.clone());
-            let _ = council.take_effects();
-            world.members.push(Member { council: Some(council), folder: folder.clone(), starts: 0 });
+            let mut node = Raft::new(id(member), CONFIG, None, Taken::default(), member as u64, 0.0);
+            node.adopt_epoch(Epoch(1), folder.snapshot.clone());
+            let _ = node.poll_actions();
+            world.members.push(Member { node: Some(node), folder: folder.clone(), starts: 0 });
         }
         vec![world]
     }
@@ -208,15 +217,15 @@
         let untouched = world.left == self.left;
         let may_stand = |place: usize| world.left.elections > 0 && !(untouched && place > 0);
         for (place, member) in world.members.iter().enumerate() {
-            let Some(council) = &member.council else { continue };
-            if council.leads() {
+            let Some(node) = &member.node else { continue };
+            if node.leads() {
                 if world.left.beats > 0 {
                     steps.push(Step::Beat(place));
                 }
                 if world.left.decisions > 0 {
                     steps.push(Step::Decide(place));
                 }
-            } else if matches!(council.role(), Role::Following) && may_stand(place) {
+            } else if matches!(node.role(), Role::Follower) && may_stand(place) {
                 steps.push(Step::Election(place));
             }
             if world.left.crashes > 0 {
@@ -238,7 +247,7 @@
                 let link = world.under_way.get_mut(&(from, to))?;
                 let message = if stays { link.front().cloned()? } else { link.pop_front()? };
                 world.left.doubles -= u8::from(stays);
-                world.members[to].council.as_mut()?.hear(0.0, id(from), Message::clone(&message));
+                world.members[to].node.as_mut()?.handle_message(0.0, id(from), Message::clone(&message));
             }
             Step::Break(from, to) => {
                 world.left.breaks -= 1;
@@ -247,16 +256,16 @@
             }
             Step::Election(member) => {
                 world.left.elections -= 1;
-                world.members[member].council.as_mut()?.tick(0.0);
+                world.members[member].node.as_mut()?.handle_timeout(0.0);
             }
             Step::Beat(member) => {
                 world.left.beats -= 1;
-                world.members[member].council.as_mut()?.tick(0.0);
+                world.members[member].node.as_mut()?.handle_timeout(0.0);
             }
             Step::Decide(member) => {
                 world.left.decisions -= 1;
-                let decision = world.left.decisions + 1;
-                world.members[member].council.as_mut()?.decide(0.0, What::Word(decision));
+                let command = world.left.decisions + 1;
+                world.members[member].node.as_mut()?.propose(0.0, Payload::Command(command));
             }
             Step::Crash(member, folder) => {
                 world.left.crashes -= 1;
@@ -266,14 +275,14 @@
                     own.folder = self.first();
                 }
                 let seed = own.starts * 100 + member as u64;
-                own.council = (folder != Folder::Lost).then(|| {
-                    Council::new(id(member), TERMS, Some(own.folder.clone()), Taken::default(), seed, 0.0)
+                own.node = (folder != Folder::Lost).then(|| {
+                    Raft::new(id(member), CONFIG, Some(own.folder.clone()), Taken::default(), seed, 0.0)
                 });
             }
         }
-        let effects = world.members[member].council.as_mut().map(Council::take_effects);
-        if let Some(effects) = effects {
-            self.carry_out(&mut world, member, effects);
+        let actions = world.members[member].node.as_mut().map(Raft::poll_actions);
+        if let Some(actions) = actions {
+            self.carry_out(&mut world, member, actions);
         }
         Some(world)
     }
@@ -287,7 +296,7 @@
                 world.wrong != Some("something decided was forgotten")
             }),
             Property::sometimes("something is decided", |_, world: &World| {
-                world.decided.values().any(|e| matches!(e.what, What::Word(_)))
+                world.decided.values().any(|entry| matches!(entry.payload, Payload::Command(_)))
             }),
         ]
     }
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use plovershelf_cluster::group::Terms;
+use plovershelf_cluster::NodeConfig;
 use plovershelf_failover::plan::{Topology, Zone, ZONES_MOST};
 use plovershelf_failover::{planner, seen};
 
@@ -22,7 +22,7 @@
     pub council: Vec<String>,
     /// Where votes and the log are kept; in memory alone without it.
     pub folder: Option<PathBuf>,
-    pub terms: Terms,
+    pub config: NodeConfig,
     /// Others, by name, that are reached at another address than they say.
     pub ways: BTreeMap<String, SocketAddr>,
     /// Copies of what is held for others, where there are to be any.
@@ -79,7 +79,7 @@
 /// Errors: all that is wrong with the file.
 pub fn read(file: &str, text: &str) -> Result<Group, Wrong> {
     let (mut reading, ini) = Reading::of(file, text)?;
-    let terms = Terms::default();
+    let config = NodeConfig::default();
     let mut group = Group {
         name: String::new(),
         listen: SocketAddr::from(([0, 0, 0, 0], 0)),
@@ -88,7 +88,7 @@
         seeds: Vec::new(),
         council: Vec::new(),
         folder: None,
-        terms,
+        config,
         ways: BTreeMap::new(),
         copies: None,
         zones: None,
@@ -267,7 +267,7 @@
     if names.len() < group.council.len() {
         reading.say(section, "council names one twice");
     }
-    let most = plovershelf_cluster::council::VOTERS_MOST;
+    let most = plovershelf_cluster::consensus::MAX_VOTERS;
     let voters = reading.count(section, told, "voters", group.council.len().max(1));
     if voters.is_multiple_of(2) || voters > most {
         reading.say(section, &format!("voters = {voters}: 1, 3, 5 or {most}"));
@@ -275,30 +275,32 @@
     if group.council.len() > most {
         reading.say(section, &format!("council names {}: {most} at most", group.council.len()));
     }
-    group.terms.voters = voters;
+    group.config.voters = voters;
     group.folder = told.get("folder").map(PathBuf::from);
     let mut number =
         |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
-    let terms = &mut group.terms;
-    terms.members.period_ms = number("probe_period_ms", [50.0, 60_000.0], terms.members.period_ms);
-    terms.members.answer_ms = number("probe_answer_ms", [10.0, 30_000.0], terms.members.answer_ms);
-    terms.members.suspicion_ms = number("suspicion_ms", [100.0, 600_000.0], terms.members.suspicion_ms);
-    terms.lease_ms = number("lease_ms", [100.0, 60_000.0], terms.lease_ms);
-    terms.council.election_ms[0] =
-        number("election_least_ms", [100.0, 60_000.0], terms.council.election_ms[0]);
-    terms.council.election_ms[1] =
-        number("election_most_ms", [200.0, 120_000.0], terms.council.election_ms[1]);
-    terms.replace_ms = number("replace_ms", [500.0, 86_400_000.0], terms.replace_ms);
-    terms.council.drift = number("drift_percent", [0.0, 10.0], terms.council.drift * 100.0) / 100.0;
-    terms.council.beat_ms = terms.council.beat_ms.min(terms.council.election_ms[0] / 4.0);
-    terms.renew_ms = terms.renew_ms.min(terms.lease_ms / 4.0);
-    if terms.members.answer_ms * 2.0 > terms.members.period_ms {
+    let config = &mut group.config;
+    let gossip = &mut config.gossip;
+    gossip.probe_interval_ms = number("probe_period_ms", [50.0, 60_000.0], gossip.probe_interval_ms);
+    gossip.probe_timeout_ms = number("probe_answer_ms", [10.0, 30_000.0], gossip.probe_timeout_ms);
+    gossip.suspicion_timeout_ms = number("suspicion_ms", [100.0, 600_000.0], gossip.suspicion_timeout_ms);
+    config.lease_duration_ms = number("lease_ms", [100.0, 60_000.0], config.lease_duration_ms);
+    let raft = &mut config.raft;
+    raft.election_timeout_ms[0] = number("election_least_ms", [100.0, 60_000.0], raft.election_timeout_ms[0]);
+    raft.election_timeout_ms[1] = number("election_most_ms", [200.0, 120_000.0], raft.election_timeout_ms[1]);
+    config.replace_voter_after_ms =
+        number("replace_ms", [500.0, 86_400_000.0], config.replace_voter_after_ms);
+    raft.clock_drift_fraction =
+        number("drift_percent", [0.0, 10.0], raft.clock_drift_fraction * 100.0) / 100.0;
+    raft.heartbeat_interval_ms = raft.heartbeat_interval_ms.min(raft.election_timeout_ms[0] / 4.0);
+    config.lease_renew_interval_ms = config.lease_renew_interval_ms.min(config.lease_duration_ms / 4.0);
+    if gossip.probe_timeout_ms * 2.0 > gossip.probe_interval_ms {
         reading.say(
             section,
             "probe_answer_ms is more than half of probe_period_ms: no time is left to ask others",
         );
     }
-    if group.terms.council.election_ms[1] < group.terms.council.election_ms[0] * 1.5 {
+    if group.config.raft.election_timeout_ms[1] < group.config.raft.election_timeout_ms[0] * 1.5 {
         reading.say(
             section,
             "election_most_ms is less than one and a half times election_least_ms: votes would split",
--- a/crates/plovershelf-config/src/group/tests.rs
+++ b/crates/plovershelf-config/src/group/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn a_file_becomes_what_it_says() {
     let group = read("group.ini", WELL).expect("a good file");
-    assert_eq!((group.terms.voters, group.council.len(), group.seeds.len()), (3, 3, 2));
-    assert_eq!((group.terms.lease_ms, group.terms.renew_ms), (800.0, 200.0));
+    assert_eq!((group.config.voters, group.council.len(), group.seeds.len()), (3, 3, 2));
+    assert_eq!((group.config.lease_duration_ms, group.config.lease_renew_interval_ms), (800.0, 200.0));
     assert_eq!(group.ways.len(), 1);
 }
 
--- a/crates/plovershelf-replication/benches/claim.rs
+++ b/crates/plovershelf-replication/benches/claim.rs
@@ -1,7 +1,7 @@
 //! What a ticket costs its runner and holders, without the network: claim, confirmation, ending, answer; and a lookup with many held.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::copies::{Copies, Ending, Terms, Told};
 use plovershelf_replication::placement::{Holder, Ticket};
 
--- a/crates/plovershelf-replication/src/copies.rs
+++ b/crates/plovershelf-replication/src/copies.rs
@@ -36,7 +36,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use serde::{Deserialize, Serialize};
 
 use crate::broken::{self, Broken};
--- a/crates/plovershelf-replication/src/placement.rs
+++ b/crates/plovershelf-replication/src/placement.rs
@@ -3,7 +3,7 @@
 //! Rendezvous hashing: each member's draw hangs on it and the ticket alone, so one that comes or goes moves no more than its
 //! share. A weight (memory for copies) raises the draw by the usual logarithm, so shares follow weights.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use serde::{Deserialize, Serialize};
 
 /// A ticket's hash: 128 bits, so that of a thousand million tickets in a window two are alike once in 10^20 windows.
--- a/crates/plovershelf-replication/tests/broken.rs
+++ b/crates/plovershelf-replication/tests/broken.rs
@@ -5,7 +5,7 @@
 
 use std::sync::atomic::Ordering;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::broken::{set, Broken};
 use plovershelf_replication::copies::{Claim, Copies, Ending, Message, Terms};
 use plovershelf_replication::placement::Holder;
--- a/crates/plovershelf-replication/tests/hard_cases.rs
+++ b/crates/plovershelf-replication/tests/hard_cases.rs
@@ -1,6 +1,6 @@
 //! What the checker's bounds leave out: time, bounds in count and bytes, many tickets, and any messages at all.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::copies::{Claim, Copies, Ending, Message, Record, Terms, Told};
 use plovershelf_replication::placement::{place, Holder, Ticket};
 use proptest::prelude::*;
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -5,7 +5,7 @@
 
 use std::fmt::Debug;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::copies::{Claim, Ending, Message, Record};
 use plovershelf_replication::placement::{place, Holder, Ticket};
 use serde::de::DeserializeOwned;
--- a/crates/plovershelf-replication/tests/walk/mod.rs
+++ b/crates/plovershelf-replication/tests/walk/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::copies::{Copies, Ending, Message, Terms, Told};
 use plovershelf_replication::placement::{place, Holder, Ticket};
 use stateright::{Model, Property};
--- a/crates/plovershelf-server/src/changes.rs
+++ b/crates/plovershelf-server/src/changes.rs
@@ -23,8 +23,8 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_cluster::frames::{decode, plain, Wire};
 use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_cluster::wire::{decode, encode_payload as plain, Wire};
 use plovershelf_config::changes as file;
 use plovershelf_config_distribution::content::{Content, Edit};
 use plovershelf_config_distribution::node::{About, Event, Node, Role, Start, Terms};
@@ -201,9 +201,10 @@
         zone: setup.zone,
         region: setup.region,
         address: setup.listen,
-        life: group::drawn(),
+        life: group::random_id(),
     };
-    let start = Start { about, role, sources: setup.sources, terms: setup.terms, held, seed: group::drawn() };
+    let start =
+        Start { about, role, sources: setup.sources, terms: setup.terms, held, seed: group::random_id() };
     let carrier = Carrier {
         node: Node::new(start, now_ms()),
         links,
@@ -274,12 +275,12 @@
         let now = now_ms();
         match event {
             Incoming::Heard(Heard::Wire { wire, from_here, answer }) => match *wire {
-                Wire::Carried { at, bytes } => match decode(&bytes) {
+                Wire::ConfigDistribution { address: at, bytes } => match decode(&bytes) {
                     Ok(message) => self.node.hear(now, at, message),
                     Err(spoilt) => self.note(&format!("{at} sent {spoilt}")),
                 },
-                Wire::Ask(question) => self.asked(question, from_here, answer),
-                Wire::Say(_) | Wire::Answer(_) | Wire::Part { .. } => {}
+                Wire::Question(question) => self.asked(question, from_here, answer),
+                Wire::Envelope(_) | Wire::Answer(_) | Wire::Subsystem { .. } => {}
             },
             Incoming::Heard(Heard::Odd(what)) => self.note(&what),
             Incoming::Leave => {}
@@ -333,7 +334,7 @@
         let out = self.node.take();
         let at = self.node.about().address;
         for (to, message) in out.send {
-            self.links.send(to, None, &Wire::Carried { at, bytes: plain(&message) });
+            self.links.send(to, None, &Wire::ConfigDistribution { address: at, bytes: plain(&message) });
         }
         for event in out.events {
             match event {
--- a/crates/plovershelf-server/src/changes/source.rs
+++ b/crates/plovershelf-server/src/changes/source.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use async_channel::Sender;
-use plovershelf_cluster::frames::{decode, framed, plain, unframed};
+use plovershelf_cluster::wire::{decode, encode_payload as plain, frame as framed, read_frame as unframed};
 use plovershelf_config_distribution::content::{Building, Content, Edit, Numbered, Version};
 
 use super::asks::{Council, Told};
@@ -88,7 +88,7 @@
             )));
         }
         let (number, bytes) = (self.word.number + 1, plain(change));
-        let most = plovershelf_cluster::decided::WORD_BYTES_MOST;
+        let most = plovershelf_cluster::MAX_VALUE_BYTES;
         if bytes.len() > most {
             let length = bytes.len();
             return answer(Told::Refused(format!("a change of {length} bytes: {most} at most")));
--- a/crates/plovershelf-server/src/group/copied.rs
+++ b/crates/plovershelf-server/src/group/copied.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use async_channel::Sender;
-use plovershelf_cluster::council::Id;
-use plovershelf_cluster::decided::View;
+use plovershelf_cluster::wire::{decode, encode_payload};
+use plovershelf_cluster::{NodeId as Id, View, ViewMember};
 pub use plovershelf_replication::copies::Ending;
 use plovershelf_replication::copies::{self, Copies, Message, Terms};
 use plovershelf_replication::placement::{Holder, Ticket};
@@ -123,13 +123,13 @@
     /// has no weight: nothing new is given to it.
     pub fn view_is(&mut self, now: f64, view: &View) {
         let hosts: BTreeSet<_> = view.members.values().map(|seat| seat.address.ip()).collect();
-        let holder = |(id, seat): (&Id, &plovershelf_cluster::decided::Seat)| Holder {
-            id: holder_of(*id, seat.life),
+        let holder = |(id, seat): (&Id, &ViewMember)| Holder {
+            id: holder_of(*id, seat.boot_id),
             zone: seat.zone.clone(),
             machine: if hosts.len() > 1 { seat.address.ip().to_string() } else { seat.address.to_string() },
-            weight: if seat.leaving { 0.0 } else { 1.0 },
+            weight: if seat.draining { 0.0 } else { 1.0 },
         };
-        self.seats = view.members.iter().map(|(id, seat)| (holder_of(*id, seat.life), *id)).collect();
+        self.seats = view.members.iter().map(|(id, seat)| (holder_of(*id, seat.boot_id), *id)).collect();
         self.copies.view_is(now, view.number, view.members.iter().map(holder).collect());
     }
 
@@ -137,7 +137,7 @@
         if to != self.me {
             return;
         }
-        if let Ok(message) = plovershelf_cluster::frames::decode::<Message>(bytes) {
+        if let Ok(message) = decode::<Message>(bytes) {
             self.copies.hear(now, from, message);
         }
     }
@@ -193,7 +193,7 @@
             // As many are under way at most as the owner has open.
             let _ = self.told.try_send(told);
         }
-        let plain = |(to, message): (Id, Message)| (to, plovershelf_cluster::frames::plain(&message));
+        let plain = |(to, message): (Id, Message)| (to, encode_payload(&message));
         (self.me, send.into_iter().map(plain).collect())
     }
 }
--- /dev/null
+++ b/crates/plovershelf-server/src/group/owner_heartbeat.rs
@@ -0,0 +1,60 @@
+//! What the owner tells of itself without being asked: when it last went round, whether it is ready, and what it counted.
+//!
+//! The owner writes, the cluster's thread reads; neither ever waits for the other.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use plovershelf_failover::plan::BANDS;
+
+use super::{now_ms, Counted};
+
+/// The owner goes round at least once a second, so one that has not for longer is stuck.
+const STUCK_MS: f64 = 2000.0;
+/// Figures before those of the bands: cores, answers, answers in time.
+const FIRST_BAND: usize = 3;
+
+/// Shared between the owner and the cluster's thread.
+#[derive(Default)]
+pub struct OwnerHeartbeat {
+    at_ms: AtomicU64,
+    ready: AtomicU64,
+    /// Bits of f64 figures: cores; answers, and those in time; work asked by bands.
+    figures: [AtomicU64; FIRST_BAND + BANDS],
+}
+
+impl OwnerHeartbeat {
+    /// The owner goes round.
+    pub fn record(&self, ready: bool) {
+        self.at_ms.store(now_ms() as u64, Ordering::Relaxed);
+        self.ready.store(u64::from(ready), Ordering::Relaxed);
+    }
+
+    /// What the owner has counted since its start.
+    pub fn record_counts(&self, cores: f64, counted: &Counted) {
+        let figures = [cores, counted.answered, counted.in_time].into_iter().chain(counted.asked);
+        for (place, figure) in self.figures.iter().zip(figures) {
+            place.store(figure.to_bits(), Ordering::Relaxed);
+        }
+    }
+
+    fn figure(&self, place: usize) -> f64 {
+        f64::from_bits(self.figures[place].load(Ordering::Relaxed))
+    }
+
+    pub(super) fn cores(&self) -> f64 {
+        self.figure(0)
+    }
+
+    pub(super) fn counted(&self) -> Counted {
+        Counted {
+            asked: std::array::from_fn(|band| self.figure(FIRST_BAND + band)),
+            answered: self.figure(1),
+            in_time: self.figure(2),
+        }
+    }
+
+    pub(super) fn is_ready(&self) -> bool {
+        self.ready.load(Ordering::Relaxed) != 0
+            && now_ms() - self.at_ms.load(Ordering::Relaxed) as f64 <= STUCK_MS
+    }
+}
--- a/crates/plovershelf-server/src/group/zoned.rs
+++ b/crates/plovershelf-server/src/group/zoned.rs
@@ -2,9 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use plovershelf_cluster::council::Id;
-use plovershelf_cluster::frames::{decode, plain};
-use plovershelf_cluster::group::Group;
+use plovershelf_cluster::wire::{decode, encode_payload as plain};
+use plovershelf_cluster::{ClusterNode, NodeId as Id};
 use plovershelf_config::group::Zones as Setup;
 use plovershelf_failover::asks::{Ask, Say, Status, Told, OUTSIDE_MOST};
 use plovershelf_failover::follow::Follower;
@@ -12,7 +11,7 @@
 use plovershelf_failover::planner::Planner;
 use plovershelf_failover::seen::{Outside, Report, Seen};
 
-use super::Pulse;
+use super::OwnerHeartbeat;
 
 /// Under which the plan is agreed on.
 pub const KEY: &str = "zones";
@@ -80,8 +79,8 @@
         self.period_at
     }
 
-    fn report(&mut self, now: f64, pulse: &Pulse) -> Report {
-        let counted = pulse.counted();
+    fn report(&mut self, now: f64, heartbeat: &OwnerHeartbeat) -> Report {
+        let counted = heartbeat.counted();
         let (since, before) = self.counted.front().copied().unwrap_or((now, counted));
         self.counted.push_back((now, counted));
         if self.counted.len() > PERIODS {
@@ -92,7 +91,7 @@
         Report {
             plan: self.follower.change(now),
             asked: std::array::from_fn(|band| (counted.asked[band] - before.asked[band]).max(0.0) / span),
-            could: if pulse.fit() { pulse.cores() } else { 0.0 },
+            could: if heartbeat.is_ready() { heartbeat.cores() } else { 0.0 },
             // A few answers tell nothing yet.
             in_time: if answered >= 10.0 { (counted.in_time - before.in_time) / answered } else { 1.0 },
             ledger_slow: false,
@@ -101,25 +100,25 @@
 
     /// Once a period: this member's report to the leader, and where it leads the next plan. Tells what goes to whom, and what is
     /// to be agreed on.
-    pub fn tick(&mut self, now: f64, pulse: &Pulse, group: &Group) -> Due {
+    pub fn tick(&mut self, now: f64, heartbeat: &OwnerHeartbeat, group: &ClusterNode) -> Due {
         let leader = group.leader();
         if now < self.period_at && leader == self.reported_to {
             return Due::default();
         }
         self.reported_to = leader;
         self.period_at = now + self.planner.terms().period_ms;
-        let report = self.report(now, pulse);
+        let report = self.report(now, heartbeat);
         let outside: Vec<(u64, Outside)> =
             std::mem::take(&mut self.outside).into_iter().take(OUTSIDE_MOST).collect();
-        if !group.council().leads() {
+        if !group.raft().leads() {
             self.leads_since = None;
             let say = Say { zone: self.zone.clone(), report, outside };
             return Due { say: leader.map(|leader| (leader, plain(&say))), ..Due::default() };
         }
-        self.seen.hear(now, group.about().id.0, self.place, report);
+        self.seen.hear(now, group.node().id.0, self.place, report);
         outside.into_iter().for_each(|(caller, outside)| self.seen.hear_outside(now, caller, outside));
         let topology = self.planner.topology();
-        let members = group.view().members.iter().filter(|(_, seat)| !seat.leaving);
+        let members = group.view().members.iter().filter(|(_, seat)| !seat.draining);
         let of: BTreeMap<u64, usize> =
             members.filter_map(|(id, seat)| Some((id.0, topology.place(&seat.zone)?))).collect();
         self.seen.belong(&of);
@@ -130,7 +129,7 @@
             return Due::default();
         }
         let Some(plan) = self.planner.tick(now, &self.seen) else { return Due::default() };
-        let number = group.word(KEY).map_or(0, |word| word.number) + 1;
+        let number = group.value(KEY).map_or(0, |value| value.version) + 1;
         self.proposed = Some((number, now));
         Due { propose: Some((number, plain(&plan))), ..Due::default() }
     }
@@ -163,11 +162,11 @@
         }
     }
 
-    fn status(&self, now: f64, group: &Group) -> Status {
-        let leads = group.council().leads();
+    fn status(&self, now: f64, group: &ClusterNode) -> Status {
+        let leads = group.raft().leads();
         let plan = self.follower.plan(now).cloned();
         Status {
-            name: group.about().name.clone(),
+            name: group.node().name.clone(),
             zone: self.zone.clone(),
             zones: self.planner.topology().zones.clone(),
             number: self.follower.number(),
@@ -180,8 +179,8 @@
         }
     }
 
-    pub fn asked(&mut self, now: f64, ask: Ask, from_here: bool, group: &Group) -> Told {
-        let leads = group.council().leads();
+    pub fn asked(&mut self, now: f64, ask: Ask, from_here: bool, group: &ClusterNode) -> Told {
+        let leads = group.raft().leads();
         let leader = || group.leader().and_then(|id| group.name_of(id)).unwrap_or_else(|| "nobody".into());
         match ask {
             Ask::Status => Told::Status(Box::new(self.status(now, group))),
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -59,7 +59,7 @@
 
     let (move_agent, agent_moved) = async_channel::bounded(1);
     let Launch { peers, fixed, pools, group, changes, .. } = launch;
-    let pulse = group.is_some().then(std::sync::Arc::<group::Pulse>::default);
+    let pulse = group.is_some().then(std::sync::Arc::<group::OwnerHeartbeat>::default);
     let (told_by_copies, copies_told) = async_channel::unbounded();
     let with_copies = group.as_ref().is_some_and(|setup| setup.copies.is_some());
     let in_group = match (group, &pulse) {
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_cluster::frames::{decode, encode, unframed, Hello, Wire, FRAME_MOST};
 use plovershelf_cluster::status::Answer;
+use plovershelf_cluster::wire::{decode, encode_frame, read_frame, Hello, Wire, MAX_FRAME_BYTES};
 
 use crate::streams::{gather, within, write_all, Inflow};
 
@@ -80,7 +80,7 @@
         bounds: Bounds,
         lost: Option<Sender<SocketAddr>>,
     ) -> Self {
-        let hello = encode(&Hello::of(group));
+        let hello = encode_frame(&Hello::of(group));
         Links { executor, bounds, hello, ways, lost, out: BTreeMap::new(), broke: BTreeMap::new() }
     }
 
@@ -88,7 +88,7 @@
     pub fn send(&mut self, address: SocketAddr, name: Option<&str>, wire: &Wire) {
         let address = name.and_then(|name| self.ways.get(name)).copied().unwrap_or(address);
         let now = now_ms();
-        let frame = encode(wire);
+        let frame = encode_frame(wire);
         let frame = match self.out.get_mut(&address).map(|out| (out.frames.try_send(frame.clone()), out)) {
             Some((Ok(()), out)) => {
                 out.used_at = now;
@@ -220,10 +220,10 @@
 ) {
     let odd =
         |what: String| drop(inbox.try_send(Heard::Odd(format!("{from} {what}; its link is closed")).into()));
-    let mut inflow = Inflow::new(FRAME_MOST + 64, 16 << 10);
+    let mut inflow = Inflow::new(MAX_FRAME_BYTES + 64, 16 << 10);
     let mut greeted = false;
     loop {
-        let used = match unframed(inflow.bytes()) {
+        let used = match read_frame(inflow.bytes()) {
             Ok(Some((content, used))) if greeted => {
                 match decode::<Wire>(content) {
                     Ok(wire) => {
@@ -238,7 +238,7 @@
             Ok(Some((content, used))) => {
                 match decode::<Hello>(content)
                     .map_err(|spoilt| format!("sent {spoilt}"))
-                    .and_then(|hello| hello.check(&group))
+                    .and_then(|hello| hello.check(&group).map_err(|why| why.to_string()))
                 {
                     Ok(()) => greeted = true,
                     Err(what) => return odd(what),
@@ -269,7 +269,7 @@
     from_here: bool,
     inbox: &Sender<T>,
 ) -> bool {
-    let asks = matches!(wire, Wire::Ask(_));
+    let asks = matches!(wire, Wire::Question(_));
     let (answer, answers) = async_channel::bounded::<Answer>(1);
     match inbox.try_send(Heard::Wire { wire: Box::new(wire), from_here, answer }.into()) {
         Ok(()) | Err(TrySendError::Full(_)) => {}
@@ -280,7 +280,7 @@
     }
     let told = within(ANSWER_MS, async { answers.recv().await.map_err(std::io::Error::other) }).await;
     let told = told.unwrap_or_else(|_| Answer::Refused("no answer came in time".into()));
-    write_all(stream, &encode(&Wire::Answer(Box::new(told))), STALL_MS).await.is_ok()
+    write_all(stream, &encode_frame(&Wire::Answer(Box::new(told))), STALL_MS).await.is_ok()
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-server/src/links/tests.rs
+++ b/crates/plovershelf-server/src/links/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn message(bytes: &[u8]) -> Wire {
-    Wire::Carried { at: SocketAddr::from(([127, 0, 0, 1], 1)), bytes: bytes.to_vec() }
+    Wire::ConfigDistribution { address: SocketAddr::from(([127, 0, 0, 1], 1)), bytes: bytes.to_vec() }
 }
 
 async fn heard(inbox: &Receiver<Heard>) -> Option<Wire> {
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -157,7 +157,7 @@
     work_ms: f64,
     worked_at: f64,
     /// Where a group wants to know that this goes round and does its work.
-    pulse: Option<std::sync::Arc<crate::group::Pulse>>,
+    pulse: Option<std::sync::Arc<crate::group::OwnerHeartbeat>>,
     /// Tenants' quotas that may change while this runs, where an operator has set it up.
     changed: Option<changed::Changed>,
     /// Takes what is wanted of the copies, where tickets have any.
@@ -235,7 +235,7 @@
         Ok(self)
     }
 
-    pub fn with_pulse(mut self, pulse: Option<std::sync::Arc<crate::group::Pulse>>) -> Self {
+    pub fn with_pulse(mut self, pulse: Option<std::sync::Arc<crate::group::OwnerHeartbeat>>) -> Self {
         self.pulse = pulse;
         self
     }
@@ -269,8 +269,8 @@
             }
             self.settle();
             if let Some(pulse) = &self.pulse {
-                pulse.beat(self.backend.is_some() && self.agent.is_some());
-                pulse.count(self.startup.config.cores, &self.counted);
+                pulse.record(self.backend.is_some() && self.agent.is_some());
+                pulse.record_counts(self.startup.config.cores, &self.counted);
             }
         }
         let exit = self.due.iter().find(|(_, due, _)| *due == Due::Exit);
--- a/crates/plovershelf-server/tests/changes.rs
+++ b/crates/plovershelf-server/tests/changes.rs
@@ -9,13 +9,15 @@
 
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_cluster::wire::{
+    decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
+};
 use plovershelf_config_distribution::content::Edit;
 use plovershelf_config_distribution::node::Terms;
 use plovershelf_server::changes::asks::{Ask, Report, Told, KEY};
 use plovershelf_server::changes::{self, InForce, Setup, Sink};
-use plovershelf_server::group::{self, Pulse};
+use plovershelf_server::group::{self, OwnerHeartbeat};
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::scripted::SETTINGS;
 use plovershelf_testkit::sources::{self, Sources, SOURCES};
@@ -30,10 +32,10 @@
     let text = std::fs::read_to_string(&file).expect("a file");
     let setup = plovershelf_config::group::read("group.ini", &text).expect("a good file");
     let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
-    let pulse = Arc::<Pulse>::default();
+    let pulse = Arc::<OwnerHeartbeat>::default();
     let _member = group::start(setup, name, pulse.clone(), None).expect("a member");
     loop {
-        pulse.beat(true);
+        pulse.record(true);
         std::thread::sleep(Duration::from_millis(200));
     }
 }
@@ -168,7 +170,7 @@
 }
 
 fn ask(at: SocketAddr, what: &Ask) -> Option<Told> {
-    let question = Wire::Ask(Question::Part { part: KEY.into(), bytes: plain(what) });
+    let question = Wire::Question(Question::Part { part: KEY.into(), bytes: plain(what) });
     match say(at, &[encode(&Hello::of("trial")), encode(&question)].concat())? {
         Wire::Answer(answer) => match *answer {
             Answer::Part(bytes) => decode(&bytes).ok(),
@@ -278,12 +280,12 @@
     assert!(matches!(&told, Told::Refused(why) if why.contains("listener")), "{told:?}");
     // A torn frame, a stranger, and a message that is none: the link ends, or nothing comes of it.
     let hello = encode(&Hello::of("trial"));
-    let good = encode(&Wire::Ask(Question::Part { part: KEY.into(), bytes: plain(&Ask::Status) }));
+    let good = encode(&Wire::Question(Question::Part { part: KEY.into(), bytes: plain(&Ask::Status) }));
     let mut torn = good.clone();
     *torn.last_mut().expect("bytes") ^= 1;
     assert!(say(at, &[hello.clone(), torn].concat()).is_none());
     assert!(say(at, &[encode(&Hello::of("other")), good.clone()].concat()).is_none());
-    let none = encode(&Wire::Carried { at: backend.at, bytes: vec![255; 40] });
+    let none = encode(&Wire::ConfigDistribution { address: backend.at, bytes: vec![255; 40] });
     assert!(say(at, &[hello, none, good].concat()).is_some());
     let after = stage.all_have(1, &[backend.at]);
     assert!(after.iter().all(|one| one.node.digest == before));
--- a/crates/plovershelf-server/tests/config_pins.rs
+++ b/crates/plovershelf-server/tests/config_pins.rs
@@ -1,7 +1,7 @@
 //! The bytes of what the command asks a process that changes are carried to, and of the answers, as an earlier build wrote
 //! them: a command of that build asks a process of this one while a release is under way, and the other way round.
 
-use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::wire::{decode, encode_payload as plain};
 use plovershelf_config_distribution::content::{Edit, Numbered, Version};
 use plovershelf_config_distribution::node::Status;
 use plovershelf_server::changes::asks::{Ask, Council, Report, Told};
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -8,8 +8,10 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Question, Status};
+use plovershelf_cluster::wire::{
+    decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
+};
 use plovershelf_failover::asks::{Ask, Status as ZonesStatus, Told};
 use plovershelf_failover::plan::Plan as ZonesPlan;
 use plovershelf_failover::planner::Wish;
@@ -39,7 +41,7 @@
 fn ask(at: SocketAddr, question: Question) -> Option<Answer> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(9))).ok()?;
-    stream.write_all(&[encode(&Hello::of("trial")), encode(&Wire::Ask(question))].concat()).ok()?;
+    stream.write_all(&[encode(&Hello::of("trial")), encode(&Wire::Question(question))].concat()).ok()?;
     let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         if let Ok(Some((content, _))) = unframed(&bytes) {
--- a/crates/plovershelf-simulation/examples/shrink.rs
+++ b/crates/plovershelf-simulation/examples/shrink.rs
@@ -27,9 +27,9 @@
     };
     let run = |schedule: &Schedule| {
         let mut plan = Plan::of(schedule.clone(), seed);
-        (plan.founders, plan.terms.voters) = (voters, voters);
+        (plan.founders, plan.config.voters) = (voters, voters);
         if voters > 3 {
-            plan.terms.replace_ms = 1500.0;
+            plan.config.replace_voter_after_ms = 1500.0;
         }
         World::run(plan)
     };
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -7,13 +7,12 @@
 
 use plovershelf_client::caller::Caller;
 use plovershelf_client::{MemberList, Terms as CallerTerms};
-use plovershelf_cluster::council::{Id, Mark, Whole};
-use plovershelf_cluster::decided::{Decided, Seat, View};
-use plovershelf_cluster::frames::{encode, plain, Wire};
-use plovershelf_cluster::group::{Envelope, Heading, Say, Terms as GroupTerms};
-use plovershelf_cluster::members::{
-    About, Condition, Members, Message as Probe, News, Terms as MembersTerms,
+use plovershelf_cluster::consensus::{LogPosition, Snapshot, Term};
+use plovershelf_cluster::gossip::{
+    GossipConfig, MemberState, MemberUpdate, Message as Probe, NodeInfo, Swim,
 };
+use plovershelf_cluster::wire::{encode_frame, encode_payload, Envelope, NodeMessage, StateDigest, Wire};
+use plovershelf_cluster::{ClusterState, Epoch, NodeConfig, NodeId, View, ViewMember};
 use plovershelf_failover::asks::Say as Report;
 use plovershelf_failover::planner;
 use plovershelf_failover::seen::Report as Seen;
@@ -27,18 +26,26 @@
     SocketAddr::from(([127, 1, (place >> 8) as u8, place as u8], 7400))
 }
 
-fn about(place: usize) -> About {
+fn node(place: usize) -> NodeInfo {
     let (zone, region) = (format!("zone-{}", place % 4), format!("region-{}", place % 2));
     let name = format!("backend-{place:04}");
     // Ids as they are drawn: all 64 bits.
-    let id = Id((place as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    About { id, name, zone, region, address: address(place), born: 1_796_000_000_000 }
+    let id = NodeId((place as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    NodeInfo { id, name, zone, region, address: address(place), created_at_ms: 1_796_000_000_000 }
 }
 
-fn news(place: usize) -> News {
-    let about = about(place);
-    let by = about.id;
-    News { about, stand: 3, fit: true, leaving: false, life: by.0 ^ 0x55, condition: Condition::Alive, by }
+fn update(place: usize) -> MemberUpdate {
+    let node = node(place);
+    let id = node.id;
+    MemberUpdate {
+        node,
+        incarnation: 3,
+        ready: true,
+        draining: false,
+        boot_id: id.0 ^ 0x55,
+        state: MemberState::Alive,
+        reported_by: id,
+    }
 }
 
 fn told(kind: &str, unit: &str, points: &[(f64, f64)], at: f64) {
@@ -76,13 +83,13 @@
 fn view_change(members: usize) -> (f64, f64) {
     let holders: Vec<Holder> = (0..members)
         .map(|place| {
-            let about = about(place);
-            Holder { id: about.id, zone: about.zone, machine: about.name, weight: 1.0 }
+            let node = node(place);
+            Holder { id: node.id, zone: node.zone, machine: node.name, weight: 1.0 }
         })
         .collect();
-    let all: Vec<Id> = holders.iter().map(|holder| holder.id).collect();
+    let all: Vec<NodeId> = holders.iter().map(|holder| holder.id).collect();
     let mut group: Vec<Copies> = all.iter().map(|id| Copies::new(*id, CopiesTerms::default(), 0.0)).collect();
-    let place_of: std::collections::BTreeMap<Id, usize> =
+    let place_of: std::collections::BTreeMap<NodeId, usize> =
         all.iter().enumerate().map(|(place, id)| (*id, place)).collect();
     for copies in &mut group {
         copies.view_is(1.0, 1, holders.clone());
@@ -90,12 +97,12 @@
     let (mut messages, mut bytes, mut now) = (0.0, 0.0, 1.0);
     for _ in 0..8 {
         now += 1.0;
-        let mut under_way: Vec<(usize, Id, Copied)> = Vec::new();
+        let mut under_way: Vec<(usize, NodeId, Copied)> = Vec::new();
         for (place, copies) in group.iter_mut().enumerate() {
             for (to, message) in copies.take().0 {
                 messages += 1.0;
-                let wire = Wire::Part { from: all[place], to, bytes: plain(&message) };
-                bytes += encode(&wire).len() as f64;
+                let wire = Wire::Subsystem { from: all[place], to, bytes: encode_payload(&message) };
+                bytes += encode_frame(&wire).len() as f64;
                 under_way.push((place_of[&to], all[place], message));
             }
         }
@@ -109,9 +116,9 @@
     (messages, bytes)
 }
 
-fn envelope(say: Say) -> f64 {
-    let (from, to) = (about(1).id, about(2).id);
-    encode(&Wire::Say(Envelope { from, at: address(1), to: Some(to), say })).len() as f64
+fn envelope(message: NodeMessage) -> f64 {
+    let (from, to) = (node(1).id, node(2).id);
+    encode_frame(&Wire::Envelope(Envelope { from, address: address(1), to: Some(to), message })).len() as f64
 }
 
 fn main() {
@@ -122,31 +129,31 @@
 
     println!("kind | unit | points | slope | at the size");
     // Resident memory first, before anything was given back that could be taken again unseen.
-    let seats = |size: usize| -> View {
-        let seat = |place: usize| {
-            let about = about(place);
-            let seat = Seat {
-                name: about.name,
-                zone: about.zone,
-                region: about.region,
-                address: about.address,
-                leaving: false,
-                life: about.id.0,
+    let view = |size: usize| -> View {
+        let member = |place: usize| {
+            let node = node(place);
+            let member = ViewMember {
+                name: node.name,
+                zone: node.zone,
+                region: node.region,
+                address: node.address,
+                draining: false,
+                boot_id: node.id.0,
             };
-            (about.id, seat)
+            (node.id, member)
         };
-        View { number: 1600, members: (0..size).map(seat).collect() }
+        View { number: 1600, members: (0..size).map(member).collect() }
     };
     let mut rows = Vec::new();
     for size in SIZES {
         let each = bytes_each(100, |own| {
-            let mut members =
-                Members::new(about(own + 2000), MembersTerms::default(), Vec::new(), own as u64 + 1, 0.0);
-            let all: Vec<News> = (0..size).map(news).collect();
-            for part in all.chunks(MembersTerms::default().exchange) {
-                members.hear(1.0, about(0).id, address(0), Probe::Part { news: part.to_vec() });
+            let mut swim =
+                Swim::new(node(own + 2000), GossipConfig::default(), Vec::new(), own as u64 + 1, 0.0);
+            let all: Vec<MemberUpdate> = (0..size).map(update).collect();
+            for part in all.chunks(GossipConfig::default().updates_per_sync) {
+                swim.handle_message(1.0, node(0).id, address(0), Probe::Sync { updates: part.to_vec() });
             }
-            (members, seats(size))
+            (swim, view(size))
         });
         rows.extend(each.map(|each| (size as f64, each)));
     }
@@ -176,17 +183,19 @@
     told("copies: a change of view, holding nothing", "messages a member sends", &messages, at);
     told("copies: a change of view, holding nothing", "bytes a member sends", &bytes, at);
 
-    let terms = GroupTerms::default();
-    let lease = envelope(Say::AskLease { stamp: 1 << 40 })
-        + envelope(Say::Lease { stamp: 1 << 40, era: 1 << 40, view: 1600, span_ms: 800.0 });
-    let a_second = 1000.0 / terms.renew_ms;
+    let config = NodeConfig::default();
+    let epoch = Epoch(1 << 40);
+    let lease = envelope(NodeMessage::LeaseRequest { sent_at_us: 1 << 40 })
+        + envelope(NodeMessage::LeaseGrant { sent_at_us: 1 << 40, epoch, view: 1600, duration_ms: 800.0 });
+    let a_second = 1000.0 / config.lease_renew_interval_ms;
     println!("leases | bytes an asking and its grant | {lease} | {a_second} a second a member");
     told("leases at the leader", "bytes a second", &over(&|size| (size - 1) as f64 * lease * a_second), at);
     told("leases at the leader", "messages in a second", &over(&|size| (size - 1) as f64 * a_second), at);
 
     let report = Report { zone: "zone-1".into(), report: Seen::default(), outside: Vec::new() };
     let report =
-        encode(&Wire::Part { from: about(1).id, to: about(2).id, bytes: plain(&report) }).len() as f64;
+        encode_frame(&Wire::Subsystem { from: node(1).id, to: node(2).id, bytes: encode_payload(&report) })
+            .len() as f64;
     let a_second = 1000.0 / planner::Terms::default().period_ms;
     println!("zones: a report to the leader | bytes | {report} | {a_second:.2} a second a member");
     told(
@@ -200,22 +209,24 @@
     println!("service registry: a heartbeat | bytes | {beat} | 4 a second a backend");
     told("service registry: heartbeats in", "bytes a second", &over(&|size| size as f64 * beat * 4.0), at);
 
-    let heading = Heading { era: 1 << 40, decided: 5000, term: 7, leader: Some(about(0).id) };
+    let leader = Some(node(0).id);
+    let digest = StateDigest { epoch, commit_index: 5000, term: Term(7), leader };
     let probe = |pieces: usize| {
-        let news = (0..pieces).map(news).collect();
-        envelope(Say::Probe { message: Probe::Ping { nonce: u64::MAX / 3, news }, heading })
+        let updates = (0..pieces).map(update).collect();
+        envelope(NodeMessage::Gossip { message: Probe::Ping { nonce: u64::MAX / 3, updates }, digest })
     };
     println!("probes: a ping with no news, with six | bytes | {}, {}", probe(0), probe(6));
-    let sums = Probe::Sums { sums: vec![u32::MAX / 3; 64], answer: true };
-    let part = Probe::Part { news: (0..MembersTerms::default().exchange).map(news).collect() };
-    let [sums, part] = [sums, part].map(|message| envelope(Say::Probe { message, heading }));
+    let sums = Probe::Digest { checksums: vec![u32::MAX / 3; 64], reply: true };
+    let part = Probe::Sync { updates: (0..GossipConfig::default().updates_per_sync).map(update).collect() };
+    let [sums, part] = [sums, part].map(|message| envelope(NodeMessage::Gossip { message, digest }));
     println!("membership: a comparison, a part of forty | bytes | {sums}, {part}");
 
     let whole = |size: usize| {
-        let state = Decided { view: seats(size), ..Decided::default() };
-        let voters = (0..3).map(|place| about(place).id).collect();
-        let whole = Whole { at: Mark { term: 7, index: 5000 }, voters, voters_at: 1, state };
-        envelope(Say::All { era: 1 << 40, whole })
+        let state = ClusterState { view: view(size), ..ClusterState::default() };
+        let voters = (0..3).map(|place| node(place).id).collect();
+        let last = LogPosition { term: Term(7), index: 5000 };
+        let snapshot = Snapshot { last, voters, voters_index: 1, state };
+        envelope(NodeMessage::CommittedSnapshot { epoch, snapshot })
     };
     told("the view, told whole", "bytes", &over(&whole), at);
 
--- a/crates/plovershelf-simulation/src/copies.rs
+++ b/crates/plovershelf-simulation/src/copies.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId as Id;
 use plovershelf_replication::copies::{Copies, Ending, Message, Terms, Told};
 use plovershelf_replication::placement::{Holder, Ticket};
 use rand::{RngExt, SeedableRng};
--- a/crates/plovershelf-simulation/src/group.rs
+++ b/crates/plovershelf-simulation/src/group.rs
@@ -4,10 +4,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-use plovershelf_cluster::council::{Id, Kept, Role};
-use plovershelf_cluster::decided::Decided;
-use plovershelf_cluster::group::{Envelope, Event as Told, Group, Start, Terms};
-use plovershelf_cluster::members::{About, Condition};
+use plovershelf_cluster::consensus::{PersistentState, Role};
+use plovershelf_cluster::gossip::{MemberState, NodeInfo};
+use plovershelf_cluster::wire::{frame_size, Envelope};
+use plovershelf_cluster::{ClusterNode, ClusterState, Event as NodeEvent, NodeConfig, NodeId, Startup};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -21,7 +21,7 @@
 pub struct Plan {
     pub schedule: Schedule,
     pub seed: u64,
-    pub terms: Terms,
+    pub config: NodeConfig,
     /// Without folders each start is a new memory.
     pub folders: bool,
     /// Founders of the group, the first voters.
@@ -62,7 +62,7 @@
             span_ms: schedule.ends_ms() + 8000.0,
             schedule,
             seed,
-            terms: Terms::default(),
+            config: NodeConfig::default(),
             folders: true,
             founders: 3,
             way_ms: 0.5,
@@ -160,10 +160,10 @@
 }
 
 /// What a folder holds: whose memory, since when, and what it keeps.
-type Held = Option<(Id, u64, Kept<Decided>)>;
+type Held = Option<(NodeId, u64, PersistentState<ClusterState>)>;
 
 struct Place {
-    group: Option<Group>,
+    group: Option<ClusterNode>,
     /// What the folder holds, and what it held a second ago and before.
     folder: Held,
     old: VecDeque<Held>,
@@ -188,7 +188,7 @@
 
 /// A death, and how far it is known.
 struct Dying {
-    id: Id,
+    id: NodeId,
     at: f64,
     put_out: bool,
     /// Since when all know of it, without a gap.
@@ -222,7 +222,7 @@
         let mut chance = Pcg32::seed_from_u64(plan.seed);
         let mut net = Net::new(chance.random(), plan.way_ms);
         net.between_zones_ms = plan.between_zones_ms;
-        let drift = plan.terms.council.drift;
+        let drift = plan.config.raft.clock_drift_fraction;
         let places = (0..members)
             .map(|_| Place {
                 group: None,
@@ -272,13 +272,13 @@
         for place in &places {
             let Some(group) = &place.group else { continue };
             came.lagging += usize::from(group.view().number < newest);
-            came.left_out += usize::from(!group.view().members.contains_key(&group.about().id));
-            let council = group.council();
+            came.left_out += usize::from(!group.view().members.contains_key(&group.node().id));
+            let raft = group.raft();
             came.end.push(format!(
                 "{} {:x} era {} term {} {:?} voters {:?} last {:?} decided {} view {} of {} alive {} leader {:x?} sure {:.0} in view {} {:?}",
-                group.about().name, group.about().id.0, council.era(), council.term(), council.role(), council.voters(),
-                council.kept().last(), council.decided(), group.view().number, group.view().members.len(),
-                group.members().alive().count(), group.leader(), council.sure_until() - place.offset, group.view().members.contains_key(&group.about().id), group.differing()
+                group.node().name, group.node().id.0, raft.epoch().0, raft.term().0, raft.role(), raft.voters(),
+                raft.persistent().last(), raft.commit_index(), group.view().number, group.view().members.len(),
+                group.swim().present().count(), group.leader(), raft.leader_lease_until_ms() - place.offset, group.view().members.contains_key(&group.node().id), group.differing()
             ));
         }
         came.views = newest;
@@ -314,13 +314,13 @@
                             place.waiting.push((from, *envelope));
                         }
                     } else {
-                        self.tell(to, |group, now| group.hear(now, *envelope));
+                        self.tell(to, |group, now| group.handle_message(now, *envelope));
                     }
                 }
                 Thing::Tick { member, life } => {
                     if self.places[member].life == life && !self.places[member].stopped {
                         self.places[member].tick_at = f64::INFINITY;
-                        self.tell(member, |group, now| group.tick(now));
+                        self.tell(member, |group, now| group.handle_timeout(now));
                     }
                 }
                 Thing::Begin(place) => self.fault(place, true),
@@ -345,7 +345,9 @@
                 Thing::Recover(place) => {
                     let (_, member, lost) = self.plan.recoveries[place].clone();
                     let mut refused = None;
-                    self.tell(member, |group, now| refused = group.recover(now, &lost).err());
+                    self.tell(member, |group, now| {
+                        refused = group.recover(now, &lost).err().map(|why| why.to_string())
+                    });
                     self.came.recovered.extend(refused.map(Err));
                 }
             }
@@ -366,26 +368,26 @@
         let wall = now + place.wall + 1.7e12;
         let (id, born, kept) = match place.folder.clone().filter(|_| self.plan.folders) {
             Some((id, born, kept)) => (id, born, Some(kept)),
-            None => (Id(self.chance.random::<u64>() | 1), wall as u64, None),
+            None => (NodeId(self.chance.random::<u64>() | 1), wall as u64, None),
         };
         if self.plan.folders && kept.is_none() {
-            place.folder = Some((id, born, Kept::nothing(Decided::default())));
+            place.folder = Some((id, born, PersistentState::empty(ClusterState::default())));
         }
         let zones = self.plan.schedule.zones.max(1);
-        let about = About {
+        let node = NodeInfo {
             id,
             name: format!("n{}", member + 1),
             zone: format!("z{}", member % zones + 1),
             region: "r1".into(),
             address: address(member),
-            born,
+            created_at_ms: born,
         };
-        let start = Start {
-            about,
-            terms: self.plan.terms.clone(),
+        let startup = Startup {
+            node,
+            config: self.plan.config.clone(),
             seeds: (0..self.plan.founders).map(address).collect(),
-            founders: (0..self.plan.founders).map(|n| format!("n{}", n + 1)).collect(),
-            kept,
+            initial_voters: (0..self.plan.founders).map(|n| format!("n{}", n + 1)).collect(),
+            persistent: kept,
             seed: self.chance.random(),
         };
         (place.view, place.led, place.acts, place.log_seen) = (0, (0, 0), None, (0, 0));
@@ -393,19 +395,19 @@
         // One that is back with its memory is dead no longer.
         self.dying_over(|dying| dying.id == id);
         let local = self.clock(member);
-        let mut group = Group::new(start, local);
-        group.fit(local, fit);
+        let mut group = ClusterNode::new(startup, local);
+        group.set_ready(local, fit);
         self.places[member].group = Some(group);
-        self.tell(member, |group, now| group.tick(now));
+        self.tell(member, |group, now| group.handle_timeout(now));
     }
 
     fn kill(&mut self, member: usize, folder: Folder) {
         let now = self.queue.now();
         let place = &mut self.places[member];
         let Some(group) = place.group.take() else { return };
-        let id = group.about().id;
+        let id = group.node().id;
         if self.plan.lean && place.folder.is_some() {
-            place.folder = Some((id, group.about().born, group.council().kept().clone()));
+            place.folder = Some((id, group.node().created_at_ms, group.raft().persistent().clone()));
         }
         place.waiting.clear();
         place.tick_at = f64::INFINITY;
@@ -432,31 +434,33 @@
     }
 
     /// One call of a member, and all that follows from it.
-    fn tell(&mut self, member: usize, ask: impl FnOnce(&mut Group, f64)) {
+    fn tell(&mut self, member: usize, ask: impl FnOnce(&mut ClusterNode, f64)) {
         let local = self.clock(member);
         let Some(group) = self.places[member].group.as_mut() else { return };
         ask(group, local);
-        let mut out = group.take();
+        let mut actions = group.poll_actions();
         let place = &mut self.places[member];
-        if !out.save.is_empty() && self.plan.folders {
+        if !actions.save.is_empty() && self.plan.folders {
             if place.full {
                 let Some(group) = place.group.as_mut() else { return };
-                group.keeps(local, false);
-                out.send.retain(|(_, envelope)| !envelope.say.rests_on_folder());
-                out.save.clear();
+                group.handle_storage_failed(local);
+                actions.send.retain(|(_, envelope)| !envelope.message.depends_on_storage());
+                actions.save.clear();
             } else if self.plan.lean {
-                out.save.clear();
+                actions.save.clear();
             } else if let Some((_, _, kept)) = &mut place.folder {
-                out.save.drain(..).for_each(|record| kept.take(record));
+                actions.save.drain(..).for_each(|record| kept.apply(record));
             }
         }
-        for (whereto, envelope) in out.send {
-            self.post(member, whereto.address, envelope);
+        for (destination, envelope) in actions.send {
+            self.post(member, destination.address, envelope);
         }
-        for event in out.events {
+        for event in actions.events {
             match event {
-                Told::View(_) => self.see_view(member),
-                Told::Recovered(outcome) => self.came.recovered.push(outcome),
+                NodeEvent::View(_) => self.see_view(member),
+                NodeEvent::RecoveryEnded(outcome) => {
+                    self.came.recovered.push(outcome.map_err(|why| why.to_string()))
+                }
                 _ => {}
             }
         }
@@ -467,7 +471,7 @@
     fn schedule_tick(&mut self, member: usize) {
         let place = &self.places[member];
         let Some(group) = &place.group else { return };
-        let at = (group.next_at() - place.offset) / place.rate;
+        let at = (group.poll_timeout() - place.offset) / place.rate;
         if at < place.tick_at - 0.001 {
             let life = place.life;
             self.places[member].tick_at = at;
@@ -482,7 +486,7 @@
         if to >= self.places.len() {
             return;
         }
-        let bytes = if self.plan.count_bytes { plovershelf_cluster::frames::size(&envelope) } else { 0 };
+        let bytes = if self.plan.count_bytes { frame_size(&envelope) } else { 0 };
         let zones = self.plan.schedule.zones;
         let mut ways = self.net.ways(from, to, zones, bytes);
         let (now, from, last) = (self.queue.now(), address(from), ways.pop());
@@ -500,9 +504,9 @@
         self.observe(member);
         let waiting = std::mem::take(&mut self.places[member].waiting);
         self.places[member].tick_at = f64::INFINITY;
-        self.tell(member, |group, now| group.tick(now));
+        self.tell(member, |group, now| group.handle_timeout(now));
         for (_, envelope) in waiting {
-            self.tell(member, |group, now| group.hear(now, envelope));
+            self.tell(member, |group, now| group.handle_message(now, envelope));
         }
     }
 
@@ -548,7 +552,7 @@
             }
             Fault::Unfit { member } => {
                 self.places[member].fit = !begins;
-                self.tell(member, |group, now| group.fit(now, !begins));
+                self.tell(member, |group, now| group.set_ready(now, !begins));
             }
             Fault::Full { member } => {
                 self.places[member].full = begins;
@@ -556,9 +560,9 @@
                     // What was not kept meanwhile is written first, all of it.
                     let place = &mut self.places[member];
                     if let (Some(group), Some((_, _, kept))) = (&place.group, &mut place.folder) {
-                        *kept = group.council().kept().clone();
+                        *kept = group.raft().persistent().clone();
                     }
-                    self.tell(member, |group, now| group.keeps(now, true));
+                    self.tell(member, |group, now| group.handle_storage_restored(now));
                 }
             }
             Fault::Clock { member, by_ms } => self.places[member].wall = if begins { by_ms } else { 0.0 },
@@ -596,7 +600,7 @@
 
     fn see_view(&mut self, member: usize) {
         let Some(group) = &self.places[member].group else { return };
-        let (memory, era) = (group.about().id.0, group.council().era());
+        let (memory, era) = (group.node().id.0, group.raft().epoch().0);
         let number = group.view().number;
         let members = group.view().members.keys().map(|id| id.0).collect();
         let newest = self.places.iter().all(|place| place.view < number);
@@ -608,7 +612,7 @@
         // The first that holds it: who was put out by it, and was anything wrong with them?
         let now = self.queue.now();
         for (place, other) in self.places.iter().enumerate() {
-            let Some(id) = other.group.as_ref().map(|group| group.about().id) else { continue };
+            let Some(id) = other.group.as_ref().map(|group| group.node().id) else { continue };
             let was = group_steps_left(self.places[member].group.as_ref(), id);
             if was && now - other.touched > HEALTHY_AFTER_MS && self.calm_since(now) {
                 self.came.healthy_put_out.push((now, place));
@@ -639,9 +643,9 @@
             return;
         }
         let Some(group) = &place.group else { return };
-        let (memory, era, term) = (group.about().id.0, group.council().era(), group.council().term());
+        let (memory, era, term) = (group.node().id.0, group.raft().epoch().0, group.raft().term().0);
         let acts = group.may_act(local);
-        let leads = *group.council().role() == Role::Leading;
+        let leads = *group.raft().role() == Role::Leader;
         let (led, acted) = (place.led, place.acts);
         if leads && led != (era, term) {
             self.places[member].led = (era, term);
@@ -666,12 +670,12 @@
             self.see_log(member);
         }
         let now = self.queue.now();
-        let live: Vec<&Group> =
+        let live: Vec<&ClusterNode> =
             self.places.iter().filter(|p| !p.stopped).filter_map(|p| p.group.as_ref()).collect();
         for dying in &mut self.dying {
             let known = live.iter().all(|group| {
-                let news = group.members().find(dying.id);
-                news.is_none_or(|news| news.condition >= Condition::Dead)
+                let update = group.swim().find(dying.id);
+                update.is_none_or(|update| update.state >= MemberState::Dead)
             });
             // One that learns of it as alive once more begins it anew.
             dying.known = if known { dying.known.or(Some(now)) } else { None };
@@ -696,7 +700,7 @@
             Phase::Starting => {
                 let seen = &self.came.grown;
                 let (know, whole) = (seen.all_know_all_ms.is_some(), seen.view_whole_ms.is_some());
-                if !know && self.settled(|group| group.members().alive().count()) {
+                if !know && self.settled(|group| group.swim().present().count()) {
                     self.came.grown.all_know_all_ms = Some(now);
                 } else if know && !whole && self.settled(|group| group.view().members.len()) {
                     self.came.grown.view_whole_ms = Some(now);
@@ -707,7 +711,7 @@
             }
             Phase::Quieting { until } => {
                 let groups = self.places.iter().filter_map(|place| place.group.as_ref());
-                let rumours: usize = groups.map(|group| group.members().rumours()).sum();
+                let rumours: usize = groups.map(|group| group.swim().pending_updates()).sum();
                 if rumours == 0 || now >= until {
                     self.came.grown.calm_rumours = Some(rumours as f64 / members);
                     self.bytes_of = self.net.bytes_of.clone();
@@ -743,7 +747,7 @@
     }
 
     /// Whether each counts as many as there are, the last one that did not asked first.
-    fn settled(&mut self, count: impl Fn(&Group) -> usize) -> bool {
+    fn settled(&mut self, count: impl Fn(&ClusterNode) -> usize) -> bool {
         let all = self.places.len();
         let falls_short = |member: &usize| match &self.places[*member].group {
             Some(group) => count(group) != all,
@@ -757,13 +761,13 @@
     /// The newest entries that it holds for decided, each held against what others hold there.
     fn see_log(&mut self, member: usize) {
         let Some(group) = &self.places[member].group else { return };
-        let (memory, era, council) = (group.about().id.0, group.council().era(), group.council());
-        if self.plan.lean && self.places[member].log_seen == (era, council.decided()) {
+        let (memory, era, raft) = (group.node().id.0, group.raft().epoch().0, group.raft());
+        if self.plan.lean && self.places[member].log_seen == (era, raft.commit_index()) {
             return;
         }
-        let log_seen = (era, council.decided());
-        let from = council.decided().saturating_sub(4).max(council.kept().base.at.index);
-        let Some((before, entries)) = council.since(from) else { return };
+        let log_seen = (era, raft.commit_index());
+        let from = raft.commit_index().saturating_sub(4).max(raft.persistent().snapshot.last.index);
+        let Some((before, entries)) = raft.committed_after(from) else { return };
         let seen: Vec<Seen> = entries
             .iter()
             .enumerate()
@@ -790,8 +794,8 @@
             let held = self.places[member]
                 .group
                 .as_ref()
-                .and_then(|g| g.word("probe"))
-                .map_or(0, |word| word.number);
+                .and_then(|g| g.value("probe"))
+                .map_or(0, |value| value.version);
             if now > self.over_at && held > self.probe && self.agreed.is_none() && self.probe > 0 {
                 self.agreed = Some(now);
                 self.came.agreed_after_ms = Some(now - self.over_at);
@@ -800,8 +804,8 @@
                 self.probe = self
                     .places
                     .iter()
-                    .filter_map(|p| p.group.as_ref()?.word("probe"))
-                    .map(|w| w.number)
+                    .filter_map(|p| p.group.as_ref()?.value("probe"))
+                    .map(|value| value.version)
                     .max()
                     .unwrap_or(0);
             }
@@ -816,7 +820,7 @@
 /// One that no fault has touched for so long counts as healthy.
 const HEALTHY_AFTER_MS: f64 = CALM_MS;
 
-fn group_steps_left(group: Option<&Group>, id: Id) -> bool {
-    let steps = group.map(|group| &group.council().state().steps);
+fn group_steps_left(group: Option<&ClusterNode>, id: NodeId) -> bool {
+    let steps = group.map(|group| &group.raft().state().view_changes);
     steps.and_then(|steps| steps.back()).is_some_and(|step| step.left.iter().any(|(left, _)| *left == id))
 }
--- a/crates/plovershelf-simulation/tests/broken.rs
+++ b/crates/plovershelf-simulation/tests/broken.rs
@@ -1,6 +1,6 @@
 //! A lease that is not checked and a view that is numbered twice are caught by the model's audit.
 
-use plovershelf_cluster::broken::{set, Broken};
+use plovershelf_cluster::broken::{set, BrokenRule};
 use plovershelf_simulation::audit::{NOT_PAST_LEASE, ONE_VIEW_A_NUMBER};
 use plovershelf_simulation::group::{Plan, World};
 use plovershelf_simulation::schedule::Schedule;
@@ -16,9 +16,9 @@
 #[test]
 fn broken_on_purpose_is_caught_and_whole_is_not() {
     assert_eq!(found(NOT_PAST_LEASE) + found(ONE_VIEW_A_NUMBER), 0);
-    set(Some(Broken::LeaseNotChecked));
+    set(Some(BrokenRule::LeaseNotChecked));
     let leases = found(NOT_PAST_LEASE);
-    set(Some(Broken::ViewNumberedTwice));
+    set(Some(BrokenRule::DuplicateViewNumber));
     let views = found(ONE_VIEW_A_NUMBER);
     set(None);
     assert!(leases > 0 && views > 0, "{leases} {views}");
--- a/crates/plovershelf-simulation/tests/groups.rs
+++ b/crates/plovershelf-simulation/tests/groups.rs
@@ -181,7 +181,7 @@
         (7, "9 zones 3\n6000 5000 kill-third n1\n"),
     ] {
         let mut plan = plan(&format!("members {schedule}"));
-        (plan.founders, plan.terms.voters) = (voters, voters);
+        (plan.founders, plan.config.voters) = (voters, voters);
         plan.span_ms = plan.span_ms.max(9000.0);
         well(&World::run(plan), 4000.0);
     }
@@ -195,7 +195,8 @@
         let mut plan = plan(
             "members 9 zones 3\n7207 2200 kill-wiped n1\n20312 2785 kill-wiped n2\n20312 2785 kill-wiped n3\n25092 2216 kill-wiped n7\n",
         );
-        (plan.seed, plan.founders, plan.terms.voters, plan.terms.replace_ms) = (seed, 7, 7, 1500.0);
+        (plan.seed, plan.founders, plan.config.voters, plan.config.replace_voter_after_ms) =
+            (seed, 7, 7, 1500.0);
         well(&World::run(plan), 4000.0);
     }
 }
