--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,11 +1,14 @@
-//! What a decision costs, an arrival, its end and a wake, with so many invocations open and with so many tenants.
-//! Run with `cargo bench --bench decision`.
+//! What the decisions on a request, the end of its execution and a timeout cost, by requests in flight and by
+//! tenants. Run with `cargo bench --bench decision`.
 
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use plovershelf::admission::Backend;
-use plovershelf::api::*;
+use plovershelf::api::{
+    BackendConfig, BackpressureSignal, Cancellation, ClassConfig, Gauges, Idempotency, Request, RunOutcome,
+    Timer,
+};
+use plovershelf::Backend;
 
 fn config() -> BackendConfig {
     let class = |value| ClassConfig {
@@ -22,7 +25,7 @@
         seed: 7,
         classes: vec![class(1.0), class(2.0), class(10.0)],
         tenant_quotas_per_s: vec![f64::MAX],
-        // So many cores that all that is open runs.
+        // So many cores that every request in flight runs.
         cores: 10_000.0,
         memory_kb: 1e12,
         running_memory_factor: 8.0,
@@ -46,13 +49,13 @@
     }
 }
 
-fn arrival(id: u32, now: f64, tenant: usize) -> Request {
+fn request(id: u32, now_ms: f64, tenant: usize) -> Request {
     Request {
         id,
         class: id as usize % 3,
         tenant,
         key: 0,
-        deadline_ms: Some(now + 1e8),
+        deadline_ms: Some(now_ms + 1e8),
         work_hint_ms: None,
         memory_kb: 10.0,
         marked_retry: false,
@@ -63,34 +66,34 @@
 }
 
 fn decisions(criterion: &mut Criterion) {
-    for open in [10u32, 100, 1000, 3000] {
+    for in_flight in [10u32, 100, 1000, 3000] {
         let (mut backend, _) = Backend::start(0.0, config());
-        (1..=open).for_each(|id| drop(backend.handle_request(1.0, arrival(id, 1.0, 0))));
-        let (mut now, mut id) = (10.0, open);
-        criterion.bench_function(&format!("arrival, end and wake, {open} open"), |bench| {
+        (1..=in_flight).for_each(|id| drop(backend.handle_request(1.0, request(id, 1.0, 0))));
+        let (mut now_ms, mut id) = (10.0, in_flight);
+        criterion.bench_function(&format!("request, end and timeout, {in_flight} in flight"), |bench| {
             bench.iter(|| {
-                (now, id) = (now + 0.1, id.wrapping_add(1).max(open + 1));
-                black_box(backend.handle_request(now, arrival(id, now, 0)));
-                black_box(backend.handle_run_ended(now, id, RunOutcome::Completed));
-                black_box(backend.handle_timeout(now, Timer::Deadline, Gauges::default()));
+                (now_ms, id) = (now_ms + 0.1, id.wrapping_add(1).max(in_flight + 1));
+                black_box(backend.handle_request(now_ms, request(id, now_ms, 0)));
+                black_box(backend.handle_run_ended(now_ms, id, RunOutcome::Completed));
+                black_box(backend.handle_timeout(now_ms, Timer::Deadline, Gauges::default()));
             });
         });
     }
 }
 
-/// Each arrival is another tenant's, and the times pass between them at which a backend has 228 a second.
+/// Each request is another tenant's, at 228 requests a second.
 fn tenants(criterion: &mut Criterion) {
     for tenants in [100usize, 1000, 3400, 10_000, 34_000] {
         let tenant_quotas_per_s = vec![f64::MAX; tenants];
         let (mut backend, _) = Backend::start(0.0, BackendConfig { tenant_quotas_per_s, ..config() });
-        let (mut now, mut id, mut tenant) = (10.0, 0u32, 0);
-        criterion.bench_function(&format!("arrival, end and wake, {tenants} tenants"), |bench| {
+        let (mut now_ms, mut id, mut tenant) = (10.0, 0u32, 0);
+        criterion.bench_function(&format!("request, end and timeout, {tenants} tenants"), |bench| {
             bench.iter(|| {
-                (now, id) = (now + 1000.0 / 228.0, id.wrapping_add(1).max(1));
+                (now_ms, id) = (now_ms + 1000.0 / 228.0, id.wrapping_add(1).max(1));
                 tenant = (tenant + 7919) % tenants;
-                black_box(backend.handle_request(now, arrival(id, now, tenant)));
-                black_box(backend.handle_run_ended(now, id, RunOutcome::Completed));
-                black_box(backend.handle_timeout(now, Timer::Deadline, Gauges::default()));
+                black_box(backend.handle_request(now_ms, request(id, now_ms, tenant)));
+                black_box(backend.handle_run_ended(now_ms, id, RunOutcome::Completed));
+                black_box(backend.handle_timeout(now_ms, Timer::Deadline, Gauges::default()));
             });
         });
     }
--- /dev/null
+++ b/src/admission/priority.rs
@@ -0,0 +1,61 @@
+//! The order of request classes by their value.
+//!
+//! *Decides*: the rank of a class, and the span that the classes of a rank take of all classes.
+//! *Inputs*: the value of each class (no unit; only its order counts).
+//! *Rule*: classes of equal value share a rank; the lowest value has rank 0.
+//! *Why*: the source asks for coarse buckets. With a rank for each class, the one listed first among equals
+//! would be starved for its place in the list.
+//! *Source*: CRE life lessons, "Using load shedding to survive a success disaster".
+//! *Without it*: shedding and scheduling would disagree on which request goes first.
+
+use crate::api::ClassConfig;
+
+/// Where a class stands among all classes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Priority {
+    /// Place of its value among the values that differ, the lowest first.
+    pub(super) rank: usize,
+    /// Parts of all classes below its rank, and up to and with it.
+    pub(super) quantile_from: f64,
+    pub(super) quantile_to: f64,
+}
+
+/// The priorities of all classes, in the order of the settings.
+pub(super) struct Priorities {
+    classes: Vec<Priority>,
+    ranks: usize,
+}
+
+impl Priorities {
+    pub(super) fn new(classes: &[ClassConfig]) -> Self {
+        let mut values: Vec<f64> = classes.iter().map(|class| class.value).collect();
+        values.sort_by(f64::total_cmp);
+        values.dedup();
+        let all = classes.len() as f64;
+        let fraction = |matches: &dyn Fn(f64) -> bool| {
+            classes.iter().filter(|class| matches(class.value)).count() as f64 / all
+        };
+        let priority = |class: &ClassConfig| Priority {
+            rank: values.iter().position(|value| *value == class.value).unwrap_or(0),
+            quantile_from: fraction(&|other| other < class.value),
+            quantile_to: fraction(&|other| other <= class.value),
+        };
+        Priorities { classes: classes.iter().map(priority).collect(), ranks: values.len() }
+    }
+
+    /// How many ranks there are.
+    pub(super) fn ranks(&self) -> usize {
+        self.ranks
+    }
+
+    pub(super) fn rank(&self, class: usize) -> usize {
+        self.classes[class].rank
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Priority> {
+        self.classes.iter()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/admission/tenant_quota.rs
@@ -0,0 +1,67 @@
+//! Tenant quotas.
+//!
+//! *Decides*: whether a tenant's arrival counts as over quota, so that it is shed before others.
+//! *Inputs*: quota of each tenant over the whole fleet (requests a second), size of the fleet, admitted
+//! requests by tenant.
+//! *Rule*: over quota is whose admitted rate on this server is above the quota divided by the fleet's size.
+//! *Why*: a server sees its own arrivals only; balancers spread a tenant about evenly. Only admitted requests
+//! count, so that a tenant that is shed comes back under its quota.
+//! *Source*: CRE life lessons, "Using load shedding to survive a success disaster": those over quota first.
+//! *Without it*: one tenant's flood takes the capacity of the others of the same value.
+
+use thiserror::Error;
+
+use crate::admission::statistics::DecayedCount;
+use crate::api::BackendConfig;
+
+/// Why new quotas were not taken over.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+pub(super) enum TenantQuotaError {
+    #[error("no quota changes: {quota_per_s} a second for tenant {tenant} of {tenants} can't be")]
+    Invalid { quota_per_s: f64, tenant: usize, tenants: usize },
+}
+
+/// Quotas, and what was admitted of late.
+pub(super) struct TenantQuotas {
+    quotas_per_s: Vec<f64>,
+    admitted: Vec<DecayedCount>,
+    fleet_size: f64,
+}
+
+impl TenantQuotas {
+    pub(super) fn new(now_ms: f64, config: &BackendConfig) -> Self {
+        TenantQuotas {
+            quotas_per_s: config.tenant_quotas_per_s.clone(),
+            admitted: vec![DecayedCount::new(now_ms); config.tenant_quotas_per_s.len()],
+            fleet_size: config.fleet_size,
+        }
+    }
+
+    pub(super) fn is_over_quota(&self, tenant: usize, now_ms: f64) -> bool {
+        let quota_per_s = self.quotas_per_s.get(tenant).map(|quota| quota / self.fleet_size);
+        let admitted = self.admitted.get(tenant).zip(quota_per_s);
+        admitted.is_some_and(|(admitted, quota_per_s)| admitted.rate_per_s(now_ms) > quota_per_s)
+    }
+
+    pub(super) fn record_admission(&mut self, tenant: usize, now_ms: f64) {
+        if let Some(admitted) = self.admitted.get_mut(tenant) {
+            admitted.increment(now_ms);
+        }
+    }
+
+    /// New quotas by tenant; the counts stand. With one that can't be, none changes.
+    pub(super) fn update(&mut self, changed: &[(usize, f64)]) -> Result<(), TenantQuotaError> {
+        let tenants = self.quotas_per_s.len();
+        let is_valid = |&&(tenant, quota_per_s): &&(usize, f64)| {
+            tenant < tenants && quota_per_s.is_finite() && quota_per_s >= 0.0
+        };
+        if let Some(&(tenant, quota_per_s)) = changed.iter().find(|change| !is_valid(change)) {
+            return Err(TenantQuotaError::Invalid { quota_per_s, tenant, tenants });
+        }
+        changed.iter().for_each(|&(tenant, quota_per_s)| self.quotas_per_s[tenant] = quota_per_s);
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,12 @@
 //! Admission control, load shedding and scheduling for one server behind load balancers that it does not control.
 //!
-//! [`admission`] decides; [`api`] has the types that its driver uses. Neither does any I/O.
+//! - [`admission`] decides, as a state machine without I/O or clock; one rule a module.
+//! - [`api`] has the types that its driver passes in and receives.
+
+#![warn(missing_docs)]
+#![warn(unreachable_pub)]
 
 pub mod admission;
 pub mod api;
+
+pub use admission::Backend;
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,27 +1,32 @@
-//! A cold backend under any number of callers, and any number of backends on what they share: what they take and tell holds
-//! as a sum, on the decisions alone. The bound is that of the settings; over a budget of N only 2 √N + 2 are chance.
+//! A cold backend under any number of clients, and any number of backends on the dependency that they share:
+//! what they take and announce holds as a sum, on the decisions alone. The bound is that of the settings;
+//! over a budget of N only 2 √N + 2 are chance.
 
 use std::collections::BTreeMap;
 
-use plovershelf::admission::Backend;
-use plovershelf::api::*;
+use plovershelf::api::{
+    BackendConfig, BackpressureSignal, CallOutcome, Cancellation, ClassConfig, Effects, Gauges, Idempotency,
+    Request, RequestState, RunOutcome, Timer, Transition,
+};
+use plovershelf::Backend;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
 const CORES: f64 = 6.0;
-const COLD: f64 = 0.2;
-const WARM_MS: f64 = 12_000.0;
-const TIP: f64 = 8.0;
-const FALL_MS: usize = 2000;
+const COLD_SPEED_FRACTION: f64 = 0.2;
+const WARM_UP_MS: f64 = 12_000.0;
+const OVERLOAD_MULTIPLE: f64 = 8.0;
+/// Time over which executions on the cores are averaged, in milliseconds.
+const OVERLOAD_WINDOW_MS: usize = 2000;
 const LINGER_MS: f64 = 200.0;
 
 fn config(
     seed: u64,
     client_count: usize,
-    advice: BackpressureSignal,
+    backpressure: BackpressureSignal,
     dependency_share: Option<f64>,
 ) -> BackendConfig {
-    let terms = ClassConfig {
+    let class = ClassConfig {
         latency_objective_ms: 1800.0,
         objective_per_work: 0.0,
         timeout_ms: 4500.0,
@@ -33,7 +38,7 @@
     };
     BackendConfig {
         seed,
-        classes: vec![terms.clone(), ClassConfig { value: 5.0, ..terms }],
+        classes: vec![class.clone(), ClassConfig { value: 5.0, ..class }],
         tenant_quotas_per_s: vec![],
         cores: CORES,
         memory_kb: 1e6,
@@ -42,15 +47,15 @@
         dependency_share,
         abandoned_call_linger_ms: LINGER_MS,
         cancellation: Cancellation::Abort,
-        backpressure: advice,
+        backpressure,
         discovery_follows_health: false,
         fleet_size: 1.0,
         client_count: client_count as f64,
         retries_marked: false,
         cold_start: true,
-        cold_speed_fraction: COLD,
-        warm_up_ms: WARM_MS,
-        overload_multiple: TIP,
+        cold_speed_fraction: COLD_SPEED_FRACTION,
+        warm_up_ms: WARM_UP_MS,
+        overload_multiple: OVERLOAD_MULTIPLE,
         drain_grace_ms: 500.0,
         max_idle_ms: 30_000.0,
         max_retry_after_ms: 1000.0,
@@ -58,13 +63,13 @@
     }
 }
 
-fn arrival(id: u32, now: f64, class: usize) -> Request {
+fn request(id: u32, now_ms: f64, class: usize) -> Request {
     Request {
         id,
         class,
         tenant: 0,
         key: 0,
-        deadline_ms: Some(now + 4500.0),
+        deadline_ms: Some(now_ms + 4500.0),
         work_hint_ms: None,
         memory_kb: 10.0,
         marked_retry: false,
@@ -78,235 +83,264 @@
     2.0 * budget.sqrt() + 2.0
 }
 
-/// A backend in a world of its own: cores that warm up and share themselves out, and calls that end by chance.
-struct World {
+/// An execution: the core time that it still needs, and at how much left it wants its next call.
+struct Execution {
+    remaining_ms: f64,
+    next_call_at_ms: f64,
+}
+
+/// No call is wanted any more, and one is in flight.
+const NO_CALL: f64 = -1.0;
+const AT_CALL: f64 = f64::MAX;
+
+/// A backend with a simulated host: cores that warm up and are shared evenly, and calls that end by chance.
+struct SimulatedHost {
     backend: Backend,
-    chance: Pcg32,
-    /// Core time that each run still needs, and at how much left it wants its next call.
-    runs: BTreeMap<u32, (f64, f64)>,
+    random: Pcg32,
+    executions: BTreeMap<u32, Execution>,
     /// When each call ends, and how.
     calls: BTreeMap<u32, (f64, CallOutcome)>,
-    /// Calls that this side has let go of and the dependency still holds, until when.
-    lingering: Vec<f64>,
-    stopped: Vec<u32>,
-    /// Every try that has had no final answer.
-    out: usize,
-    timers: Vec<f64>,
-    advice: Option<f64>,
-    last: u32,
+    /// When the dependency lets go of calls that this side has abandoned.
+    lingering_until_ms: Vec<f64>,
+    cancelled: Vec<u32>,
+    /// Requests that have had no final answer.
+    unanswered: usize,
+    periodic_timers_ms: Vec<f64>,
+    level: Option<f64>,
+    last_id: u32,
     work_ms: f64,
-    calls_each: bool,
-    lost: f64,
+    makes_calls: bool,
+    lost_call_fraction: f64,
 }
 
-impl World {
-    fn new(config: BackendConfig, work_ms: f64, lost: f64) -> Self {
-        let (chance, calls_each) = (Pcg32::seed_from_u64(config.seed), config.dependency_share.is_some());
-        let (backend, outcome) = Backend::start(0.0, config);
-        let (runs, calls) = (BTreeMap::new(), BTreeMap::new());
-        let (lingering, stopped, timers) = (Vec::new(), Vec::new(), Vec::new());
-        let (out, advice, last) = (0, None, 0);
-        let mut world = World {
+impl SimulatedHost {
+    fn new(config: BackendConfig, work_ms: f64, lost_call_fraction: f64) -> Self {
+        let (random, makes_calls) = (Pcg32::seed_from_u64(config.seed), config.dependency_share.is_some());
+        let (backend, effects) = Backend::start(0.0, config);
+        let mut host = SimulatedHost {
             backend,
-            chance,
-            runs,
-            calls,
-            lingering,
-            stopped,
-            out,
-            timers,
-            advice,
-            last,
+            random,
+            executions: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            lingering_until_ms: Vec::new(),
+            cancelled: Vec::new(),
+            unanswered: 0,
+            periodic_timers_ms: Vec::new(),
+            level: None,
+            last_id: 0,
             work_ms,
-            calls_each,
-            lost,
+            makes_calls,
+            lost_call_fraction,
         };
-        world.follow(0.0, outcome);
-        world
+        host.apply(0.0, effects);
+        host
     }
 
-    fn follow(&mut self, now: f64, outcome: Effects) {
-        for Transition { id, from, to, .. } in outcome.transitions {
-            match (from, to) {
-                (None, RequestState::Queued) => self.out += 1,
-                (Some(RequestState::Queued), RequestState::Running) => {
-                    let work = self.work_ms * self.chance.random_range(0.2..1.8);
-                    let wants =
-                        if self.calls_each { work * self.chance.random_range(0.0..1.0) } else { -1.0 };
-                    self.runs.insert(id, (work, wants));
-                }
-                (_, RequestState::Calling { .. }) => {
-                    let took = self.chance.random_range(20.0..300.0);
-                    let lost = self.chance.random::<f64>() < self.lost;
-                    self.calls.insert(
-                        id,
-                        (now + took, if lost { CallOutcome::ConnectionLost } else { CallOutcome::Completed }),
-                    );
+    fn apply(&mut self, now_ms: f64, effects: Effects) {
+        for transition in effects.transitions {
+            self.apply_transition(now_ms, transition);
+        }
+        self.level = effects.announcements.backpressure.or(self.level);
+        let timers = effects.announcements.timers.iter().filter(|(_, timer)| *timer == Timer::Periodic);
+        self.periodic_timers_ms.extend(timers.map(|(wait_ms, _)| now_ms + wait_ms));
+    }
+
+    fn apply_transition(&mut self, now_ms: f64, Transition { id, from, to, .. }: Transition) {
+        match (from, to) {
+            (None, RequestState::Queued) => self.unanswered += 1,
+            (Some(RequestState::Queued), RequestState::Running) => {
+                let remaining_ms = self.work_ms * self.random.random_range(0.2..1.8);
+                let next_call_at_ms = if self.makes_calls {
+                    remaining_ms * self.random.random_range(0.0..1.0)
+                } else {
+                    NO_CALL
+                };
+                self.executions.insert(id, Execution { remaining_ms, next_call_at_ms });
+            }
+            (_, RequestState::Calling { .. }) => {
+                let took_ms = self.random.random_range(20.0..300.0);
+                let is_lost = self.random.random::<f64>() < self.lost_call_fraction;
+                let outcome = if is_lost { CallOutcome::ConnectionLost } else { CallOutcome::Completed };
+                self.calls.insert(id, (now_ms + took_ms, outcome));
+            }
+            (Some(before), RequestState::Completed(_) | RequestState::Answered { .. }) => {
+                self.unanswered -= usize::from(!matches!(before, RequestState::Answered { .. }));
+                if self.calls.remove(&id).is_some() {
+                    self.lingering_until_ms.push(now_ms + LINGER_MS);
                 }
-                (Some(before), RequestState::Completed(_) | RequestState::Answered { .. }) => {
-                    self.out -= usize::from(!matches!(before, RequestState::Answered { .. }));
-                    if self.calls.remove(&id).is_some() {
-                        self.lingering.push(now + LINGER_MS);
-                    }
-                    if matches!(to, RequestState::Completed(_)) {
-                        self.runs.remove(&id);
-                    } else {
-                        self.stopped.push(id);
-                    }
+                if matches!(to, RequestState::Completed(_)) {
+                    self.executions.remove(&id);
+                } else {
+                    self.cancelled.push(id);
                 }
-                _ => {}
             }
+            _ => {}
         }
-        self.advice = outcome.announcements.backpressure.or(self.advice);
-        let periodic = outcome.announcements.timers.iter().filter(|(_, wake)| *wake == Timer::Periodic);
-        self.timers.extend(periodic.map(|(after, _)| now + after));
     }
 
-    fn arrives(&mut self, now: f64, class: usize) {
-        self.last += 1;
-        let outcome = self.backend.handle_request(now, arrival(self.last, now, class));
-        self.follow(now, outcome);
+    fn send(&mut self, now_ms: f64, class: usize) {
+        self.last_id += 1;
+        let effects = self.backend.handle_request(now_ms, request(self.last_id, now_ms, class));
+        self.apply(now_ms, effects);
     }
 
-    /// One millisecond. Hands back how many runs were on the cores and how many calls the dependency held.
-    fn pass(&mut self, now: f64) -> (usize, usize) {
-        let busy: Vec<u32> =
-            self.runs.iter().filter(|(_, (_, wants))| *wants < f64::MAX).map(|(id, _)| *id).collect();
-        let speed = COLD + (1.0 - COLD) * (now / WARM_MS).min(1.0);
-        let each = speed * (CORES / busy.len().max(1) as f64).min(1.0);
-        for id in &busy {
-            let Some((left, wants)) = self.runs.get_mut(id) else { continue };
-            *left -= each;
-            if *left <= *wants {
-                // At a call: it takes no core until that has ended.
-                *wants = f64::MAX;
-                let outcome = self.backend.handle_call_requested(now, *id);
-                self.follow(now, outcome);
-            } else if *left <= 0.0 {
-                let outcome = self.backend.handle_run_ended(now, *id, RunOutcome::Completed);
-                self.follow(now, outcome);
-            }
+    /// One millisecond. Returns how many executions were on the cores and how many calls the dependency held.
+    fn advance(&mut self, now_ms: f64) -> (usize, usize) {
+        let running = self.run_cores(now_ms);
+        for id in std::mem::take(&mut self.cancelled) {
+            let effects = self.backend.handle_run_ended(now_ms, id, RunOutcome::Cancelled);
+            self.apply(now_ms, effects);
         }
-        for id in std::mem::take(&mut self.stopped) {
-            let outcome = self.backend.handle_run_ended(now, id, RunOutcome::Cancelled);
-            self.follow(now, outcome);
+        self.end_calls(now_ms);
+        self.lingering_until_ms.retain(|until_ms| *until_ms > now_ms);
+        self.fire_timers(now_ms, running);
+        (running, self.calls.len() + self.lingering_until_ms.len())
+    }
+
+    fn run_cores(&mut self, now_ms: f64) -> usize {
+        let on_cores = self.executions.iter().filter(|(_, execution)| execution.next_call_at_ms < AT_CALL);
+        let on_cores: Vec<u32> = on_cores.map(|(id, _)| *id).collect();
+        let speed = COLD_SPEED_FRACTION + (1.0 - COLD_SPEED_FRACTION) * (now_ms / WARM_UP_MS).min(1.0);
+        let each_ms = speed * (CORES / on_cores.len().max(1) as f64).min(1.0);
+        for id in &on_cores {
+            let Some(execution) = self.executions.get_mut(id) else { continue };
+            execution.remaining_ms -= each_ms;
+            if execution.remaining_ms <= execution.next_call_at_ms {
+                // It takes no core until its call has ended.
+                execution.next_call_at_ms = AT_CALL;
+                let effects = self.backend.handle_call_requested(now_ms, *id);
+                self.apply(now_ms, effects);
+            } else if execution.remaining_ms <= 0.0 {
+                let effects = self.backend.handle_run_ended(now_ms, *id, RunOutcome::Completed);
+                self.apply(now_ms, effects);
+            }
         }
-        let over: Vec<(u32, CallOutcome)> =
-            self.calls.iter().filter(|(_, (at, _))| *at <= now).map(|(id, (_, end))| (*id, *end)).collect();
-        for (id, end) in over {
+        on_cores.len()
+    }
+
+    fn end_calls(&mut self, now_ms: f64) {
+        let ended = self.calls.iter().filter(|(_, (end_ms, _))| *end_ms <= now_ms);
+        let ended: Vec<(u32, CallOutcome)> = ended.map(|(id, (_, outcome))| (*id, *outcome)).collect();
+        for (id, outcome) in ended {
             self.calls.remove(&id);
-            if end == CallOutcome::Completed {
-                self.runs.entry(id).and_modify(|run| run.1 = -1.0);
+            if outcome == CallOutcome::Completed {
+                self.executions.entry(id).and_modify(|execution| execution.next_call_at_ms = NO_CALL);
             } else {
-                // The connection was closed on it; the dependency holds it for a while yet.
-                self.lingering.push(now + LINGER_MS);
+                // Its connection was closed; the dependency holds it for a while yet.
+                self.lingering_until_ms.push(now_ms + LINGER_MS);
             }
-            let outcome = self.backend.handle_call_ended(now, id, end);
-            self.follow(now, outcome);
+            let effects = self.backend.handle_call_ended(now_ms, id, outcome);
+            self.apply(now_ms, effects);
         }
-        self.lingering.retain(|until| *until > now);
-        while let Some(place) = self.timers.iter().position(|at| *at <= now) {
-            self.timers.swap_remove(place);
+    }
+
+    fn fire_timers(&mut self, now_ms: f64, running: usize) {
+        while let Some(place) = self.periodic_timers_ms.iter().position(|at_ms| *at_ms <= now_ms) {
+            self.periodic_timers_ms.swap_remove(place);
             let gauges = Gauges {
-                cores_busy: Some((busy.len() as f64 / CORES).min(1.0)),
-                runnable: Some(busy.len() as f64),
+                cores_busy: Some((running as f64 / CORES).min(1.0)),
+                runnable: Some(running as f64),
             };
-            let outcome = self.backend.handle_timeout(now, Timer::Periodic, gauges);
-            self.follow(now, outcome);
+            let effects = self.backend.handle_timeout(now_ms, Timer::Periodic, gauges);
+            self.apply(now_ms, effects);
         }
-        (busy.len(), self.calls.len() + self.lingering.len())
     }
 }
 
 /// What the settings let a backend of this age survive on its cores.
-fn budget(now: f64) -> f64 {
-    CORES * (1.0 + (TIP - 1.0) * (COLD + (1.0 - COLD) * (now / WARM_MS).min(1.0)))
+fn budget(now_ms: f64) -> f64 {
+    let speed = COLD_SPEED_FRACTION + (1.0 - COLD_SPEED_FRACTION) * (now_ms / WARM_UP_MS).min(1.0);
+    CORES * (1.0 + (OVERLOAD_MULTIPLE - 1.0) * speed)
 }
 
-/// Callers that heed nothing and know of nothing, each with more than its part of what the cores can do: what is on the
-/// cores, and all tries that are out here, stay inside the budget, however many callers send them.
+/// Clients that heed nothing and know of nothing each send more than their part of what the cores can do.
+/// What is on the cores, and all requests in flight, stay inside the budget, however many clients send them.
 #[test]
-fn a_cold_backend_takes_no_more_than_its_budget_from_any_number_of_callers() {
-    for client_count in 1..=30 {
-        for (advice, work_ms) in
+fn a_cold_backend_takes_no_more_than_its_budget_from_any_number_of_clients() {
+    for clients in 1..=30 {
+        for (backpressure, work_ms) in
             [(BackpressureSignal::MinimumPriority, 300.0), (BackpressureSignal::ConcurrencyPerClient, 40.0)]
         {
-            let mut world = World::new(config(client_count as u64, client_count, advice, None), work_ms, 0.0);
+            let config = config(clients as u64, clients, backpressure, None);
+            let mut host = SimulatedHost::new(config, work_ms, 0.0);
             let mut on_cores = Vec::new();
             for ms in 0..6000 {
-                let now = f64::from(ms);
-                let rate = 0.3 * CORES * client_count as f64 / work_ms;
-                let due = rate.floor() as usize + usize::from(world.chance.random::<f64>() < rate.fract());
-                for _ in 0..due {
-                    let class = world.chance.random_range(0..2);
-                    world.arrives(now, class);
+                let now_ms = f64::from(ms);
+                let rate = 0.3 * CORES * clients as f64 / work_ms;
+                let count = rate.floor() as usize + usize::from(host.random.random::<f64>() < rate.fract());
+                for _ in 0..count {
+                    let class = host.random.random_range(0..2);
+                    host.send(now_ms, class);
                 }
-                let (busy, _) = world.pass(now);
-                on_cores.push(busy as f64);
-                let most = budget(now);
+                let (running, _) = host.advance(now_ms);
+                on_cores.push(running as f64);
+                let max = budget(now_ms);
                 assert!(
-                    world.out as f64 <= most + chance_over(most),
-                    "{client_count} callers, {} out at {now}",
-                    world.out
+                    host.unanswered as f64 <= max + chance_over(max),
+                    "{clients} clients, {} in flight at {now_ms}",
+                    host.unanswered
                 );
             }
-            for (from, window) in on_cores.windows(FALL_MS).enumerate() {
-                let mean = window.iter().sum::<f64>() / FALL_MS as f64;
-                assert!(mean <= budget(from as f64), "{client_count} callers: {mean} from {from} ms on");
+            for (from_ms, window) in on_cores.windows(OVERLOAD_WINDOW_MS).enumerate() {
+                let mean = window.iter().sum::<f64>() / OVERLOAD_WINDOW_MS as f64;
+                assert!(mean <= budget(from_ms as f64), "{clients} clients: {mean} from {from_ms} ms on");
             }
         }
     }
 }
 
-/// What is told is shared among the callers: were each to have out here what it was told, all of them together would hold
-/// no more than the budget; and no more of the usual is asked for than there is of the usual speed.
+/// The level is shared among the clients: were each to have as many requests here as it was told, all of them
+/// together would hold no more than the budget; and no more of the usual rate is asked for than there is of
+/// the usual speed.
 #[test]
-fn what_a_cold_backend_advises_adds_up_to_its_budget() {
-    for client_count in 1..=30 {
-        let told = |advice| {
-            let mut world = World::new(config(1, client_count, advice, None), 300.0, 0.0);
-            let mut said = Vec::new();
+fn what_a_cold_backend_announces_adds_up_to_its_budget() {
+    for clients in 1..=30 {
+        let announced = |backpressure| {
+            let mut host = SimulatedHost::new(config(1, clients, backpressure, None), 300.0, 0.0);
+            let mut levels = Vec::new();
             for ms in 0..3000 {
-                world.pass(f64::from(ms));
-                said.extend(world.advice.map(|value| (f64::from(ms), value)));
+                host.advance(f64::from(ms));
+                levels.extend(host.level.map(|level| (f64::from(ms), level)));
             }
-            assert!(!said.is_empty());
-            said
+            assert!(!levels.is_empty());
+            levels
         };
-        for (now, value) in told(BackpressureSignal::ConcurrencyPerClient) {
+        for (now_ms, level) in announced(BackpressureSignal::ConcurrencyPerClient) {
             assert!(
-                value * client_count as f64 <= budget(now),
-                "{client_count} callers are told {value} each at {now}"
+                level * clients as f64 <= budget(now_ms),
+                "{clients} clients are told {level} each at {now_ms}"
             );
         }
-        for (now, value) in told(BackpressureSignal::RateFraction) {
-            let speed = COLD + (1.0 - COLD) * now / WARM_MS;
-            assert!(value <= speed, "{value} of the usual at {now}");
+        for (now_ms, level) in announced(BackpressureSignal::RateFraction) {
+            let speed = COLD_SPEED_FRACTION + (1.0 - COLD_SPEED_FRACTION) * now_ms / WARM_UP_MS;
+            assert!(level <= speed, "{level} of the usual rate at {now_ms}");
         }
     }
 }
 
-/// The settings tell each backend its share of what the dependency survives. Whatever becomes of the calls, also of those
-/// whose connection went bad, all backends together keep the sum of their shares while they are cold.
+/// The settings tell each backend its share of what the dependency survives. Whatever becomes of the calls,
+/// also of those whose connection was lost, all backends together keep the sum of their shares while they are
+/// cold.
 #[test]
-fn cold_backends_together_keep_their_shares_of_what_they_call() {
+fn cold_backends_together_keep_their_shares_of_the_dependency() {
     for backends in 1..=30usize {
         let share = [0.4, 1.3, 3.0][backends % 3];
-        let mut worlds: Vec<World> = (0..backends)
+        let mut hosts: Vec<SimulatedHost> = (0..backends)
             .map(|n| {
-                let config = config((100 * backends + n) as u64, 4, BackpressureSignal::None, Some(share));
-                World::new(config, 40.0, 0.3)
+                let seed = (100 * backends + n) as u64;
+                let config = config(seed, 4, BackpressureSignal::None, Some(share));
+                SimulatedHost::new(config, 40.0, 0.3)
             })
             .collect();
         let mut held = 0.0;
-        let span = 5000;
-        for ms in 0..span {
-            let now = f64::from(ms);
-            for world in &mut worlds {
-                if world.chance.random::<f64>() < 0.1 {
-                    world.arrives(now, 0);
+        let duration_ms = 5000;
+        for ms in 0..duration_ms {
+            let now_ms = f64::from(ms);
+            for host in &mut hosts {
+                if host.random.random::<f64>() < 0.1 {
+                    host.send(now_ms, 0);
                 }
-                held += world.pass(now).1 as f64 / f64::from(span);
+                held += host.advance(now_ms).1 as f64 / f64::from(duration_ms);
             }
         }
         let budget = share * backends as f64;
@@ -314,11 +348,11 @@
     }
 }
 
-/// Nothing that settings may say makes a decision impossible: no panic, no figure that is none.
+/// Nothing that settings may say makes a decision impossible: no panic, no level that is not a number.
 #[test]
-fn settings_at_their_ends_are_borne() {
-    type Transition = fn(&mut BackendConfig, f64);
-    let transitions: [Transition; 13] = [
+fn settings_at_their_extremes_are_borne() {
+    type Change = fn(&mut BackendConfig, f64);
+    let changes: [Change; 13] = [
         |config, value| config.cores = value.max(0.001),
         |config, value| config.memory_kb = value.max(0.001),
         |config, value| config.running_memory_factor = value,
@@ -332,27 +366,30 @@
         |config, value| config.max_idle_ms = value,
         |config, value| config.max_retry_after_ms = value,
         |config, value| {
-            config.classes.iter_mut().for_each(|terms| {
-                (terms.latency_objective_ms, terms.timeout_ms, terms.deduplication_window_ms, terms.value) =
-                    (value, value, value, value);
-            })
+            for class in &mut config.classes {
+                class.latency_objective_ms = value;
+                class.timeout_ms = value;
+                class.deduplication_window_ms = value;
+                class.value = value;
+            }
         },
     ];
-    for change in transitions {
+    let signals = [
+        BackpressureSignal::MinimumPriority,
+        BackpressureSignal::ConcurrencyPerClient,
+        BackpressureSignal::RateFraction,
+    ];
+    for change in changes {
         for value in [0.0, 1e-9, 0.5, 1.0, 1e9, 1e15] {
-            for advice in [
-                BackpressureSignal::MinimumPriority,
-                BackpressureSignal::ConcurrencyPerClient,
-                BackpressureSignal::RateFraction,
-            ] {
-                let mut config = config(3, 5, advice, Some(2.0));
+            for backpressure in signals {
+                let mut config = config(3, 5, backpressure, Some(2.0));
                 config.classes[1].idempotency = Idempotency::Keyed;
                 change(&mut config, value);
-                let mut world = World::new(config, 20.0, 0.2);
+                let mut host = SimulatedHost::new(config, 20.0, 0.2);
                 for ms in 0..600 {
-                    world.arrives(f64::from(ms), (ms % 2) as usize);
-                    world.pass(f64::from(ms));
-                    assert!(world.advice.is_none_or(|value| value.is_finite() && value >= 0.0));
+                    host.send(f64::from(ms), (ms % 2) as usize);
+                    host.advance(f64::from(ms));
+                    assert!(host.level.is_none_or(|level| level.is_finite() && level >= 0.0));
                 }
             }
         }
