--- a/crates/plovershelf-server/src/launch.rs
+++ b/crates/plovershelf-server/src/launch.rs
@@ -172,7 +172,8 @@
         peers: Peers::read(top)?,
         stop_ms: measure(top, "stop_ms")?,
         limits: Limits::of(measure(limits, "memory_mb")?, measure(limits, "sockets")? as usize),
-        startup: plovershelf_settings::read_value(&top["settings"], seed)?,
+        startup: plovershelf_settings::read_value(&top["settings"], seed)
+            .map_err(|error| error.to_string())?,
         pools: None,
         group: None,
         changes: None,
--- a/crates/plovershelf-settings/benches/lookup.rs
+++ b/crates/plovershelf-settings/benches/lookup.rs
@@ -1,5 +1,5 @@
-//! What it costs to find a tenant's place by its name, with so many tenants: by a walk, and as it is done. Run with
-//! `cargo bench -p plovershelf-settings --bench lookup`.
+//! What it costs to find a tenant's place by its name, by number of tenants: by a walk, and as it is done. Run
+//! with `cargo bench -p plovershelf-settings --bench lookup`.
 
 use std::hint::black_box;
 
--- a/crates/plovershelf-settings/src/names.rs
+++ b/crates/plovershelf-settings/src/names.rs
@@ -1,23 +1,27 @@
+//! Names in an order, each found without a walk over them.
+
 use std::hash::{BuildHasher, RandomState};
 use std::ops::Deref;
 
 use hashbrown::HashTable;
 
-/// Names in their order, each found without a walk over them. Guards against work at each request that grows
-/// with a list of the operator; its keys are random, so that nobody can choose names that collide.
+/// Names in their order, each found without a walk over them.
+///
+/// A walk at each request would cost more with every name in an operator's list. The keys of the hash are
+/// random, so that nobody can choose names that collide.
 #[derive(Clone, Default)]
 pub struct Names {
     names: Vec<String>,
-    /// Places in `names`, one for each that differs.
+    /// Places in `names`, one for each name that differs.
     places: HashTable<u32>,
-    keys: RandomState,
+    hasher: RandomState,
 }
 
 impl Names {
     /// The first place of a name.
     pub fn place(&self, name: &str) -> Option<usize> {
-        let is_it = |place: &u32| self.names[*place as usize] == name;
-        self.places.find(self.keys.hash_one(name), is_it).map(|place| *place as usize)
+        let is_same = |place: &u32| self.names[*place as usize] == name;
+        self.places.find(self.hasher.hash_one(name), is_same).map(|place| *place as usize)
     }
 }
 
@@ -27,9 +31,9 @@
         all.names.shrink_to_fit();
         all.places.reserve(all.names.len(), |_| 0);
         for (place, name) in all.names.iter().enumerate() {
-            let hash_of = |place: &u32| all.keys.hash_one(&all.names[*place as usize]);
-            let is_it = |place: &u32| all.names[*place as usize] == *name;
-            all.places.entry(all.keys.hash_one(name), is_it, hash_of).or_insert(place as u32);
+            let hash_of = |place: &u32| all.hasher.hash_one(&all.names[*place as usize]);
+            let is_same = |place: &u32| all.names[*place as usize] == *name;
+            all.places.entry(all.hasher.hash_one(name), is_same, hash_of).or_insert(place as u32);
         }
         all
     }
--- a/crates/plovershelf-settings/tests/names.rs
+++ b/crates/plovershelf-settings/tests/names.rs
@@ -64,9 +64,10 @@
 #[test]
 fn settings_give_names_their_quotas_places() {
     let text = r#"{"classes": [{"name": "x"}], "family_info": {"cores": 1, "memory_kb": 1},
-        "tenants": [{"name": "a", "quota_per_s": 1}, {"name": "b", "quota_per_s": 2}, {"name": "a", "quota_per_s": 3}]}"#;
-    let start = plovershelf_settings::read(text, 7).expect("settings");
-    let quota = |name| start.tenants.place(name).map(|place| start.config.tenant_quotas_per_s[place]);
+        "tenants": [{"name": "a", "quota_per_s": 1}, {"name": "b", "quota_per_s": 2},
+            {"name": "a", "quota_per_s": 3}]}"#;
+    let startup = plovershelf_settings::read(text, 7).expect("settings");
+    let quota = |name| startup.tenants.place(name).map(|place| startup.config.tenant_quotas_per_s[place]);
     assert_eq!(["a", "b", "c"].map(quota), [Some(1.0), Some(2.0), None]);
-    assert_eq!((start.classes.place("x"), start.classes.place("a")), (Some(0), None));
+    assert_eq!((startup.classes.place("x"), startup.classes.place("a")), (Some(0), None));
 }
--- /dev/null
+++ b/crates/plovershelf-settings/tests/settings.rs
@@ -0,0 +1,75 @@
+//! Settings as the host hands them over: the words, the defaults, and what is said of settings that can't be
+//! used.
+
+use plovershelf::api::{BackpressureSignal, Cancellation, Idempotency};
+use plovershelf_settings::{read, shares_a_dependency};
+
+fn error_text(settings: &str) -> String {
+    read(settings, 7).err().expect("settings that can't be used").to_string()
+}
+
+fn with(own: &str) -> String {
+    format!(r#"{{"classes": [{{"name": "x"}}], "family_info": {{"cores": 1, "memory_kb": 1, {own}}}}}"#)
+}
+
+#[test]
+fn settings_that_can_not_be_used_are_named() {
+    assert!(error_text("{").starts_with("settings don't parse: EOF while parsing"));
+    assert_eq!(error_text("[]"), "\"settings\" are not an object");
+    assert_eq!(error_text("{}"), "\"settings\": \"classes\" names none");
+    let cores = "\"settings\": \"family_info\": \"cores\" is missing or not above 0";
+    assert_eq!(error_text(r#"{"classes": [{}]}"#), cores);
+    let memory = "\"settings\": \"family_info\": \"memory_kb\" is missing or not above 0";
+    assert_eq!(error_text(r#"{"classes": [{}], "family_info": {"cores": 2, "memory_kb": -1}}"#), memory);
+}
+
+#[test]
+fn each_word_has_its_meaning_and_an_unknown_one_counts_as_missing() {
+    let cancellation = |word: &str| {
+        let startup = read(&with(&format!(r#""halt": "{word}""#)), 7).expect("settings");
+        startup.config.cancellation
+    };
+    assert_eq!(
+        ["abort", "suspend", "silent", "new"].map(cancellation),
+        [Cancellation::Abort, Cancellation::Pause, Cancellation::Unsupported, Cancellation::Unsupported]
+    );
+    let backpressure = |word: &str| {
+        let startup = read(&with(&format!(r#""signal": "{word}""#)), 7).expect("settings");
+        startup.config.backpressure
+    };
+    assert_eq!(
+        ["threshold", "window", "share_of", "silent"].map(backpressure),
+        [
+            BackpressureSignal::MinimumPriority,
+            BackpressureSignal::ConcurrencyPerClient,
+            BackpressureSignal::RateFraction,
+            BackpressureSignal::None,
+        ]
+    );
+    let text = r#"{"classes": [{"effect": "by_key"}, {"effect": "once"}, {"effect": "repeatable"}, {}],
+        "family_info": {"cores": 1, "memory_kb": 1}}"#;
+    let classes = read(text, 7).expect("settings").config.classes;
+    assert_eq!(
+        classes.iter().map(|class| class.idempotency).collect::<Vec<_>>(),
+        [Idempotency::Keyed, Idempotency::NonIdempotent, Idempotency::Idempotent, Idempotency::Idempotent]
+    );
+}
+
+#[test]
+fn a_share_of_the_dependency_is_read_only_where_it_is_shared() {
+    let share = |below: &str| {
+        let text = with(&format!(r#""below": "{below}", "dep_share": 2.5"#));
+        let shared = shares_a_dependency(&serde_json::from_str(&text).expect("JSON"));
+        (shared, read(&text, 7).expect("settings").config.dependency_share)
+    };
+    assert_eq!((share("shared"), share("tier")), ((true, Some(2.5)), (false, None)));
+}
+
+#[test]
+fn gauges_are_read_in_the_order_of_the_settings() {
+    let startup = read(&with(r#""meters": ["mem_used", "runnable", "cpu_busy"]"#), 7).expect("settings");
+    let gauges = startup.gauges([0.1, 3.0, 0.7]);
+    assert_eq!((gauges.cores_busy, gauges.runnable), (Some(0.7), Some(3.0)));
+    let cut_short = startup.gauges([0.1]);
+    assert_eq!((cut_short.cores_busy, cut_short.runnable), (None, None));
+}
