--- a/crates/plovershelf-simulator-adapter/src/frame.rs
+++ b/crates/plovershelf-simulator-adapter/src/frame.rs
@@ -1,146 +1,167 @@
-//! Frames of the wire: a length, a header, fixed records and a tail.
+//! Frames of the wire: a length, a header, records of a fixed size and a tail that the records refer to. All
+//! numbers are little-endian.
 
-use std::io::Read;
+use std::io::{Read, Write};
 
-pub const EVENT_BYTES: usize = 64;
-pub const ACTION_BYTES: usize = 24;
-const BATCH_HEADER: usize = 12;
-/// No batch is near this; a length beyond it is damage, not data.
-const LARGEST_FRAME: usize = 1 << 30;
+use crate::error::{FrameError, RecordError};
 
-pub struct Batch {
-    pub now_ms: f64,
+pub(crate) const EVENT_BYTES: usize = 64;
+pub(crate) const ACTION_BYTES: usize = 24;
+/// Clock and number of records.
+const BATCH_HEADER_BYTES: usize = 12;
+/// Number of records.
+const REPLY_HEADER_BYTES: usize = 4;
+/// No batch is near this size; a length beyond it is a malformed frame.
+const MAX_FRAME_BYTES: usize = 1 << 30;
+
+/// The events of one point of time.
+#[derive(Debug)]
+pub(crate) struct Batch {
+    pub(crate) now_ms: f64,
     body: Vec<u8>,
     records: usize,
 }
 
-/// One event record with the tail that its references point into.
+/// One event record, with the tail that it refers to.
 #[derive(Clone, Copy)]
-pub struct Event<'a> {
+pub(crate) struct Record<'a> {
     bytes: &'a [u8],
     tail: &'a [u8],
-    pub place: usize,
+    /// Its place in the frame.
+    pub(crate) place: usize,
+}
+
+/// Reads one batch; none where the input ended between frames.
+pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
+    let Some(length) = read_length(input)? else { return Ok(None) };
+    let mut body = Vec::new();
+    let received = input.by_ref().take(length as u64).read_to_end(&mut body).map_err(FrameError::ReadBody)?;
+    if received < length {
+        return Err(FrameError::BodyCutShort { received, length });
+    }
+    let now_ms = f64::from_le_bytes(field(&body, 0));
+    let records = u32::from_le_bytes(field(&body, 8)) as usize;
+    if records > (length - BATCH_HEADER_BYTES) / EVENT_BYTES {
+        return Err(FrameError::TooManyRecords { length, records });
+    }
+    if !now_ms.is_finite() {
+        return Err(FrameError::ClockNotANumber);
+    }
+    Ok(Some(Batch { now_ms, body, records }))
 }
 
-/// Reads one batch, or `None` when the input ended between frames.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, String> {
+fn read_length(input: &mut impl Read) -> Result<Option<usize>, FrameError> {
     let mut length = Vec::with_capacity(4);
-    input.by_ref().take(4).read_to_end(&mut length).map_err(|e| format!("reading a frame's length: {e}"))?;
+    input.by_ref().take(4).read_to_end(&mut length).map_err(FrameError::ReadLength)?;
     if length.is_empty() {
         return Ok(None);
     }
-    let length: [u8; 4] = length.try_into().map_err(|_| "input ended inside a frame's length".to_string())?;
+    let length: [u8; 4] = length.try_into().map_err(|_| FrameError::LengthCutShort)?;
     let length = u32::from_le_bytes(length) as usize;
-    if !(BATCH_HEADER..=LARGEST_FRAME).contains(&length) {
-        return Err(format!("frame length {length} is out of range"));
+    if !(BATCH_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(FrameError::LengthOutOfRange { length });
     }
-    let mut body = Vec::new();
-    let got = input
-        .by_ref()
-        .take(length as u64)
-        .read_to_end(&mut body)
-        .map_err(|e| format!("reading a frame: {e}"))?;
-    if got < length {
-        return Err(format!("input ended inside a frame: {got} of {length} bytes"));
-    }
-    let now_ms = f64::from_le_bytes(body[0..8].try_into().expect("eight bytes"));
-    let records = u32::from_le_bytes(body[8..12].try_into().expect("four bytes")) as usize;
-    if records > (length - BATCH_HEADER) / EVENT_BYTES {
-        return Err(format!("frame of {length} bytes can't hold {records} records"));
-    }
-    if !now_ms.is_finite() {
-        return Err("the clock of a frame is not a number".to_string());
-    }
-    Ok(Some(Batch { now_ms, body, records }))
+    Ok(Some(length))
+}
+
+fn field<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    bytes[offset..offset + N].try_into().expect("as many bytes as the range has")
 }
 
 impl Batch {
-    pub fn events(&self) -> impl Iterator<Item = Event<'_>> {
-        let (rows, tail) = self.body[BATCH_HEADER..].split_at(self.records * EVENT_BYTES);
-        rows.chunks_exact(EVENT_BYTES).enumerate().map(move |(place, bytes)| Event { bytes, tail, place })
+    pub(crate) fn records(&self) -> impl Iterator<Item = Record<'_>> {
+        let (records, tail) = self.body[BATCH_HEADER_BYTES..].split_at(self.records * EVENT_BYTES);
+        let records = records.chunks_exact(EVENT_BYTES).enumerate();
+        records.map(move |(place, bytes)| Record { bytes, tail, place })
     }
 }
 
-impl<'a> Event<'a> {
-    fn at<const N: usize>(&self, offset: usize) -> [u8; N] {
-        self.bytes[offset..offset + N].try_into().expect("a field inside the record")
-    }
-    pub fn u8(&self, offset: usize) -> u8 {
+impl<'a> Record<'a> {
+    pub(crate) fn u8(&self, offset: usize) -> u8 {
         self.bytes[offset]
     }
-    pub fn u16(&self, offset: usize) -> u16 {
-        u16::from_le_bytes(self.at(offset))
+
+    pub(crate) fn u16(&self, offset: usize) -> u16 {
+        u16::from_le_bytes(field(self.bytes, offset))
     }
-    pub fn u32(&self, offset: usize) -> u32 {
-        u32::from_le_bytes(self.at(offset))
+
+    pub(crate) fn u32(&self, offset: usize) -> u32 {
+        u32::from_le_bytes(field(self.bytes, offset))
     }
-    pub fn u64(&self, offset: usize) -> u64 {
-        u64::from_le_bytes(self.at(offset))
+
+    pub(crate) fn u64(&self, offset: usize) -> u64 {
+        u64::from_le_bytes(field(self.bytes, offset))
     }
-    pub fn f32(&self, offset: usize) -> f64 {
-        f64::from(f32::from_le_bytes(self.at(offset)))
+
+    pub(crate) fn f32(&self, offset: usize) -> f64 {
+        f64::from(f32::from_le_bytes(field(self.bytes, offset)))
     }
-    pub fn f64(&self, offset: usize) -> f64 {
-        f64::from_le_bytes(self.at(offset))
+
+    pub(crate) fn f64(&self, offset: usize) -> f64 {
+        f64::from_le_bytes(field(self.bytes, offset))
     }
-    pub fn text(&self, offset: usize) -> Result<&'a str, String> {
+
+    /// Text in the tail, of which the record holds the start and the length.
+    pub(crate) fn text(&self, offset: usize) -> Result<&'a str, RecordError> {
         let start = self.u32(offset) as usize;
         let length = self.u32(offset + 4) as usize;
-        let bytes = start.checked_add(length).and_then(|end| self.tail.get(start..end)).ok_or_else(|| {
-            format!(
-                "record {}: text at {start} of {length} bytes lies outside the tail of {}",
-                self.place,
-                self.tail.len()
-            )
-        })?;
-        std::str::from_utf8(bytes).map_err(|_| format!("record {}: text is not UTF-8", self.place))
+        let (record, tail) = (self.place, self.tail.len());
+        let bytes = start.checked_add(length).and_then(|end| self.tail.get(start..end));
+        let bytes = bytes.ok_or(RecordError::TextOutsideTail { record, start, length, tail })?;
+        std::str::from_utf8(bytes).map_err(|_| RecordError::TextNotUtf8 { record })
     }
 }
 
-/// A reply as it grows.
-pub struct Reply {
-    rows: Vec<u8>,
-    tail: Vec<u8>,
-    records: u32,
-}
-
-pub struct Action {
+/// One action record as it is filled in.
+pub(crate) struct ActionRecord {
     bytes: [u8; ACTION_BYTES],
 }
 
-impl Action {
-    pub fn new(code: u16, instance: u32) -> Self {
-        let mut bytes = [0; ACTION_BYTES];
-        bytes[0..2].copy_from_slice(&code.to_le_bytes());
-        bytes[2..6].copy_from_slice(&instance.to_le_bytes());
-        Action { bytes }
+impl ActionRecord {
+    pub(crate) fn new(code: u16, instance: u32) -> Self {
+        ActionRecord { bytes: [0; ACTION_BYTES] }.with(0, code.to_le_bytes()).with(2, instance.to_le_bytes())
     }
-    pub fn put<const N: usize>(mut self, offset: usize, value: [u8; N]) -> Self {
+
+    pub(crate) fn with<const N: usize>(mut self, offset: usize, value: [u8; N]) -> Self {
         self.bytes[offset..offset + N].copy_from_slice(&value);
         self
     }
 }
 
+/// A reply as it grows.
+#[derive(Default)]
+pub(crate) struct Reply {
+    records: Vec<u8>,
+    tail: Vec<u8>,
+}
+
 impl Reply {
-    pub fn new() -> Self {
-        Reply { rows: Vec::new(), tail: Vec::new(), records: 0 }
-    }
-    pub fn push(&mut self, action: Action) {
-        self.rows.extend_from_slice(&action.bytes);
-        self.records += 1;
+    pub(crate) fn push(&mut self, action: ActionRecord) {
+        self.records.extend_from_slice(&action.bytes);
     }
-    pub fn push_text(&mut self, action: Action, text: &str) {
+
+    /// Adds an action that refers to a text at the given place of its record.
+    pub(crate) fn push_with_text(&mut self, action: ActionRecord, offset: usize, text: &str) {
         let start = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.push(action.put(6, start.to_le_bytes()).put(10, (text.len() as u32).to_le_bytes()));
+        let length = text.len() as u32;
+        self.push(action.with(offset, start.to_le_bytes()).with(offset + 4, length.to_le_bytes()));
     }
-    pub fn finish(self) -> Vec<u8> {
-        let length = 4 + self.rows.len() + self.tail.len();
-        let mut out = Vec::with_capacity(4 + length);
-        out.extend_from_slice(&(length as u32).to_le_bytes());
-        out.extend_from_slice(&self.records.to_le_bytes());
-        out.extend_from_slice(&self.rows);
-        out.extend_from_slice(&self.tail);
-        out
+
+    /// The reply's frame.
+    pub(crate) fn into_bytes(self) -> Vec<u8> {
+        let length = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
+        let records = self.records.len() / ACTION_BYTES;
+        let mut bytes = Vec::with_capacity(4 + length);
+        bytes.extend_from_slice(&(length as u32).to_le_bytes());
+        bytes.extend_from_slice(&(records as u32).to_le_bytes());
+        bytes.extend_from_slice(&self.records);
+        bytes.extend_from_slice(&self.tail);
+        bytes
     }
 }
+
+/// Writes a reply and has it leave at once: the simulator waits for it.
+pub(crate) fn write_reply(output: &mut impl Write, reply: &[u8]) -> Result<(), FrameError> {
+    output.write_all(reply).and_then(|()| output.flush()).map_err(FrameError::WriteReply)
+}
--- a/crates/plovershelf-simulator-adapter/src/main.rs
+++ b/crates/plovershelf-simulator-adapter/src/main.rs
@@ -1,21 +1,34 @@
-//! Hosts backends on the bench's wire: frames in on standard input, one reply each on standard output.
+//! Hosts backends on the simulator's wire: batches of events in on standard input, one reply each on standard
+//! output.
+//!
+//! - `action`: what the decisions return, as actions of the wire.
+//! - `error`: why the adapter stops.
+//! - `event`: events of the wire, as inputs of the decisions.
+//! - `frame`: frames and records.
+//! - `host`: the backends of this process, by instance.
 
+#![warn(missing_docs)]
+#![warn(unreachable_pub)]
+
+mod action;
+mod error;
+mod event;
 mod frame;
 mod host;
 
-use std::io::{self, BufReader, BufWriter, Write};
+use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-fn serve() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
+use error::AdapterError;
+
+const BUFFER_BYTES: usize = 1 << 20;
+
+fn serve() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     let mut host = host::Host::default();
     while let Some(batch) = frame::read_batch(&mut input)? {
-        let reply = host.answer(&batch)?;
-        output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("writing a reply: {e}"))?;
+        frame::write_reply(&mut output, &host.handle_batch(&batch)?)?;
     }
     Ok(())
 }
@@ -23,8 +36,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("plovershelf-simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("plovershelf-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
