--- a/crates/plovershelf-settings/src/lib.rs
+++ b/crates/plovershelf-settings/src/lib.rs
@@ -5,9 +5,6 @@
 //! - `parse`: the settings as JSON, field by field.
 //! - `words`: the words of the settings, mapped once to the types of [`plovershelf::api`].
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 mod error;
 mod names;
 mod parse;
--- a/crates/plovershelf-simulator-adapter/src/main.rs
+++ b/crates/plovershelf-simulator-adapter/src/main.rs
@@ -7,9 +7,6 @@
 //! - `frame`: frames and records.
 //! - `host`: the backends of this process, by instance.
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 mod action;
 mod error;
 mod event;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,9 +3,6 @@
 //! - [`admission`] decides, as a state machine without I/O or clock; one rule a module.
 //! - [`api`] has the types that its driver passes in and receives.
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 pub mod admission;
 pub mod api;
 
