--- /dev/null
+++ b/crates/plovershelf-cluster/src/gossip/swim.rs
@@ -0,0 +1,554 @@
+//! The state machine of one member; see the [module](super).
+
+use std::net::SocketAddr;
+
+use rand::seq::SliceRandom;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg32;
+
+use super::config::GossipConfig;
+use super::digest::{bucket, checksums, Checksums, BUCKETS};
+use super::dissemination::BroadcastQueue;
+use super::member::{MemberState, MemberUpdate, NodeInfo};
+use super::message::{Destination, Message};
+use super::probe::{LocalHealth, PendingProbes, ProbeRound, Requester};
+use super::suspicion::suspicion_deadline_ms;
+use super::table::{MemberEntry, MemberTable};
+use crate::identity::NodeId;
+
+/// Messages that answer one digest. What they have no room for the next comparison brings.
+const MAX_SYNC_MESSAGES: usize = 8;
+/// Where more buckets differ the next comparison follows soon, as it does while they bring members that were not known.
+const MANY_BUCKETS: usize = BUCKETS / 4;
+/// How many are told at once that this member is about to go, or goes.
+const FAREWELL_FANOUT: usize = 8;
+
+/// Whether an update is disseminated further though it changes no state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Relay {
+    Always,
+    WhereStateChanges,
+}
+
+/// One member. It owns no clock or socket: each call takes the present time in milliseconds, and messages to send stand in
+/// [`Swim::poll_messages`].
+#[derive(Clone, Debug)]
+pub struct Swim {
+    own: MemberUpdate,
+    config: GossipConfig,
+    table: MemberTable,
+    round: ProbeRound,
+    probes: PendingProbes,
+    health: LocalHealth,
+    queue: BroadcastQueue,
+    seeds: Vec<SocketAddr>,
+    probe_at_ms: f64,
+    sync_at_ms: f64,
+    reconnect_at_ms: f64,
+    /// When others are sent what changed, where something did; and when they were last.
+    broadcast_at_ms: f64,
+    last_broadcast_ms: f64,
+    rng: Pcg32,
+    send: Vec<(Destination, Message)>,
+    now_ms: f64,
+}
+
+impl Swim {
+    /// A member that has heard of nobody. `seeds` are addresses where others may be found.
+    pub fn new(node: NodeInfo, config: GossipConfig, seeds: Vec<SocketAddr>, seed: u64, now_ms: f64) -> Self {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        // Members that start at once do not probe at once.
+        let phase = rng.random::<f64>();
+        let mut own = MemberUpdate::initial(node);
+        own.boot_id = rng.random();
+        Swim {
+            queue: BroadcastQueue::new(own.boot_id | 1),
+            own,
+            config,
+            table: MemberTable::default(),
+            round: ProbeRound::default(),
+            probes: PendingProbes::default(),
+            health: LocalHealth::new(config.max_health_multiplier),
+            seeds,
+            probe_at_ms: now_ms + config.probe_interval_ms * phase,
+            sync_at_ms: now_ms + config.sync_interval_ms * phase,
+            reconnect_at_ms: now_ms,
+            broadcast_at_ms: f64::INFINITY,
+            last_broadcast_ms: f64::NEG_INFINITY,
+            rng,
+            send: Vec::new(),
+            now_ms,
+        }
+    }
+
+    // ---- inputs ------------------------------------------------------------------------------------
+
+    /// A message from a node at an address. Updates of it count whoever it is; that it sent something proves nothing but
+    /// that it was there.
+    pub fn handle_message(&mut self, now_ms: f64, from: NodeId, address: SocketAddr, message: Message) {
+        self.now_ms = now_ms;
+        if from == self.own.node.id || self.own.state == MemberState::Left {
+            return;
+        }
+        self.table.record_contact(from, now_ms);
+        let address = self.table.address_of(from).unwrap_or(address);
+        let sender = Destination { id: Some(from), address };
+        match message {
+            Message::Ping { nonce, updates } => {
+                self.apply_updates(updates);
+                // A sender that is held for dead, or is unknown, learns of that and can refute it.
+                let updates = self.updates_for(Some(from));
+                self.send.push((sender, Message::Ack { nonce, updates }));
+            }
+            Message::Ack { nonce, updates } => {
+                self.apply_updates(updates);
+                self.handle_ack(nonce, from);
+            }
+            Message::PingRequest { nonce, target, address, updates } => {
+                self.apply_updates(updates);
+                if !self.probes.is_full() {
+                    let destination = Destination { id: Some(target), address };
+                    self.probe(destination, target, Some(Requester { id: from, nonce }));
+                }
+            }
+            Message::IndirectAck { nonce, updates } => {
+                self.apply_updates(updates);
+                if self.probes.remove(nonce).is_some() {
+                    self.health.record_indirect_ack();
+                }
+            }
+            Message::Broadcast { updates } => self.apply_updates(updates),
+            Message::Digest { checksums, reply } => self.handle_digest(sender, &checksums, reply),
+            Message::Sync { updates } => self.handle_sync(updates),
+        }
+    }
+
+    /// Time has come to [`Swim::poll_timeout`].
+    pub fn handle_timeout(&mut self, now_ms: f64) {
+        self.now_ms = now_ms;
+        self.handle_overdue_probes();
+        self.expire_suspicions();
+        self.forget_gone();
+        if self.probe_at_ms <= now_ms {
+            let next_ms = self.probe_at_ms + self.config.probe_interval_ms * self.health.multiplier();
+            self.probe_at_ms = next_ms.max(now_ms + 1.0);
+            self.probe_next();
+        }
+        if self.reconnect_at_ms <= now_ms {
+            self.reconnect_at_ms = now_ms + self.config.reconnect_interval_ms;
+            self.reconnect();
+        }
+        if self.sync_at_ms <= now_ms {
+            let jitter = 0.5 + self.rng.random::<f64>();
+            self.sync_at_ms = now_ms + self.config.sync_interval_ms * jitter;
+            self.send_digest();
+        }
+        if self.broadcast_at_ms <= now_ms {
+            (self.broadcast_at_ms, self.last_broadcast_ms) = (f64::INFINITY, now_ms);
+            self.broadcast();
+        }
+    }
+
+    /// The process was paused: what seems late was not, and those whose time ran out meanwhile get it anew.
+    pub fn handle_resume(&mut self, now_ms: f64) {
+        self.now_ms = now_ms;
+        self.probes.clear();
+        self.table.restart_suspicions(now_ms);
+        self.health.record_pause();
+        self.probe_at_ms = now_ms;
+    }
+
+    /// Whether this member does its work.
+    pub fn set_ready(&mut self, now_ms: f64, ready: bool) {
+        self.now_ms = now_ms;
+        if self.own.ready != ready {
+            self.own.ready = ready;
+            self.raise_incarnation(self.own.incarnation);
+        }
+    }
+
+    /// This member is about to go; it stays until [`Swim::leave`].
+    pub fn drain(&mut self, now_ms: f64) {
+        self.now_ms = now_ms;
+        if !self.own.draining {
+            self.own.draining = true;
+            self.raise_incarnation(self.own.incarnation);
+            self.announce_own();
+        }
+    }
+
+    /// This member goes, and says so to some.
+    pub fn leave(&mut self, now_ms: f64) {
+        self.now_ms = now_ms;
+        self.own.state = MemberState::Left;
+        self.own.incarnation += 1;
+        self.queue.enqueue(self.own.node.id);
+        self.announce_own();
+    }
+
+    /// When [`Swim::handle_timeout`] has something to do.
+    pub fn poll_timeout(&self) -> f64 {
+        let probes = self.probes.poll_timeout(self.config.probe_timeout_ms);
+        let own = self.probe_at_ms.min(self.sync_at_ms).min(self.reconnect_at_ms).min(self.broadcast_at_ms);
+        own.min(probes.max(self.now_ms + 1.0))
+    }
+
+    /// What the calls since the last poll ask to send.
+    pub fn poll_messages(&mut self) -> Vec<(Destination, Message)> {
+        std::mem::take(&mut self.send)
+    }
+
+    // ---- queries -----------------------------------------------------------------------------------
+
+    /// What this member says of itself.
+    pub fn own(&self) -> &MemberUpdate {
+        &self.own
+    }
+
+    /// All others that are known, the dead among them, and since when each is in its state here.
+    pub fn others(&self) -> impl Iterator<Item = (&MemberUpdate, f64)> {
+        self.table.entries().map(|entry| (&entry.update, entry.since_ms))
+    }
+
+    /// What is known of a member, this one included.
+    pub fn find(&self, id: NodeId) -> Option<&MemberUpdate> {
+        if id == self.own.node.id {
+            return Some(&self.own);
+        }
+        self.table.get(id).map(|entry| &entry.update)
+    }
+
+    /// When something came from another member by itself.
+    pub fn heard_at_ms(&self, id: NodeId) -> Option<f64> {
+        self.table.get(id).map(|entry| entry.heard_at_ms)
+    }
+
+    /// Members that are taken to be there, this one first.
+    pub fn present(&self) -> impl Iterator<Item = &MemberUpdate> {
+        let others = self.table.entries().map(|entry| &entry.update);
+        std::iter::once(&self.own).chain(others).filter(|update| update.state.is_present())
+    }
+
+    /// The same at one address.
+    pub fn present_at(&self, address: SocketAddr) -> impl Iterator<Item = &MemberUpdate> {
+        let others = self.table.at_address(address).map(|entry| &entry.update);
+        let own = Some(&self.own).filter(|own| own.node.address == address);
+        own.into_iter().chain(others).filter(|update| update.state.is_present())
+    }
+
+    /// Updates that this member still disseminates.
+    pub fn pending_updates(&self) -> usize {
+        self.queue.len()
+    }
+
+    fn other_destinations(&self) -> Vec<Destination> {
+        let present = self.table.entries().filter(|entry| entry.update.state.is_present());
+        present.map(destination_of).collect()
+    }
+
+    // ---- probes ------------------------------------------------------------------------------------
+
+    fn probe_next(&mut self) {
+        let Some(target) = self.round.next(&self.table, &mut self.rng) else { return };
+        if let Some(address) = self.table.address_of(target) {
+            self.probe(Destination { id: Some(target), address }, target, None);
+        }
+    }
+
+    fn probe(&mut self, destination: Destination, target: NodeId, requester: Option<Requester>) {
+        let nonce = self.rng.random();
+        self.probes.insert(nonce, target, self.now_ms, requester);
+        self.ping(destination, nonce, Some(target));
+    }
+
+    fn ping(&mut self, destination: Destination, nonce: u64, target: Option<NodeId>) {
+        let updates = self.updates_for(target);
+        self.send.push((destination, Message::Ping { nonce, updates }));
+    }
+
+    fn handle_ack(&mut self, nonce: u64, from: NodeId) {
+        let Some(probe) = self.probes.remove(nonce).filter(|probe| probe.target == from) else { return };
+        let Some(Requester { id, nonce }) = probe.requester else { return self.health.record_ack() };
+        let Some(address) = self.table.address_of(id) else { return };
+        let updates = self.updates_for(Some(id));
+        let message = Message::IndirectAck { nonce, updates };
+        self.send.push((Destination { id: Some(id), address }, message));
+    }
+
+    fn handle_overdue_probes(&mut self) {
+        let multiplier = self.health.multiplier();
+        let timeout_ms = self.config.probe_timeout_ms * multiplier;
+        let interval_ms = self.config.probe_interval_ms * multiplier;
+        let overdue = self.probes.take_overdue(self.now_ms, timeout_ms, interval_ms);
+        for (nonce, target) in overdue.late {
+            self.request_probes(nonce, target);
+        }
+        for target in overdue.failed {
+            self.health.record_failure();
+            let present = self.table.get(target).filter(|entry| entry.update.state.is_present());
+            if let Some(entry) = present {
+                let update = entry.update.reported(MemberState::Suspect, self.own.node.id);
+                self.apply(update, Relay::Always);
+            }
+        }
+    }
+
+    fn request_probes(&mut self, nonce: u64, target: NodeId) {
+        let Some(address) = self.table.address_of(target) else { return };
+        let mut others = self.other_destinations();
+        others.retain(|other| other.id != Some(target));
+        others.shuffle(&mut self.rng);
+        for other in others.into_iter().take(self.config.indirect_probes) {
+            let updates = self.updates_for(other.id);
+            self.send.push((other, Message::PingRequest { nonce, target, address, updates }));
+        }
+    }
+
+    /// Pings one that is held for dead, or a seed that is not known, so that halves that were partitioned find each other.
+    fn reconnect(&mut self) {
+        let known = |address: SocketAddr| self.present_at(address).next().is_some();
+        let dead = self.table.not_alive().filter(|entry| entry.update.state == MemberState::Dead);
+        let mut candidates: Vec<Destination> =
+            dead.map(destination_of).filter(|candidate| !known(candidate.address)).collect();
+        let seeds = self.seeds.iter().filter(|seed| !known(**seed));
+        candidates.extend(seeds.map(|seed| Destination { id: None, address: *seed }));
+        let chosen = self.rng.random_range(0..candidates.len().max(1));
+        let Some(candidate) = candidates.get(chosen) else { return };
+        self.ping_unknown(*candidate);
+        let alone = self.present().nth(1).is_none();
+        if alone {
+            for candidate in candidates {
+                self.ping_unknown(Destination { id: None, ..candidate });
+            }
+        }
+    }
+
+    /// A ping that is no probe: nothing follows where no acknowledgement comes.
+    fn ping_unknown(&mut self, destination: Destination) {
+        let nonce = self.rng.random();
+        self.ping(destination, nonce, None);
+    }
+
+    // ---- suspicions --------------------------------------------------------------------------------
+
+    fn expire_suspicions(&mut self) {
+        let multiplier = self.health.multiplier();
+        let members = self.table.len();
+        let expired = |entry: &&MemberEntry| {
+            let suspected_by = entry.suspected_by.len();
+            let deadline_ms =
+                suspicion_deadline_ms(&self.config, entry.since_ms, members, multiplier, suspected_by);
+            entry.update.state == MemberState::Suspect && self.now_ms >= deadline_ms
+        };
+        let dead: Vec<MemberUpdate> = self
+            .table
+            .not_alive()
+            .filter(expired)
+            .map(|entry| entry.update.reported(MemberState::Dead, self.own.node.id))
+            .collect();
+        dead.into_iter().for_each(|update| self.apply(update, Relay::Always));
+    }
+
+    fn forget_gone(&mut self) {
+        let before_ms = self.now_ms - self.config.forget_after_ms;
+        let gone = |entry: &&MemberEntry| !entry.update.state.is_present() && entry.since_ms <= before_ms;
+        let forgotten: Vec<NodeId> =
+            self.table.not_alive().filter(gone).map(|entry| entry.update.node.id).collect();
+        forgotten.into_iter().for_each(|id| self.table.remove(id));
+    }
+
+    // ---- dissemination -----------------------------------------------------------------------------
+
+    /// A few others hear of this member at once, not only with its next probes.
+    fn announce_own(&mut self) {
+        let mut others = self.other_destinations();
+        others.shuffle(&mut self.rng);
+        for destination in others.into_iter().take(FAREWELL_FANOUT) {
+            let updates = vec![self.own.clone()];
+            self.send.push((destination, Message::Broadcast { updates }));
+        }
+    }
+
+    /// What changed goes to a few others. They do the same, so it is everywhere after a few such steps.
+    fn broadcast(&mut self) {
+        let mut others = self.other_destinations();
+        let (chosen, _) = others.partial_shuffle(&mut self.rng, self.config.broadcast_fanout);
+        for destination in chosen.iter().copied() {
+            let updates = self.updates_for(destination.id);
+            self.send.push((destination, Message::Broadcast { updates }));
+        }
+    }
+
+    /// Others hear of a change soon; of many in a row together, so that a zone that dies is no flood.
+    fn schedule_broadcast(&mut self) {
+        let next_ms = self.last_broadcast_ms + self.config.broadcast_interval_ms;
+        self.broadcast_at_ms = self.broadcast_at_ms.min(next_ms.max(self.now_ms));
+    }
+
+    /// What goes along with a message: this member, what is said of the receiver so that it can refute it, then what is
+    /// under way.
+    fn updates_for(&mut self, receiver: Option<NodeId>) -> Vec<MemberUpdate> {
+        let table = &self.table;
+        let is_alive =
+            |id: NodeId| table.get(id).is_none_or(|entry| entry.update.state == MemberState::Alive);
+        let selected = self.queue.select(self.config.updates_per_message, table.len(), is_alive);
+        let mut updates = Vec::with_capacity(selected.len() + 2);
+        updates.push(self.own.clone());
+        let refutable = receiver.filter(|id| !is_alive(*id)).and_then(|id| table.get(id));
+        updates.extend(refutable.map(|entry| entry.update.clone()));
+        let others = selected.into_iter().filter(|id| *id != self.own.node.id && Some(*id) != receiver);
+        updates.extend(others.filter_map(|id| table.get(id)).map(|entry| entry.update.clone()));
+        updates
+    }
+
+    fn apply_updates(&mut self, updates: Vec<MemberUpdate>) {
+        let most = self.config.updates_per_sync + self.config.updates_per_message + 2;
+        updates.into_iter().take(most).for_each(|update| self.apply(update, Relay::Always));
+    }
+
+    /// The one place where a member's state changes.
+    fn apply(&mut self, update: MemberUpdate, relay: Relay) {
+        let (id, alive) = (update.node.id, update.state == MemberState::Alive);
+        if id == self.own.node.id {
+            return self.refute(&update);
+        }
+        let disseminate = match self.table.get(id) {
+            Some(_) => self.apply_to_known(update).map(|changed| changed || relay == Relay::Always),
+            None => self.add_member(update).then_some(relay == Relay::Always),
+        };
+        if disseminate.is_some_and(|disseminate| disseminate || !alive) {
+            self.queue.enqueue(id);
+        }
+    }
+
+    /// Whether the update changed the member's state; nothing where it is not newer than what is known.
+    fn apply_to_known(&mut self, update: MemberUpdate) -> Option<bool> {
+        let id = update.node.id;
+        if self.table.confirm_suspicion(&update) {
+            self.queue.enqueue(id);
+        }
+        if update.precedence() <= self.table.get(id)?.update.precedence() {
+            return None;
+        }
+        let changed = self.table.replace(update, self.now_ms);
+        if changed {
+            self.schedule_broadcast();
+        }
+        Some(changed)
+    }
+
+    /// Whether the member was added. The long dead are of no use to a member that never knew them.
+    fn add_member(&mut self, update: MemberUpdate) -> bool {
+        let full = self.table.len() >= self.config.max_members;
+        let refused = !update.state.is_present() || full || update.has_overlong_name();
+        if refused || self.is_older_namesake(&update) {
+            return false;
+        }
+        self.replace_namesake(&update);
+        let id = update.node.id;
+        self.table.insert(update, self.now_ms);
+        self.round.insert(id, &mut self.rng);
+        if self.table.len() == 1 {
+            // The first one that this member knows tells it of all others.
+            self.sync_soon();
+        }
+        true
+    }
+
+    /// A name that comes back under another id at the same address has lost its storage, or never had any: the old id is
+    /// dead.
+    fn replace_namesake(&mut self, new: &MemberUpdate) {
+        let same =
+            |update: &&MemberUpdate| update.node.name == new.node.name && update.node.id != self.own.node.id;
+        let old: Vec<MemberUpdate> = self
+            .present_at(new.node.address)
+            .filter(same)
+            .map(|update| update.reported(MemberState::Dead, new.node.id))
+            .collect();
+        old.into_iter().for_each(|update| self.apply(update, Relay::Always));
+    }
+
+    /// The update is about an id whose place a newer one has taken that is there. Guards against an old update that would
+    /// make the newer one dead; where a clock went back, the newer one waits until the older is found dead.
+    fn is_older_namesake(&self, update: &MemberUpdate) -> bool {
+        self.present_at(update.node.address).any(|other| {
+            other.node.name == update.node.name && other.node.created_at_ms > update.node.created_at_ms
+        })
+    }
+
+    /// What is said of this member and is not so gets a higher incarnation against it.
+    fn refute(&mut self, update: &MemberUpdate) {
+        let correct = update.state == MemberState::Alive && update.boot_id == self.own.boot_id;
+        let newer = update.incarnation >= self.own.incarnation;
+        if !correct && newer && self.own.state != MemberState::Left {
+            self.raise_incarnation(update.incarnation);
+        }
+    }
+
+    fn raise_incarnation(&mut self, over: u32) {
+        self.own.incarnation = self.own.incarnation.max(over) + 1;
+        self.queue.enqueue(self.own.node.id);
+        self.schedule_broadcast();
+    }
+
+    // ---- anti-entropy ------------------------------------------------------------------------------
+
+    fn checksums(&self) -> Checksums {
+        checksums(self.present())
+    }
+
+    fn send_digest(&mut self) {
+        let others = self.other_destinations();
+        let chosen = self.rng.random_range(0..others.len().max(1));
+        let Some(other) = others.get(chosen) else { return };
+        let checksums = self.checksums().to_vec();
+        self.send.push((*other, Message::Digest { checksums, reply: true }));
+    }
+
+    fn sync_soon(&mut self) {
+        let soon_ms = self.config.sync_retry_interval_ms * (0.5 + self.rng.random::<f64>());
+        self.sync_at_ms = self.sync_at_ms.min(self.now_ms + soon_ms);
+    }
+
+    /// Hands over what differs, as far as a few messages hold it, in no order: of several that are asked each tells something
+    /// else.
+    fn handle_digest(&mut self, sender: Destination, theirs: &[u32], reply: bool) {
+        let own = self.checksums();
+        if theirs.len() != BUCKETS || theirs == own {
+            return;
+        }
+        let differs: Vec<bool> = own.iter().zip(theirs).map(|(own, theirs)| own != theirs).collect();
+        if differs.iter().filter(|differs| **differs).count() > MANY_BUCKETS {
+            self.sync_soon();
+        }
+        let known = self.table.entries().map(|entry| &entry.update).chain([&self.own]);
+        let mut updates: Vec<&MemberUpdate> =
+            known.filter(|update| differs[bucket(update.node.id)]).collect();
+        let most = self.config.updates_per_sync * MAX_SYNC_MESSAGES;
+        let (chosen, _) = updates.partial_shuffle(&mut self.rng, most);
+        for part in chosen.chunks(self.config.updates_per_sync.max(1)) {
+            let updates = part.iter().copied().cloned().collect();
+            self.send.push((sender, Message::Sync { updates }));
+        }
+        if reply {
+            self.send.push((sender, Message::Digest { checksums: own.to_vec(), reply: false }));
+        }
+    }
+
+    fn handle_sync(&mut self, updates: Vec<MemberUpdate>) {
+        let before = self.table.len();
+        for update in updates.into_iter().take(self.config.updates_per_sync) {
+            self.apply(update, Relay::WhereStateChanges);
+        }
+        if self.table.len() > before {
+            self.sync_soon();
+        }
+    }
+}
+
+fn destination_of(entry: &MemberEntry) -> Destination {
+    Destination { id: Some(entry.update.node.id), address: entry.update.node.address }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-replication/benches/reservation.rs
+++ b/crates/plovershelf-replication/benches/reservation.rs
@@ -2,17 +2,19 @@
 //! among many records.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::{
     Event, IdempotencyKey, Member, Outcome, ReplicationConfig, Replicator, ViewNumber,
 };
 
 fn replicators(count: u64, replication_factor: usize) -> Vec<Replicator> {
-    let member = |n: u64| Member { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
+    let member =
+        |n: u64| Member { id: NodeId(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
     let view: Vec<Member> = (1..=count).map(member).collect();
     let config =
         ReplicationConfig { replication_factor, max_records: 1_000_000, ..ReplicationConfig::default() };
-    let mut all: Vec<Replicator> = (1..=count).map(|n| Replicator::new(Id(n), config.clone(), 0.0)).collect();
+    let mut all: Vec<Replicator> =
+        (1..=count).map(|n| Replicator::new(NodeId(n), config.clone(), 0.0)).collect();
     all.iter_mut().for_each(|replicator| replicator.update_view(0.0, ViewNumber(1), view.clone()));
     deliver_all(&mut all, 0.0);
     all
@@ -25,7 +27,7 @@
         let mut in_flight = Vec::new();
         for (place, replicator) in all.iter_mut().enumerate() {
             let actions = replicator.poll_actions();
-            let from = Id(place as u64 + 1);
+            let from = NodeId(place as u64 + 1);
             in_flight.extend(actions.messages.into_iter().map(|(to, message)| (from, to, message)));
             events.extend(actions.events.into_iter().map(|event| (place, event)));
         }
--- a/crates/plovershelf-replication/src/context.rs
+++ b/crates/plovershelf-replication/src/context.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::config::ReplicationConfig;
 use crate::membership::Membership;
@@ -20,12 +20,12 @@
 }
 
 impl Context {
-    pub(crate) fn local(&self) -> Id {
+    pub(crate) fn local(&self) -> NodeId {
         self.membership.local()
     }
 
     /// Replicas but for the local member.
-    pub(crate) fn remote(&self, replica_set: Vec<Id>) -> BTreeSet<Id> {
+    pub(crate) fn remote(&self, replica_set: Vec<NodeId>) -> BTreeSet<NodeId> {
         replica_set.into_iter().filter(|id| *id != self.local()).collect()
     }
 
--- a/crates/plovershelf-replication/src/effects.rs
+++ b/crates/plovershelf-replication/src/effects.rs
@@ -1,6 +1,6 @@
 //! What an input of the state machine leads to: messages to members and events for the local backend.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::message::Message;
 use crate::record::{Outcome, RequestId};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
     /// Messages to other members.
-    pub messages: Vec<(Id, Message)>,
+    pub messages: Vec<(NodeId, Message)>,
     /// Events for the local backend.
     pub events: Vec<Event>,
 }
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
     /// To any member, the local one too.
-    Send(Id, Message),
+    Send(NodeId, Message),
     Emit(Event),
 }
 
@@ -42,7 +42,7 @@
 pub(crate) struct Effects(pub(crate) Vec<Effect>);
 
 impl Effects {
-    pub(crate) fn message(to: Id, message: Message) -> Self {
+    pub(crate) fn message(to: NodeId, message: Message) -> Self {
         Effects(vec![Effect::Send(to, message)])
     }
 
@@ -50,7 +50,7 @@
         Effects(vec![Effect::Emit(event)])
     }
 
-    pub(crate) fn send(&mut self, to: Id, message: Message) {
+    pub(crate) fn send(&mut self, to: NodeId, message: Message) {
         self.0.push(Effect::Send(to, message));
     }
 
--- a/crates/plovershelf-replication/src/executor/mod.rs
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -25,7 +25,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use self::request::{Deadlines, Phase, Request};
 use crate::broken::{self, Broken};
@@ -54,7 +54,7 @@
     pub(crate) key: IdempotencyKey,
     pub(crate) reservation: Reservation,
     pub(crate) round: Round,
-    pub(crate) replica_set: Vec<Id>,
+    pub(crate) replica_set: Vec<NodeId>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -179,7 +179,7 @@
     }
 
     /// A replica has the reservation.
-    pub(crate) fn handle_reserved(&mut self, ctx: &Context, from: Id, reply: ReservedReply) -> Effects {
+    pub(crate) fn handle_reserved(&mut self, ctx: &Context, from: NodeId, reply: ReservedReply) -> Effects {
         let ReservedReply { key, reservation, round, replica_set } = reply;
         let valid =
             replica_set.contains(&from) && replica_set.first() == ctx.membership.primary(key).as_ref();
@@ -208,7 +208,7 @@
     pub(crate) fn handle_held_by_another(
         &mut self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         (key, reservation): (IdempotencyKey, Reservation),
         outcome: Option<Outcome>,
     ) -> Effects {
@@ -229,7 +229,7 @@
     }
 
     /// The key is free: all that wait for it here reserve it again.
-    pub(crate) fn handle_released(&mut self, ctx: &Context, from: Id, key: IdempotencyKey) -> Effects {
+    pub(crate) fn handle_released(&mut self, ctx: &Context, from: NodeId, key: IdempotencyKey) -> Effects {
         let mut effects = Effects::default();
         if ctx.membership.primary(key) != Some(from) {
             return effects;
@@ -251,7 +251,7 @@
     pub(crate) fn handle_outcome_recorded(
         &mut self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         (key, reservation): (IdempotencyKey, Reservation),
         recorded: Outcome,
     ) -> Effects {
@@ -290,7 +290,7 @@
     pub(crate) fn handle_probe(
         &self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         key: IdempotencyKey,
         reservation: Reservation,
     ) -> Effects {
@@ -368,7 +368,7 @@
 }
 
 /// Whether all replicas have confirmed. The variant is content with the primary's word.
-fn is_confirmed(replica_set: &[Id], confirmed: &BTreeSet<Id>, variant: Broken) -> bool {
+fn is_confirmed(replica_set: &[NodeId], confirmed: &BTreeSet<NodeId>, variant: Broken) -> bool {
     let by_primary = || replica_set.first().is_some_and(|primary| confirmed.contains(primary));
     replica_set.iter().all(|replica| confirmed.contains(replica)) || broken::is(variant) && by_primary()
 }
--- a/crates/plovershelf-replication/src/executor/request.rs
+++ b/crates/plovershelf-replication/src/executor/request.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::context::Context;
 use crate::message::Message;
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
     /// The reservation is being replicated; these replicas have confirmed it.
-    Reserving { confirmed: BTreeSet<Id> },
+    Reserving { confirmed: BTreeSet<NodeId> },
     /// Another attempt holds the key.
     Waiting,
     /// It was launched.
     Running,
     /// It ended with this outcome, which these replicas have confirmed.
-    Completing { outcome: Outcome, confirmed: BTreeSet<Id> },
+    Completing { outcome: Outcome, confirmed: BTreeSet<NodeId> },
 }
 
 impl Phase {
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 struct AssignedReplicas {
     view: ViewNumber,
-    replica_set: Vec<Id>,
+    replica_set: Vec<NodeId>,
 }
 
 /// What a backend wants of the replicas for a request. Times are in milliseconds.
@@ -106,7 +106,7 @@
     }
 
     /// Who must confirm what is sent of it: the replicas that its reservation was given, while the view is the same.
-    pub(super) fn replica_set(&self, ctx: &Context) -> Vec<Id> {
+    pub(super) fn replica_set(&self, ctx: &Context) -> Vec<NodeId> {
         match &self.assigned {
             Some(assigned) if assigned.view == ctx.view() => assigned.replica_set.clone(),
             _ => ctx.membership.replica_set(self.key),
@@ -114,7 +114,7 @@
     }
 
     /// All replicas that may store something of it.
-    pub(super) fn possible_replicas(&self, ctx: &Context) -> Vec<Id> {
+    pub(super) fn possible_replicas(&self, ctx: &Context) -> Vec<NodeId> {
         let mut replicas = ctx.membership.replica_set(self.key);
         replicas.extend(self.replica_set(ctx));
         replicas.sort();
@@ -122,7 +122,7 @@
         replicas
     }
 
-    pub(super) fn assign(&mut self, view: ViewNumber, replica_set: Vec<Id>) {
+    pub(super) fn assign(&mut self, view: ViewNumber, replica_set: Vec<NodeId>) {
         self.assigned = Some(AssignedReplicas { view, replica_set });
     }
 
--- a/crates/plovershelf-replication/src/executor/tests.rs
+++ b/crates/plovershelf-replication/src/executor/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::ViewNumber;
 use crate::test_support::{context, KEY};
 
-fn reply(ctx: &Context, replica_set: &[Id], round: u32) -> ReservedReply {
+fn reply(ctx: &Context, replica_set: &[NodeId], round: u32) -> ReservedReply {
     let reservation = Reservation { executor: ctx.local(), request: RequestId(1) };
     ReservedReply { key: KEY, reservation, round: Round(round), replica_set: replica_set.to_vec() }
 }
@@ -25,7 +25,7 @@
     ctx.suspected.update(BTreeSet::from([placed[2]]));
     let _ = executor.transmit(&ctx, id);
     assert!(!launches(&executor.handle_reserved(&ctx, placed[2], reply(&ctx, &placed, 0))));
-    let stand_in = (1..=4).map(Id).find(|id| !placed.contains(id)).expect("a fourth");
+    let stand_in = (1..=4).map(NodeId).find(|id| !placed.contains(id)).expect("a fourth");
     let replaced = [placed[0], placed[1], stand_in];
     assert!(!launches(&executor.handle_reserved(&ctx, placed[0], reply(&ctx, &replaced, 1))));
     assert!(!launches(&executor.handle_reserved(&ctx, placed[1], reply(&ctx, &replaced, 1))));
--- a/crates/plovershelf-replication/src/handoff.rs
+++ b/crates/plovershelf-replication/src/handoff.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::context::Context;
 use crate::effects::Effects;
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct Leaving {
-    permitted_by: BTreeSet<Id>,
+    permitted_by: BTreeSet<NodeId>,
     ask_at_ms: f64,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(crate) fn handle_permit(&mut self, from: Id) {
+    pub(crate) fn handle_permit(&mut self, from: NodeId) {
         if let Some(leaving) = &mut self.leaving {
             leaving.permitted_by.insert(from);
         }
--- a/crates/plovershelf-replication/src/handoff/tests.rs
+++ b/crates/plovershelf-replication/src/handoff/tests.rs
@@ -11,11 +11,11 @@
     handoff.start(0.0);
     assert_eq!(messages(handoff.handle_timeout(&ctx)).len(), 2);
     assert!(messages(handoff.handle_timeout(&ctx)).is_empty(), "not before its time");
-    handoff.handle_permit(Id(2));
+    handoff.handle_permit(NodeId(2));
     ctx.now_ms = handoff.poll_timeout();
     let asked = messages(handoff.handle_timeout(&ctx));
-    assert!(matches!(asked.as_slice(), [(Id(3), Message::RequestLeave { .. })]));
-    handoff.handle_permit(Id(3));
+    assert!(matches!(asked.as_slice(), [(NodeId(3), Message::RequestLeave { .. })]));
+    handoff.handle_permit(NodeId(3));
     assert!(handoff.is_permitted(&ctx));
     handoff.handle_view_change(ctx.now_ms);
     assert!(!handoff.is_permitted(&ctx));
--- a/crates/plovershelf-replication/src/lib.rs
+++ b/crates/plovershelf-replication/src/lib.rs
@@ -23,9 +23,6 @@
 //! | `replicator` | the inputs, in the order in which a driver calls them |
 //! | [`broken`] | variants that break a promise, for tests |
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 pub mod broken;
 mod config;
 mod context;
--- a/crates/plovershelf-replication/src/membership.rs
+++ b/crates/plovershelf-replication/src/membership.rs
@@ -1,6 +1,6 @@
 //! The current view, and where it places keys.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::placement::{replica_set, IdempotencyKey, Member};
 use crate::record::ViewNumber;
@@ -8,7 +8,7 @@
 /// The members as the local one knows them.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
-    local: Id,
+    local: NodeId,
     replication_factor: usize,
     view: ViewNumber,
     members: Vec<Member>,
@@ -17,7 +17,7 @@
 }
 
 impl Membership {
-    pub(crate) fn new(local: Id, replication_factor: usize) -> Self {
+    pub(crate) fn new(local: NodeId, replication_factor: usize) -> Self {
         Membership {
             local,
             replication_factor,
@@ -32,7 +32,7 @@
         self.view = view;
     }
 
-    pub(crate) fn local(&self) -> Id {
+    pub(crate) fn local(&self) -> NodeId {
         self.local
     }
 
@@ -40,29 +40,29 @@
         self.view
     }
 
-    pub(crate) fn contains(&self, id: Id) -> bool {
+    pub(crate) fn contains(&self, id: NodeId) -> bool {
         self.members.iter().any(|member| member.id == id)
     }
 
-    pub(crate) fn ids(&self) -> impl Iterator<Item = Id> + '_ {
+    pub(crate) fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members.iter().map(|member| member.id)
     }
 
-    pub(crate) fn others(&self) -> impl Iterator<Item = Id> + '_ {
+    pub(crate) fn others(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.ids().filter(|id| *id != self.local)
     }
 
     /// Whether records may be placed on a member: it belongs to the view and is not leaving.
-    pub(crate) fn accepts_records(&self, id: Id) -> bool {
+    pub(crate) fn accepts_records(&self, id: NodeId) -> bool {
         self.members.iter().any(|member| member.id == id && member.weight > 0.0)
     }
 
     /// A key's replicas, the primary in front.
-    pub(crate) fn replica_set(&self, key: IdempotencyKey) -> Vec<Id> {
+    pub(crate) fn replica_set(&self, key: IdempotencyKey) -> Vec<NodeId> {
         replica_set(key, &self.members, self.replication_factor)
     }
 
-    pub(crate) fn primary(&self, key: IdempotencyKey) -> Option<Id> {
+    pub(crate) fn primary(&self, key: IdempotencyKey) -> Option<NodeId> {
         self.replica_set(key).first().copied()
     }
 
@@ -75,7 +75,11 @@
     }
 
     /// The replicas that a key would have without some members.
-    pub(crate) fn replica_set_without(&self, key: IdempotencyKey, excluded: impl Fn(Id) -> bool) -> Vec<Id> {
+    pub(crate) fn replica_set_without(
+        &self,
+        key: IdempotencyKey,
+        excluded: impl Fn(NodeId) -> bool,
+    ) -> Vec<NodeId> {
         let others: Vec<Member> =
             self.members.iter().filter(|member| !excluded(member.id)).cloned().collect();
         replica_set(key, &others, self.replication_factor)
--- a/crates/plovershelf-replication/src/message.rs
+++ b/crates/plovershelf-replication/src/message.rs
@@ -16,7 +16,7 @@
 //!
 //! postcard writes the positions of variants and fields, not their names: neither may be reordered.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
 use crate::placement::IdempotencyKey;
@@ -58,7 +58,7 @@
         /// The round that is stored.
         round: Round,
         /// Who must confirm it before the launch.
-        replica_set: Vec<Id>,
+        replica_set: Vec<NodeId>,
     },
     /// Primary to executor: another attempt holds the key, or has completed.
     HeldByAnother {
--- a/crates/plovershelf-replication/src/placement.rs
+++ b/crates/plovershelf-replication/src/placement.rs
@@ -4,7 +4,7 @@
 //! Rendezvous hashing (Thaler and Ravishankar, 1998): a member's draw depends on it and the key alone, so one that comes or
 //! goes moves no more than its share. A weight raises the draw by the usual logarithm, so shares follow weights.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
 /// The hash of a request's idempotency key: 128 bits, so that of a thousand million keys in a window two are alike once in 10^20
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Names the member.
-    pub id: Id,
+    pub id: NodeId,
     /// Replicas of a key are spread over zones.
     pub zone: String,
     /// Names a machine: no two replicas of a key are placed on one.
@@ -59,7 +59,7 @@
 }
 
 /// A key's replicas, the primary in front: the highest draws, first one of each zone, then more.
-pub fn replica_set(key: IdempotencyKey, members: &[Member], replication_factor: usize) -> Vec<Id> {
+pub fn replica_set(key: IdempotencyKey, members: &[Member], replication_factor: usize) -> Vec<NodeId> {
     let able = members.iter().filter(|member| member.weight > 0.0);
     let mut drawn: Vec<(f64, &Member)> = able.map(|member| (draw(key, member), member)).collect();
     drawn.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
--- a/crates/plovershelf-replication/src/placement/tests.rs
+++ b/crates/plovershelf-replication/src/placement/tests.rs
@@ -5,7 +5,7 @@
 fn members(count: u64) -> Vec<Member> {
     (1..=count)
         .map(|n| Member {
-            id: Id(n * 7919),
+            id: NodeId(n * 7919),
             zone: format!("z{}", n % 3),
             machine: format!("m{n}"),
             weight: 1.0,
--- a/crates/plovershelf-replication/src/primary/tests.rs
+++ b/crates/plovershelf-replication/src/primary/tests.rs
@@ -1,4 +1,4 @@
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use super::*;
 use crate::record::{Outcome, OutcomeOrigin, ViewNumber};
@@ -24,12 +24,12 @@
     completed.outcome_version = OutcomeVersion { view: ViewNumber(1), origin: OutcomeOrigin::Executor };
     assert_eq!(replica.store(&ctx, KEY, completed), Stored::Yes);
     let answer = messages(primary.handle_reserve(&ctx, request(3), &mut replica, &mut repair));
-    assert!(matches!(answer.as_slice(), [(Id(3), Message::HeldByAnother { outcome: None, .. })]));
+    assert!(matches!(answer.as_slice(), [(NodeId(3), Message::HeldByAnother { outcome: None, .. })]));
     assert!(repair.is_under_way(KEY));
     let told = messages(primary.handle_outcome_replicated(&ctx, KEY, &replica));
     let outcome = Some(Outcome::Failed);
     let (view, reservation) = (ctx.view(), reservation(3));
-    assert_eq!(told, [(Id(3), Message::HeldByAnother { view, key: KEY, reservation, outcome })]);
+    assert_eq!(told, [(NodeId(3), Message::HeldByAnother { view, key: KEY, reservation, outcome })]);
     assert!(primary.forget(KEY).is_empty());
 }
 
--- a/crates/plovershelf-replication/src/reconciliation/collector.rs
+++ b/crates/plovershelf-replication/src/reconciliation/collector.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::membership::Membership;
 use crate::placement::IdempotencyKey;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Collected {
     /// By key, who stores which record.
-    pub(crate) records: BTreeMap<IdempotencyKey, Vec<(Id, Record)>>,
+    pub(crate) records: BTreeMap<IdempotencyKey, Vec<(NodeId, Record)>>,
     /// Reservations that their executors still have.
     pub(crate) active: BTreeSet<(IdempotencyKey, Reservation)>,
 }
@@ -30,10 +30,10 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportCollector {
-    complete: BTreeSet<Id>,
+    complete: BTreeSet<NodeId>,
     collected: Collected,
-    announced: BTreeMap<Id, u64>,
-    received: BTreeMap<Id, BTreeSet<IdempotencyKey>>,
+    announced: BTreeMap<NodeId, u64>,
+    received: BTreeMap<NodeId, BTreeSet<IdempotencyKey>>,
     reconciled: bool,
 }
 
@@ -45,7 +45,7 @@
     /// What the local member itself stores and executes.
     pub(crate) fn add_local(
         &mut self,
-        local: Id,
+        local: NodeId,
         records: Vec<(IdempotencyKey, Record)>,
         active: Vec<(IdempotencyKey, Reservation)>,
     ) {
@@ -55,7 +55,7 @@
 
     pub(crate) fn handle_report(
         &mut self,
-        from: Id,
+        from: NodeId,
         records: Vec<(IdempotencyKey, Record)>,
         active: Vec<(IdempotencyKey, Reservation)>,
     ) -> ReportStatus {
@@ -68,7 +68,7 @@
         self.status(from)
     }
 
-    pub(crate) fn handle_report_complete(&mut self, from: Id, count: u64) -> ReportStatus {
+    pub(crate) fn handle_report_complete(&mut self, from: NodeId, count: u64) -> ReportStatus {
         self.announced.insert(from, count);
         self.status(from)
     }
@@ -85,7 +85,7 @@
 
     fn add(
         &mut self,
-        from: Id,
+        from: NodeId,
         records: Vec<(IdempotencyKey, Record)>,
         active: Vec<(IdempotencyKey, Reservation)>,
     ) {
@@ -97,7 +97,7 @@
         self.collected.active.extend(active);
     }
 
-    fn status(&mut self, from: Id) -> ReportStatus {
+    fn status(&mut self, from: NodeId) -> ReportStatus {
         let Some(announced) = self.announced.get(&from).copied() else { return ReportStatus::Partial };
         let received = self.received.get(&from).map_or(0, BTreeSet::len) as u64;
         if received < announced && !self.reconciled {
--- a/crates/plovershelf-replication/src/reconciliation/resolution.rs
+++ b/crates/plovershelf-replication/src/reconciliation/resolution.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::context::Context;
 use crate::placement::IdempotencyKey;
@@ -23,7 +23,7 @@
 pub(crate) struct Evidence<'a> {
     pub(crate) key: IdempotencyKey,
     /// Who stores which record, the local member among them.
-    pub(crate) reports: &'a [(Id, Record)],
+    pub(crate) reports: &'a [(NodeId, Record)],
     /// What the local member stores now, which may be more than when it reported to itself.
     pub(crate) stored: Option<&'a Record>,
     /// Reservations that their executors still have.
@@ -80,7 +80,7 @@
         let active = evidence.active.contains(&(evidence.key, reservation));
         return if active { Fate::Executing } else { Fate::NeverLaunched };
     }
-    let stores = |id: Id| {
+    let stores = |id: NodeId| {
         evidence.reports.iter().any(|(from, report)| *from == id && report.reservation == reservation)
     };
     let mut left = record.replica_set.iter().copied().filter(|id| ctx.membership.contains(*id));
--- a/crates/plovershelf-replication/src/reconciliation/resolution/tests.rs
+++ b/crates/plovershelf-replication/src/reconciliation/resolution/tests.rs
@@ -6,8 +6,8 @@
 
 /// What view 2 of `members` makes of a reservation by [`EXECUTOR`] at the replicas 1, 2 and 3 that `stored_by` still store.
 fn resolution(members: &[u64], stored_by: &[u64], active: &[Reservation]) -> Resolution {
-    let reports: Vec<(Id, Record)> =
-        stored_by.iter().map(|n| (Id(*n), reserved(EXECUTOR, &[1, 2, 3]))).collect();
+    let reports: Vec<(NodeId, Record)> =
+        stored_by.iter().map(|n| (NodeId(*n), reserved(EXECUTOR, &[1, 2, 3]))).collect();
     let active = active.iter().map(|reservation| (KEY, *reservation)).collect();
     let evidence = Evidence { key: KEY, reports: &reports, stored: None, active: &active };
     resolve(&context(1, 2, members), evidence)
@@ -55,7 +55,7 @@
 fn reservation_of_the_current_view_is_unchanged() {
     let mut current = reserved(EXECUTOR, &[1, 2, 3]);
     current.order.view = ViewNumber(2);
-    let reports = [(Id(2), reserved(4, &[1, 2, 3]))];
+    let reports = [(NodeId(2), reserved(4, &[1, 2, 3]))];
     let evidence = Evidence { key: KEY, reports: &reports, stored: Some(&current), active: &BTreeSet::new() };
     assert_eq!(resolve(&context(1, 2, &[1, 2, 3]), evidence), Resolution::Unchanged);
 }
@@ -67,7 +67,7 @@
     completed.outcome = Some(Outcome::Succeeded(vec![7]));
     let mut open = reserved(EXECUTOR, &[1, 2, 3]);
     open.retention_ms = 5000;
-    let reports = [(Id(1), completed), (Id(2), open)];
+    let reports = [(NodeId(1), completed), (NodeId(2), open)];
     let evidence = Evidence { key: KEY, reports: &reports, stored: None, active: &BTreeSet::new() };
     let resolution = resolve(&context(1, 2, &[1, 2, 4]), evidence);
     assert_eq!(outcome(&resolution), Some(&Outcome::Succeeded(vec![7])));
--- a/crates/plovershelf-replication/src/reconciliation/sender.rs
+++ b/crates/plovershelf-replication/src/reconciliation/sender.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use super::collector::reported_keys;
 use crate::context::Context;
@@ -28,8 +28,8 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ReportSender {
-    pending: BTreeMap<Id, PendingReport>,
-    unacknowledged: BTreeSet<Id>,
+    pending: BTreeMap<NodeId, PendingReport>,
+    unacknowledged: BTreeSet<NodeId>,
     next_batch_at_ms: f64,
     resend_at_ms: f64,
 }
@@ -65,7 +65,7 @@
         self.restart(ctx, replica, executor)
     }
 
-    pub(crate) fn handle_acknowledged(&mut self, from: Id) {
+    pub(crate) fn handle_acknowledged(&mut self, from: NodeId) {
         self.unacknowledged.remove(&from);
     }
 
@@ -99,7 +99,7 @@
     fn send_batches(&mut self, ctx: &Context, replica: &Replica, executor: &Executor) -> Effects {
         let mut effects = Effects::default();
         self.next_batch_at_ms = self.next_batch_at_ms.max(ctx.now_ms - MAX_BURST_MS);
-        let receivers: Vec<Id> = self.pending.keys().copied().collect();
+        let receivers: Vec<NodeId> = self.pending.keys().copied().collect();
         for to in receivers {
             while self.next_batch_at_ms <= ctx.now_ms && self.pending.contains_key(&to) {
                 effects.append(self.send_batch(ctx, to, replica, executor));
@@ -109,7 +109,7 @@
     }
 
     /// One batch to one member; after the last one the count of all, and the report is no longer pending.
-    fn send_batch(&mut self, ctx: &Context, to: Id, replica: &Replica, executor: &Executor) -> Effects {
+    fn send_batch(&mut self, ctx: &Context, to: NodeId, replica: &Replica, executor: &Executor) -> Effects {
         let mut effects = Effects::default();
         let Some(report) = self.pending.get_mut(&to) else { return effects };
         let view = ctx.view();
--- a/crates/plovershelf-replication/src/record.rs
+++ b/crates/plovershelf-replication/src/record.rs
@@ -1,6 +1,6 @@
 //! What is replicated of one idempotency key: who reserved it, the reservation's place in the order, and the outcome.
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
 /// The number of a view: the group's agreed list of members. A later view has a higher number.
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Reservation {
     /// The member whose backend runs the request.
-    pub executor: Id,
+    pub executor: NodeId,
     /// The request's number there.
     pub request: RequestId,
 }
@@ -88,7 +88,7 @@
     pub order: ReservationOrder,
     /// Who had to confirm the reservation before anything was launched. Repair never changes it: that one of these members
     /// has no record proves that nothing was launched.
-    pub replica_set: Vec<Id>,
+    pub replica_set: Vec<NodeId>,
     /// The round of the reservation, so that a confirmation of an earlier round is recognized.
     pub round: Round,
     /// How it ended, once it has.
--- a/crates/plovershelf-replication/src/repair.rs
+++ b/crates/plovershelf-replication/src/repair.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::context::Context;
 use crate::effects::Effects;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Repair {
     /// By key, the replicas that have not confirmed. A key that lacks none is not in it.
-    lacking: BTreeMap<IdempotencyKey, BTreeSet<Id>>,
+    lacking: BTreeMap<IdempotencyKey, BTreeSet<NodeId>>,
     timers: KeyTimers,
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// These replicas are to store a key's record and to confirm it.
-    pub(crate) fn start(&mut self, key: IdempotencyKey, replicas: BTreeSet<Id>) {
+    pub(crate) fn start(&mut self, key: IdempotencyKey, replicas: BTreeSet<NodeId>) {
         if replicas.is_empty() {
             self.lacking.remove(&key);
         } else {
@@ -81,7 +81,7 @@
         effects
     }
 
-    pub(crate) fn handle_repaired(&mut self, from: Id, key: IdempotencyKey) -> Progress {
+    pub(crate) fn handle_repaired(&mut self, from: NodeId, key: IdempotencyKey) -> Progress {
         let Some(lacking) = self.lacking.get_mut(&key) else { return Progress::Lacking };
         if !lacking.remove(&from) || !lacking.is_empty() {
             return Progress::Lacking;
--- a/crates/plovershelf-replication/src/replica.rs
+++ b/crates/plovershelf-replication/src/replica.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::broken::{self, Broken};
 use crate::context::Context;
@@ -30,7 +30,7 @@
 pub(crate) struct StoredRecord {
     pub(crate) reservation: Reservation,
     pub(crate) order: ReservationOrder,
-    pub(crate) replica_set: Vec<Id>,
+    pub(crate) replica_set: Vec<NodeId>,
     pub(crate) round: Round,
     pub(crate) outcome: Option<Outcome>,
     outcome_version: OutcomeVersion,
@@ -59,7 +59,7 @@
     }
 
     /// The primary accepts the same reservation again, under a new view or in a further round.
-    pub(crate) fn reorder(&mut self, order: ReservationOrder, replica_set: Vec<Id>, round: Round) {
+    pub(crate) fn reorder(&mut self, order: ReservationOrder, replica_set: Vec<NodeId>, round: Round) {
         (self.order, self.replica_set) = (order, replica_set);
         self.round = self.round.max(round);
     }
@@ -148,7 +148,7 @@
     pub(crate) fn handle_replicate(
         &mut self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         key: IdempotencyKey,
         record: Record,
     ) -> Effects {
@@ -173,7 +173,7 @@
     pub(crate) fn handle_record_outcome(
         &mut self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         report: OutcomeReport,
     ) -> Effects {
         let OutcomeReport { key, reservation, outcome, retention_ms } = report;
@@ -206,7 +206,7 @@
     pub(crate) fn handle_repair(
         &mut self,
         ctx: &Context,
-        from: Id,
+        from: NodeId,
         records: Vec<(IdempotencyKey, Record)>,
     ) -> Effects {
         let mut keys = Vec::new();
@@ -240,7 +240,7 @@
     }
 
     /// Whether an executor may release what is stored of a key: its own reservation, which has not ended.
-    pub(crate) fn may_release(&self, from: Id, key: IdempotencyKey, reservation: Reservation) -> bool {
+    pub(crate) fn may_release(&self, from: NodeId, key: IdempotencyKey, reservation: Reservation) -> bool {
         self.records.get(&key).is_some_and(|stored| {
             stored.reservation == reservation && reservation.executor == from && stored.outcome.is_none()
         })
--- a/crates/plovershelf-replication/src/replica/tests.rs
+++ b/crates/plovershelf-replication/src/replica/tests.rs
@@ -22,7 +22,7 @@
     newer.order.view = ViewNumber(2);
     assert_eq!(replica.store(&ctx, KEY, newer), Stored::Yes);
     assert_eq!(replica.store(&ctx, KEY, reserved(2, &[1, 2, 3])), Stored::Yes);
-    assert_eq!(replica.get(KEY).map(|stored| stored.reservation.executor), Some(Id(3)));
+    assert_eq!(replica.get(KEY).map(|stored| stored.reservation.executor), Some(NodeId(3)));
 }
 
 /// An executor does not complete its reservation in time: it must be probed, again and again, and the record kept.
@@ -36,6 +36,6 @@
         ctx.now_ms = at_ms;
         assert_eq!(replica.pop_expiry(), Some(KEY));
         let Expiry::Kept(effects) = replica.handle_expiry(&ctx, KEY) else { panic!("it is kept") };
-        assert!(matches!(messages(effects).as_slice(), [(Id(2), Message::ProbeReservation { .. })]));
+        assert!(matches!(messages(effects).as_slice(), [(NodeId(2), Message::ProbeReservation { .. })]));
     }
 }
--- a/crates/plovershelf-replication/src/replicator.rs
+++ b/crates/plovershelf-replication/src/replicator.rs
@@ -15,7 +15,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::config::ReplicationConfig;
 use crate::context::Context;
@@ -51,7 +51,7 @@
 
 impl Replicator {
     /// A member that knows no view yet, and so takes no reservation.
-    pub fn new(local: Id, config: ReplicationConfig, now_ms: f64) -> Self {
+    pub fn new(local: NodeId, config: ReplicationConfig, now_ms: f64) -> Self {
         let membership = Membership::new(local, config.replication_factor);
         Replicator {
             ctx: Context { now_ms, config, membership, suspected: SuspectedMembers::default() },
@@ -112,7 +112,7 @@
     // ---- inputs of the group -------------------------------------------------------------------------
 
     /// These members may be gone; reservations that wait for one of them are begun anew with others.
-    pub fn update_suspected(&mut self, now_ms: f64, suspected: BTreeSet<Id>) {
+    pub fn update_suspected(&mut self, now_ms: f64, suspected: BTreeSet<NodeId>) {
         self.ctx.now_ms = now_ms;
         if self.ctx.suspected.update(suspected) == Update::Unchanged {
             return;
@@ -145,7 +145,7 @@
     }
 
     /// A message of another member has come.
-    pub fn handle_message(&mut self, now_ms: f64, from: Id, message: Message) {
+    pub fn handle_message(&mut self, now_ms: f64, from: NodeId, message: Message) {
         self.ctx.now_ms = now_ms;
         // The fence between views: the sender sends it again under the view that both are in.
         if message.view() != self.ctx.view() || !self.ctx.membership.contains(from) {
@@ -231,7 +231,7 @@
     }
 
     /// Where the current view places a key, its primary in front.
-    pub fn replica_set(&self, key: IdempotencyKey) -> Vec<Id> {
+    pub fn replica_set(&self, key: IdempotencyKey) -> Vec<NodeId> {
         self.ctx.membership.replica_set(key)
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// To the role that a message is for.
-    fn dispatch(&mut self, from: Id, message: Message) {
+    fn dispatch(&mut self, from: NodeId, message: Message) {
         let Self { ctx, executor, replica, .. } = self;
         let effects = match message {
             Message::Reserve { key, reservation, round, retention_ms, .. } => {
@@ -313,7 +313,7 @@
         self.apply(effects);
     }
 
-    fn handle_reserve(&mut self, from: Id, request: ReserveRequest) -> Effects {
+    fn handle_reserve(&mut self, from: NodeId, request: ReserveRequest) -> Effects {
         let Self { ctx, primary, replica, reconciliation, repair, .. } = self;
         let valid = ctx.membership.is_primary(request.key) && request.reservation.executor == from;
         if !valid || !reconciliation.may_order(&ctx.membership, request.key) {
@@ -325,7 +325,7 @@
     /// An executor says that all replicas have its outcome.
     fn handle_outcome_replicated(
         &mut self,
-        from: Id,
+        from: NodeId,
         key: IdempotencyKey,
         reservation: Reservation,
     ) -> Effects {
@@ -336,7 +336,7 @@
         self.primary.handle_outcome_replicated(&self.ctx, key, &self.replica)
     }
 
-    fn handle_release(&mut self, from: Id, key: IdempotencyKey, reservation: Reservation) -> Effects {
+    fn handle_release(&mut self, from: NodeId, key: IdempotencyKey, reservation: Reservation) -> Effects {
         if self.replica.may_release(from, key, reservation) {
             self.release(key)
         } else {
@@ -355,7 +355,7 @@
         effects
     }
 
-    fn handle_repaired(&mut self, from: Id, keys: Vec<IdempotencyKey>) -> Effects {
+    fn handle_repaired(&mut self, from: NodeId, keys: Vec<IdempotencyKey>) -> Effects {
         let mut effects = Effects::default();
         for key in keys {
             if self.repair.handle_repaired(from, key) == Progress::Complete {
@@ -366,7 +366,7 @@
     }
 
     /// Another member leaves: it may go once all keys whose primary the local member is have their replicas without it.
-    fn handle_request_leave(&mut self, from: Id) -> Effects {
+    fn handle_request_leave(&mut self, from: NodeId) -> Effects {
         let may_hold_records = self.ctx.membership.accepts_records(from);
         if may_hold_records || !self.reconciliation.is_complete() || self.repair.len() > 0 {
             return Effects::default();
@@ -383,7 +383,7 @@
         reconciliation.collector.add_local(ctx.local(), records, active);
     }
 
-    fn acknowledge_report(&mut self, from: Id, status: ReportStatus) {
+    fn acknowledge_report(&mut self, from: NodeId, status: ReportStatus) {
         if status == ReportStatus::Complete {
             self.apply(Effects::message(from, Message::ReportAcknowledged { view: self.ctx.view() }));
             self.reconcile();
@@ -394,7 +394,7 @@
     fn reconcile(&mut self) {
         let Some(collected) = self.reconciliation.collector.finish(&self.ctx.membership) else { return };
         let Collected { records, active } = collected;
-        let mut records: Vec<(IdempotencyKey, Vec<(Id, Record)>)> = records.into_iter().collect();
+        let mut records: Vec<(IdempotencyKey, Vec<(NodeId, Record)>)> = records.into_iter().collect();
         records.sort_by_key(|(_, reports)| reports.len());
         let interval_ms = self.ctx.config.batch_interval_ms() / self.ctx.config.batch_size as f64;
         for (place, (key, reports)) in records.into_iter().enumerate() {
--- a/crates/plovershelf-replication/src/skipping.rs
+++ b/crates/plovershelf-replication/src/skipping.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 
 use crate::membership::Membership;
 use crate::placement::IdempotencyKey;
@@ -14,7 +14,7 @@
 /// Members that may be gone, as the group's failure detection says.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectedMembers {
-    suspected: BTreeSet<Id>,
+    suspected: BTreeSet<NodeId>,
 }
 
 /// Whether an update brought anything new.
@@ -25,7 +25,7 @@
 }
 
 impl SuspectedMembers {
-    pub(crate) fn update(&mut self, suspected: BTreeSet<Id>) -> Update {
+    pub(crate) fn update(&mut self, suspected: BTreeSet<NodeId>) -> Update {
         if suspected == self.suspected {
             return Update::Unchanged;
         }
@@ -34,9 +34,9 @@
     }
 
     /// The replicas that a primary gives a key now: those of the view, or as many others without the suspected ones.
-    pub(crate) fn replica_set(&self, membership: &Membership, key: IdempotencyKey) -> Vec<Id> {
+    pub(crate) fn replica_set(&self, membership: &Membership, key: IdempotencyKey) -> Vec<NodeId> {
         let placed = membership.replica_set(key);
-        let skipped = |id: Id| id != membership.local() && self.suspected.contains(&id);
+        let skipped = |id: NodeId| id != membership.local() && self.suspected.contains(&id);
         if !placed.iter().any(|id| skipped(*id)) {
             return placed;
         }
@@ -49,7 +49,7 @@
     }
 
     /// Whether a reservation waits for a suspected member: it is begun anew with other replicas.
-    pub(crate) fn blocks(&self, replica_set: &[Id], confirmed: &BTreeSet<Id>) -> bool {
+    pub(crate) fn blocks(&self, replica_set: &[NodeId], confirmed: &BTreeSet<NodeId>) -> bool {
         replica_set.iter().any(|id| self.suspected.contains(id) && !confirmed.contains(id))
     }
 }
--- a/crates/plovershelf-replication/tests/broken.rs
+++ b/crates/plovershelf-replication/tests/broken.rs
@@ -5,7 +5,7 @@
 
 use std::sync::atomic::Ordering;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::broken::{set, Broken};
 use plovershelf_replication::{
     Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, Reservation, ViewNumber,
@@ -32,15 +32,16 @@
 
 /// Confirmations by a replica of the outcome of a reservation that it was never sent.
 fn confirmations_of_a_blank_replica() -> usize {
-    let member = |n: u64| Member { id: Id(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
+    let member =
+        |n: u64| Member { id: NodeId(n), zone: format!("z{n}"), machine: format!("m{n}"), weight: 1.0 };
     let config = ReplicationConfig { replication_factor: 3, ..ReplicationConfig::default() };
-    let mut blank = Replicator::new(Id(2), config, 0.0);
+    let mut blank = Replicator::new(NodeId(2), config, 0.0);
     blank.update_view(0.0, ViewNumber(1), (1..=3).map(member).collect());
     let _ = blank.poll_actions();
-    let reservation = Reservation { executor: Id(1), request: RequestId(1) };
+    let reservation = Reservation { executor: NodeId(1), request: RequestId(1) };
     let (view, outcome) = (ViewNumber(1), Outcome::Failed);
     let message = Message::RecordOutcome { view, key: KEY, reservation, outcome, retention_ms: 1000 };
-    blank.handle_message(1.0, Id(1), message);
+    blank.handle_message(1.0, NodeId(1), message);
     let sent = blank.poll_actions().messages;
     sent.iter().filter(|(_, message)| matches!(message, Message::OutcomeRecorded { .. })).count()
 }
--- a/crates/plovershelf-replication/tests/hard_cases.rs
+++ b/crates/plovershelf-replication/tests/hard_cases.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::placement::replica_set;
 use plovershelf_replication::{
     Event, Member, Message, Outcome, OutcomeOrigin, OutcomeVersion, Record, ReplicationConfig, Replicator,
@@ -151,17 +151,17 @@
 fn message_of_an_older_view_is_dropped_and_an_abandoned_reservation_released() {
     let mut cluster = default_cluster(3);
     cluster.update_view(2);
-    let reservation = Reservation { executor: Id(2), request: RequestId(1) };
+    let reservation = Reservation { executor: NodeId(2), request: RequestId(1) };
     let (view, round) = (ViewNumber(1), Round(0));
     let stale = Message::Reserve { view, key: key(1), reservation, round, retention_ms: 1000 };
     for member in cluster.live_mut() {
-        member.handle_message(1.0, Id(2), stale.clone());
+        member.handle_message(1.0, NodeId(2), stale.clone());
         assert_eq!(member.record_count(), 0);
     }
     let record = Record {
         reservation,
         order: ReservationOrder { view: ViewNumber(2), sequence: 1 },
-        replica_set: vec![Id(1), Id(2), Id(3)],
+        replica_set: vec![NodeId(1), NodeId(2), NodeId(3)],
         round: Round(0),
         outcome: None,
         outcome_version: OutcomeVersion::default(),
@@ -187,7 +187,7 @@
     let placed = replica_set(key(3), &members(&ids), 3);
     let (primary, gone) = (place_of(placed[0]), placed[2]);
     cluster.members[place_of(gone)] = None;
-    let executor = (0..9).find(|place| !placed.contains(&Id(*place as u64 + 1))).expect("six others");
+    let executor = (0..9).find(|place| !placed.contains(&NodeId(*place as u64 + 1))).expect("six others");
     let request = cluster.reserve(executor, key(3));
     cluster.advance(200.0);
     assert_eq!(cluster.take_events(), [], "it waits for the one that is gone");
@@ -266,13 +266,15 @@
 fn messages() -> impl Strategy<Value = Message> {
     let views = 0u64..4;
     let keys = (0u64..3).prop_map(key);
-    let reservations = (0u64..5, 0u64..4)
-        .prop_map(|(executor, request)| Reservation { executor: Id(executor), request: RequestId(request) });
+    let reservations = (0u64..5, 0u64..4).prop_map(|(executor, request)| Reservation {
+        executor: NodeId(executor),
+        request: RequestId(request),
+    });
     let records = (
         reservations.clone(),
         0u64..4,
         0u64..4,
-        proptest::collection::vec((0u64..5).prop_map(Id), 0..4),
+        proptest::collection::vec((0u64..5).prop_map(NodeId), 0..4),
         proptest::option::of(outcomes()),
     )
         .prop_map(|(reservation, view, sequence, replica_set, outcome)| Record {
@@ -318,7 +320,7 @@
         steps in proptest::collection::vec((0u64..5, messages(), 0u32..60), 1..150),
     ) {
         let config = ReplicationConfig { max_records: 8, ..ReplicationConfig::default() };
-        let mut member = Replicator::new(Id(1), config, 0.0);
+        let mut member = Replicator::new(NodeId(1), config, 0.0);
         let (mut now_ms, mut ends) = (0.0, BTreeMap::<RequestId, u32>::new());
         let mut reserved = RequestId(0);
         for (place, (from, message, wait)) in steps.into_iter().enumerate() {
@@ -327,7 +329,7 @@
                 0 => member.update_view(now_ms, ViewNumber(place as u64 / 24 + 1), support::members(&[1, 2, 3, 4])),
                 5 => reserved = member.reserve(now_ms, key(place as u64 % 3), now_ms + 200.0, 100.0),
                 9 => member.complete(now_ms, reserved, Outcome::Failed),
-                _ => member.handle_message(now_ms, Id(from), message),
+                _ => member.handle_message(now_ms, NodeId(from), message),
             }
             if wait > 30 {
                 member.handle_timeout(now_ms);
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -5,7 +5,7 @@
 
 use std::fmt::Debug;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::placement::{replica_set, IdempotencyKey, Member};
 use plovershelf_replication::{
     Message, Outcome, OutcomeOrigin, OutcomeVersion, Record, RequestId, Reservation, ReservationOrder, Round,
@@ -18,8 +18,8 @@
 
 const KEY: IdempotencyKey = IdempotencyKey(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
 const OTHER_KEY: IdempotencyKey = IdempotencyKey(0xf1f2_f3f4_f5f6_f7f8_f9fa_fbfc_fdfe_ff00);
-const RESERVATION: Reservation = Reservation { executor: Id(1001), request: RequestId(2002) };
-const OTHER_RESERVATION: Reservation = Reservation { executor: Id(3003), request: RequestId(4004) };
+const RESERVATION: Reservation = Reservation { executor: NodeId(1001), request: RequestId(2002) };
+const OTHER_RESERVATION: Reservation = Reservation { executor: NodeId(3003), request: RequestId(4004) };
 
 fn succeeded() -> Outcome {
     Outcome::Succeeded(vec![0xca, 0xfe, 0x00, 0x7f])
@@ -29,7 +29,7 @@
     Record {
         reservation: RESERVATION,
         order: ReservationOrder { view: ViewNumber(501), sequence: 601 },
-        replica_set: vec![Id(11), Id(12), Id(13)],
+        replica_set: vec![NodeId(11), NodeId(12), NodeId(13)],
         round: Round(701),
         outcome: None,
         outcome_version: OutcomeVersion::default(),
@@ -41,7 +41,7 @@
     Record {
         reservation: OTHER_RESERVATION,
         order: ReservationOrder { view: ViewNumber(502), sequence: 602 },
-        replica_set: vec![Id(21), Id(22)],
+        replica_set: vec![NodeId(21), NodeId(22)],
         round: Round(702),
         outcome: Some(succeeded()),
         outcome_version: OutcomeVersion { view: ViewNumber(902), origin: OutcomeOrigin::Reconciliation },
@@ -52,7 +52,7 @@
 /// Three zones, two members on one machine, and weights that differ.
 fn nine_members() -> Vec<Member> {
     let member = |n: u64| Member {
-        id: Id(n * 7919),
+        id: NodeId(n * 7919),
         zone: format!("z{}", n % 3),
         machine: format!("m{}", n.max(2)),
         weight: 0.5 + n as f64 / 4.0,
@@ -62,70 +62,78 @@
 
 /// One value of each kind, each field another value. The view is another for each, too.
 fn messages() -> Vec<(&'static str, Message)> {
+    let mut messages = messages_of_a_request();
+    messages.extend(messages_after_a_view_change());
+    messages.sort_by_key(|(_, message)| message.view());
+    messages
+}
+
+fn messages_of_a_request() -> Vec<(&'static str, Message)> {
     let (key, reservation) = (KEY, RESERVATION);
-    let replica_set = vec![Id(31), Id(32), Id(33)];
+    let replica_set = vec![NodeId(31), NodeId(32), NodeId(33)];
+    let view = ViewNumber;
+    let held = |number, outcome| Message::HeldByAnother { view: view(number), key, reservation, outcome };
+    let (succeeded, in_doubt) = (succeeded(), Outcome::InDoubt);
     vec![
         (
             "message_reserve",
-            Message::Reserve { view: ViewNumber(101), key, reservation, round: Round(41), retention_ms: 51 },
+            Message::Reserve { view: view(101), key, reservation, round: Round(41), retention_ms: 51 },
         ),
-        ("message_replicate", Message::Replicate { view: ViewNumber(102), key, record: open_record() }),
+        ("message_replicate", Message::Replicate { view: view(102), key, record: open_record() }),
         (
             "message_reserved",
-            Message::Reserved { view: ViewNumber(103), key, reservation, round: Round(42), replica_set },
-        ),
-        (
-            "message_held_by_another_open",
-            Message::HeldByAnother { view: ViewNumber(104), key, reservation, outcome: None },
-        ),
-        (
-            "message_held_by_another_completed",
-            Message::HeldByAnother { view: ViewNumber(105), key, reservation, outcome: Some(succeeded()) },
+            Message::Reserved { view: view(103), key, reservation, round: Round(42), replica_set },
         ),
-        ("message_released", Message::Released { view: ViewNumber(106), key }),
+        ("message_held_by_another_open", held(104, None)),
+        ("message_held_by_another_completed", held(105, Some(succeeded.clone()))),
+        ("message_released", Message::Released { view: view(106), key }),
         (
             "message_record_outcome",
             Message::RecordOutcome {
-                view: ViewNumber(107),
+                view: view(107),
                 key,
                 reservation,
-                outcome: succeeded(),
+                outcome: succeeded,
                 retention_ms: 52,
             },
         ),
         (
             "message_outcome_recorded",
-            Message::OutcomeRecorded { view: ViewNumber(108), key, reservation, outcome: Outcome::InDoubt },
+            Message::OutcomeRecorded { view: view(108), key, reservation, outcome: in_doubt },
         ),
-        (
-            "message_outcome_replicated",
-            Message::OutcomeReplicated { view: ViewNumber(109), key, reservation },
-        ),
-        ("message_release", Message::Release { view: ViewNumber(110), key, reservation }),
+        ("message_outcome_replicated", Message::OutcomeReplicated { view: view(109), key, reservation }),
+        ("message_release", Message::Release { view: view(110), key, reservation }),
+        ("message_probe_reservation", Message::ProbeReservation { view: view(116), key, reservation }),
+    ]
+}
+
+fn messages_after_a_view_change() -> Vec<(&'static str, Message)> {
+    let view = ViewNumber;
+    vec![
         (
             "message_report",
             Message::Report {
-                view: ViewNumber(111),
+                view: view(111),
                 records: vec![(KEY, open_record()), (OTHER_KEY, completed_record())],
                 active: vec![(OTHER_KEY, OTHER_RESERVATION), (KEY, RESERVATION)],
             },
         ),
-        ("message_report_complete", Message::ReportComplete { view: ViewNumber(112), count: 61 }),
+        ("message_report_complete", Message::ReportComplete { view: view(112), count: 61 }),
         (
             "message_repair",
             Message::Repair {
-                view: ViewNumber(113),
+                view: view(113),
                 records: vec![(OTHER_KEY, completed_record()), (KEY, open_record())],
             },
         ),
-        ("message_repaired", Message::Repaired { view: ViewNumber(114), keys: vec![KEY, OTHER_KEY] }),
-        ("message_report_acknowledged", Message::ReportAcknowledged { view: ViewNumber(115) }),
-        ("message_probe_reservation", Message::ProbeReservation { view: ViewNumber(116), key, reservation }),
-        ("message_request_leave", Message::RequestLeave { view: ViewNumber(117) }),
-        ("message_permit_leave", Message::PermitLeave { view: ViewNumber(118) }),
+        ("message_repaired", Message::Repaired { view: view(114), keys: vec![KEY, OTHER_KEY] }),
+        ("message_report_acknowledged", Message::ReportAcknowledged { view: view(115) }),
+        ("message_request_leave", Message::RequestLeave { view: view(117) }),
+        ("message_permit_leave", Message::PermitLeave { view: view(118) }),
     ]
 }
 
+/// Reads bytes back and compares them with a value.
 type ReadBack = Box<dyn Fn(&[u8])>;
 
 /// A message or a part of one, whose bytes are pinned.
--- a/crates/plovershelf-replication/tests/walk/mod.rs
+++ b/crates/plovershelf-replication/tests/walk/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::placement::replica_set;
 use plovershelf_replication::{
     Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
@@ -15,27 +15,27 @@
 
 /// Faults that may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
-    pub crashes: u8,
-    pub duplicates: u8,
-    pub breaks: u8,
+pub(crate) struct Budget {
+    pub(crate) crashes: u8,
+    pub(crate) duplicates: u8,
+    pub(crate) breaks: u8,
     /// Clients that give up before anything is launched.
-    pub cancels: u8,
+    pub(crate) cancels: u8,
     /// Members that come to suspect another, whether it is gone or not.
-    pub suspicions: u8,
+    pub(crate) suspicions: u8,
 }
 
-pub struct KeyModel {
-    pub members: usize,
-    pub replication_factor: usize,
+pub(crate) struct KeyModel {
+    pub(crate) members: usize,
+    pub(crate) replication_factor: usize,
     /// Backends that an attempt comes to.
-    pub attempts: Vec<usize>,
-    pub budget: Budget,
+    pub(crate) attempts: Vec<usize>,
+    pub(crate) budget: Budget,
 }
 
 #[derive(Clone, Debug)]
-pub struct World {
-    pub members: Vec<Option<Replicator>>,
+pub(crate) struct World {
+    pub(crate) members: Vec<Option<Replicator>>,
     in_flight: BTreeMap<(usize, usize), VecDeque<Arc<Message>>>,
     budget: Budget,
     reserved: Vec<bool>,
@@ -43,9 +43,9 @@
     gone: Vec<usize>,
     /// Requests that run, by member.
     running: Vec<(usize, RequestId)>,
-    pub launches: u8,
+    pub(crate) launches: u8,
     /// What clients were answered.
-    pub answers: Vec<Outcome>,
+    pub(crate) answers: Vec<Outcome>,
 }
 
 impl World {
@@ -81,7 +81,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub(crate) enum Step {
     Reserve(usize),
     /// The first message of a link; it may come once more.
     Deliver(usize, usize, bool),
@@ -95,11 +95,11 @@
     Suspect(usize, usize),
 }
 
-fn id(member: usize) -> Id {
-    Id(member as u64 + 1)
+fn id(member: usize) -> NodeId {
+    NodeId(member as u64 + 1)
 }
 
-pub const KEY: IdempotencyKey = IdempotencyKey(0x5eed_0000_0000_0000_0000_0000_0000_0007);
+pub(crate) const KEY: IdempotencyKey = IdempotencyKey(0x5eed_0000_0000_0000_0000_0000_0000_0007);
 
 impl KeyModel {
     fn config(&self) -> ReplicationConfig {
@@ -297,7 +297,7 @@
 }
 
 /// Which properties were seen broken in this process: a bit each.
-pub static BROKEN: AtomicU8 = AtomicU8::new(0);
+pub(crate) static BROKEN: AtomicU8 = AtomicU8::new(0);
 
 fn seen(bit: u8, holds: bool) -> bool {
     if !holds {
@@ -307,7 +307,7 @@
 }
 
 /// The replicas of the key, the primary in front, as places.
-pub fn replica_places(members: usize, replication_factor: usize) -> Vec<usize> {
+pub(crate) fn replica_places(members: usize, replication_factor: usize) -> Vec<usize> {
     let all = KeyModel {
         members,
         replication_factor,
--- a/crates/plovershelf-server/src/group/replication.rs
+++ b/crates/plovershelf-server/src/group/replication.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use async_channel::Sender;
-use plovershelf_cluster::council::Id;
-use plovershelf_cluster::decided::{Seat, View};
+use plovershelf_cluster::wire::{decode, encode_payload};
+use plovershelf_cluster::{NodeId, View, ViewMember};
 use plovershelf_replication::{
     Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
 };
@@ -43,15 +43,15 @@
     },
 }
 
-/// A member as replication knows it: one incarnation, as what a process stored is gone with it though its folder may be kept.
+/// A member as replication knows it: one start of its process, as what a process stored is gone with it though its folder may be kept.
 /// Without this a process that is back at once would count as one that confirmed what it no longer has.
-fn replica_id(member: Id, incarnation: u64) -> Id {
-    let hash = (member.0 ^ incarnation.rotate_left(29)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Id(hash ^ hash >> 31)
+fn replica_id(member: NodeId, boot_id: u64) -> NodeId {
+    let hash = (member.0 ^ boot_id.rotate_left(29)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    NodeId(hash ^ hash >> 31)
 }
 
 /// Names the machine of a member: its host where the view has several, else its whole address.
-fn machine(seat: &Seat, hosts: &BTreeSet<std::net::IpAddr>) -> String {
+fn machine(seat: &ViewMember, hosts: &BTreeSet<std::net::IpAddr>) -> String {
     if hosts.len() > 1 {
         seat.address.ip().to_string()
     } else {
@@ -60,9 +60,9 @@
 }
 
 pub struct ReplicationDriver {
-    local: Id,
+    local: NodeId,
     /// Members of the view by their replica ids.
-    members: BTreeMap<Id, Id>,
+    members: BTreeMap<NodeId, NodeId>,
     replicator: Replicator,
     /// The owner's numbers by the state machine's, and the other way round.
     open: BTreeMap<RequestId, u32>,
@@ -74,12 +74,12 @@
 
 impl ReplicationDriver {
     pub fn new(
-        member: Id,
-        incarnation: u64,
+        member: NodeId,
+        boot_id: u64,
         config: ReplicationConfig,
         events: Sender<ReplicationEvent>,
     ) -> Self {
-        let local = replica_id(member, incarnation);
+        let local = replica_id(member, boot_id);
         ReplicationDriver {
             local,
             members: BTreeMap::new(),
@@ -96,7 +96,7 @@
     }
 
     /// The member behind a replica id of the view.
-    pub fn member(&self, replica: Id) -> Option<Id> {
+    pub fn member(&self, replica: NodeId) -> Option<NodeId> {
         self.members.get(&replica).copied()
     }
 
@@ -128,28 +128,28 @@
     /// No key is placed on a member that leaves.
     pub fn update_view(&mut self, now_ms: f64, view: &View) {
         let hosts: BTreeSet<_> = view.members.values().map(|seat| seat.address.ip()).collect();
-        let member = |(id, seat): (&Id, &Seat)| Member {
-            id: replica_id(*id, seat.life),
+        let member = |(id, seat): (&NodeId, &ViewMember)| Member {
+            id: replica_id(*id, seat.boot_id),
             zone: seat.zone.clone(),
             machine: machine(seat, &hosts),
-            weight: if seat.leaving { 0.0 } else { 1.0 },
+            weight: if seat.draining { 0.0 } else { 1.0 },
         };
-        self.members = view.members.iter().map(|(id, seat)| (replica_id(*id, seat.life), *id)).collect();
+        self.members = view.members.iter().map(|(id, seat)| (replica_id(*id, seat.boot_id), *id)).collect();
         let members = view.members.iter().map(member).collect();
         self.replicator.update_view(now_ms, ViewNumber(view.number), members);
     }
 
-    pub fn update_suspected(&mut self, now_ms: f64, suspected: &BTreeSet<Id>) {
+    pub fn update_suspected(&mut self, now_ms: f64, suspected: &BTreeSet<NodeId>) {
         let replicas = self.members.iter().filter(|(_, member)| suspected.contains(member));
         self.replicator.update_suspected(now_ms, replicas.map(|(replica, _)| *replica).collect());
     }
 
-    /// A message that cannot be read, or is for another incarnation, is dropped.
-    pub fn handle_message(&mut self, now_ms: f64, from: Id, to: Id, bytes: &[u8]) {
+    /// A message that cannot be read, or is for another start of the process, is dropped.
+    pub fn handle_message(&mut self, now_ms: f64, from: NodeId, to: NodeId, bytes: &[u8]) {
         if to != self.local {
             return;
         }
-        if let Ok(message) = plovershelf_cluster::frames::decode::<Message>(bytes) {
+        if let Ok(message) = decode::<Message>(bytes) {
             self.replicator.handle_message(now_ms, from, message);
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// Tells the owner its events, and returns what goes to other members: the local replica id, then receivers and bytes.
-    pub fn poll_actions(&mut self) -> (Id, Vec<(Id, Vec<u8>)>) {
+    pub fn poll_actions(&mut self) -> (NodeId, Vec<(NodeId, Vec<u8>)>) {
         let actions = self.replicator.poll_actions();
         for event in actions.events {
             if let Some(event) = self.owner_event(event) {
@@ -190,7 +190,7 @@
                 let _ = self.events.try_send(event);
             }
         }
-        let encode = |(to, message): (Id, Message)| (to, plovershelf_cluster::frames::plain(&message));
+        let encode = |(to, message): (NodeId, Message)| (to, encode_payload(&message));
         (self.local, actions.messages.into_iter().map(encode).collect())
     }
 
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -59,7 +59,7 @@
 
     let (move_agent, agent_moved) = async_channel::bounded(1);
     let Launch { peers, fixed, pools, group, changes, .. } = launch;
-    let pulse = group.is_some().then(std::sync::Arc::<group::Pulse>::default);
+    let pulse = group.is_some().then(std::sync::Arc::<group::OwnerHeartbeat>::default);
     let (replication_events, replication_inbox) = async_channel::unbounded();
     let with_replication = group.as_ref().is_some_and(|setup| setup.replication.is_some());
     let in_group = match (group, &pulse) {
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -153,7 +153,7 @@
     work_ms: f64,
     worked_at: f64,
     /// Where a group wants to know that this goes round and does its work.
-    pulse: Option<std::sync::Arc<crate::group::Pulse>>,
+    pulse: Option<std::sync::Arc<crate::group::OwnerHeartbeat>>,
     /// Tenants' quotas that may change while this runs, where an operator has set it up.
     changed: Option<changed::Changed>,
     /// Takes commands for replication, where there is any.
@@ -231,7 +231,7 @@
         Ok(self)
     }
 
-    pub fn with_pulse(mut self, pulse: Option<std::sync::Arc<crate::group::Pulse>>) -> Self {
+    pub fn with_pulse(mut self, pulse: Option<std::sync::Arc<crate::group::OwnerHeartbeat>>) -> Self {
         self.pulse = pulse;
         self
     }
@@ -265,8 +265,8 @@
             }
             self.settle();
             if let Some(pulse) = &self.pulse {
-                pulse.beat(self.backend.is_some() && self.agent.is_some());
-                pulse.count(self.startup.config.cores, &self.counted);
+                pulse.record(self.backend.is_some() && self.agent.is_some());
+                pulse.record_counts(self.startup.config.cores, &self.counted);
             }
         }
         let exit = self.due.iter().find(|(_, due, _)| *due == Due::Exit);
@@ -387,8 +387,8 @@
                 self.connections.get(&connection).into_iter().for_each(|peer| peer.outbox.arrived());
                 self.read(connection, frame);
             }
-            Event::Ended { connection, garbled: Some(what) } => self.deafen(connection, what),
-            Event::Ended { connection, garbled: None } => self.lost(connection),
+            Event::Ended { connection, error: Some(error) } => self.deafen(connection, &error.to_string()),
+            Event::Ended { connection, error: None } => self.lost(connection),
             Event::Crowded { why, open } => self.crowded(&why, open),
             Event::ListenerClosed => self.listener = Listener::Closed,
             Event::Agent(said) => self.hear(said),
--- a/crates/plovershelf-simulation/src/replication/node.rs
+++ b/crates/plovershelf-simulation/src/replication/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::{Outcome, ReplicationConfig, Replicator, RequestId};
 
 use super::events::{Process, ProcessEvent};
@@ -26,7 +26,7 @@
 pub(super) struct Node {
     /// Nothing while its machine is lost.
     pub(super) replicator: Option<Replicator>,
-    pub(super) id: Id,
+    pub(super) id: NodeId,
     incarnation: u64,
     /// Faults that keep it down.
     down: u32,
@@ -48,7 +48,7 @@
 
 impl Node {
     /// A machine without a process.
-    pub(super) fn new(id: Id) -> Self {
+    pub(super) fn new(id: NodeId) -> Self {
         Node {
             replicator: None,
             id,
@@ -76,7 +76,7 @@
         self.incarnation == process.incarnation
     }
 
-    pub(super) fn start(&mut self, id: Id, config: ReplicationConfig, now_ms: f64) {
+    pub(super) fn start(&mut self, id: NodeId, config: ReplicationConfig, now_ms: f64) {
         self.incarnation += 1;
         self.id = id;
         self.replicator = Some(Replicator::new(id, config, now_ms));
--- a/crates/plovershelf-simulation/src/replication/views.rs
+++ b/crates/plovershelf-simulation/src/replication/views.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::Member;
 
 /// How long a member must be back, or away, before a view says so. Milliseconds.
@@ -12,14 +12,14 @@
 /// A member as the group sees it now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Seen {
-    pub(super) id: Id,
+    pub(super) id: NodeId,
     pub(super) reachable: bool,
 }
 
 #[derive(Default)]
 pub(super) struct ViewService {
     /// By number from 1: who belongs.
-    views: Vec<Vec<(usize, Id)>>,
+    views: Vec<Vec<(usize, NodeId)>>,
     /// Since when a member differs from the last view.
     differs_since: BTreeMap<usize, f64>,
 }
@@ -29,7 +29,7 @@
         self.views.len() as u64
     }
 
-    pub(super) fn add(&mut self, view: Vec<(usize, Id)>) {
+    pub(super) fn add(&mut self, view: Vec<(usize, NodeId)>) {
         self.views.push(view);
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// The next view, where one is due and a majority of all members is in it.
-    pub(super) fn next(&mut self, now_ms: f64, all: &[Seen]) -> Option<Vec<(usize, Id)>> {
+    pub(super) fn next(&mut self, now_ms: f64, all: &[Seen]) -> Option<Vec<(usize, NodeId)>> {
         let last = self.views.last().cloned().unwrap_or_default();
         let mut next = BTreeSet::new();
         for (member, seen) in all.iter().enumerate() {
@@ -57,7 +57,7 @@
             }
         }
         // A process that is gone for good leaves as soon as another has its place.
-        let view: Vec<(usize, Id)> = next
+        let view: Vec<(usize, NodeId)> = next
             .iter()
             .map(|member| (*member, all[*member].id))
             .filter(|one| all[one.0].reachable || last.contains(one))
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plovershelf_cluster::council::Id;
+use plovershelf_cluster::NodeId;
 use plovershelf_replication::{
     Event as ReplicationEvent, IdempotencyKey, Message, Outcome, Replicator, RequestId, ViewNumber,
 };
@@ -137,7 +137,7 @@
 
     // ---- views -----------------------------------------------------------------------------------------
 
-    fn install_view(&mut self, view: Vec<(usize, Id)>) {
+    fn install_view(&mut self, view: Vec<(usize, NodeId)>) {
         self.views.add(view);
         for member in 0..self.nodes.len() {
             self.send_view(member);
@@ -241,7 +241,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: Id, message: Message) {
+    fn send(&mut self, from: usize, to: NodeId, message: Message) {
         let Some(to) = self.nodes.iter().position(|node| node.id == to && node.is_up()) else { return };
         let process = self.nodes[to].process(to);
         for delay_ms in self.net.ways(from, to, self.plan.schedule.zones, 0) {
@@ -463,6 +463,6 @@
 }
 
 /// Never 0, which names no member.
-fn drawn_id(rng: &mut Pcg32) -> Id {
-    Id(rng.random::<u64>() | 1)
+fn drawn_id(rng: &mut Pcg32) -> NodeId {
+    NodeId(rng.random::<u64>() | 1)
 }
