--- a/crates/plovershelf-server/src/agent/tests.rs
+++ b/crates/plovershelf-server/src/agent_link/tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn a_notice_that_is_told_again_counts_once() {
-    assert_eq!([5, 4, 5, 7].map(|number| fresh_notice(number, 4)), [true, false, true, true]);
+    assert_eq!([5, 4, 5, 7].map(|number| is_new_notice(number, 4)), [true, false, true, true]);
 }
 
 #[test]
 fn a_gap_before_a_notice_is_told_from_one_that_follows() {
     let aside = |number| Notice::Skipped { number };
-    assert_eq!([1, 5, 6, 7].map(|number| skips(&aside(number), 5)), [false, false, false, true]);
-    assert!(!skips(&Notice::Greeting { fresh: true, up_for_ms: 0.0 }, 5));
+    assert_eq!([1, 5, 6, 7].map(|number| follows_gap(&aside(number), 5)), [false, false, false, true]);
+    assert!(!follows_gap(&Notice::Greeting { fresh: true, up_for_ms: 0.0 }, 5));
 }
 
 /// The queue to the owner is full while a run's end waits for a place in it, and the link is left for another: the end has
@@ -23,7 +23,7 @@
     let address = Rc::new(Cell::new(first));
     let (tell_moved, moved) = async_channel::bounded(1);
     let (events, inbox) = async_channel::bounded(1);
-    let limits = Rc::new(Limits { handover_ms: 20, ..Limits::of(64.0, 64) });
+    let limits = Rc::new(Limits { handover_timeout_ms: 20, ..Limits::new(64.0, 64) });
     let (tell_full, full) = async_channel::bounded::<()>(1);
     let (tell_left, left) = async_channel::bounded::<()>(1);
     let (tell_done, done) = async_channel::bounded::<()>(1);
@@ -43,11 +43,11 @@
         tell_done.send_blocking(()).expect("it waits");
         subscribed
     });
-    let keep = keep_link(address.clone(), moved, events.clone(), limits);
+    let keep = AgentLinks { address: address.clone(), moved, events: events.clone(), limits }.run();
     let play = async {
         let up = inbox.recv().await.expect("a word");
-        assert!(matches!(up, Event::Agent(Said::Up { .. })));
-        events.send(Event::Odd("the queue is full".into())).await.expect("a place");
+        assert!(matches!(up, Event::Agent(AgentEvent::Up { .. })));
+        events.send(Event::PeerError("the queue is full".into())).await.expect("a place");
         tell_full.send(()).await.expect("it waits");
         address.set(second);
         tell_moved.send(()).await.expect("it waits");
@@ -76,7 +76,7 @@
         assert_eq!(link.next_line(), None);
         Lines::accept(&listener).next_line().expect("a line").0
     });
-    let keep = keep_link(address, moved, events, Rc::new(Limits::of(64.0, 64)));
+    let keep = AgentLinks { address, moved, events, limits: Rc::new(Limits::new(64.0, 64)) }.run();
     let drain = async {
         while inbox.recv().await.is_ok() {}
         future::pending::<()>().await
--- a/crates/plovershelf-server/src/ledger/tests.rs
+++ b/crates/plovershelf-server/src/dependency/tests.rs
@@ -1,5 +1,10 @@
 use super::*;
+use async_io::Timer;
+use futures_lite::future;
+use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
 
 /// A connection on which one call has been read, and the id of that.
 fn called(listener: &std::net::TcpListener) -> (BufReader<TcpStream>, String) {
@@ -24,18 +29,25 @@
     let address = listener.local_addr().expect("an address");
     let (events, inbox) = async_channel::bounded(64);
     let (calls, orders) = async_channel::bounded(64);
-    let limits = Rc::new(Limits { ledger_idle_ms: 50, ..Limits::of(64.0, 512) });
+    let limits = Rc::new(Limits { dependency_idle_ms: 50, ..Limits::new(64.0, 512) });
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    let keep = keep_calls(executor, Rc::new(Cell::new(Some(address))), orders, events, limits);
+    let keep = DependencyCalls {
+        executor,
+        address: Rc::new(Cell::new(Some(address))),
+        commands: orders,
+        events,
+        limits,
+    }
+    .run();
     let talk = async {
         for id in ids {
-            let order = Order::Call { id: *id, number: 1, within_ms: 1000.0, body: b"ask".to_vec() };
+            let order = CallCommand::Place { id: *id, number: 1, timeout_ms: 1000.0, body: b"ask".to_vec() };
             calls.send(order).await.expect("it is taken");
         }
         let mut ends = BTreeMap::new();
         while ends.len() < ids.len() {
-            if let Ok(Event::CallOver { id, over }) = inbox.recv().await {
-                ends.insert(id, over.end);
+            if let Ok(Event::CallEnded { id, result }) = inbox.recv().await {
+                ends.insert(id, result.outcome);
             }
         }
         Timer::after(Duration::from_millis(200)).await;
@@ -105,13 +117,21 @@
         stream.write_all(b"what is this\r\n").expect("it is taken");
         while stream.read(&mut [0; 4096]).is_ok_and(|count| count > 0) {}
     });
-    let limits = Rc::new(Limits { ledger_connections: 1, ..Limits::of(64.0, 512) });
+    let limits = Rc::new(Limits { max_dependency_connections: 1, ..Limits::new(64.0, 512) });
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    let keep = keep_calls(executor, Rc::new(Cell::new(Some(address))), orders, events, limits);
+    let keep = DependencyCalls {
+        executor,
+        address: Rc::new(Cell::new(Some(address))),
+        commands: orders,
+        events,
+        limits,
+    }
+    .run();
     let ids = [*b"9b1f03aa5c7e2d41", *b"9b1f03aa5c7e2d42"];
     let talk = async {
         // More than the sockets between them hold, so that it is still being written when the other comes.
-        let order = |id, length| Order::Call { id, number: 1, within_ms: 1000.0, body: vec![7; length] };
+        let order =
+            |id, length| CallCommand::Place { id, number: 1, timeout_ms: 1000.0, body: vec![7; length] };
         calls.send(order(ids[0], 32 << 20)).await.expect("it is taken");
         begun.recv().await.expect("a word");
         calls.send(order(ids[1], 3)).await.expect("it is taken");
@@ -123,8 +143,8 @@
         tell_behind.send(()).await.expect("it waits");
         let mut ends = BTreeMap::new();
         while ends.len() < 2 {
-            if let Ok(Event::CallOver { id, over }) = inbox.recv().await {
-                ends.insert(id, over.end);
+            if let Ok(Event::CallEnded { id, result }) = inbox.recv().await {
+                ends.insert(id, result.outcome);
             }
         }
         calls.close();
@@ -141,18 +161,18 @@
     let (events, inbox) = async_channel::bounded(4);
     let (calls, orders) = async_channel::bounded(4);
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    let limits = Rc::new(Limits::of(64.0, 512));
-    let keep = keep_calls(executor, Rc::default(), orders, events, limits);
+    let limits = Rc::new(Limits::new(64.0, 512));
+    let keep = DependencyCalls { executor, address: Rc::default(), commands: orders, events, limits }.run();
     let talk = async {
         let id = *b"9b1f03aa5c7e2d41";
-        calls.send(Order::GiveUp { id }).await.expect("it is taken");
+        calls.send(CallCommand::Abandon { id }).await.expect("it is taken");
         calls
-            .send(Order::Call { id, number: 3, within_ms: 5.0, body: Vec::new() })
+            .send(CallCommand::Place { id, number: 3, timeout_ms: 5.0, body: Vec::new() })
             .await
             .expect("it is taken");
-        let Ok(Event::CallOver { over, .. }) = inbox.recv().await else { panic!("an end") };
+        let Ok(Event::CallEnded { result, .. }) = inbox.recv().await else { panic!("an end") };
         calls.close();
-        (over.number, over.end)
+        (result.number, result.outcome)
     };
     let (_, end) = async_io::block_on(executor.run(future::zip(keep, talk)));
     assert_eq!(end, (3, CallOutcome::NotExecuted));
@@ -165,21 +185,32 @@
     let address = listener.local_addr().expect("an address");
     let (events, inbox) = async_channel::bounded(4);
     let (calls, orders) = async_channel::bounded(4);
-    let limits =
-        Limits { ledger_connections: 1, ledger_spare: 1, calls_a_connection: 1, ..Limits::of(64.0, 512) };
+    let limits = Limits {
+        max_dependency_connections: 1,
+        spare_dependency_connections: 1,
+        max_calls_per_connection: 1,
+        ..Limits::new(64.0, 512)
+    };
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    let keep = keep_calls(executor, Rc::new(Cell::new(Some(address))), orders, events, Rc::new(limits));
+    let keep = DependencyCalls {
+        executor,
+        address: Rc::new(Cell::new(Some(address))),
+        commands: orders,
+        events,
+        limits: Rc::new(limits),
+    }
+    .run();
     let talk = async {
         for number in 1..=3 {
             let id = format!("{number:016}").into_bytes().try_into().expect("16 digits");
             calls
-                .send(Order::Call { id, number, within_ms: 1000.0, body: Vec::new() })
+                .send(CallCommand::Place { id, number, timeout_ms: 1000.0, body: Vec::new() })
                 .await
                 .expect("it is taken");
         }
-        let Ok(Event::CallOver { over, .. }) = inbox.recv().await else { panic!("an end") };
+        let Ok(Event::CallEnded { result, .. }) = inbox.recv().await else { panic!("an end") };
         calls.close();
-        (over.number, over.end)
+        (result.number, result.outcome)
     };
     // The first two are out, on a line each, and nobody answers.
     assert_eq!(
--- /dev/null
+++ b/crates/plovershelf-server/src/driver.rs
@@ -0,0 +1,445 @@
+//! The event loop: the one task that owns the [`Backend`] and everything that is open.
+//!
+//! An input is an [`Event`] from the queue, the drain notice, or a [`Timeout`] that has come due. It becomes a call of the
+//! backend ([`Driver::decide`]), whose effects become commands and responses. The driver never waits for a queue out of it:
+//! one that is full is treated as a peer that reads nothing, so that full queues can't block each other.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `open_request` | a request from its arrival until nothing of it is left |
+//! | `requests` | carries out state changes: start, call, answer, end |
+//! | `clients` | frames of clients, and the state of their connections |
+//! | `admission` | checks of a request before the backend is asked |
+//! | `agent` | the agent's notices, commands to it, what a broken link left in doubt |
+//! | `calls` | outbound calls and their replies |
+//! | `bulkheads` | bulkheads, where an operator has set any |
+//! | `replication` | replication of keyed requests, where a cluster has it |
+//! | `tenant_quotas` | quotas that change while the program serves |
+
+mod admission;
+mod agent;
+mod bulkheads;
+mod calls;
+mod clients;
+mod open_request;
+mod replication;
+mod requests;
+mod tenant_quotas;
+
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, SystemTime};
+
+use async_channel::{Receiver, Sender};
+use async_io::Timer;
+use futures_lite::future;
+use plovershelf::admission::Backend;
+use plovershelf::api::{Effects, Gauges, RunOutcome, Timer as BackendTimer};
+use plovershelf_codec::AttemptId;
+use plovershelf_settings::Startup;
+
+use crate::deduplication::{DeduplicationLimits, DeduplicationRecords};
+use crate::event::{CallCommand, ConnectionId, Event};
+use crate::group;
+use crate::limits::Limits;
+use agent::CommandLog;
+use bulkheads::{BulkheadError, BulkheadState};
+use clients::{ClientConnection, PeerErrorLog};
+use open_request::OpenRequest;
+use tenant_quotas::InitialQuotas;
+
+/// Longest wait for an event where no time-out is near.
+const MAX_WAIT_MS: f64 = 1000.0;
+/// Core time that a request is taken to need before any has run.
+const INITIAL_WORK_MS: f64 = 20.0;
+
+/// What the driver does by itself when its time has come.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Timeout {
+    /// The backend's earliest deadline.
+    Deadline,
+    /// The backend's periodic measurement.
+    Periodic,
+    /// The gauges that were asked for with this tag have not come in time.
+    Gauges(u64),
+    /// Clients are told to close their connections before the grace is over.
+    AnnounceClosing,
+    /// The grace is over: no further connections are accepted.
+    RefuseConnections,
+    /// Connections that were told to close and are idle are closed.
+    CloseIdle,
+    /// The program exits.
+    Exit,
+}
+
+/// A time-out in the order in which it comes due: the bits of its time, what it is, and a number that tells two apart.
+type ScheduledTimeout = (u64, Timeout, u64);
+
+/// How far the end of accepting is.
+enum ListenerState {
+    Open {
+        _until_dropped: Sender<()>,
+    },
+    /// What stands in the listen queue is still accepted.
+    Closing,
+    Closed,
+}
+
+/// Queues between the driver and the other tasks.
+pub(crate) struct DriverQueues {
+    pub(crate) inbox: Receiver<Event>,
+    /// The drain notice, with the time at which it came. It overtakes the inbox, as its terms run from then on.
+    pub(crate) notice: Receiver<f64>,
+    pub(crate) calls: Sender<CallCommand>,
+}
+
+/// An input of the event loop.
+enum Input {
+    Event(Event),
+    DrainNotice(f64),
+    /// A time-out may have come due, or the queues are closed.
+    None,
+}
+
+/// The event loop and all that it owns.
+pub(crate) struct Driver {
+    queues: DriverQueues,
+    draining: Rc<Cell<bool>>,
+    listener: ListenerState,
+    limits: Rc<Limits>,
+    startup: Startup,
+    /// From the drain notice to the kill.
+    stop_ms: f64,
+    /// None until the agent is up.
+    backend: Option<Backend>,
+    now_ms: f64,
+
+    timeouts: BTreeSet<ScheduledTimeout>,
+    timeouts_scheduled: u64,
+    timer: Timer,
+    /// What the timer is set for, as the bits of a time: setting it anew costs system calls.
+    timer_set_for: Option<u64>,
+
+    connections: BTreeMap<ConnectionId, ClientConnection>,
+    peer_errors: PeerErrorLog,
+    requests: BTreeMap<u32, OpenRequest>,
+    request_by_attempt: BTreeMap<AttemptId, u32>,
+    open_bytes: usize,
+    last_request_id: u32,
+    deduplication: DeduplicationRecords,
+    /// Runs that ended inside the driver, to be handed to the backend in the same turn.
+    ended_runs: VecDeque<(u32, RunOutcome)>,
+
+    agent: Option<Sender<Vec<u8>>>,
+    commands: CommandLog,
+    calls_placed: u64,
+    /// Tag of the sample whose gauges the periodic measurement waits for.
+    awaited_gauges: Option<u64>,
+
+    backpressure: Option<f64>,
+    is_ready: bool,
+    idle_timeout_ms: f64,
+    is_grace_over: bool,
+    is_over: bool,
+
+    bulkheads: Option<BulkheadState>,
+    bulkheads_logged_ms: f64,
+    /// Counted for the cluster's traffic plan.
+    counters: group::Counted,
+    runs_since_sample: f64,
+    work_ms: f64,
+    sampled_ms: f64,
+    /// Shows the cluster that this loop makes progress.
+    pulse: Option<Arc<group::Pulse>>,
+    initial_quotas: Option<InitialQuotas>,
+    /// Takes requests for replication, where keyed requests are replicated.
+    replication: Option<Sender<group::Incoming>>,
+    /// What this backend holds for others stands elsewhere, or there is nothing.
+    is_handed_off: bool,
+}
+
+/// The system's clock, in Unix milliseconds.
+pub(crate) fn unix_ms() -> f64 {
+    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
+}
+
+impl Driver {
+    /// A driver whose backend starts when the agent is up. Dropping `listening` ends accepting.
+    pub(crate) fn new(
+        startup: Startup,
+        stop_ms: f64,
+        limits: Rc<Limits>,
+        queues: DriverQueues,
+        draining: Rc<Cell<bool>>,
+        listening: Option<Sender<()>>,
+    ) -> Self {
+        let idle_timeout_ms = startup.config.max_idle_ms;
+        let deduplication = DeduplicationRecords::new(DeduplicationLimits {
+            max_keys: limits.max_deduplication_keys,
+            max_result_bytes: limits.max_result_bytes,
+            grace_ms: limits.deduplication_grace_ms,
+        });
+        let listener =
+            listening.map_or(ListenerState::Closed, |_until_dropped| ListenerState::Open { _until_dropped });
+        Driver {
+            queues,
+            draining,
+            listener,
+            startup,
+            stop_ms,
+            backend: None,
+            now_ms: unix_ms(),
+            timeouts: BTreeSet::new(),
+            timeouts_scheduled: 0,
+            timer: Timer::never(),
+            timer_set_for: None,
+            connections: BTreeMap::new(),
+            peer_errors: PeerErrorLog::new(limits.max_peer_errors_per_s),
+            requests: BTreeMap::new(),
+            request_by_attempt: BTreeMap::new(),
+            open_bytes: 0,
+            last_request_id: 0,
+            deduplication,
+            ended_runs: VecDeque::new(),
+            agent: None,
+            commands: CommandLog::default(),
+            calls_placed: 0,
+            awaited_gauges: None,
+            backpressure: None,
+            is_ready: true,
+            idle_timeout_ms,
+            is_grace_over: false,
+            is_over: false,
+            bulkheads: None,
+            bulkheads_logged_ms: 0.0,
+            counters: Default::default(),
+            runs_since_sample: 0.0,
+            work_ms: INITIAL_WORK_MS,
+            sampled_ms: 0.0,
+            pulse: None,
+            initial_quotas: None,
+            replication: None,
+            is_handed_off: true,
+            limits,
+        }
+    }
+
+    /// With bulkheads as an operator has set them.
+    ///
+    /// # Errors
+    /// What the plan has against the backend's configuration.
+    pub(crate) fn with_bulkheads(
+        mut self,
+        plan: Option<plovershelf_bulkhead::Plan>,
+    ) -> Result<Self, BulkheadError> {
+        self.bulkheads = plan.map(|plan| BulkheadState::new(plan, &self.startup.config)).transpose()?;
+        Ok(self)
+    }
+
+    /// Shows a cluster that the loop makes progress.
+    pub(crate) fn with_pulse(mut self, pulse: Option<Arc<group::Pulse>>) -> Self {
+        self.pulse = pulse;
+        self
+    }
+
+    /// With tenants' quotas that may change.
+    pub(crate) fn with_changes(mut self, is_on: bool) -> Self {
+        self.initial_quotas = is_on.then(|| InitialQuotas::new(&self.startup.config.tenant_quotas_per_s));
+        self
+    }
+
+    /// With keyed requests that are replicated.
+    pub(crate) fn with_replication(mut self, replication: Option<Sender<group::Incoming>>) -> Self {
+        self.is_handed_off = replication.is_none();
+        self.replication = replication;
+        self
+    }
+
+    /// Handles inputs until the drain notice has been carried out. Returns how long there is until the end, in which the
+    /// last responses may still go out.
+    pub(crate) async fn run(&mut self) -> Duration {
+        while !self.is_over {
+            self.update_clock();
+            if let Ok(noticed_ms) = self.queues.notice.try_recv() {
+                self.handle_drain_notice(noticed_ms);
+            }
+            if !self.handle_due_timeout() {
+                let input = match self.queues.inbox.try_recv() {
+                    Ok(event) => Input::Event(event),
+                    Err(_) => self.next_input().await,
+                };
+                self.update_clock();
+                match input {
+                    Input::Event(event) => self.handle_event(event),
+                    Input::DrainNotice(noticed_ms) => self.handle_drain_notice(noticed_ms),
+                    Input::None => {}
+                }
+            }
+            self.finish_turn();
+        }
+        self.time_to_exit()
+    }
+
+    fn time_to_exit(&self) -> Duration {
+        let exit = self.timeouts.iter().find(|(_, timeout, _)| *timeout == Timeout::Exit);
+        let left_ms = exit.map_or(0.0, |(time, ..)| f64::from_bits(*time) - unix_ms());
+        let max_ms = self.limits.linger_ms as f64 * 2.0;
+        Duration::from_secs_f64(left_ms.clamp(self.limits.exit_margin_ms / 2.0, max_ms) / 1000.0)
+    }
+
+    /// The next event or notice, or nothing where a time-out comes first.
+    async fn next_input(&mut self) -> Input {
+        self.set_timer();
+        let DriverQueues { inbox, notice, .. } = &self.queues;
+        let timer = &mut self.timer;
+        let notices = async {
+            match notice.recv().await {
+                Ok(noticed_ms) => Input::DrainNotice(noticed_ms),
+                Err(_) => future::pending().await,
+            }
+        };
+        let events = async { inbox.recv().await.map_or(Input::None, Input::Event) };
+        let mut timer_expired = false;
+        let expiry = async {
+            timer.await;
+            timer_expired = true;
+            Input::None
+        };
+        let input = future::or(notices, future::or(events, expiry)).await;
+        if timer_expired {
+            self.timer_set_for = None;
+        }
+        input
+    }
+
+    /// Sets the timer for the next time-out, or for a while where none is near.
+    fn set_timer(&mut self) {
+        let next = self.timeouts.first().map(|(time, ..)| *time);
+        if self.timer_set_for != next || next.is_none() {
+            self.timer.set_after(Duration::from_secs_f64(self.wait_ms() / 1000.0));
+            self.timer_set_for = next;
+        }
+    }
+
+    fn wait_ms(&self) -> f64 {
+        let until = |time: u64| (f64::from_bits(time) - unix_ms()).clamp(0.0, MAX_WAIT_MS);
+        self.timeouts.first().map_or(MAX_WAIT_MS, |(time, ..)| until(*time))
+    }
+
+    /// The system's clock, which never goes back here.
+    fn update_clock(&mut self) {
+        self.now_ms = self.now_ms.max(unix_ms());
+    }
+
+    fn schedule(&mut self, after_ms: f64, timeout: Timeout) {
+        self.timeouts_scheduled += 1;
+        let time = (self.now_ms + after_ms).max(0.0).to_bits();
+        self.timeouts.insert((time, timeout, self.timeouts_scheduled));
+    }
+
+    /// Handles the first time-out if its time has come; false where none has.
+    fn handle_due_timeout(&mut self) -> bool {
+        let now_ms = self.now_ms;
+        let due = self.timeouts.first().filter(|(time, ..)| f64::from_bits(*time) <= now_ms).copied();
+        let Some(due) = due else { return false };
+        self.timeouts.remove(&due);
+        self.handle_timeout(due.1);
+        true
+    }
+
+    fn handle_timeout(&mut self, timeout: Timeout) {
+        match timeout {
+            Timeout::Deadline => self.handle_backend_timeout(BackendTimer::Deadline, Gauges::default()),
+            Timeout::Periodic => self.start_periodic_measurement(),
+            Timeout::Gauges(tag) => {
+                if self.awaited_gauges == Some(tag) {
+                    self.awaited_gauges = None;
+                    self.handle_backend_timeout(BackendTimer::Periodic, Gauges::default());
+                }
+            }
+            Timeout::AnnounceClosing => self.announce_closing_to_all(),
+            Timeout::RefuseConnections => self.refuse_connections(),
+            Timeout::CloseIdle => {
+                self.close_announced(self.limits.final_closing_timeout_ms);
+                self.schedule(self.limits.final_closing_timeout_ms / 3.0, Timeout::CloseIdle);
+            }
+            Timeout::Exit => self.is_over = true,
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Connected { connection, outbox } => self.handle_connected(connection, outbox),
+            Event::Frame { connection, frame } => self.handle_frame(connection, frame),
+            Event::Disconnected { connection, error } => self.handle_disconnected(connection, error),
+            Event::Crowded { why, open } => self.handle_crowded(&why, open),
+            Event::ListenerClosed => self.listener = ListenerState::Closed,
+            Event::Agent(event) => self.handle_agent_event(event),
+            Event::PeerError(what) => self.log_peer_error(&what),
+            Event::CallEnded { id, result } => self.handle_call_ended(id, result),
+            Event::Replication(event) => self.handle_replication_event(event),
+            Event::Bulkheads(plan) => self.replace_bulkheads(plan),
+            Event::Quotas(update) => self.handle_quota_update(&update),
+        }
+    }
+
+    /// What follows from an input inside the driver itself.
+    fn finish_turn(&mut self) {
+        while let Some((id, outcome)) = self.ended_runs.pop_front() {
+            self.decide(|backend, now_ms| backend.handle_run_ended(now_ms, id, outcome));
+        }
+        let is_idle = || self.connections.is_empty() && self.requests.values().all(|one| one.is_answered);
+        let accepts = !matches!(self.listener, ListenerState::Closed);
+        self.is_over |= self.is_grace_over && !accepts && self.is_handed_off && is_idle();
+        if let Some(pulse) = &self.pulse {
+            pulse.beat(self.backend.is_some() && self.agent.is_some());
+            pulse.count(self.startup.config.cores, &self.counters);
+        }
+    }
+
+    /// Asks the backend and carries out what it says.
+    fn decide(&mut self, ask: impl FnOnce(&mut Backend, f64) -> Effects) {
+        let now_ms = self.now_ms;
+        if let Some(effects) = self.backend.as_mut().map(|backend| ask(backend, now_ms)) {
+            self.apply_effects(effects);
+        }
+    }
+
+    fn handle_backend_timeout(&mut self, timer: BackendTimer, gauges: Gauges) {
+        self.decide(|backend, now_ms| backend.handle_timeout(now_ms, timer, gauges));
+    }
+
+    /// The drain notice came at this time; its terms count from then on, however late it is handled.
+    fn handle_drain_notice(&mut self, noticed_ms: f64) {
+        if self.draining.replace(true) {
+            return;
+        }
+        tracing::info!(event = "drain_notice", "told to leave");
+        let late_ms = (self.now_ms - noticed_ms).clamp(0.0, self.stop_ms);
+        let stop_ms = self.stop_ms - late_ms;
+        let grace_ms = self.startup.config.drain_grace_ms - late_ms;
+        let refuse_ms = grace_ms.min(stop_ms - self.limits.min_refuse_margin_ms);
+        // What comes inside the grace is run, so clients keep their connections until shortly before its end.
+        self.schedule((refuse_ms - self.limits.closing_lead_ms).max(0.0), Timeout::AnnounceClosing);
+        self.schedule(refuse_ms.max(0.0), Timeout::RefuseConnections);
+        self.schedule((stop_ms - self.limits.exit_margin_ms).max(0.0), Timeout::Exit);
+        self.decide(|backend, now_ms| {
+            backend.handle_drain_notice(now_ms, now_ms - late_ms, now_ms + stop_ms)
+        });
+    }
+
+    /// The grace is over. What comes from now on would only be rejected: refused connections send it elsewhere sooner.
+    fn refuse_connections(&mut self) {
+        self.is_grace_over = true;
+        if matches!(self.listener, ListenerState::Open { .. }) {
+            self.listener = ListenerState::Closing;
+        }
+        self.announce_closing_to_all();
+        self.schedule(self.limits.final_closing_timeout_ms, Timeout::CloseIdle);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -0,0 +1,224 @@
+//! Checks of a request before the backend is asked, and its entry into the table of open requests.
+
+use std::ops::Range;
+
+use plovershelf::api::{Idempotency, Request};
+use plovershelf_codec::front::{self, ServerSignals};
+use thiserror::Error;
+
+use super::open_request::{LaunchState, OpenRequest, OutboundCall};
+use super::replication::ReplicationStage;
+use super::Driver;
+use crate::deduplication::{body_hash, DeduplicationKey, Known, Lookup};
+use crate::event::ConnectionId;
+
+/// Why a request is not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum RejectReason {
+    /// Its class is none of the settings'.
+    #[error("no such class")]
+    UnknownClass,
+    /// Its tenant is none of the settings'.
+    #[error("no such tenant")]
+    UnknownTenant,
+    /// The connection has too many unanswered requests.
+    #[error("too many are open on this connection")]
+    TooManyOpen,
+    /// Its body is longer than any may be.
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// An open request has the same attempt.
+    #[error("the id is in use")]
+    AttemptInUse,
+    /// The agent is not up yet.
+    #[error("not started yet")]
+    NotStarted,
+    /// The time at which it was sent can't be. Guards against a measure of time unread that one request spoils.
+    #[error("field \"s\" is out of bounds")]
+    SentOutOfBounds,
+    /// Its key belongs to a request with another body that has run.
+    #[error("the key is another request's")]
+    KeyInUse,
+    /// The same, and nothing of the other has run: which of the two is wrong is not known yet.
+    #[error("the key is another request's")]
+    KeyHeld,
+    /// No more keys can be remembered, and without that nothing of it may run.
+    #[error("more keys are to be remembered than memory allows")]
+    NoMemoryForKey,
+}
+
+impl RejectReason {
+    /// It may be another client's fault, or nobody's.
+    pub(super) fn may_be_innocent(self) -> bool {
+        matches!(
+            self,
+            RejectReason::AttemptInUse
+                | RejectReason::NotStarted
+                | RejectReason::KeyInUse
+                | RejectReason::KeyHeld
+        )
+    }
+}
+
+/// A frame with a request.
+pub(super) struct RequestFrame {
+    pub(super) connection: ConnectionId,
+    pub(super) seqid: i32,
+    pub(super) attempt: plovershelf_codec::AttemptId,
+    pub(super) frame: Vec<u8>,
+    /// Where in the frame the body is.
+    pub(super) body: Range<usize>,
+}
+
+/// A request for the backend, with the key by which its duplicates are known.
+pub(super) struct CheckedRequest {
+    request: Request,
+    key: Option<DeduplicationKey>,
+    body_hash: u64,
+}
+
+/// What the deduplication records say of a request.
+struct Deduplicated {
+    key: Option<DeduplicationKey>,
+    body_hash: u64,
+    duplicate_of: Option<u32>,
+}
+
+impl Driver {
+    /// The request as the backend needs it.
+    pub(super) fn check_request(
+        &self,
+        connection: ConnectionId,
+        request: &front::Request<'_>,
+    ) -> Result<CheckedRequest, RejectReason> {
+        let class = self.startup.classes.place(request.class).ok_or(RejectReason::UnknownClass)?;
+        let tenant = match self.startup.tenants.place(request.tenant) {
+            Some(tenant) => tenant,
+            None if self.startup.tenants.is_empty() => 0,
+            None => return Err(RejectReason::UnknownTenant),
+        };
+        if self.connections[&connection].open_requests() >= self.limits.max_requests_per_connection {
+            return Err(RejectReason::TooManyOpen);
+        }
+        if request.body.len() > self.limits.max_request_bytes {
+            return Err(RejectReason::BodyTooLong);
+        }
+        if self.request_by_attempt.contains_key(&request.id) {
+            return Err(RejectReason::AttemptInUse);
+        }
+        if self.backend.is_none() {
+            return Err(RejectReason::NotStarted);
+        }
+        let max_age_ms = self.limits.max_request_age_ms;
+        if !(self.now_ms - max_age_ms..=self.now_ms + max_age_ms).contains(&request.sent_ms) {
+            return Err(RejectReason::SentOutOfBounds);
+        }
+        let arrived_ms = request.sent_ms.min(self.now_ms);
+        let Deduplicated { key, body_hash, duplicate_of } = self.deduplicate(class, request, arrived_ms)?;
+        let timeout_ms = request.timeout_ms.map(|timeout_ms| timeout_ms.min(self.limits.max_timeout_ms));
+        let request = Request {
+            id: 0,
+            class,
+            tenant,
+            key: request.object,
+            deadline_ms: timeout_ms.map(|timeout_ms| arrived_ms + timeout_ms),
+            work_hint_ms: request.work_hint_ms,
+            memory_kb: request.memory_kb,
+            marked_retry: request.marked_retry,
+            writes: request.object == 0,
+            unread_ms: self.now_ms - arrived_ms,
+            duplicate_of,
+        };
+        Ok(CheckedRequest { request, key, body_hash })
+    }
+
+    fn deduplicate(
+        &self,
+        class: usize,
+        request: &front::Request<'_>,
+        arrived_ms: f64,
+    ) -> Result<Deduplicated, RejectReason> {
+        let idempotency = self.startup.config.classes[class].idempotency;
+        let is_keyed = idempotency == Idempotency::Keyed;
+        let key = DeduplicationKey::new(class, idempotency, request.idempotency_key, request.object);
+        let body_hash = key.as_ref().map_or(0, |_| body_hash(request.body));
+        let max_age_ms = self.startup.config.shared_response_ms;
+        let lookup = Lookup { body_hash, arrived_ms, is_keyed, max_age_ms };
+        let known = key.as_ref().map(|key| self.deduplication.lookup(key, lookup));
+        let (key, duplicate_of) = match known {
+            Some(Known::Nothing) if self.deduplication.is_full() && is_keyed => {
+                return Err(RejectReason::NoMemoryForKey);
+            }
+            Some(Known::Nothing) if self.deduplication.is_full() => (None, None),
+            None | Some(Known::Nothing) => (key, None),
+            Some(Known::DuplicateOf(holder)) => (key, Some(holder)),
+            // A read of something else shares nothing and runs by itself.
+            Some(Known::OtherBody { .. }) if !is_keyed => (None, None),
+            // Guards against an answer that no run made for this request: its body differs from the one that ran.
+            Some(Known::OtherBody { ran: true }) => return Err(RejectReason::KeyInUse),
+            Some(Known::OtherBody { ran: false }) => return Err(RejectReason::KeyHeld),
+        };
+        Ok(Deduplicated { key, body_hash, duplicate_of })
+    }
+
+    /// Enters a request into the table and asks the backend.
+    pub(super) fn open_request(&mut self, frame: RequestFrame, checked: CheckedRequest) {
+        let RequestFrame { connection, seqid, attempt, frame, body } = frame;
+        let CheckedRequest { mut request, key, body_hash } = checked;
+        let bytes = frame.len() + self.limits.request_overhead_bytes;
+        if self.open_bytes + bytes > self.limits.max_open_bytes {
+            self.log_peer_error("more is open than memory allows");
+            self.send(connection, front::rejected(seqid, &ServerSignals::default()));
+            return;
+        }
+        request.id = self.next_request_id();
+        self.open_bytes += bytes;
+        self.request_by_attempt.insert(attempt, request.id);
+        if let Some(client) = self.connections.get_mut(&connection) {
+            client.handle_opened(seqid, request.id);
+        }
+        let open = OpenRequest {
+            attempt,
+            connection,
+            seqid,
+            class: request.class,
+            frame,
+            body,
+            arrived_ms: self.now_ms,
+            is_answered: false,
+            launch: LaunchState::None,
+            is_confirmed: false,
+            is_in_doubt: false,
+            call: OutboundCall::default(),
+            result: Vec::new(),
+            key,
+            body_hash,
+            replication: ReplicationStage::default(),
+            replicated_outcome: None,
+            is_failure_told: false,
+        };
+        self.requests.insert(request.id, open);
+        self.count_demand(request.class, request.work_hint_ms);
+        self.decide(|backend, now_ms| backend.handle_request(now_ms, request));
+    }
+
+    fn next_request_id(&mut self) -> u32 {
+        loop {
+            self.last_request_id = self.last_request_id.wrapping_add(1);
+            if self.last_request_id != 0 && !self.requests.contains_key(&self.last_request_id) {
+                return self.last_request_id;
+            }
+        }
+    }
+
+    /// Counts demand for the cluster's traffic plan: work by bands of value, against the class of the highest.
+    fn count_demand(&mut self, class: usize, work_hint_ms: Option<f64>) {
+        if self.pulse.is_none() {
+            return;
+        }
+        let classes = &self.startup.config.classes;
+        let max_value = classes.iter().map(|class| class.value).fold(0.0, f64::max);
+        let rank = if max_value > 0.0 { classes[class].value / max_value } else { 0.0 };
+        self.counters.asked[plovershelf_failover::plan::band(rank)] += work_hint_ms.unwrap_or(self.work_ms);
+    }
+}
--- /dev/null
+++ b/crates/plovershelf-server/src/driver/bulkheads.rs
@@ -0,0 +1,269 @@
+//! Bulkheads, where an operator has set any: they learn from the backend's state changes, and the backend is given their
+//! capacities at each of its periodic measurements. Without an operator's file nothing here is reached.
+
+use std::collections::BTreeMap;
+
+use plovershelf::api::{BackendConfig, BulkheadCapacity, Bulkheads, Completion, RequestState, Transition};
+use plovershelf_bulkhead::{Kind, Plan, Pools};
+use thiserror::Error;
+
+use super::Driver;
+
+/// What a plan of bulkheads has against the backend's configuration.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub(crate) struct BulkheadError(String);
+
+/// A bulkhead is not taken to want more than this, however many of its requests were rejected.
+const MAX_WANTED: usize = 64;
+/// What is left of a peak at each update, and how many times the peak is kept free.
+const PEAK_RETAINED_FRACTION: f64 = 0.97;
+const PEAK_HEADROOM: f64 = 1.5;
+/// Calls where the dependency is not shared, and the most of either kind.
+const UNSHARED_CALLS: usize = 10_000;
+const MAX_CAPACITY: f64 = 10_000.0;
+
+/// What one bulkhead has in flight.
+#[derive(Clone, Copy, Default)]
+struct InFlight {
+    /// Runs, with those that want a call.
+    runs: usize,
+    calls: usize,
+    /// Of the runs, those that want a call.
+    awaiting_call: usize,
+}
+
+impl InFlight {
+    /// Adds or removes one request in this state.
+    fn count(&mut self, state: RequestState, change: CountChange) {
+        match state {
+            RequestState::Running | RequestState::Answered { .. } => change.apply(&mut self.runs),
+            RequestState::AwaitingCall => {
+                change.apply(&mut self.runs);
+                change.apply(&mut self.awaiting_call);
+            }
+            RequestState::Calling { .. } => change.apply(&mut self.calls),
+            _ => {}
+        }
+    }
+}
+
+#[derive(Clone, Copy)]
+enum CountChange {
+    Add,
+    Remove,
+}
+
+impl CountChange {
+    fn apply(self, count: &mut usize) {
+        *count = match self {
+            CountChange::Add => *count + 1,
+            CountChange::Remove => count.saturating_sub(1),
+        };
+    }
+}
+
+/// The most that a bulkhead had in flight, or wanted, recently. Requests run at once or not at all, so what a bulkhead had
+/// recently is kept free for it and not lent.
+#[derive(Clone, Copy, Default)]
+struct Peak {
+    runs: f64,
+    calls: f64,
+}
+
+impl Peak {
+    fn update(&mut self, runs: usize, calls: usize) {
+        self.runs = (self.runs * PEAK_RETAINED_FRACTION).max(runs as f64);
+        self.calls = (self.calls * PEAK_RETAINED_FRACTION).max(calls as f64);
+    }
+
+    fn headroom(peak: f64) -> usize {
+        (PEAK_HEADROOM * peak).ceil() as usize
+    }
+}
+
+/// An open request as bulkheads count it.
+#[derive(Clone, Copy)]
+struct CountedRequest {
+    class: usize,
+    state: RequestState,
+    since_ms: f64,
+}
+
+/// Bulkheads with what they have learnt.
+pub(super) struct BulkheadState {
+    bulkheads: Pools,
+    classes: usize,
+    in_flight: Vec<InFlight>,
+    /// Requests of each bulkhead that were rejected on arrival since the last update.
+    rejected: Vec<usize>,
+    peaks: Vec<Peak>,
+    open: BTreeMap<u32, CountedRequest>,
+}
+
+impl BulkheadState {
+    /// # Errors
+    /// What the plan has against this configuration.
+    pub(super) fn new(plan: Plan, config: &BackendConfig) -> Result<Self, BulkheadError> {
+        let classes = config.classes.len();
+        let runs = (config.cores * config.overload_multiple / 2.0).max(1.0) as usize;
+        let calls = config.dependency_share.map_or(UNSHARED_CALLS, |share| share.max(1.0) as usize);
+        let bulkheads =
+            Pools::new(plan, classes, runs, calls).map_err(|error| BulkheadError(error.to_string()))?;
+        let mut state = BulkheadState {
+            bulkheads,
+            classes,
+            in_flight: Vec::new(),
+            rejected: Vec::new(),
+            peaks: Vec::new(),
+            open: BTreeMap::new(),
+        };
+        state.recount();
+        Ok(state)
+    }
+
+    /// Counts everything that is open again, by the present plan.
+    fn recount(&mut self) {
+        let count = self.bulkheads.names().count();
+        self.in_flight = vec![InFlight::default(); count];
+        self.rejected = vec![0; count];
+        self.peaks = vec![Peak::default(); count];
+        for CountedRequest { class, state, .. } in self.open.values() {
+            self.in_flight[self.bulkheads.pool(*class)].count(*state, CountChange::Add);
+        }
+    }
+
+    /// Takes a new plan.
+    ///
+    /// # Errors
+    /// What the plan has against the configuration; nothing has changed then.
+    fn replace(&mut self, plan: Plan) -> Result<(), BulkheadError> {
+        self.bulkheads.replace(plan).map_err(|error| BulkheadError(error.to_string()))?;
+        self.recount();
+        Ok(())
+    }
+
+    fn record(&mut self, now_ms: f64, transition: &Transition, class: usize) {
+        let bulkhead = self.bulkheads.pool(class);
+        let before = self.open.remove(&transition.id);
+        if let Some(before) = before {
+            self.in_flight[bulkhead].count(before.state, CountChange::Remove);
+            self.learn(now_ms, bulkhead, before, transition.to);
+        }
+        if let RequestState::Completed(completion) = transition.to {
+            let is_rejected = matches!(completion, Completion::Rejected { .. });
+            let is_on_arrival = transition.from == Some(RequestState::Queued);
+            self.rejected[bulkhead] += usize::from(is_rejected && is_on_arrival);
+            return;
+        }
+        let unchanged = before.filter(|before| before.state == transition.to);
+        let since_ms = unchanged.map_or(now_ms, |before| before.since_ms);
+        let counted = CountedRequest { class, state: transition.to, since_ms };
+        self.open.insert(transition.id, counted);
+        self.in_flight[bulkhead].count(transition.to, CountChange::Add);
+    }
+
+    /// Learns how long a run or a call took. One that was given up shows nothing of what it takes.
+    fn learn(&mut self, now_ms: f64, bulkhead: usize, before: CountedRequest, to: RequestState) {
+        let took_ms = now_ms - before.since_ms;
+        let (kind, is_good) = match (before.state, to) {
+            (RequestState::Running, RequestState::AwaitingCall | RequestState::Completed(_)) => {
+                (Kind::Run, true)
+            }
+            (RequestState::Calling { .. }, RequestState::Running) => (Kind::Call, true),
+            (RequestState::Calling { .. }, RequestState::AwaitingCall) => (Kind::Call, false),
+            _ => return,
+        };
+        self.bulkheads.learn(kind, bulkhead, now_ms, took_ms, is_good);
+    }
+
+    /// The capacity of each bulkhead, given what all may use together, by what each has in flight and wants.
+    fn update(&mut self, total_runs: f64, total_calls: f64) -> Bulkheads {
+        let whole = |capacity: f64| capacity.clamp(0.0, MAX_CAPACITY).floor() as usize;
+        self.bulkheads.bound(Kind::Run, whole(total_runs));
+        self.bulkheads.bound(Kind::Call, whole(total_calls));
+        for (bulkhead, in_flight) in self.in_flight.iter().enumerate() {
+            let InFlight { runs, calls, awaiting_call } = *in_flight;
+            let wanted = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_WANTED);
+            let peak = &mut self.peaks[bulkhead];
+            peak.update(runs + wanted, calls + awaiting_call + wanted);
+            self.bulkheads.counted(Kind::Run, bulkhead, runs);
+            self.bulkheads.waits(Kind::Run, bulkhead, Peak::headroom(peak.runs).saturating_sub(runs));
+            self.bulkheads.counted(Kind::Call, bulkhead, calls);
+            self.bulkheads.waits(Kind::Call, bulkhead, Peak::headroom(peak.calls).saturating_sub(calls));
+        }
+        self.capacities()
+    }
+
+    fn capacities(&self) -> Bulkheads {
+        let (runs, calls) = (self.bulkheads.room(Kind::Run), self.bulkheads.room(Kind::Call));
+        let capacity = |bulkhead: usize| BulkheadCapacity {
+            reserved_runs: self.bulkheads.kept_runs(bulkhead) as f64,
+            max_runs: runs[bulkhead] as f64,
+            // One at least, or a bulkhead whose calls are all lent out would wait for good.
+            max_calls: calls[bulkhead].max(1) as f64,
+        };
+        Bulkheads {
+            bulkhead_of_class: (0..self.classes).map(|class| self.bulkheads.pool(class)).collect(),
+            capacities: (0..self.in_flight.len()).map(capacity).collect(),
+        }
+    }
+
+    fn log(&mut self) {
+        let names: Vec<String> = self.bulkheads.names().map(String::from).collect();
+        for (bulkhead, name) in names.iter().enumerate() {
+            let runs = self.bulkheads.figures(Kind::Run, bulkhead);
+            let calls = self.bulkheads.figures(Kind::Call, bulkhead);
+            tracing::info!(
+                event = "bulkhead",
+                name,
+                runs = runs.in_hand,
+                runs_limit = runs.limit.round(),
+                runs_borrowed = runs.borrowed,
+                calls = calls.in_hand,
+                calls_limit = calls.limit.round(),
+                calls_borrowed = calls.borrowed,
+            );
+        }
+    }
+}
+
+impl Driver {
+    /// Bulkheads learn of a state change.
+    pub(super) fn record_transition(&mut self, transition: &Transition) {
+        let Some(bulkheads) = &mut self.bulkheads else { return };
+        if let Some(request) = self.requests.get(&transition.id) {
+            bulkheads.record(self.now_ms, transition, request.class);
+        }
+    }
+
+    /// Gives the backend the capacities of its bulkheads, and logs them from time to time.
+    pub(super) fn update_bulkheads(&mut self, total_runs: f64, total_calls: f64) {
+        let Some(bulkheads) = &mut self.bulkheads else { return };
+        let capacities = bulkheads.update(total_runs, total_calls);
+        if self.now_ms >= self.bulkheads_logged_ms + self.limits.bulkhead_log_interval_ms {
+            self.bulkheads_logged_ms = self.now_ms;
+            bulkheads.log();
+        }
+        self.decide(|backend, now_ms| backend.update_bulkheads(now_ms, Some(capacities)));
+    }
+
+    /// The operator's file was read again: all of it counts, or nothing changes.
+    pub(super) fn replace_bulkheads(&mut self, plan: Plan) {
+        let Some(bulkheads) = &mut self.bulkheads else {
+            tracing::warn!(
+                event = "bulkheads_rejected",
+                "pools were not set at the start, which needs a restart"
+            );
+            return;
+        };
+        match bulkheads.replace(plan) {
+            Ok(()) => {
+                tracing::info!(event = "bulkheads_replaced", "the pools are those of the file read again")
+            }
+            Err(error) => {
+                tracing::warn!(event = "bulkheads_rejected", "the pools stay as they are: {error}")
+            }
+        }
+    }
+}
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -9,7 +9,7 @@
 mod zoned;
 
 pub use crate::links::now_ms;
-pub use copied::{Asked, Told};
+pub use copied::{Asked, Ending, Told};
 pub(crate) use folder::drawn;
 pub use zoned::Counted;
 
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -1,178 +1,208 @@
-//! Sizes, counts and times that bound the program. Filled once at start and handed down.
+//! Sizes, counts and times that bound the program: the one place for them, filled at start and handed down.
 
-/// Descriptors kept back for the listener, the agent, the ledger, the roster, the standard streams and the
-/// event queue.
+/// Descriptors kept back for the listener, the agent, the dependency, the registry, the standard streams and the event
+/// queue.
 const RESERVED_SOCKETS: usize = 16;
-/// Memory that one connection may come to hold, for the number of connections that memory allows.
+/// Memory that one connection may come to hold, which bounds the number of connections.
 const CONNECTION_BYTES: usize = 64 << 10;
+/// Memory that one deduplication key may come to hold beside a result.
+const DEDUPLICATION_KEY_BYTES: usize = 512;
+/// Descriptors for each connection to the dependency, and how many connections there may be.
+const SOCKETS_PER_DEPENDENCY_CONNECTION: usize = 16;
+const MIN_DEPENDENCY_CONNECTIONS: usize = 2;
+const MAX_DEPENDENCY_CONNECTIONS: usize = 24;
+/// Fewer clients' connections are never allowed.
+const MIN_CONNECTIONS: usize = 4;
 
-/// What one mark of a repeat may come to hold beside a result.
-const MARK_BYTES: usize = 512;
-
+/// Bounds of the whole program.
 #[derive(Clone, Debug)]
-pub struct Limits {
-    /// Connections of sidecars at once.
-    pub connections: usize,
-    /// Invocations open on one connection.
-    pub open_each: usize,
-    /// A frame of a sidecar and the body in it; what comes with a line of the agent or the ledger, and both.
-    pub frame_bytes: usize,
-    pub invocation_bytes: usize,
-    pub body_bytes: usize,
-    pub line_bytes: usize,
-    /// Bytes that one read takes.
-    pub read_bytes: usize,
-    /// What an open invocation takes beside its frame; all that they hold, all that waits to be written, and
-    /// the same for one connection.
-    pub open_overhead: usize,
-    pub open_bytes: usize,
-    pub unwritten_bytes: usize,
-    pub unwritten_each: usize,
-    /// Results that are remembered for repeats.
-    pub remembered_bytes: usize,
-    /// Marks by which repeats are known.
-    pub remembered: usize,
-    /// Places in the queue to the owner, and in the ones from it.
-    pub events: usize,
-    pub orders: usize,
-    /// A connection's first message, and the rest of each frame that has begun, come whole within this.
-    pub whole_ms: u64,
-    /// A connection that this side ends is still read for so long and so much, that its peer hears of it; and for
-    /// so long where descriptors run short, which is what a request that crosses the end may take.
-    pub linger_ms: u64,
-    pub linger_crowded_ms: u64,
-    pub linger_bytes: usize,
-    /// Connections that wait to be accepted; an address that is held is tried again for so long, with rests.
-    pub backlog: i32,
-    pub listen_within_ms: u64,
-    pub listen_rest_ms: u64,
-    /// From this many connections on, those that have said nothing for the one span, and those idle for the
-    /// other, make room.
-    pub crowd: usize,
-    pub idle_least_ms: f64,
-    pub silent_ms: f64,
-    /// At the cap, silent is who has said nothing for so long; so many make room at once.
-    pub speaks_ms: f64,
-    pub evictions: usize,
-    /// No further one that has spoken makes room while so many are ending.
-    pub ending: usize,
-    /// Faults that end a connection, where they may be another's.
-    pub faults: u32,
-    /// Arrivals are no older than this.
-    pub oldest_ms: f64,
-    /// A peer that takes nothing for so long is given up.
-    pub stall_ms: u64,
-    /// Between tries to connect, at first and at most.
-    pub retry_first_ms: u64,
-    pub retry_most_ms: u64,
-    pub connect_ms: u64,
-    /// Connections to the ledger, and calls that one carries in its life.
-    pub ledger_connections: usize,
-    /// Further ones while others take no more calls but have some out.
-    pub ledger_spare: usize,
-    pub calls_a_connection: usize,
-    /// The ledger may close or forget what is idle; this side lets go earlier, so that no call crosses that.
-    pub ledger_idle_ms: u64,
-    /// A connection on which a call has been out for so many times the mean of late has gone bad, within these
-    /// bounds, as has one whose answer stays in part for so long; how often that is looked at.
-    pub silent_times: f64,
-    pub pace_weight: f64,
-    pub pace_first_ms: f64,
-    pub ledger_silent_ms: [u64; 2],
-    pub part_ms: u64,
-    pub watch_ms: u64,
-    /// Listed as long as one beat arrives every 3 s: with a quarter lost, twelve in a row hardly ever are.
-    pub beat_ms: u64,
-    /// A link that is left for another waits so long for the proof that its commands were read.
-    pub handover_ms: u64,
-    /// A wake waits so long for its gauges.
-    pub gauges_ms: f64,
-    /// Entries of the memory of repeats outlive their span by this, for what is read late.
-    pub read_late_ms: f64,
-    /// No caller is believed to wait longer for one try.
-    pub longest_wait_ms: f64,
-    /// A connection that was told to close and does not is ended after this.
-    pub closing_ms: f64,
-    /// The same once connections are refused: longer than a request may take that crosses the word.
-    pub closing_last_ms: f64,
-    /// Accepting rests so long when descriptors are short.
-    pub accept_rest_ms: u64,
-    /// Before it is killed, the program ends this much earlier by itself.
-    pub exit_early_ms: f64,
-    /// Before connections are refused, those that there are are told to close.
-    pub closing_early_ms: f64,
-    /// Connections are refused from this long before the kill at the latest.
-    pub refuse_early_ms: f64,
-    /// Between two words to the log on the pools, where there are any.
-    pub pools_told_ms: f64,
-    /// Lines a second in the log about what peers do wrong.
-    pub complaints_a_second: u32,
+pub(crate) struct Limits {
+    // ---- clients: sizes and counts
+    /// Clients' connections at once.
+    pub(crate) max_connections: usize,
+    /// Unanswered requests of one connection.
+    pub(crate) max_requests_per_connection: usize,
+    /// A client's frame, and the body in it.
+    pub(crate) max_frame_bytes: usize,
+    pub(crate) max_request_bytes: usize,
+    /// What one read takes at most.
+    pub(crate) read_chunk_bytes: usize,
+    /// Memory of an open request beside its frame; all that open requests may hold.
+    pub(crate) request_overhead_bytes: usize,
+    pub(crate) max_open_bytes: usize,
+    /// Responses that wait to be written, of all connections and of one.
+    pub(crate) max_unwritten_bytes: usize,
+    pub(crate) max_unwritten_bytes_per_connection: usize,
+    /// Deduplication keys, and the results kept for them.
+    pub(crate) max_deduplication_keys: usize,
+    pub(crate) max_result_bytes: usize,
+    /// Places in the queue to the event loop, and in those from it.
+    pub(crate) event_queue: usize,
+    pub(crate) command_queue: usize,
+
+    // ---- clients: times
+    /// A connection's first message, and the rest of each frame that has begun, come within this.
+    pub(crate) message_timeout_ms: u64,
+    /// A peer that reads nothing for this long is given up.
+    pub(crate) write_timeout_ms: u64,
+    /// A connection that this side ends is still read for this long and this much, so that its peer receives the end; and
+    /// for the shorter time where descriptors run short, which is what a request that crosses the end may take.
+    pub(crate) linger_ms: u64,
+    pub(crate) linger_ms_when_crowded: u64,
+    pub(crate) max_linger_bytes: usize,
+    /// A request is not older than this.
+    pub(crate) max_request_age_ms: f64,
+    /// No client is believed to wait longer for one attempt.
+    pub(crate) max_timeout_ms: f64,
+    /// Deduplication keys outlive their window by this, for requests that are read late.
+    pub(crate) deduplication_grace_ms: f64,
+
+    // ---- clients: accepting and evicting
+    /// Connections that wait to be accepted.
+    pub(crate) listen_backlog: i32,
+    /// An address that another process holds is retried for this long, this often.
+    pub(crate) listen_timeout_ms: u64,
+    pub(crate) listen_retry_ms: u64,
+    /// From this many connections on, those that have sent nothing for `min_silent_ms` or are idle for `min_idle_ms` make
+    /// room for new ones.
+    pub(crate) crowded_connections: usize,
+    pub(crate) min_idle_ms: f64,
+    pub(crate) min_silent_ms: f64,
+    /// The same for silent ones once no more connections are possible, and how many make room at once.
+    pub(crate) min_silent_ms_when_full: f64,
+    pub(crate) max_evictions: usize,
+    /// No connection that has sent something makes room while this many are ending.
+    pub(crate) max_ending_connections: usize,
+    /// Accepting pauses for this long when descriptors are short.
+    pub(crate) accept_pause_ms: u64,
+    /// Faults that end a connection where they may be another client's.
+    pub(crate) max_faults: u32,
+
+    // ---- agent
+    /// A line of the agent or the dependency with its body, and the body alone.
+    pub(crate) max_line_bytes: usize,
+    pub(crate) max_body_bytes: usize,
+    /// Time to connect to the agent or the dependency; pauses between attempts, at first and at most.
+    pub(crate) connect_timeout_ms: u64,
+    pub(crate) min_reconnect_ms: u64,
+    pub(crate) max_reconnect_ms: u64,
+    /// A link that is replaced by another waits this long for the proof that its commands were read.
+    pub(crate) handover_timeout_ms: u64,
+    /// A periodic measurement waits this long for its gauges.
+    pub(crate) gauge_timeout_ms: f64,
+
+    // ---- dependency
+    /// Connections, and further ones while others accept no more calls but have some in flight.
+    pub(crate) max_dependency_connections: usize,
+    pub(crate) spare_dependency_connections: usize,
+    /// Calls that one connection carries in its life.
+    pub(crate) max_calls_per_connection: usize,
+    /// The dependency may close or forget an idle connection; this side closes it earlier, so that no call crosses that.
+    pub(crate) dependency_idle_ms: u64,
+    /// A connection with a call in flight for this multiple of the mean latency is considered dead, within these bounds.
+    pub(crate) silence_multiple: f64,
+    pub(crate) min_silence_ms: u64,
+    pub(crate) max_silence_ms: u64,
+    /// Weight of one call in the mean latency, and the mean before the first call.
+    pub(crate) latency_weight: f64,
+    pub(crate) initial_latency_ms: f64,
+    /// A reply that has begun is complete within this.
+    pub(crate) reply_timeout_ms: u64,
+    /// How often a connection is checked for silence.
+    pub(crate) silence_check_ms: u64,
+
+    // ---- registry
+    /// Between two heartbeats. The registry drops a backend after 3 s without one: of twelve in a row, a quarter lost, all
+    /// are hardly ever lost.
+    pub(crate) heartbeat_ms: u64,
+
+    // ---- drain
+    /// A connection that was told to close and does not is closed after this; and once connections are refused, which is
+    /// longer than a request may take that crosses the announcement.
+    pub(crate) closing_timeout_ms: f64,
+    pub(crate) final_closing_timeout_ms: f64,
+    /// Connections are told to close this long before new ones are refused.
+    pub(crate) closing_lead_ms: f64,
+    /// New connections are refused from this long before the kill at the latest.
+    pub(crate) min_refuse_margin_ms: f64,
+    /// The program exits this long before it is killed.
+    pub(crate) exit_margin_ms: f64,
+
+    // ---- log
+    /// Between two lines about each bulkhead.
+    pub(crate) bulkhead_log_interval_ms: f64,
+    /// Lines about what peers do wrong.
+    pub(crate) max_peer_errors_per_s: u32,
 }
 
 impl Limits {
-    pub fn of(memory_mb: f64, sockets: usize) -> Self {
-        let memory = (memory_mb * 1024.0 * 1024.0) as usize;
-        let ledger_connections = (sockets / 16).clamp(2, 24);
-        let reserved = RESERVED_SOCKETS + ledger_connections;
-        let connections = sockets.saturating_sub(reserved).min(memory / CONNECTION_BYTES).max(4);
+    /// Limits of a program with this much memory, in MiB, and this many descriptors.
+    pub(crate) fn new(memory_mb: f64, sockets: usize) -> Self {
+        let memory_bytes = (memory_mb * 1024.0 * 1024.0) as usize;
+        let max_dependency_connections = (sockets / SOCKETS_PER_DEPENDENCY_CONNECTION)
+            .clamp(MIN_DEPENDENCY_CONNECTIONS, MAX_DEPENDENCY_CONNECTIONS);
+        let reserved = RESERVED_SOCKETS + max_dependency_connections;
+        let max_connections =
+            sockets.saturating_sub(reserved).min(memory_bytes / CONNECTION_BYTES).max(MIN_CONNECTIONS);
         Limits {
-            connections,
-            open_each: 32,
-            frame_bytes: 8 << 10,
-            invocation_bytes: 2 << 10,
-            body_bytes: 8 << 10,
-            line_bytes: 10 << 10,
-            read_bytes: 4 << 10,
-            open_overhead: 1 << 10,
-            open_bytes: memory * 2 / 5,
-            unwritten_bytes: memory / 5,
-            unwritten_each: 256 << 10,
-            remembered_bytes: memory / 10,
-            remembered: memory / 10 / MARK_BYTES,
-            events: 256,
-            orders: 4096,
-            whole_ms: 2200,
+            max_connections,
+            max_requests_per_connection: 32,
+            max_frame_bytes: 8 << 10,
+            max_request_bytes: 2 << 10,
+            read_chunk_bytes: 4 << 10,
+            request_overhead_bytes: 1 << 10,
+            max_open_bytes: memory_bytes * 2 / 5,
+            max_unwritten_bytes: memory_bytes / 5,
+            max_unwritten_bytes_per_connection: 256 << 10,
+            max_deduplication_keys: memory_bytes / 10 / DEDUPLICATION_KEY_BYTES,
+            max_result_bytes: memory_bytes / 10,
+            event_queue: 256,
+            command_queue: 4096,
+            message_timeout_ms: 2200,
+            write_timeout_ms: 10_000,
             linger_ms: 300,
-            linger_crowded_ms: 60,
-            backlog: 1024,
-            listen_within_ms: 8000,
-            listen_rest_ms: 20,
-            linger_bytes: 256 << 10,
-            crowd: connections * 3 / 4,
-            idle_least_ms: 1000.0,
-            silent_ms: 100.0,
-            speaks_ms: 20.0,
-            evictions: 32,
-            ending: 8,
-            faults: 16,
-            oldest_ms: 60_000.0,
-            stall_ms: 10_000,
-            retry_first_ms: 2,
-            retry_most_ms: 500,
-            connect_ms: 1000,
-            ledger_connections,
-            ledger_spare: 4,
-            calls_a_connection: 200,
-            ledger_idle_ms: 400,
-            silent_times: 12.0,
-            pace_weight: 0.05,
-            pace_first_ms: 100.0,
-            ledger_silent_ms: [40, 1500],
-            part_ms: 100,
-            watch_ms: 50,
-            beat_ms: 250,
-            handover_ms: 500,
-            gauges_ms: 25.0,
-            read_late_ms: 10_000.0,
-            longest_wait_ms: 3_600_000.0,
-            closing_ms: 10_000.0,
-            closing_last_ms: 150.0,
-            accept_rest_ms: 2,
-            exit_early_ms: 20.0,
-            closing_early_ms: 150.0,
-            refuse_early_ms: 200.0,
-            pools_told_ms: 5000.0,
-            complaints_a_second: 10,
+            linger_ms_when_crowded: 60,
+            max_linger_bytes: 256 << 10,
+            max_request_age_ms: 60_000.0,
+            max_timeout_ms: 3_600_000.0,
+            deduplication_grace_ms: 10_000.0,
+            listen_backlog: 1024,
+            listen_timeout_ms: 8000,
+            listen_retry_ms: 20,
+            crowded_connections: max_connections * 3 / 4,
+            min_idle_ms: 1000.0,
+            min_silent_ms: 100.0,
+            min_silent_ms_when_full: 20.0,
+            max_evictions: 32,
+            max_ending_connections: 8,
+            accept_pause_ms: 2,
+            max_faults: 16,
+            max_line_bytes: 10 << 10,
+            max_body_bytes: 8 << 10,
+            connect_timeout_ms: 1000,
+            min_reconnect_ms: 2,
+            max_reconnect_ms: 500,
+            handover_timeout_ms: 500,
+            gauge_timeout_ms: 25.0,
+            max_dependency_connections,
+            spare_dependency_connections: 4,
+            max_calls_per_connection: 200,
+            dependency_idle_ms: 400,
+            silence_multiple: 12.0,
+            min_silence_ms: 40,
+            max_silence_ms: 1500,
+            latency_weight: 0.05,
+            initial_latency_ms: 100.0,
+            reply_timeout_ms: 100,
+            silence_check_ms: 50,
+            heartbeat_ms: 250,
+            closing_timeout_ms: 10_000.0,
+            final_closing_timeout_ms: 150.0,
+            closing_lead_ms: 150.0,
+            min_refuse_margin_ms: 200.0,
+            exit_margin_ms: 20.0,
+            bulkhead_log_interval_ms: 5000.0,
+            max_peer_errors_per_s: 10,
         }
     }
 }
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -13,7 +13,7 @@
 use plovershelf_cluster::frames::{decode, encode, unframed, Hello, Wire, FRAME_MOST};
 use plovershelf_cluster::status::Answer;
 
-use crate::streams::{gather, within, write_all, Inflow};
+use crate::streams::{recv_batch, with_timeout, write_all, ReadBuffer};
 
 /// How many links there may be, and for how long one may rest.
 #[derive(Clone, Copy, Debug)]
@@ -142,7 +142,7 @@
 
 /// Connects, says who it is, then writes frames until there are none for long or nobody takes them.
 async fn carry(address: SocketAddr, hello: Vec<u8>, frames: &Receiver<Vec<u8>>, idle_ms: u64) -> Carried {
-    let Ok(stream) = within(CONNECT_MS, Async::<TcpStream>::connect(address)).await else {
+    let Ok(stream) = with_timeout(CONNECT_MS, Async::<TcpStream>::connect(address)).await else {
         return Carried::Broke;
     };
     let _ = stream.get_ref().set_nodelay(true);
@@ -150,7 +150,7 @@
         return Carried::Broke;
     }
     loop {
-        let next = async { gather(frames).await.ok_or(Carried::Rested) };
+        let next = async { recv_batch(frames).await.ok_or(Carried::Rested) };
         let idle = async {
             Timer::after(Duration::from_millis(idle_ms)).await;
             Err(Carried::Rested)
@@ -220,7 +220,7 @@
 ) {
     let odd =
         |what: String| drop(inbox.try_send(Heard::Odd(format!("{from} {what}; its link is closed")).into()));
-    let mut inflow = Inflow::new(FRAME_MOST + 64, 16 << 10);
+    let mut inflow = ReadBuffer::new(FRAME_MOST + 64, 16 << 10);
     let mut greeted = false;
     loop {
         let used = match unframed(inflow.bytes()) {
@@ -251,14 +251,14 @@
                     inbox.closed().await;
                     Ok(false)
                 };
-                match future::or(ended, within(patience, inflow.fill(&stream))).await {
+                match future::or(ended, with_timeout(patience, inflow.fill(&stream))).await {
                     Ok(true) => continue,
                     _ => return,
                 }
             }
             Err(spoilt) => return odd(format!("sent {spoilt}")),
         };
-        inflow.used(used);
+        inflow.consume(used);
     }
 }
 
@@ -278,7 +278,7 @@
     if !asks {
         return true;
     }
-    let told = within(ANSWER_MS, async { answers.recv().await.map_err(std::io::Error::other) }).await;
+    let told = with_timeout(ANSWER_MS, async { answers.recv().await.map_err(std::io::Error::other) }).await;
     let told = told.unwrap_or_else(|_| Answer::Refused("no answer came in time".into()));
     write_all(stream, &encode(&Wire::Answer(Box::new(told))), STALL_MS).await.is_ok()
 }
--- /dev/null
+++ b/crates/plovershelf-server/src/listener.rs
@@ -0,0 +1,176 @@
+//! Listening for clients and accepting their connections.
+//!
+//! Accepting ends in two steps, so that no request that has come is cut off: once the event loop drops its end of `stop`,
+//! the connections that stand in the listen queue are still accepted, and only then the listener closes.
+
+use std::cell::Cell;
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use socket2::{Domain, Protocol, Socket, Type};
+use thiserror::Error;
+
+use crate::client_io::{read_until_end, write_until_end};
+use crate::connection_state::ConnectionState;
+use crate::event::{ConnectionId, Event};
+use crate::limits::Limits;
+use crate::outbox::{Outbox, UnwrittenBytes};
+
+/// The address can't be listened on.
+#[derive(Debug, Error)]
+#[error("\"listen\": {address}: {source}")]
+pub(crate) struct ListenError {
+    address: SocketAddr,
+    source: io::Error,
+}
+
+/// Listens on an address. While a predecessor still holds it, it is tried again, within the bound that limits set.
+///
+/// # Errors
+/// Why it can't be listened on.
+pub(crate) async fn listen(address: SocketAddr, limits: &Limits) -> Result<Async<TcpListener>, ListenError> {
+    let give_up_at = Instant::now() + Duration::from_millis(limits.listen_timeout_ms);
+    let mut is_logged = false;
+    loop {
+        match bind(address, limits.listen_backlog) {
+            Ok(listener) => return Ok(listener),
+            Err(source) if source.kind() == io::ErrorKind::AddrInUse && Instant::now() < give_up_at => {
+                if !std::mem::replace(&mut is_logged, true) {
+                    tracing::warn!(
+                        event = "address_in_use",
+                        "{address} is held by another, it is tried again for {} ms",
+                        limits.listen_timeout_ms
+                    );
+                }
+            }
+            Err(source) => return Err(ListenError { address, source }),
+        }
+        Timer::after(Duration::from_millis(limits.listen_retry_ms)).await;
+    }
+}
+
+/// The standard library's listener with a backlog for clients that all come back in one instant.
+fn bind(address: SocketAddr, backlog: i32) -> io::Result<Async<TcpListener>> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog)?;
+    Async::new(socket.into())
+}
+
+/// Accepts connections and runs a reader and a writer for each.
+pub(crate) struct Acceptor {
+    pub(crate) executor: &'static LocalExecutor<'static>,
+    pub(crate) listener: Async<TcpListener>,
+    /// Closed when accepting is to end.
+    pub(crate) stop: Receiver<()>,
+    /// Held by each connection: its count tells how many there are.
+    pub(crate) slots: Rc<()>,
+    pub(crate) events: Sender<Event>,
+    pub(crate) limits: Rc<Limits>,
+}
+
+impl Acceptor {
+    /// Accepts until `stop` is closed, then what stands in the listen queue.
+    pub(crate) async fn run(self) {
+        let unwritten_of_all = Rc::new(Cell::new(0));
+        for connection in 0.. {
+            if !self.wait_for_slot().await {
+                return;
+            }
+            if self.is_full() {
+                break;
+            }
+            let Some(stream) = self.next().await else { break };
+            if !self.start(connection, stream, unwritten_of_all.clone()).await {
+                return;
+            }
+        }
+        drop(self.listener);
+        let _ = self.events.send(Event::ListenerClosed).await;
+    }
+
+    fn is_full(&self) -> bool {
+        Rc::strong_count(&self.slots) > self.limits.max_connections
+    }
+
+    /// Waits until one more connection is possible or accepting is to end; false where the program ends.
+    async fn wait_for_slot(&self) -> bool {
+        while self.is_full() && !self.stop.is_closed() {
+            let why = format!("{} connections are open", self.limits.max_connections);
+            if !self.report_crowded(why).await {
+                return false;
+            }
+            self.pause().await;
+        }
+        true
+    }
+
+    async fn report_crowded(&self, why: String) -> bool {
+        let open = Rc::strong_count(&self.slots);
+        self.events.send(Event::Crowded { why, open }).await.is_ok()
+    }
+
+    async fn pause(&self) {
+        Timer::after(Duration::from_millis(self.limits.accept_pause_ms)).await;
+    }
+
+    /// The next connection; `None` when accepting is over and none is left in the listen queue.
+    async fn next(&self) -> Option<Async<TcpStream>> {
+        loop {
+            if self.stop.is_closed() {
+                let accepted = self.listener.get_ref().accept();
+                return accepted.ok().and_then(|(stream, _)| Async::new(stream).ok());
+            }
+            let accepted = async { Some(self.listener.accept().await) };
+            let stopped = async {
+                let _ = self.stop.recv().await;
+                None
+            };
+            match future::or(accepted, stopped).await {
+                Some(Ok((stream, _))) => return Some(stream),
+                Some(Err(error)) => {
+                    self.report_crowded(format!("accepting: {error}")).await;
+                    self.pause().await;
+                }
+                None => {}
+            }
+        }
+    }
+
+    /// Starts the tasks of a connection; false where the program ends.
+    async fn start(
+        &self,
+        connection: ConnectionId,
+        stream: Async<TcpStream>,
+        unwritten_of_all: Rc<Cell<usize>>,
+    ) -> bool {
+        let _ = stream.get_ref().set_nodelay(true);
+        let state = ConnectionState::new(Some(stream), self.slots.clone());
+        let unwritten = UnwrittenBytes::beside(unwritten_of_all);
+        let (outbox, frames) = Outbox::new(state.clone(), unwritten.clone(), &self.limits);
+        if self.events.send(Event::Connected { connection, outbox }).await.is_err() {
+            return false;
+        }
+        // Dropped by the reader: the writer lingers until then.
+        let (reader_runs, reader_ended) = async_channel::bounded::<()>(1);
+        let writer = write_until_end(state.clone(), frames, unwritten, reader_ended, self.limits.clone());
+        self.executor.spawn(writer).detach();
+        let (events, limits) = (self.events.clone(), self.limits.clone());
+        let reader = async move {
+            read_until_end(&state, connection, &events, &limits).await;
+            drop((state, reader_runs));
+        };
+        self.executor.spawn(reader).detach();
+        true
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-server/src/sidecars/tests.rs
+++ b/crates/plovershelf-server/src/listener/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::messages::Unwritten;
+use crate::client_io::write_frames;
+use crate::outbox::QueueFull;
 use std::io::{Read, Write};
 
 #[test]
@@ -7,14 +8,18 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let near = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (_far, _) = listener.accept().expect("its other end");
-    let shared = Shared::new(Some(Async::new(near).expect("a stream")), Rc::default());
-    let limits = Limits { unwritten_each: usize::MAX, unwritten_bytes: usize::MAX, ..Limits::of(64.0, 64) };
-    let (outbox, frames) = Outbox::new(shared.clone(), Rc::default(), &limits);
+    let unwritten = UnwrittenBytes::default();
+    let state = ConnectionState::new(Some(Async::new(near).expect("a stream")), Rc::default());
+    let limits = Limits {
+        max_unwritten_bytes_per_connection: usize::MAX,
+        max_unwritten_bytes: usize::MAX,
+        ..Limits::new(64.0, 64)
+    };
+    let (outbox, frames) = Outbox::new(state.clone(), unwritten.clone(), &limits);
     (0..64).for_each(|_| outbox.push(vec![0; 1 << 20]).expect("room"));
-    let (unwritten, all) = (outbox.unwritten.clone(), outbox.unwritten_all.clone());
-    async_io::block_on(write_frames(&shared, frames, &unwritten, &all, 50));
-    assert!(outbox.waits() > 0);
-    assert_eq!(outbox.push(vec![0]), Err(Unwritten::Here));
+    async_io::block_on(write_frames(&state, frames, &unwritten, 50));
+    assert!(outbox.unwritten_bytes() > 0);
+    assert_eq!(outbox.push(vec![0]), Err(QueueFull::Connection));
 }
 
 /// A listener with these callers in its queue, each of which has sent what stands behind it.
@@ -41,14 +46,16 @@
     let (listening, stop) = async_channel::bounded(1);
     drop(listening);
     let (events, inbox) = async_channel::bounded(1);
-    let limits = Rc::new(Limits::of(64.0, 512));
+    let limits = Rc::new(Limits::new(64.0, 512));
     let executor = leaked();
     let play = async {
         let (mut open, mut frames) = (Vec::new(), 0);
-        executor.spawn(accept(executor, listener, stop, Rc::new(()), events, limits)).detach();
+        executor
+            .spawn(Acceptor { executor, listener, stop, slots: Rc::new(()), events, limits }.run())
+            .detach();
         while frames < 100 {
             match inbox.recv().await.expect("a word") {
-                Event::Opened { outbox, .. } => {
+                Event::Connected { outbox, .. } => {
                     outbox.push(b"answer".to_vec()).expect("room");
                     open.push(outbox);
                 }
@@ -74,7 +81,7 @@
     let (listener, mut callers) = queued(&[&frame.repeat(3000)]);
     let (_listening, stop) = async_channel::bounded(1);
     let (events, inbox) = async_channel::bounded(1);
-    let limits = Rc::new(Limits { linger_ms: 20_000, ..Limits::of(64.0, 512) });
+    let limits = Rc::new(Limits { linger_ms: 20_000, ..Limits::new(64.0, 512) });
     let (slots, executor) = (Rc::new(()), leaked());
     let far = std::thread::spawn(move || {
         let mut all = Vec::new();
@@ -87,8 +94,10 @@
         (all, ended, writes.take(100).find_map(Result::err))
     });
     let play = async {
-        executor.spawn(accept(executor, listener, stop, slots.clone(), events, limits)).detach();
-        let Ok(Event::Opened { outbox, .. }) = inbox.recv().await else { panic!("a connection first") };
+        executor
+            .spawn(Acceptor { executor, listener, stop, slots: slots.clone(), events, limits }.run())
+            .detach();
+        let Ok(Event::Connected { outbox, .. }) = inbox.recv().await else { panic!("a connection first") };
         assert!(matches!(inbox.recv().await, Ok(Event::Frame { .. })));
         outbox.push(b"the last answer".to_vec()).expect("room");
         drop(outbox);
@@ -97,7 +106,7 @@
         loop {
             match inbox.recv().await.expect("a word") {
                 Event::Frame { .. } => more += 1,
-                Event::Ended { .. } => break,
+                Event::Disconnected { .. } => break,
                 _ => panic!("nothing else is said"),
             }
         }
@@ -126,15 +135,17 @@
     let (_listening, stop) = async_channel::bounded(1);
     let (events, inbox) = async_channel::bounded(1);
     let (slots, executor) = (Rc::new(()), leaked());
-    let limits = Rc::new(Limits::of(64.0, 512));
+    let limits = Rc::new(Limits::new(64.0, 512));
     let play = async {
-        executor.spawn(accept(executor, listener, stop, slots.clone(), events, limits)).detach();
-        let Ok(Event::Opened { outbox, .. }) = inbox.recv().await else { panic!("a connection first") };
+        executor
+            .spawn(Acceptor { executor, listener, stop, slots: slots.clone(), events, limits }.run())
+            .detach();
+        let Ok(Event::Connected { outbox, .. }) = inbox.recv().await else { panic!("a connection first") };
         let mut frames = 0;
         loop {
             match inbox.recv().await.expect("a word") {
                 Event::Frame { .. } => frames += 1,
-                Event::Ended { error, .. } => break assert_eq!((frames, error), (40, None)),
+                Event::Disconnected { error, .. } => break assert_eq!((frames, error), (40, None)),
                 _ => panic!("nothing else is said"),
             }
         }
--- a/crates/plovershelf-server/src/launch/tests.rs
+++ b/crates/plovershelf-server/src/startup/tests.rs
@@ -8,12 +8,12 @@
 fn a_new_document_moves_all_three_peers_or_none() {
     let before = document("127.0.0.1:1", 2);
     let peers = Peers::read(&before).expect("three addresses");
-    let fixed = Fixed::of(&before);
+    let fixed = FixedParts::of(&before);
     assert!(peers.move_to(&fixed, &document("nowhere", 9)).is_err());
-    let ledger = || peers.ledger.get().map(|at| at.port());
+    let ledger = || peers.dependency.get().map(|at| at.port());
     assert_eq!((peers.agent.get().port(), ledger()), (1, Some(2)));
     peers.move_to(&fixed, &document("127.0.0.1:7", 8)).expect("three addresses");
-    assert_eq!((peers.agent.get().port(), ledger(), peers.roster.get().port()), (7, Some(8), 3));
+    assert_eq!((peers.agent.get().port(), ledger(), peers.registry.get().port()), (7, Some(8), 3));
 }
 
 /// Another customer's deployment has no dependency that backends share, and names no address for one.
@@ -23,7 +23,7 @@
         let mut top = document("127.0.0.1:1", 2);
         top["records"] = records;
         top["settings"] = serde_json::from_str(settings).expect("settings");
-        Peers::read(&top).map(|peers| peers.ledger.get())
+        Peers::read(&top).map(|peers| peers.dependency.get())
     };
     let (shared, none) =
         (r#"{"family_info": {"below": "shared"}}"#, r#"{"family_info": {"below": "silent"}}"#);
@@ -32,7 +32,7 @@
     let named = "127.0.0.1:9".parse().expect("an address");
     assert_eq!(with(none, "127.0.0.1:9".into()), Ok(Some(named)));
     for wrong in [with(shared, Value::Null), with(none, "here".into()), with(none, 5.into())] {
-        assert!(wrong.is_err_and(|what| what.contains("\"records\"")));
+        assert!(wrong.is_err_and(|what| what.to_string().contains("\"records\"")));
     }
 }
 
@@ -43,22 +43,22 @@
         top["settings"] = serde_json::json!({"tenants": [{"name": "a", "quota_per_s": 1}, {"name": "b"}]});
         top["limits"] = serde_json::json!({"memory_mb": 64, "sockets": 512});
         top[key] = value;
-        Fixed::of(&top)
+        FixedParts::of(&top)
     };
     let before = with("agent", "127.0.0.1:1".into());
-    for key in FIXED {
-        assert_eq!(before.changed(&with(key, "other".into())), [key]);
+    for key in FIXED_KEYS {
+        assert_eq!(before.changed_keys(&with(key, "other".into())), [key]);
     }
     let tenants = |rows: Value| with("settings", serde_json::json!({ "tenants": rows }));
     let same = tenants(serde_json::json!([{"quota_per_s": 1, "name": "a"}, {"name": "b"}]));
-    assert!(before.changed(&same).is_empty());
+    assert!(before.changed_keys(&same).is_empty());
     for rows in [
         serde_json::json!([{"name": "a", "quota_per_s": 2}, {"name": "b"}]),
         serde_json::json!([{"name": "a", "quota_per_s": 1.5}, {"name": "b"}]),
         serde_json::json!([{"name": "b"}, {"name": "a", "quota_per_s": 1}]),
         serde_json::json!([{"name": "a", "quota_per_s": 1}]),
     ] {
-        assert_eq!(before.changed(&tenants(rows)), ["settings"]);
+        assert_eq!(before.changed_keys(&tenants(rows)), ["settings"]);
     }
-    assert!(before.changed(&with("agent", "127.0.0.1:9".into())).is_empty());
+    assert!(before.changed_keys(&with("agent", "127.0.0.1:9".into())).is_empty());
 }
--- a/crates/plovershelf-server/src/streams.rs
+++ b/crates/plovershelf-server/src/streams.rs
@@ -1,4 +1,4 @@
-//! Reading and writing with bounds: bytes as they come, up to a size; what takes time, up to a span.
+//! Reading and writing with bounds: bytes up to a size, operations up to a time.
 
 use std::future::Future;
 use std::io;
@@ -9,22 +9,29 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-/// What comes of it if that comes within the span.
-pub async fn within<T>(span_ms: u64, done: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let late = async {
-        Timer::after(Duration::from_millis(span_ms)).await;
+/// The result of an operation, or [`io::ErrorKind::TimedOut`] after `timeout_ms`.
+pub(crate) async fn with_timeout<T>(
+    timeout_ms: u64,
+    operation: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    let timed_out = async {
+        Timer::after(Duration::from_millis(timeout_ms)).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(done, late).await
+    future::or(operation, timed_out).await
 }
 
-/// Writes all, unless the peer takes nothing for too long.
-pub async fn write_all(mut stream: &Async<TcpStream>, bytes: &[u8], stall_ms: u64) -> io::Result<()> {
-    within(stall_ms, stream.write_all(bytes)).await
+/// Writes all of the bytes, unless the peer reads none of them for too long.
+pub(crate) async fn write_all(
+    mut stream: &Async<TcpStream>,
+    bytes: &[u8],
+    timeout_ms: u64,
+) -> io::Result<()> {
+    with_timeout(timeout_ms, stream.write_all(bytes)).await
 }
 
-/// The next of a queue with all that stand behind it, in one piece; `None` when no more can come.
-pub async fn gather(queue: &Receiver<Vec<u8>>) -> Option<Vec<u8>> {
+/// The next message of a queue and all behind it, in one piece; `None` when no more can come.
+pub(crate) async fn recv_batch(queue: &Receiver<Vec<u8>>) -> Option<Vec<u8>> {
     let mut bytes = queue.recv().await.ok()?;
     while let Ok(more) = queue.try_recv() {
         bytes.extend_from_slice(&more);
@@ -32,37 +39,47 @@
     Some(bytes)
 }
 
-pub struct Inflow {
+/// Bytes that were read from a stream and not consumed yet.
+pub(crate) struct ReadBuffer {
     bytes: Vec<u8>,
-    most: usize,
-    each: usize,
+    max_bytes: usize,
+    chunk_bytes: usize,
 }
 
-impl Inflow {
-    pub fn new(most: usize, each: usize) -> Self {
-        Inflow { bytes: Vec::new(), most, each }
+impl ReadBuffer {
+    /// Holds at most `max_bytes`, and reads at most `chunk_bytes` at once.
+    pub(crate) fn new(max_bytes: usize, chunk_bytes: usize) -> Self {
+        ReadBuffer { bytes: Vec::new(), max_bytes, chunk_bytes }
     }
 
-    pub fn bytes(&self) -> &[u8] {
+    pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    pub fn used(&mut self, count: usize) {
+    pub(crate) fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    /// Removes bytes from the front. The memory of an unusually large message is given back.
+    pub(crate) fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
-        if self.bytes.is_empty() && self.bytes.capacity() > self.each {
+        if self.bytes.is_empty() && self.bytes.capacity() > self.chunk_bytes {
             self.bytes = Vec::new();
         }
     }
 
-    /// Reads what is there; false at the end of the stream. What is more than the bound is an error.
-    pub async fn fill(&mut self, mut stream: &Async<TcpStream>) -> io::Result<bool> {
-        let had = self.bytes.len();
-        if had >= self.most {
+    /// Reads what is there; false at the end of the stream.
+    ///
+    /// # Errors
+    /// The stream's own, and a buffer that is full.
+    pub(crate) async fn fill(&mut self, mut stream: &Async<TcpStream>) -> io::Result<bool> {
+        let buffered = self.bytes.len();
+        if buffered >= self.max_bytes {
             return Err(io::Error::other("more came than is taken at once"));
         }
-        self.bytes.resize((had + self.each).min(self.most), 0);
-        let got = stream.read(&mut self.bytes[had..]).await;
-        self.bytes.truncate(had + got.as_ref().copied().unwrap_or(0));
-        got.map(|count| count > 0)
+        self.bytes.resize((buffered + self.chunk_bytes).min(self.max_bytes), 0);
+        let read = stream.read(&mut self.bytes[buffered..]).await;
+        self.bytes.truncate(buffered + read.as_ref().copied().unwrap_or(0));
+        read.map(|count| count > 0)
     }
 }
