--- a/src/admission/concurrency/tests.rs
+++ b/src/admission/concurrency/tests.rs
@@ -27,6 +27,8 @@
     assert_eq!(concurrency.speed_fraction(900.0), 0.2);
 }
 
+/// A retry storm: reading shares the cores with executions, the queue in front of the server grows past the
+/// objective, and the load of executions alone does not show it.
 #[test]
 fn arrivals_that_lie_unread_lower_the_limit() {
     let mut concurrency = Concurrency::new(0.0, &config());
@@ -39,6 +41,8 @@
     assert!(concurrency.limits(0.0).hard < before);
 }
 
+/// A server learnt its service time in a slow spell and rejects all that seems too late: without any
+/// execution it would never learn that the spell is over.
 #[test]
 fn a_lone_request_that_seems_too_late_is_tried_but_not_beside_others() {
     let mut alone = running(0);
--- a/src/admission/deadline/tests.rs
+++ b/src/admission/deadline/tests.rs
@@ -20,6 +20,8 @@
     );
 }
 
+/// An idempotent execution does not end within its objective. Nobody values its result any more: it is
+/// answered, its cores are for others, and nothing of it is left when it has stopped.
 #[test]
 fn what_runs_is_answered_and_cancelled_at_its_latency_objective() {
     let mut backend = running(1);
@@ -33,6 +35,8 @@
     assert!(backend.requests.iter().next().is_none() && backend.memory.occupied_fraction(0) == 0.0);
 }
 
+/// The execution of a request that must not run twice does not end in time. A rejection would say that
+/// nothing was done, so the client would retry; it is answered with an error, and the execution goes on.
 #[test]
 fn keyed_and_non_idempotent_executions_fail_at_the_deadline_and_are_never_cancelled() {
     for class in [2, 3] {
@@ -66,6 +70,8 @@
     assert_eq!(timers(backend.handle_timeout(700.0, Timer::Deadline, Gauges::default())), 0);
 }
 
+/// A deadline passes between two events, and the next event is a change of quotas: the request must not
+/// wait for an event of its own.
 #[test]
 fn a_deadline_that_passes_as_quotas_change_is_kept() {
     let mut backend = started(BackendConfig { tenant_quotas_per_s: vec![40.0], ..config() });
--- a/src/admission/drain/tests.rs
+++ b/src/admission/drain/tests.rs
@@ -1,6 +1,8 @@
 use crate::admission::test_support::{config, is_rejected, last_state, request, started};
 use crate::api::{Gauges, Request, RequestState, Timer};
 
+/// The process will be stopped while requests still come and run. What arrives within the grace period is
+/// executed, nothing after it, and no request is cut off without an answer.
 #[test]
 fn nothing_past_the_grace_period_is_executed_and_all_is_answered_before_the_stop() {
     let mut backend = started(config());
--- a/src/admission/health/tests.rs
+++ b/src/admission/health/tests.rs
@@ -18,6 +18,8 @@
     assert_eq!(effects.announcements.ready, Some(true));
 }
 
+/// A fleet that is overloaded as a whole fails its health checks. Where service discovery follows them, all
+/// servers would vanish from the list at once.
 #[test]
 fn health_checks_fail_while_little_is_admitted_but_not_where_discovery_follows_them() {
     let ready = |discovery_follows_health: bool| {
--- a/src/admission/idle_timeout/tests.rs
+++ b/src/admission/idle_timeout/tests.rs
@@ -2,6 +2,8 @@
 use crate::admission::test_support::{config, running};
 use crate::api::{Gauges, Timer};
 
+/// A thousand clients keep a connection each that they hardly use, and each open one costs speed; two
+/// clients come back all the time.
 #[test]
 fn idle_connections_go_where_their_clients_seldom_come_back() {
     let timeout_ms = |client_count: f64| {
--- a/src/admission/outbound/tests.rs
+++ b/src/admission/outbound/tests.rs
@@ -6,6 +6,8 @@
     matches!(last_state(effects), RequestState::Calling { .. })
 }
 
+/// A client goes while its call is in flight: the call is dropped here, but the dependency still works on
+/// it. Placing another at once would put this backend over its share.
 #[test]
 fn calls_in_flight_stay_under_the_share_with_those_that_linger() {
     let mut backend = running(4);
@@ -16,6 +18,8 @@
     assert_eq!(backend.outbound.lingering_until_ms.len(), 1);
 }
 
+/// A call fails, and its effect may have been taken. Only an idempotent request, or one whose call is known
+/// not to have been executed, calls again; any other fails.
 #[test]
 fn a_call_is_repeated_only_where_that_does_no_harm() {
     let mut backend = started(config());
@@ -32,6 +36,7 @@
     assert_eq!(last_state(&backend.handle_call_ended(1.0, 3, CallOutcome::ConnectionLost)), failed);
 }
 
+/// A dependency that is gone refuses at once: without a pause the same calls would be repeated without end.
 #[test]
 fn calls_pause_after_a_failure_and_their_bound_shrinks() {
     let mut backend = running(1);
@@ -62,6 +67,8 @@
     assert!(is_calling(&backend.handle_call_ended(303.0, 1000, CallOutcome::ConnectionLost)));
 }
 
+/// Calls of one day take from 0 to 220 ms by themselves. Judged one by one nearly all would count as slow,
+/// and the bound would shrink for nothing; a dependency that slows down as a whole shows in the mean.
 #[test]
 fn calls_that_differ_by_themselves_keep_their_bound_and_a_slower_mean_lowers_it() {
     let mut outbound = Outbound::new(0.0, &BackendConfig { dependency_share: Some(12.0), ..config() });
@@ -81,6 +88,8 @@
     assert_eq!(outbound.max_in_flight, 0.25 * outbound.share);
 }
 
+/// The fleet has grown past the dependency, so that each backend's share is half a call: one call at a
+/// time, each time, would be twice the share.
 #[test]
 fn a_share_under_one_call_is_kept_by_rests() {
     let mut backend = started(BackendConfig { dependency_share: Some(0.5), ..config() });
@@ -92,6 +101,8 @@
     assert!(is_calling(&backend.handle_timeout(230.0, Timer::Periodic, Gauges::default())));
 }
 
+/// With a share of half a call, a client goes while the only call is in flight. The dependency works on for
+/// as long as the call may linger, and the rest has to cover that too.
 #[test]
 fn an_abandoned_call_is_rested_for_with_the_time_that_it_lingers() {
     let mut backend = started(BackendConfig { dependency_share: Some(0.5), ..config() });
--- a/src/admission/retry_detection/tests.rs
+++ b/src/admission/retry_detection/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::admission::test_support::{config, request};
 
+/// Clients retry without a mark, and what is left of their timeout is all that tells. An attempt with
+/// another wait than the usual ones is old; a wait that comes often becomes usual.
 #[test]
 fn an_attempt_that_waits_for_the_rest_of_its_timeout_tells_its_age() {
     let mut detection = RetryDetection::new(&config());
--- a/src/admission/shedding/tests.rs
+++ b/src/admission/shedding/tests.rs
@@ -56,6 +56,8 @@
     }
 }
 
+/// More comes than the cores bear. Every arrival is rejected at once and told when to come back, or its
+/// client would retry at once.
 #[test]
 fn at_the_hard_limit_every_arrival_is_rejected_with_a_retry_after() {
     let effects = running(10).handle_request(0.0, request(1, 1));
@@ -95,6 +97,8 @@
     assert_eq!(load(10, 0, 0.5).admitted_fraction(&limits), 0.0);
 }
 
+/// The dependency slows, and requests pile up at their calls. They are no load on the cores, so without a
+/// limit of their own all arrivals would be admitted until the calls come back at once.
 #[test]
 fn requests_that_await_calls_are_no_load_and_have_a_limit_of_their_own() {
     let mut backend = running(6);
--- a/src/admission/tenant_quota/tests.rs
+++ b/src/admission/tenant_quota/tests.rs
@@ -98,6 +98,7 @@
     }
 }
 
+/// With thousands of tenants, work for all of them at each arrival would be most of a decision.
 #[test]
 fn an_arrival_touches_no_other_tenant_than_its_own() {
     let mut backend = with_quotas(vec![1e6; 5]);
