--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -1,4 +1,4 @@
-//! `plovershelf group`: who is in a group, what its council decided, and the two commands that change it by hand.
+//! `plovershelf group`: who is in a cluster, what its consensus group committed, and the two commands that change it by hand.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -83,32 +83,32 @@
     question: Question,
     within: Duration,
 ) -> Result<Answer, String> {
-    let wrong = |what: &str| format!("{at}: {what}");
-    let asked = async {
+    let failed = |what: &str| format!("{at}: {what}");
+    let exchange = async {
         let stream =
-            Async::<std::net::TcpStream>::connect(at).await.map_err(|error| wrong(&error.to_string()))?;
+            Async::<std::net::TcpStream>::connect(at).await.map_err(|error| failed(&error.to_string()))?;
         let bytes = [encode_frame(&Hello::of(group)), encode_frame(&Wire::Question(question))].concat();
-        (&stream).write_all(&bytes).await.map_err(|error| wrong(&error.to_string()))?;
+        (&stream).write_all(&bytes).await.map_err(|error| failed(&error.to_string()))?;
         let (mut bytes, mut chunk) = (Vec::new(), vec![0; 16 << 10]);
         loop {
-            if let Some((content, _)) = read_frame(&bytes).map_err(|error| wrong(&error.to_string()))? {
-                return match decode::<Wire>(content) {
+            if let Some((payload, _)) = read_frame(&bytes).map_err(|error| failed(&error.to_string()))? {
+                return match decode::<Wire>(payload) {
                     Ok(Wire::Answer(answer)) => Ok(*answer),
-                    _ => Err(wrong("answered something else")),
+                    _ => Err(failed("answered something else")),
                 };
             }
             match (&stream).read(&mut chunk).await {
-                Ok(0) => return Err(wrong("closed the link: another group's name, or another version")),
+                Ok(0) => return Err(failed("closed the link: another group's name, or another version")),
                 Ok(count) => bytes.extend_from_slice(&chunk[..count]),
-                Err(error) => return Err(wrong(&error.to_string())),
+                Err(error) => return Err(failed(&error.to_string())),
             }
         }
     };
-    let late = async {
+    let timeout = async {
         Timer::after(within).await;
-        Err(wrong("no answer came in time"))
+        Err(failed("no answer came in time"))
     };
-    future::or(asked, late).await
+    future::or(exchange, timeout).await
 }
 
 /// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
@@ -127,7 +127,7 @@
                 match options.command {
                     Command::Members => println!("{}", members(&status)),
                     Command::History => println!("{}", history(&status)),
-                    _ => println!("{}", told(&status)),
+                    _ => println!("{}", summary(&status)),
                 }
             }
             Ok(0)
@@ -146,7 +146,7 @@
     }
 }
 
-fn told(status: &Status) -> String {
+fn summary(status: &Status) -> String {
     let mut lines = vec![
         format!("group {}, member {} ({:016x})", status.group, status.name, status.memory),
         match &status.leader {
@@ -213,8 +213,8 @@
     let names = |of: &[(plovershelf_cluster::NodeId, String)]| {
         of.iter().map(|(id, name)| format!("{name} ({:08x})", id.0 >> 32)).collect::<Vec<_>>().join(", ")
     };
-    for step in &status.history {
-        table.add_row([step.number.to_string(), names(&step.joined), names(&step.left)]);
+    for change in &status.history {
+        table.add_row([change.number.to_string(), names(&change.joined), names(&change.left)]);
     }
     table
 }
