--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod audit;
 pub mod changes;
 pub mod copies;
+#[path = "cluster/world.rs"]
 pub mod group;
 pub mod net;
 pub mod plot;
