--- a/crates/plovershelf-cli/src/config.rs
+++ b/crates/plovershelf-cli/src/config.rs
@@ -8,8 +8,8 @@
 use comfy_table::{presets, Table};
 use plovershelf_cluster::frames::{decode, plain};
 use plovershelf_cluster::status::{Answer, Question};
-use plovershelf_config_distribution::content::{Edit, Numbered, Version};
-use plovershelf_server::changes::asks::{Ask, Report, Told, KEY};
+use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
+use plovershelf_server::config_distribution::admin::{Ask, Report, Told, KEY};
 use serde_json::{json, Value};
 
 use crate::group::ask;
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -10,7 +10,7 @@
 
 use async_executor::LocalExecutor;
 use clap::Args;
-use plovershelf_server::changes::{self, Sink};
+use plovershelf_server::config_distribution::{self as changes, Sink};
 use plovershelf_server::group::{self, Incoming, Pulse};
 use serde_json::Value;
 
--- a/crates/plovershelf-cli/src/trial/scale/watch.rs
+++ b/crates/plovershelf-cli/src/trial/scale/watch.rs
@@ -11,8 +11,8 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Brief, Question, Status};
-use plovershelf_config_distribution::content::Edit;
-use plovershelf_server::changes::asks::{self, Ask, Report, Told};
+use plovershelf_config_distribution::quota_table::Edit;
+use plovershelf_server::config_distribution::admin::{self as asks, Ask, Report, Told};
 use plovershelf_testkit::{Clock, Executor};
 use socket2::{Domain, Protocol, Socket, Type};
 
--- a/crates/plovershelf-cli/tests/config.rs
+++ b/crates/plovershelf-cli/tests/config.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use plovershelf_server::changes::{self, Setup, Sink};
+use plovershelf_server::config_distribution::{self as changes, Setup, Sink};
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::sources::Sources;
 
--- a/crates/plovershelf-config-distribution/src/sums.rs
+++ b/crates/plovershelf-config-distribution/src/aggregation.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::content::Version;
 use crate::message::{Sum, MISSING_MOST};
-use crate::spread::Child;
+use crate::placement::Child;
+use crate::quota_table::Version;
 
 /// Names kept of those that ended without a word, at most, and for how long.
 const GONE_MOST: usize = 64;
--- a/crates/plovershelf-config-distribution/src/lib.rs
+++ b/crates/plovershelf-config-distribution/src/lib.rs
@@ -11,15 +11,15 @@
 //! | CUT_OFF_SERVES_ON | a process that hears nobody keeps its content and says how old it is |
 //! | BAD_CHANGES_NOTHING | a change that does not fit is in force nowhere, not even in part |
 //!
-//! [`node::Node`] is one process and joins the parts: [`content`] is what changes are made of, [`attach`] decides whom one
-//! hears from, [`spread`] what goes to whom, [`sums`] what comes back; its own part `fetch` has
+//! [`node::Node`] is one process and joins the parts: [`quota_table`] is what changes are made of, [`parent_selection`] decides whom one
+//! hears from, [`placement`] what goes to whom, [`aggregation`] what comes back; its own part `sync` has
 //! what is missing here.
 
-pub mod attach;
+pub mod aggregation;
 pub mod broken;
-pub mod content;
+pub mod config;
 pub mod message;
 pub mod node;
-pub mod spread;
-pub mod sums;
-pub mod terms;
+pub mod parent_selection;
+pub mod placement;
+pub mod quota_table;
--- a/crates/plovershelf-config-distribution/src/message.rs
+++ b/crates/plovershelf-config-distribution/src/message.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::content::{Numbered, Version};
 use crate::node::About;
+use crate::quota_table::{Numbered, Version};
 
 /// Addresses in a list, at most.
 pub const LIST_MOST: usize = 16;
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -1,6 +1,6 @@
 //! One process that hears of changes and may hand them on.
 
-mod fetch;
+mod sync;
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,15 @@
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-use crate::attach::{State, Step, Up};
+use crate::aggregation::{self, Gone, Joined};
 use crate::broken::{self, Broken};
-use crate::content::{Content, Edit, History, Numbered, Version, NAME_MOST, PART_BYTES};
+pub use crate::config::Terms;
 pub use crate::message::Message;
 use crate::message::{Newest, Sum, JOINED_MOST, LIST_MOST, MISSING_MOST, PLACES_MOST};
-use crate::spread::{self, Child, Spread};
-use crate::sums::{self, Gone, Joined};
-pub use crate::terms::Terms;
-use fetch::Pull;
+use crate::parent_selection::{State, Step, Up};
+use crate::placement::{self, Child, Spread};
+use crate::quota_table::{Content, Edit, History, Numbered, Version, NAME_MOST, PART_BYTES};
+use sync::Pull;
 
 /// What a process says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -468,7 +468,7 @@
     }
     fn sum(&self) -> Sum {
         let own = Some(&*self.about.name).filter(|_| self.role == Role::Listener);
-        sums::sum(own, self.content.version(), &self.spread.children, &self.gone)
+        aggregation::sum(own, self.content.version(), &self.spread.children, &self.gone)
     }
     fn send(&mut self, to: SocketAddr, message: Message) {
         self.out.send.push((to, message));
@@ -532,7 +532,7 @@
         for child in &self.spread.children {
             let near = match self.role {
                 Role::Source => self.spread.near(now, child, &self.terms),
-                Role::Listener => spread::rotated(&self.up.near, child.address),
+                Role::Listener => placement::rotated(&self.up.near, child.address),
             };
             if near != child.near {
                 told.push((child.address, child.about.region.clone(), near));
--- a/crates/plovershelf-config-distribution/src/node/fetch.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -6,7 +6,7 @@
 
 use super::{Event, Message, Newest, Node, Role};
 use crate::broken::{self, Broken};
-use crate::content::{Building, Content, Numbered, Unfit, Version, PART_BYTES};
+use crate::quota_table::{Building, Content, Numbered, Unfit, Version, PART_BYTES};
 
 /// An answer that is waited for.
 #[derive(Clone, Debug)]
--- a/crates/plovershelf-config-distribution/src/spread.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -4,9 +4,9 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::content::Version;
 use crate::message::{Message, Newest, Place, Sum, LIST_MOST, PLACES_MOST};
 use crate::node::{About, Terms};
+use crate::quota_table::Version;
 
 #[derive(Clone, Debug)]
 pub struct Child {
--- a/crates/plovershelf-config-distribution/tests/broken.rs
+++ b/crates/plovershelf-config-distribution/tests/broken.rs
@@ -5,8 +5,8 @@
 
 use net::Net;
 use plovershelf_config_distribution::broken::{set, Broken};
-use plovershelf_config_distribution::content::Edit;
 use plovershelf_config_distribution::node::{Message, Terms};
+use plovershelf_config_distribution::quota_table::Edit;
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
--- a/crates/plovershelf-config-distribution/tests/checker.rs
+++ b/crates/plovershelf-config-distribution/tests/checker.rs
@@ -5,8 +5,8 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-use plovershelf_config_distribution::content::{Content, Edit, Version};
 use plovershelf_config_distribution::node::{About, Message, Node, Role, Start, Terms};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Version};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/plovershelf-config-distribution/tests/content.rs
+++ b/crates/plovershelf-config-distribution/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! Checks of edits, the digest, parts and the history.
 
-use plovershelf_config_distribution::content::{
+use plovershelf_config_distribution::quota_table::{
     Building, Content, Edit, History, Numbered, Unfit, Version, CHANGE_BYTES_MOST, PART_BYTES, TENANTS_MOST,
 };
 
--- a/crates/plovershelf-config-distribution/tests/net/mod.rs
+++ b/crates/plovershelf-config-distribution/tests/net/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-use plovershelf_config_distribution::content::{Content, Edit, Numbered, Version};
 use plovershelf_config_distribution::node::{About, Event, Message, Node, Role, Start, Terms};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/plovershelf-config-distribution/tests/node.rs
+++ b/crates/plovershelf-config-distribution/tests/node.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 use net::Net;
-use plovershelf_config_distribution::content::{Content, Edit, Numbered, Version};
 use plovershelf_config_distribution::message::{Newest, Place, Sum};
 use plovershelf_config_distribution::node::{About, Event, Message, Node, Role, Start, Terms};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/plovershelf-config-distribution/tests/pins.rs
+++ b/crates/plovershelf-config-distribution/tests/pins.rs
@@ -5,9 +5,9 @@
 
 use std::net::SocketAddr;
 
-use plovershelf_config_distribution::content::{Edit, Numbered, Version};
 use plovershelf_config_distribution::message::{Newest, Place, Sum};
 use plovershelf_config_distribution::node::{About, Message};
+use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
 
 const FIXTURE: &str = include_str!("fixtures/messages.txt");
 
--- a/crates/plovershelf-config-distribution/tests/properties.rs
+++ b/crates/plovershelf-config-distribution/tests/properties.rs
@@ -3,8 +3,8 @@
 mod net;
 
 use net::Net;
-use plovershelf_config_distribution::content::Content;
 use plovershelf_config_distribution::node::{Role, Terms};
+use plovershelf_config_distribution::quota_table::Content;
 use rand::RngExt;
 
 #[test]
--- a/crates/plovershelf-config-distribution/tests/hung.rs
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use plovershelf_config_distribution::content::Content;
 use plovershelf_config_distribution::message::Newest;
 use plovershelf_config_distribution::node::{About, Message, Node, Role, Start, Terms};
+use plovershelf_config_distribution::quota_table::Content;
 
 fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
--- a/crates/plovershelf-config/src/changes.rs
+++ b/crates/plovershelf-config/src/changes.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 
 use ini::Properties;
-use plovershelf_config_distribution::content::{Content, Edit, TENANTS_MOST};
 use plovershelf_config_distribution::node::Terms;
+use plovershelf_config_distribution::quota_table::{Content, Edit, TENANTS_MOST};
 
 use crate::{Reading, Wrong};
 
@@ -240,7 +240,7 @@
 
 impl Reading<'_> {
     fn quota(&mut self, section: &str, name: &str, value: &str) -> Option<f64> {
-        let most = plovershelf_config_distribution::content::QUOTA_MOST;
+        let most = plovershelf_config_distribution::quota_table::QUOTA_MOST;
         match value.trim().parse::<f64>() {
             Ok(quota) if (0.0..=most).contains(&quota) => Some(quota),
             _ => {
--- a/crates/plovershelf-server/src/changes.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -5,13 +5,13 @@
 //! The ordinary path of a change: the council's word reaches a source's carrier, which hands it on to the relays that hear
 //! from it; they to their listeners; each tells its owner what is in force.
 
-pub mod asks;
-mod sink;
-mod source;
+pub mod admin;
+mod origin;
+mod subscriber;
 
-pub use asks::KEY;
-pub use sink::{InForce, Sink, Told as Quotas};
-pub use source::Word;
+pub use admin::KEY;
+pub use origin::Word;
+pub use subscriber::{InForce, Sink, Told as Quotas};
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -26,14 +26,14 @@
 use plovershelf_cluster::frames::{decode, plain, Wire};
 use plovershelf_cluster::status::{Answer, Question};
 use plovershelf_config::changes as file;
-use plovershelf_config_distribution::content::{Content, Edit};
 use plovershelf_config_distribution::node::{About, Event, Node, Role, Start, Terms};
+use plovershelf_config_distribution::quota_table::{Content, Edit};
 
 use crate::group;
 use crate::links::{self, now_ms, Bounds, Heard, Links};
-use asks::{Ask, Report, Told};
-use sink::Telling;
-use source::Source;
+use admin::{Ask, Report, Told};
+use origin::Source;
+use subscriber::Telling;
 
 /// What waits for a carrier; more is dropped, as a network drops.
 const INBOX: usize = 1024;
@@ -129,7 +129,7 @@
         terms: source.terms.clone(),
     };
     let kept = group.folder.as_ref().map(|folder| folder.join("content"));
-    let held = match kept.as_deref().map(source::kept).transpose()?.flatten() {
+    let held = match kept.as_deref().map(origin::kept).transpose()?.flatten() {
         Some(held) => held,
         None => source.first_content()?,
     };
@@ -315,7 +315,7 @@
         }
     }
 
-    fn propose(&mut self, edits: Vec<Edit>, after: Option<u64>, from_here: bool, reply: source::Answerer) {
+    fn propose(&mut self, edits: Vec<Edit>, after: Option<u64>, from_here: bool, reply: origin::Answerer) {
         let Some(source) = self.source.as_mut() else {
             return reply(Told::Refused("this is a listener: changes are proposed to a source".into()));
         };
--- a/crates/plovershelf-server/src/changes/asks.rs
+++ b/crates/plovershelf-server/src/config_distribution/admin.rs
@@ -1,7 +1,7 @@
 //! What people ask of a process that changes are carried to, and what it answers.
 
-use plovershelf_config_distribution::content::{Edit, Numbered};
 use plovershelf_config_distribution::node::Status;
+use plovershelf_config_distribution::quota_table::{Edit, Numbered};
 use serde::{Deserialize, Serialize};
 
 /// The part of the product that a question is for, and the key under which the council agrees on changes.
--- a/crates/plovershelf-server/src/changes/source.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -6,9 +6,9 @@
 
 use async_channel::Sender;
 use plovershelf_cluster::frames::{decode, framed, plain, unframed};
-use plovershelf_config_distribution::content::{Building, Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::quota_table::{Building, Content, Edit, Numbered, Version};
 
-use super::asks::{Council, Told};
+use super::admin::{Council, Told};
 use crate::group;
 
 /// A proposal is answered within this, whatever came of it.
--- a/crates/plovershelf-server/src/changes/sink.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use async_channel::{Sender, TrySendError};
-use plovershelf_config_distribution::content::{Content, Edit, Version};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Version};
 
 /// Quotas that are in force from now on.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -31,7 +31,7 @@
 use plovershelf_config::group::Group as Setup;
 use plovershelf_failover::plan::BANDS;
 
-use crate::changes::{self, Word};
+use crate::config_distribution::{self as changes, Word};
 use crate::links::{self, Heard, Links};
 use folder::Folder;
 
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -1,7 +1,7 @@
 //! One backend on real sockets: starts the parts, hands them their queues, and waits for the end.
 
 mod agent;
-pub mod changes;
+pub mod config_distribution;
 mod connection;
 pub mod group;
 mod launch;
@@ -82,8 +82,12 @@
     let mut carried = None;
     if let Some(file) = changes {
         let (told, in_force) = async_channel::bounded(1);
-        let sink = changes::Sink::Quotas(told);
-        carried = Some(changes::start_until_told(changes::Setup::of(file), launch.name.clone(), sink)?);
+        let sink = config_distribution::Sink::Quotas(told);
+        carried = Some(config_distribution::start_until_told(
+            config_distribution::Setup::of(file),
+            launch.name.clone(),
+            sink,
+        )?);
         let events = events.clone();
         let hand_on = async move {
             while let Ok(told) = in_force.recv().await {
@@ -122,7 +126,7 @@
                     let _ = in_group.try_send(group::Incoming::Leave { within_ms });
                 }
                 if let Some(carried) = &carried {
-                    let _ = carried.try_send(changes::Incoming::Leave);
+                    let _ = carried.try_send(config_distribution::Incoming::Leave);
                 }
                 let _ = give_notice.try_send(owner::unix_ms());
             }
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -2,10 +2,10 @@
 //! gets orders back through queues of its own; it never waits for any of them.
 
 mod below;
-mod changed;
 mod copied;
 mod peers;
 mod pooled;
+mod tenant_quotas;
 mod work;
 
 use std::cell::Cell;
@@ -159,7 +159,7 @@
     /// Where a group wants to know that this goes round and does its work.
     pulse: Option<std::sync::Arc<crate::group::Pulse>>,
     /// Tenants' quotas that may change while this runs, where an operator has set it up.
-    changed: Option<changed::Changed>,
+    changed: Option<tenant_quotas::Changed>,
     /// Takes what is wanted of the copies, where tickets have any.
     copies: Option<Sender<crate::group::Incoming>>,
     /// What is held for others stands elsewhere, or nothing is.
@@ -241,7 +241,7 @@
     }
 
     pub fn with_changes(mut self, on: bool) -> Self {
-        self.changed = on.then(|| changed::Changed::new(&self.startup.config.tenant_quotas_per_s));
+        self.changed = on.then(|| tenant_quotas::Changed::new(&self.startup.config.tenant_quotas_per_s));
         self
     }
 
--- a/crates/plovershelf-server/src/owner/changed.rs
+++ b/crates/plovershelf-server/src/owner/tenant_quotas.rs
@@ -3,7 +3,7 @@
 use plovershelf_settings::Names;
 
 use super::Owner;
-use crate::changes::Quotas;
+use crate::config_distribution::Quotas;
 
 /// What the settings said of each tenant, by place: it holds for those that no change names.
 pub(super) struct Changed {
--- a/crates/plovershelf-server/tests/config_pins.rs
+++ b/crates/plovershelf-server/tests/config_pins.rs
@@ -2,9 +2,9 @@
 //! them: a command of that build asks a process of this one while a release is under way, and the other way round.
 
 use plovershelf_cluster::frames::{decode, plain};
-use plovershelf_config_distribution::content::{Edit, Numbered, Version};
 use plovershelf_config_distribution::node::Status;
-use plovershelf_server::changes::asks::{Ask, Council, Report, Told};
+use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
+use plovershelf_server::config_distribution::admin::{Ask, Council, Report, Told};
 
 const FIXTURE: &str = include_str!("fixtures/config_questions.txt");
 
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::content::{Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use serde::Serialize;
--- a/crates/plovershelf-simulation/src/changes/gossip.rs
+++ b/crates/plovershelf-simulation/src/changes/gossip.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use plovershelf_config_distribution::content::{Edit, Numbered, Version};
+use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::Serialize;
--- a/crates/plovershelf-simulation/src/changes/tree.rs
+++ b/crates/plovershelf-simulation/src/changes/tree.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::content::{Content, Edit, Numbered, Version};
 use plovershelf_config_distribution::node::{self, About, Event, Message, Node, Role, Terms};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
 
 use super::shapes::{region_of, zone_of, NOBODY, SOURCES};
 use rand::RngExt;
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::content::{Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
