--- a/crates/plovershelf-config-distribution/tests/properties.rs
+++ b/crates/plovershelf-config-distribution/tests/properties.rs
@@ -1,15 +1,14 @@
-//! The promises on a small net under faults, by many seeds, each the same at each run.
+//! The guarantees on a small network under faults, by many seeds, each the same at each run.
 
 mod net;
 
 use net::Net;
-use plovershelf_config_distribution::node::{Role, Terms};
-use plovershelf_config_distribution::quota_table::Content;
+use plovershelf_config_distribution::{DistributionConfig, QuotaTable, Role};
 use rand::RngExt;
 
 #[test]
-fn a_change_is_in_force_on_all_of_a_calm_fleet_within_200_ms() {
-    let mut net = Net::new(1, 3, 60, 4, Terms::default());
+fn change_is_in_force_on_the_whole_idle_fleet_within_200_ms() {
+    let mut net = Net::new(1, 3, 60, 4, DistributionConfig::default());
     net.run(3000.0);
     for at in 0..20 {
         let edits = net.random_edits();
@@ -25,23 +24,23 @@
         let parent = net.node(at).status(net.now).parent.unwrap();
         let parent = net.slots.iter().find(|slot| slot.address == parent).unwrap();
         let near = match net.node(at).is_relay() {
-            true => parent.role == Role::Source && parent.region == net.slots[at].region,
+            true => parent.role == Role::Origin && parent.region == net.slots[at].region,
             false => parent.zone == net.slots[at].zone,
         };
         assert!(near, "{at} hears from far\n{}", net.show());
     }
-    let sums: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
-    assert_eq!(sums.iter().map(|sum| sum.under).sum::<u64>(), 60);
-    assert_eq!(sums.iter().map(|sum| sum.in_force).sum::<u64>(), 60);
-    assert!(sums.iter().all(|sum| sum.missing.is_empty()));
+    let statuses: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
+    assert_eq!(statuses.iter().map(|status| status.nodes).sum::<u64>(), 60);
+    assert_eq!(statuses.iter().map(|status| status.up_to_date).sum::<u64>(), 60);
+    assert!(statuses.iter().all(|status| status.missing.is_empty()));
 }
 
 /// Kills, restarts, stops, cuts, ends of links and changes for half a minute, then all heals. The promises are held at each step.
 fn troubled(seed: u64, listeners: usize, loss: f64) -> Net {
-    let mut net = Net::new(seed, 3, listeners, 4, Terms::default());
+    let mut net = Net::new(seed, 3, listeners, 4, DistributionConfig::default());
     net.loss = loss;
     net.run(1500.0);
-    let mut down: Vec<(usize, Option<Content>)> = Vec::new();
+    let mut down: Vec<(usize, Option<QuotaTable>)> = Vec::new();
     let mut cut_until = 0.0;
     while net.now < 30_000.0 {
         let step = net.rng.random_range(20.0..500.0);
@@ -56,8 +55,8 @@
                 let _ = net.propose(any % 3, edits);
             }
             4 | 5 if net.slots[any].node.is_some() => {
-                let sources_down = down.iter().filter(|(at, _)| *at < 3).count();
-                if any >= 3 || sources_down == 0 {
+                let origins_down = down.iter().filter(|(at, _)| *at < 3).count();
+                if any >= 3 || origins_down == 0 {
                     let told = net.rng.random_bool(0.5);
                     let held = net.kill(any, told);
                     down.push((any, held.filter(|_| any % 2 == 0)));
@@ -90,8 +89,10 @@
     net
 }
 
+/// Crashes, restarts, pauses, partitions, lost connections and changes for half a minute, then all heals. Four seconds later all
+/// must have the newest in force, and the counts be right; at last nobody may be named as missing.
 #[test]
-fn all_have_the_newest_in_force_4_s_after_the_last_fault() {
+fn newest_is_in_force_everywhere_4_s_after_the_last_fault() {
     for seed in 0..60 {
         let mut net = troubled(seed, 20 + (seed as usize * 7) % 40, 0.0);
         net.run(net.now + 4000.0);
@@ -99,20 +100,21 @@
         assert_eq!(net.behind(), Vec::<usize>::new(), "seed {seed}, newest {}\n{}", net.newest(), net.show());
         net.run(net.now + 10_000.0);
         net.check();
-        let sums: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
-        let under: u64 = sums.iter().map(|sum| sum.under).sum();
-        let in_force: u64 = sums.iter().map(|sum| sum.in_force).sum();
+        let statuses: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
+        let under: u64 = statuses.iter().map(|status| status.nodes).sum();
+        let in_force: u64 = statuses.iter().map(|status| status.up_to_date).sum();
         let listeners = net.slots.len() as u64 - 3;
         assert_eq!((under, in_force), (listeners, listeners), "seed {seed}\n{}", net.show());
         net.run(net.now + 40_000.0);
-        let sums: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
-        let missing: Vec<&String> = sums.iter().flat_map(|sum| &sum.missing).collect();
+        let statuses: Vec<_> = (0..3).map(|at| net.node(at).status(net.now)).collect();
+        let missing: Vec<&String> = statuses.iter().flat_map(|status| &status.missing).collect();
         assert!(missing.is_empty(), "seed {seed}: all are back, missing {missing:?}");
     }
 }
 
+/// The same with one message in a hundred lost.
 #[test]
-fn messages_that_are_lost_are_made_up_for() {
+fn lost_messages_are_made_up_for() {
     for seed in 100..120 {
         let mut net = troubled(seed, 30, 0.01);
         net.run(net.now + 4000.0);
@@ -124,14 +126,14 @@
 /// The one fault that there is comes just before a change, in the worst moment as nobody has missed anything yet: all others
 /// have the change within 4 s.
 #[test]
-fn a_change_is_in_force_within_4_s_of_its_agreement_whatever_single_thing_dies_before() {
+fn change_is_in_force_within_4_s_of_its_commit_whatever_single_thing_fails_before() {
     let mut worst: f64 = 0.0;
     for seed in 0..40 {
-        let mut net = Net::new(seed, 3, 60, 4, Terms::default());
+        let mut net = Net::new(seed, 3, 60, 4, DistributionConfig::default());
         net.run(3000.0 + seed as f64 * 37.0);
         let relays: Vec<usize> = (3..63).filter(|at| net.node(*at).is_relay()).collect();
         let mut dead = match seed % 4 {
-            // A rack: two relays at once, or a source, or a relay that is stopped, or one whose links end.
+            // A rack: two relays at once, or an origin, or a relay that is paused, or one whose connections end.
             0 => relays.iter().copied().step_by(relays.len() / 2).take(2).collect(),
             1 => vec![seed as usize % 3],
             _ => vec![relays[seed as usize % relays.len()]],
@@ -143,9 +145,9 @@
                 net.kill(at, seed % 4 == 3);
             }
         }
-        let source = (0..3).find(|at| net.slots[*at].node.is_some()).unwrap();
+        let origin = (0..3).find(|at| net.slots[*at].node.is_some()).unwrap();
         let edits = net.random_edits();
-        let version = net.propose(source, edits).unwrap();
+        let version = net.propose(origin, edits).unwrap();
         let from = net.now;
         net.run(from + 4000.0);
         net.check();
@@ -159,14 +161,15 @@
     assert!(worst > 500.0 && worst < 3500.0, "{worst}");
 }
 
-/// A source that reaches all listeners but no other source is not told what those agree on: its relays find out from another.
+/// An origin reaches all listeners and no other origin, so it does not learn what those commit. Its relays must find out from
+/// another within 4 s.
 #[test]
-fn a_source_that_is_cut_off_from_the_others_holds_nobody_back() {
+fn origin_partitioned_from_the_others_holds_nobody_back() {
     let mut worst: f64 = 0.0;
     for seed in 0..12 {
-        let mut net = Net::new(seed, 3, 40, 4, Terms::default());
-        for source in 0..3 {
-            net.slots[source].group = 10 + source;
+        let mut net = Net::new(seed, 3, 40, 4, DistributionConfig::default());
+        for origin in 0..3 {
+            net.slots[origin].group = 10 + origin;
         }
         net.run(3000.0 + seed as f64 * 170.0);
         net.cut = vec![(10, 11), (10, 12)];
--- a/crates/plovershelf-config-distribution/tests/unreported_relay.rs
+++ b/crates/plovershelf-config-distribution/tests/unreported_relay.rs
@@ -1,50 +1,65 @@
-//! A relay that can speak to its source and hears nothing of it.
+//! A relay that can send to its origin and receives nothing of it.
 
 use std::net::SocketAddr;
 
-use plovershelf_config_distribution::message::{Newest, Sum};
-use plovershelf_config_distribution::node::{About, Message, Node, Role, Start, Terms};
-use plovershelf_config_distribution::quota_table::Content;
+use plovershelf_config_distribution::{
+    Aggregate, DistributionConfig, FanOutLimit, HeldVersion, ListenerKind, Message, Node, NodeInfo,
+    QuotaTable, Role, Startup,
+};
 
-fn about(port: u16) -> About {
+fn info(port: u16) -> NodeInfo {
     let address = SocketAddr::from(([10, 0, 0, 1], port));
-    About { name: format!("n{port}"), zone: "z1".into(), region: "r1".into(), address, life: port.into() }
+    NodeInfo {
+        name: format!("n{port}"),
+        zone: "z1".into(),
+        region: "r1".into(),
+        address,
+        incarnation: port.into(),
+    }
 }
 
-/// Where a source sends one that seeks.
-fn ways(source: &mut Node, now: f64, port: u16) -> Vec<SocketAddr> {
-    let seeks = about(port);
-    source.hear(
-        now,
-        seeks.address,
-        Message::Seek { about: seeks.clone(), avoid: Vec::new(), sent_on: false },
-    );
-    let sent = source.take().send;
+/// Where an origin sends a listener that looks for a parent.
+fn candidates(origin: &mut Node, now: f64, port: u16) -> Vec<SocketAddr> {
+    let seeker = info(port);
+    let find = Message::FindParent { node: seeker.clone(), excluded: Vec::new(), redirected: false };
+    origin.handle_message(now, seeker.address, find);
+    let sent = origin.poll_actions().messages;
     let told = sent.into_iter().find_map(|(to, message)| match message {
-        Message::Ways { relays, .. } if to == seeks.address => Some(relays),
+        Message::ParentCandidates { relays, .. } if to == seeker.address => Some(relays),
         _ => None,
     });
     told.expect("an answer")
 }
 
+/// A relay can send to its origin and receives nothing. It attaches over and over, and looks as if it had the most capacity. No
+/// listener may be sent there before it has reported.
 #[test]
-fn nobody_is_sent_to_a_relay_that_attached_and_never_said_a_sum() {
-    let start = Start {
-        about: about(1),
-        role: Role::Source,
-        sources: Vec::new(),
-        terms: Terms::default(),
-        held: Content::default(),
+fn nobody_is_sent_to_a_relay_that_never_reported() {
+    let startup = Startup {
+        node: info(1),
+        role: Role::Origin,
+        origins: Vec::new(),
+        config: DistributionConfig::default(),
+        table: QuotaTable::default(),
         seed: 1,
     };
-    let mut source = Node::new(start, 0.0);
-    let relay = about(2);
-    let newest = Newest { version: source.content().version(), digest: 0, age_ms: 0 };
-    let attach = Message::Attach { about: relay.clone(), newest, relay: true, over: true };
+    let mut origin = Node::new(startup, 0.0);
+    let relay = info(2);
+    let held = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
+    let attach = Message::Attach {
+        node: relay.clone(),
+        held,
+        kind: ListenerKind::Relay,
+        limit: FanOutLimit::Failover,
+    };
     for now in [10.0, 410.0, 810.0] {
-        source.hear(now, relay.address, attach.clone());
-        assert!(!ways(&mut source, now, 3).contains(&relay.address), "{now}");
+        origin.handle_message(now, relay.address, attach.clone());
+        assert!(!candidates(&mut origin, now, 3).contains(&relay.address), "{now}");
     }
-    source.hear(900.0, relay.address, Message::Sum(Sum { under: 1, in_force: 1, ..Sum::default() }));
-    assert_eq!(ways(&mut source, 910.0, 3), [relay.address]);
+    origin.handle_message(
+        900.0,
+        relay.address,
+        Message::Aggregate(Aggregate { nodes: 1, up_to_date: 1, ..Aggregate::default() }),
+    );
+    assert_eq!(candidates(&mut origin, 910.0, 3), [relay.address]);
 }
--- a/crates/plovershelf-config/src/changes.rs
+++ b/crates/plovershelf-config/src/changes.rs
@@ -6,8 +6,7 @@
 use std::path::PathBuf;
 
 use ini::Properties;
-use plovershelf_config_distribution::node::Terms;
-use plovershelf_config_distribution::quota_table::{Content, Edit, TENANTS_MOST};
+use plovershelf_config_distribution::{DistributionConfig, Edit, QuotaTable, MAX_QUOTA_PER_S, MAX_TENANTS};
 
 use crate::{Reading, Wrong};
 
@@ -20,7 +19,7 @@
     pub zone: String,
     pub region: String,
     pub sources: Vec<SocketAddr>,
-    pub terms: Terms,
+    pub terms: DistributionConfig,
 }
 
 /// What a source's `group.ini` says of changes.
@@ -31,15 +30,15 @@
     pub sources: Vec<SocketAddr>,
     /// The file with what all begin from.
     pub tenants: Option<PathBuf>,
-    pub terms: Terms,
+    pub terms: DistributionConfig,
 }
 
 impl Source {
     /// What is in force before any change.
     ///
     /// Errors: all that is wrong with the file that `tenants` names.
-    pub fn first_content(&self) -> Result<Content, String> {
-        let Some(path) = &self.tenants else { return Ok(Content::default()) };
+    pub fn first_content(&self) -> Result<QuotaTable, String> {
+        let Some(path) = &self.tenants else { return Ok(QuotaTable::default()) };
         let shown = path.to_string_lossy();
         let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
         tenants(&shown, &text).map_err(|wrong| wrong.to_string())
@@ -137,22 +136,22 @@
     (listen, sources)
 }
 
-fn terms(reading: &mut Reading<'_>, told: &Properties) -> Terms {
-    let mut terms = Terms::default();
+fn terms(reading: &mut Reading<'_>, told: &Properties) -> DistributionConfig {
+    let mut terms = DistributionConfig::default();
     let mut number =
         |key: &str, range: [f64; 2], otherwise: f64| reading.number(SECTION, told, key, range, otherwise);
     let hands = |number: f64| (number as usize, 2 * number as usize);
     (terms.fan_out, terms.failover_fan_out) = hands(number("fan_out", [1.0, 64.0], terms.fan_out as f64));
-    (terms.source_fan_out, terms.source_failover_fan_out) =
-        hands(number("source_fan_out", [1.0, 128.0], terms.source_fan_out as f64));
-    terms.beat_ms = number("beat_ms", [50.0, 10_000.0], terms.beat_ms);
-    let silent_ms = number("silent_ms", [100.0, 60_000.0], terms.silent_ms.0);
-    terms.silent_ms = (silent_ms, silent_ms * 1.25);
-    terms.sum_ms = number("sum_ms", [100.0, 60_000.0], terms.sum_ms);
-    terms.spare_check_ms = number("spare_check_ms", [500.0, 600_000.0], terms.spare_check_ms);
-    terms.child_silent_ms = terms.child_silent_ms.max(terms.sum_ms * 2.5);
-    terms.stale_ms = terms.stale_ms.max(terms.beat_ms * 5.0);
-    if terms.beat_ms * 2.0 > silent_ms {
+    (terms.origin_fan_out, terms.origin_failover_fan_out) =
+        hands(number("source_fan_out", [1.0, 128.0], terms.origin_fan_out as f64));
+    terms.heartbeat_interval_ms = number("beat_ms", [50.0, 10_000.0], terms.heartbeat_interval_ms);
+    let silent_ms = number("silent_ms", [100.0, 60_000.0], terms.min_parent_timeout_ms);
+    (terms.min_parent_timeout_ms, terms.max_parent_timeout_ms) = (silent_ms, silent_ms * 1.25);
+    terms.aggregate_interval_ms = number("sum_ms", [100.0, 60_000.0], terms.aggregate_interval_ms);
+    terms.leaf_probe_interval_ms = number("spare_check_ms", [500.0, 600_000.0], terms.leaf_probe_interval_ms);
+    terms.child_timeout_ms = terms.child_timeout_ms.max(terms.aggregate_interval_ms * 2.5);
+    terms.stale_after_ms = terms.stale_after_ms.max(terms.heartbeat_interval_ms * 5.0);
+    if terms.heartbeat_interval_ms * 2.0 > silent_ms {
         reading
             .say(SECTION, "beat_ms is more than half of silent_ms: one beat lost would have a parent left");
     }
@@ -162,7 +161,7 @@
 /// A list NAME = quota a second, as what all begin from.
 ///
 /// Errors: all that is wrong with the file.
-pub fn tenants(file: &str, text: &str) -> Result<Content, Wrong> {
+pub fn tenants(file: &str, text: &str) -> Result<QuotaTable, Wrong> {
     let (mut reading, ini) = Reading::up_to(file, text, LIST_LONGEST)?;
     let mut list: BTreeMap<Box<str>, f64> = BTreeMap::new();
     for (section, told) in ini.iter() {
@@ -182,15 +181,15 @@
             break;
         }
     }
-    if list.len() > TENANTS_MOST {
-        reading.say("tenants", &format!("names {}: {TENANTS_MOST} at most", list.len()));
+    if list.len() > MAX_TENANTS {
+        reading.say("tenants", &format!("names {}: {MAX_TENANTS} at most", list.len()));
         return Err(Wrong(reading.wrong));
     }
-    let content = match Content::initial(list) {
+    let content = match QuotaTable::initial(list) {
         Ok(content) => content,
         Err(why) => {
-            reading.say("tenants", &why);
-            Content::default()
+            reading.say("tenants", &why.to_string());
+            QuotaTable::default()
         }
     };
     reading.done(content)
@@ -240,7 +239,7 @@
 
 impl Reading<'_> {
     fn quota(&mut self, section: &str, name: &str, value: &str) -> Option<f64> {
-        let most = plovershelf_config_distribution::quota_table::QUOTA_MOST;
+        let most = MAX_QUOTA_PER_S;
         match value.trim().parse::<f64>() {
             Ok(quota) if (0.0..=most).contains(&quota) => Some(quota),
             _ => {
--- a/crates/plovershelf-config/src/changes/tests.rs
+++ b/crates/plovershelf-config/src/changes/tests.rs
@@ -8,7 +8,7 @@
     let listener = read("changes.ini", WELL).expect("a good file");
     assert_eq!((listener.sources.len(), listener.zone.as_str()), (3, "a"));
     assert_eq!((listener.terms.fan_out, listener.terms.failover_fan_out), (8, 16));
-    assert_eq!(listener.terms.beat_ms, 400.0);
+    assert_eq!(listener.terms.heartbeat_interval_ms, 400.0);
 }
 
 #[test]
@@ -50,7 +50,7 @@
 #[test]
 fn tenants_and_changes_are_read_whole_or_not_at_all() {
     let content = tenants("t.ini", "[tenants]\nacme = 20\nzeta = 0.5\n").expect("a good file");
-    assert_eq!((content.len(), content.quota("zeta")), (2, Some(0.5)));
+    assert_eq!((content.len(), content.quota_per_s("zeta")), (2, Some(0.5)));
     let wrong = tenants("t.ini", "[tenants]\nacme = 20\nacme = 3\nzeta = -1\n[more]\n").expect_err("much").0;
     assert_eq!(wrong.len(), 3, "{wrong:?}");
     let change = edits("c.ini", "[set]\nacme = 5\n[add]\nnew = 7\n[remove]\nzeta =\n").expect("a good file");
--- a/crates/plovershelf-server/src/config_distribution/admin.rs
+++ b/crates/plovershelf-server/src/config_distribution/admin.rs
@@ -1,44 +1,58 @@
-//! What people ask of a process that changes are carried to, and what it answers.
+//! What people ask of a process that distributes configuration, and what it answers. Encoded by position.
 
-use plovershelf_config_distribution::node::Status;
-use plovershelf_config_distribution::quota_table::{Edit, Numbered};
+use plovershelf_config_distribution::{Change, Edit, NodeStatus};
 use serde::{Deserialize, Serialize};
 
-/// The part of the product that a question is for, and the key under which the council agrees on changes.
+/// The part of the product that a question is for, and the key under which the consensus group commits changes.
 pub const KEY: &str = "config";
 
+/// A question of an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum AdminRequest {
+    /// What is in force, and where.
     Status,
+    /// The last changes.
     History,
-    /// A change of quotas; `after` is the number that it is to follow on, where that matters.
+    /// A change of quotas, to an origin.
     Propose {
+        /// At least one, each for another tenant.
         edits: Vec<Edit>,
+        /// The number that the change is to follow on, where that matters.
         after: Option<u64>,
     },
 }
 
+/// The answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
-    Status(Box<Report>),
-    History(Vec<Numbered>),
-    Done(String),
-    Refused(String),
+pub enum AdminResponse {
+    /// To [`AdminRequest::Status`].
+    Status(Box<StatusReport>),
+    /// To [`AdminRequest::History`], oldest first.
+    History(Vec<Change>),
+    /// The change is committed; one line that says so.
+    Committed(String),
+    /// Why not, in one line.
+    Rejected(String),
 }
 
-/// One process's word on what is in force.
+/// What one process says is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
-    pub node: Status,
-    pub source: bool,
-    /// Of a source: the newest that the council agreed on as far as it heard, who leads it, and whether it can agree now.
-    pub council: Option<Council>,
+pub struct StatusReport {
+    /// Of its node.
+    pub node: NodeStatus,
+    /// Whether it is an origin.
+    pub is_origin: bool,
+    /// Of an origin.
+    pub consensus: Option<ConsensusReport>,
 }
 
+/// What an origin heard last of its consensus group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Council {
+pub struct ConsensusReport {
+    /// The newest number that was committed.
     pub number: u64,
+    /// Its name, where one is known.
     pub leader: Option<String>,
-    /// A majority is heard of.
-    pub agrees: bool,
+    /// Whether a majority is heard of, so that changes can be committed now.
+    pub has_quorum: bool,
 }
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -1,231 +1,203 @@
-//! A source's side: proposals on their way to the council, the council's word, and the content kept in a folder.
-
-use std::fs::File;
-use std::io::Write;
-use std::path::{Path, PathBuf};
-
-use async_channel::Sender;
-use plovershelf_cluster::frames::{decode, framed, plain, unframed};
-use plovershelf_config_distribution::quota_table::{Building, Content, Edit, Numbered, Version};
-
-use super::admin::{Council, Told};
-use crate::group;
+//! An origin's side: proposals on their way to the consensus group, what it committed, and the table stored in a folder.
+//!
+//! | state of a proposal | event | next |
+//! | --- | --- | --- |
+//! | proposed | the retry interval is over | proposed, to the group once more; a number is committed once |
+//! | proposed | its number is committed with its bytes | answered: committed |
+//! | proposed | its number is committed with other bytes | answered: rejected, with what took the number |
+//! | proposed | a later number is committed | answered: rejected, as its own number's change is not known here |
+//! | proposed | the deadline is over | answered: rejected, with what keeps the group from committing |
+
+use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
+
+use super::admin::{AdminResponse, ConsensusReport};
+use super::storage::TableFile;
 
 /// A proposal is answered within this, whatever came of it.
-const PATIENCE_MS: f64 = 4000.0;
-/// Its way to the leader may be lost, so it is said again; a number is decided once.
-const AGAIN_MS: f64 = 700.0;
-const PROPOSALS_MOST: usize = 16;
+const PROPOSAL_TIMEOUT_MS: f64 = 4000.0;
+/// Its way to the leader may be lost, so it is sent again.
+const PROPOSAL_RETRY_MS: f64 = 700.0;
+const MAX_PROPOSALS: usize = 16;
 
-/// What the council has said last, as the group's thread tells it.
+/// What the consensus group committed last, as the cluster's thread tells it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Word {
-    pub era: u64,
-    /// 0 while nothing was agreed on.
+pub struct ConsensusState {
+    /// Of the group.
+    pub epoch: u64,
+    /// The newest number; 0 while nothing was committed.
     pub number: u64,
-    pub bytes: Vec<u8>,
+    /// The encoded change of that number.
+    pub entry: Vec<u8>,
+    /// Its name, where one is known.
     pub leader: Option<String>,
-    /// A majority is heard of.
-    pub agrees: bool,
+    /// Whether a majority is heard of.
+    pub has_quorum: bool,
 }
 
+/// Proposes an encoded change for a number to the consensus group. Nothing comes back but the group's state.
+pub(crate) type Propose = Box<dyn Fn(u64, Vec<u8>) + Send>;
+/// Answers the one who asked.
+pub(super) type Respond = Box<dyn FnOnce(AdminResponse)>;
+
 struct Proposal {
     number: u64,
-    bytes: Vec<u8>,
-    until: f64,
-    again_at: f64,
-    answer: Answerer,
+    entry: Vec<u8>,
+    deadline_ms: f64,
+    retry_at_ms: f64,
+    respond: Respond,
 }
 
-/// Answers one who asked.
-pub(super) type Answerer = Box<dyn FnOnce(Told)>;
-
-pub struct Source {
-    council: Sender<group::Incoming>,
-    pub word: Word,
-    /// The version that the council's word has.
-    pub newest: Version,
+/// What is committed, and what is proposed.
+pub(super) struct Origin {
+    propose: Propose,
+    consensus: ConsensusState,
+    /// The version of what was committed last.
+    newest: Version,
     proposals: Vec<Proposal>,
-    /// Where the content is kept.
-    file: Option<PathBuf>,
-    file_fails: bool,
+    file: Option<TableFile>,
 }
 
-fn what(change: &Numbered) -> String {
-    let more = match change.edits.len() {
-        0 | 1 => String::new(),
-        count => format!(" and {} more", count - 1),
-    };
-    change.edits.first().map_or("nothing".into(), Edit::to_string) + &more
-}
+impl Origin {
+    pub(super) fn new(propose: Propose, file: Option<TableFile>) -> Self {
+        let (consensus, newest) = (ConsensusState::default(), Version::default());
+        Origin { propose, consensus, newest, proposals: Vec::new(), file }
+    }
 
-impl Source {
-    pub fn new(council: Sender<group::Incoming>, file: Option<PathBuf>) -> Self {
-        let (word, newest) = (Word::default(), Version::default());
-        Source { council, word, newest, proposals: Vec::new(), file, file_fails: false }
+    pub(super) fn epoch(&self) -> u64 {
+        self.consensus.epoch
     }
 
-    pub fn next_at(&self) -> f64 {
-        self.proposals.iter().map(|p| p.until.min(p.again_at)).fold(f64::INFINITY, f64::min)
+    pub(super) fn report(&self) -> ConsensusReport {
+        let ConsensusState { number, leader, has_quorum, .. } = &self.consensus;
+        ConsensusReport { number: *number, leader: leader.clone(), has_quorum: *has_quorum }
     }
 
-    pub fn council(&self) -> Council {
-        let Word { number, leader, agrees, .. } = &self.word;
-        Council { number: *number, leader: leader.clone(), agrees: *agrees }
+    /// When [`Origin::handle_timeout`] is to be called next.
+    pub(super) fn poll_timeout(&self) -> f64 {
+        let next_ms = |proposal: &Proposal| proposal.deadline_ms.min(proposal.retry_at_ms);
+        self.proposals.iter().map(next_ms).fold(f64::INFINITY, f64::min)
+    }
+
+    /// Proposes `change` for the group's next number. It is answered when that number is committed, or at the deadline.
+    pub(super) fn propose(&mut self, now_ms: f64, change: &Change, respond: Respond) {
+        let (number, entry) = (self.consensus.number + 1, plain(change));
+        if let Some(why) = self.refusal(change, entry.len()) {
+            return respond(AdminResponse::Rejected(why));
+        }
+        let (deadline_ms, retry_at_ms) = (now_ms + PROPOSAL_TIMEOUT_MS, now_ms);
+        self.proposals.push(Proposal { number, entry, deadline_ms, retry_at_ms, respond });
+        self.handle_timeout(now_ms);
     }
 
-    /// `change` is to get the council's next number; answered when that number is decided on, or too late.
-    pub fn propose(&mut self, now: f64, change: &Numbered, answer: Answerer) {
-        if self.proposals.len() >= PROPOSALS_MOST {
-            return answer(Told::Refused(format!(
-                "{PROPOSALS_MOST} changes are being agreed on here already; try again in a moment"
-            )));
+    /// Why a change is not proposed at all.
+    fn refusal(&self, change: &Change, length: usize) -> Option<String> {
+        if self.proposals.len() >= MAX_PROPOSALS {
+            return Some(format!(
+                "{MAX_PROPOSALS} changes are being agreed on here already; try again in a moment"
+            ));
         }
-        if change.before < self.newest {
-            return answer(Told::Refused(format!(
+        if change.previous < self.newest {
+            return Some(format!(
                 "change {} was agreed on and has not come here yet; try again in a moment",
                 self.newest.number
-            )));
+            ));
         }
-        let (number, bytes) = (self.word.number + 1, plain(change));
-        let most = plovershelf_cluster::decided::WORD_BYTES_MOST;
-        if bytes.len() > most {
-            let length = bytes.len();
-            return answer(Told::Refused(format!("a change of {length} bytes: {most} at most")));
-        }
-        let (until, again_at) = (now + PATIENCE_MS, now);
-        self.proposals.push(Proposal { number, bytes, until, again_at, answer });
-        self.tick(now);
+        let max = plovershelf_cluster::decided::WORD_BYTES_MOST;
+        (length > max).then(|| format!("a change of {length} bytes: {max} at most"))
     }
 
-    pub fn tick(&mut self, now: f64) {
-        for proposal in self.proposals.iter_mut().filter(|p| p.again_at <= now && now < p.until) {
-            proposal.again_at = now + AGAIN_MS;
-            let (number, bytes) = (proposal.number, proposal.bytes.clone());
-            let _ = self.council.try_send(group::Incoming::Propose { number, bytes });
+    /// Sends again what is not committed yet, and answers what is late.
+    pub(super) fn handle_timeout(&mut self, now_ms: f64) {
+        for proposal in &mut self.proposals {
+            if proposal.retry_at_ms <= now_ms && now_ms < proposal.deadline_ms {
+                proposal.retry_at_ms = now_ms + PROPOSAL_RETRY_MS;
+                (self.propose)(proposal.number, proposal.entry.clone());
+            }
         }
-        for late in self.proposals.extract_if(.., |p| p.until <= now) {
-            let why = match &self.word {
-                Word { leader: None, .. } => "no leader is known".to_string(),
-                Word { leader: Some(leader), agrees: false, .. } => {
-                    format!("no majority is heard of; {leader} led last")
-                }
-                Word { leader: Some(leader), .. } => format!("{leader} leads and did not decide on it"),
-            };
-            (late.answer)(Told::Refused(format!(
-                "not agreed in {} s: {why}. It may still come into force as number {}: ask `config history` before it \
-                 is proposed anew",
-                PATIENCE_MS / 1000.0,
-                late.number
-            )));
+        for late in self.proposals.extract_if(.., |proposal| proposal.deadline_ms <= now_ms) {
+            let why = not_committed(&self.consensus, late.number);
+            (late.respond)(AdminResponse::Rejected(why));
         }
     }
 
-    /// The council's word; what it decided that was not known here yet.
-    pub fn hear(&mut self, word: Word) -> Option<Result<Numbered, String>> {
-        let new = (word.era, word.number) != (self.word.era, self.word.number) && word.number > 0;
-        self.word = word;
-        if !new {
+    /// The group's state; what it committed that was not known here yet.
+    ///
+    /// # Errors
+    ///
+    /// What it committed can't be read, in one line.
+    pub(super) fn handle_consensus(&mut self, state: ConsensusState) -> Option<Result<Change, String>> {
+        let known = (self.consensus.epoch, self.consensus.number);
+        let is_new = (state.epoch, state.number) != known && state.number > 0;
+        self.consensus = state;
+        if !is_new {
             return None;
         }
-        let number = self.word.number;
-        let decided = decode::<Numbered>(&self.word.bytes);
-        for over in self.proposals.extract_if(.., |p| p.number <= number) {
-            let told = match &decided {
-                Ok(change) if over.number == number && over.bytes == self.word.bytes => {
-                    Told::Done(format!("agreed as number {}", change.version.number))
+        let number = self.consensus.number;
+        let committed = decode::<Change>(&self.consensus.entry);
+        for proposal in self.proposals.extract_if(.., |proposal| proposal.number <= number) {
+            let is_own = proposal.number == number && proposal.entry == self.consensus.entry;
+            let response = match &committed {
+                Ok(change) if is_own => {
+                    AdminResponse::Committed(format!("agreed as number {}", change.version.number))
                 }
-                Ok(change) if over.number == number => Told::Refused(format!(
-                    "another change took number {}: {}; nothing of this one is in force",
-                    change.version.number,
-                    what(change)
-                )),
-                _ => Told::Refused(format!(
-                    "number {} is decided on and {number} too, and which change it was did not come here: ask `config \
-                     history`",
-                    over.number
-                )),
+                Ok(change) if proposal.number == number => AdminResponse::Rejected(superseded(change)),
+                _ => AdminResponse::Rejected(unknown_outcome(proposal.number, number)),
             };
-            (over.answer)(told);
+            (proposal.respond)(response);
         }
-        match decided {
+        match committed {
             Ok(change) => {
                 self.newest = change.version;
                 Some(Ok(change))
             }
-            Err(spoilt) => Some(Err(format!("the council's word {number} can't be read: {spoilt}"))),
+            Err(corrupt) => Some(Err(format!("the council's word {number} can't be read: {corrupt}"))),
         }
     }
 
-    /// Keeps what is in force here, so that it is there when all sources start at once.
-    pub fn keep(&mut self, content: &Content) {
-        let Some(file) = &self.file else { return };
-        match keep(file, content) {
-            Ok(()) => self.file_fails = false,
-            Err(error) if !self.file_fails => {
-                self.file_fails = true;
-                let file = file.display();
-                tracing::error!(
-                    event = "content_not_kept",
-                    "{file}: {error}; what is in force is held in memory alone"
-                );
-            }
-            Err(_) => {}
+    /// Stores what is in force here.
+    pub(super) fn store(&mut self, table: &QuotaTable) {
+        if let Some(file) = &mut self.file {
+            file.store(table);
         }
     }
 }
 
-/// Of the file: the longest content with room to spare.
-const LONGEST: u64 = 16 << 20;
-
-/// A frame with version and digest, then the entries in parts.
-fn keep(file: &Path, content: &Content) -> std::io::Result<()> {
-    let beside = file.with_extension("new");
-    let mut new = File::create(&beside)?;
-    new.write_all(&framed(&plain(&(content.version(), content.digest()))))?;
-    let (mut after, mut last) = (None::<String>, false);
-    while !last {
-        let (entries, ends) = content.part(after.as_deref());
-        new.write_all(&framed(&plain(&entries)))?;
-        after = entries.last().map(|(name, _)| name.clone()).or(after);
-        last = ends;
-    }
-    new.sync_all()?;
-    std::fs::rename(&beside, file)
+/// To one whose proposal met its deadline.
+fn not_committed(consensus: &ConsensusState, number: u64) -> String {
+    let why = match consensus {
+        ConsensusState { leader: None, .. } => "no leader is known".to_string(),
+        ConsensusState { leader: Some(leader), has_quorum: false, .. } => {
+            format!("no majority is heard of; {leader} led last")
+        }
+        ConsensusState { leader: Some(leader), .. } => format!("{leader} leads and did not decide on it"),
+    };
+    format!(
+        "not agreed in {} s: {why}. It may still come into force as number {number}: ask `config history` before it \
+         is proposed anew",
+        PROPOSAL_TIMEOUT_MS / 1000.0,
+    )
 }
 
-/// What an earlier start kept.
-///
-/// Errors: the file is there and can't be used, in one line.
-pub(super) fn kept(file: &Path) -> Result<Option<Content>, String> {
-    let shown = file.display();
-    let bytes = match std::fs::metadata(file) {
-        Ok(about) if about.len() > LONGEST => return Err(format!("{shown}: longer than {LONGEST} bytes")),
-        Ok(_) => std::fs::read(file).map_err(|error| format!("{shown}: {error}"))?,
-        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(format!("{shown}: {error}")),
+/// To one whose number went to another change.
+fn superseded(change: &Change) -> String {
+    let more = match change.edits.len() {
+        0 | 1 => String::new(),
+        count => format!(" and {} more", count - 1),
     };
-    read(&bytes)
-        .map(Some)
-        .map_err(|what| format!("{shown}: {what}; move it away to begin from the others' content"))
+    let first = change.edits.first().map_or("nothing".into(), Edit::to_string);
+    format!(
+        "another change took number {}: {first}{more}; nothing of this one is in force",
+        change.version.number
+    )
 }
 
-fn read(mut bytes: &[u8]) -> Result<Content, String> {
-    let mut next = || {
-        let (content, used) =
-            unframed(bytes).map_err(|spoilt| spoilt.to_string())?.ok_or("it ends too early")?;
-        bytes = &bytes[used..];
-        Ok::<_, String>((content, bytes.is_empty()))
-    };
-    let (version, digest): (Version, u128) = decode(next()?.0).map_err(|spoilt| spoilt.to_string())?;
-    let mut building = Building::new(version, digest);
-    loop {
-        let (content, last) = next()?;
-        building.add(decode(content).map_err(|spoilt| spoilt.to_string())?)?;
-        if last {
-            return building.finish();
-        }
-    }
+/// To one whose number was committed while only a later one came here.
+fn unknown_outcome(proposed: u64, committed: u64) -> String {
+    format!(
+        "number {proposed} is decided on and {committed} too, and which change it was did not come here: ask `config \
+         history`"
+    )
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-server/src/config_distribution/origin/tests.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin/tests.rs
@@ -1,134 +1,91 @@
 use super::*;
 
-fn change(before: u64, quota_per_s: f64) -> Numbered {
-    let version = |number| Version { era: if number > 0 { 7 } else { 0 }, number };
+fn change(previous: u64, quota_per_s: f64) -> Change {
+    let version = |number| Version { epoch: if number > 0 { 7 } else { 0 }, number };
     let edits = vec![Edit::Set { tenant: "acme".into(), quota_per_s }];
-    Numbered { version: version(before + 1), before: version(before), digest: 1, edits, proposed_ms: 0 }
+    Change {
+        version: version(previous + 1),
+        previous: version(previous),
+        digest: 1,
+        edits,
+        proposed_unix_ms: 0,
+    }
+}
+
+fn committed(number: u64, change: &Change) -> ConsensusState {
+    ConsensusState { epoch: 7, number, entry: plain(change), leader: Some("c1".into()), has_quorum: true }
 }
 
-fn word(number: u64, change: &Numbered) -> Word {
-    Word { era: 7, number, bytes: plain(change), leader: Some("c1".into()), agrees: true }
+/// An origin, and what it proposes to the group.
+fn origin() -> (Origin, async_channel::Receiver<u64>) {
+    let (to, proposed) = async_channel::bounded(16);
+    (
+        Origin::new(
+            Box::new(move |number, _| {
+                let _ = to.try_send(number);
+            }),
+            None,
+        ),
+        proposed,
+    )
 }
 
-/// Who asks, and what it is told.
-fn asker() -> (Answerer, async_channel::Receiver<Told>) {
-    let (to, told) = async_channel::bounded(1);
-    (Box::new(move |what| drop(to.try_send(what))), told)
+/// Who asks, and what it is answered.
+fn asker() -> (Respond, async_channel::Receiver<AdminResponse>) {
+    let (to, response) = async_channel::bounded(1);
+    (Box::new(move |what| drop(to.try_send(what))), response)
 }
 
-fn refused(told: &async_channel::Receiver<Told>, what: &str) -> bool {
-    matches!(told.try_recv(), Ok(Told::Refused(why)) if why.contains(what))
+fn rejected(response: &async_channel::Receiver<AdminResponse>, what: &str) -> bool {
+    matches!(response.try_recv(), Ok(AdminResponse::Rejected(why)) if why.contains(what))
 }
 
+/// Two operators propose at once, and the group commits one of the two changes under the number that both had in mind. The
+/// one must be told that it is committed, the other what took its number.
 #[test]
-fn of_two_changes_for_one_number_one_is_told_done_and_the_other_what_took_it() {
-    let (council, proposed) = async_channel::bounded(16);
-    let mut source = Source::new(council, None);
+fn of_two_changes_for_one_number_one_is_committed_and_the_other_told_what_took_it() {
+    let (mut origin, proposed) = origin();
     let (ours, theirs) = (change(0, 5.0), change(0, 6.0));
-    let (answer, told) = asker();
-    source.propose(0.0, &ours, answer);
-    let (answer, other_told) = asker();
-    source.propose(0.0, &theirs, answer);
+    let (respond, response) = asker();
+    origin.propose(0.0, &ours, respond);
+    let (respond, other_response) = asker();
+    origin.propose(0.0, &theirs, respond);
     assert_eq!(proposed.len(), 2);
-    assert_eq!(source.hear(word(1, &ours)), Some(Ok(ours.clone())));
-    assert_eq!(told.try_recv(), Ok(Told::Done("agreed as number 1".into())));
-    assert!(refused(&other_told, "another change took number 1: set \"acme\" to 5"));
+    assert_eq!(origin.handle_consensus(committed(1, &ours)), Some(Ok(ours.clone())));
+    assert_eq!(response.try_recv(), Ok(AdminResponse::Committed("agreed as number 1".into())));
+    assert!(rejected(&other_response, "another change took number 1: set \"acme\" to 5"));
     // Told again, as when the leader changes, it is nothing new.
-    assert_eq!(source.hear(Word { leader: None, ..word(1, &ours) }), None);
-    // A change that does not follow on the council's newest is not proposed at all.
-    let (answer, told) = asker();
-    source.propose(0.0, &theirs, answer);
-    assert!(refused(&told, "change 1 was agreed on and has not come here yet") && proposed.len() == 2);
+    assert_eq!(origin.handle_consensus(ConsensusState { leader: None, ..committed(1, &ours) }), None);
+    // A change that does not follow on the group's newest is not proposed at all.
+    let (respond, response) = asker();
+    origin.propose(0.0, &theirs, respond);
+    assert!(rejected(&response, "change 1 was agreed on and has not come here yet") && proposed.len() == 2);
 }
 
+/// The group has no leader or no majority, or commits while this origin hears nothing of it. The one who asked must be told
+/// why, and that its change may still be committed.
 #[test]
-fn what_is_not_agreed_in_time_is_said_with_why_and_what_may_still_come() {
-    let (council, proposed) = async_channel::bounded(16);
-    let mut source = Source::new(council, None);
-    let (answer, told) = asker();
-    source.propose(0.0, &change(0, 5.0), answer);
-    source.tick(1000.0);
-    assert_eq!((proposed.len(), source.next_at() <= 2000.0), (2, true));
-    source.tick(4000.0);
-    assert!(refused(&told, "no leader is known. It may still come into force as number 1"));
-    assert_eq!((proposed.len(), source.next_at()), (2, f64::INFINITY));
-    let late = word(1, &change(0, 5.0));
-    source.hear(Word { agrees: false, ..late.clone() });
-    let (answer, told) = asker();
-    source.propose(5000.0, &change(1, 6.0), answer);
-    source.tick(9000.0);
-    assert!(refused(&told, "no majority is heard of; c1 led last"));
+fn a_proposal_not_committed_in_time_is_rejected_with_why_and_what_may_still_come() {
+    let (mut origin, proposed) = origin();
+    let (respond, response) = asker();
+    origin.propose(0.0, &change(0, 5.0), respond);
+    origin.handle_timeout(1000.0);
+    assert_eq!((proposed.len(), origin.poll_timeout() <= 2000.0), (2, true));
+    origin.handle_timeout(4000.0);
+    assert!(rejected(&response, "no leader is known. It may still come into force as number 1"));
+    assert_eq!((proposed.len(), origin.poll_timeout()), (2, f64::INFINITY));
+    let late = committed(1, &change(0, 5.0));
+    origin.handle_consensus(ConsensusState { has_quorum: false, ..late.clone() });
+    let (respond, response) = asker();
+    origin.propose(5000.0, &change(1, 6.0), respond);
+    origin.handle_timeout(9000.0);
+    assert!(rejected(&response, "no majority is heard of; c1 led last"));
     // Two numbers on, it can't be known here which change the first was.
-    source.hear(late);
-    let (answer, told) = asker();
-    source.propose(10_000.0, &change(1, 6.0), answer);
-    source.hear(word(3, &change(2, 7.0)));
-    assert!(refused(&told, "ask `config history`"));
-    assert!(source.hear(Word { bytes: vec![1], ..word(4, &change(3, 1.0)) }).is_some_and(|got| got.is_err()));
-}
-
-#[test]
-fn what_is_kept_comes_back_whole_or_not_at_all() {
-    let folder = std::env::temp_dir().join(format!("plovershelf-kept-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("content");
-    assert_eq!(kept(&file), Ok(None));
-    // More than one part.
-    let list = (0..5000).map(|n| (format!("tenant-{n:05}"), f64::from(n)));
-    let content = Content::initial(list).expect("a content");
-    let mut source = Source::new(async_channel::bounded(1).0, Some(file.clone()));
-    for content in [&content, &Content::default()] {
-        source.keep(content);
-        assert_eq!(kept(&file).as_ref(), Ok(&Some(content.clone())));
-    }
-    source.keep(&content);
-    let bytes = std::fs::read(&file).expect("a file");
-    let spoilt: Vec<u8> = bytes.iter().enumerate().map(|(at, byte)| byte ^ u8::from(at == 900)).collect();
-    for wrong in [&bytes[..bytes.len() - 9], &spoilt, &[][..]] {
-        std::fs::write(&file, wrong).expect("a file");
-        assert!(kept(&file).is_err_and(|why| why.contains("content: ") && why.contains("move it away")));
-    }
-    std::fs::remove_dir_all(&folder).expect("its end");
-}
-
-/// A file of several parts as an earlier build kept it: version, digest and entries come back, and are kept in the same bytes.
-#[test]
-fn what_an_earlier_build_kept_comes_back_and_is_kept_in_the_same_bytes() {
-    let folder = std::env::temp_dir().join(format!("plovershelf-kept-earlier-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("content");
-    let pinned = include_str!("../../../tests/fixtures/content_kept.txt");
-    let pinned = pinned.strip_prefix("content ").expect("one line").trim_end();
-    let byte = |at: usize| u8::from_str_radix(&pinned[at..at + 2], 16).expect("two hex digits");
-    let bytes: Vec<u8> = (0..pinned.len()).step_by(2).map(byte).collect();
-    std::fs::write(&file, &bytes).expect("a file");
-    let content = kept(&file).expect("it can be used").expect("it is there");
-    assert_eq!(content, earlier_content());
-    let mut source = Source::new(async_channel::bounded(1).0, Some(file.clone()));
-    source.keep(&content);
-    assert!(std::fs::read(&file).expect("a file") == bytes);
-    std::fs::remove_dir_all(&folder).expect("its end");
-}
-
-/// More than one part, at a version that a change led to.
-fn earlier_content() -> Content {
-    let list = (0..450).map(|n| (format!("tenant-{n:03}-{}", "x".repeat(53)), f64::from(n) + 0.5));
-    let mut content = Content::initial(list).expect("a content");
-    let edits = vec![Edit::Add { tenant: "acme".into(), quota_per_s: 20.25 }];
-    let (version, before) = (Version { era: 3, number: 41 }, Version::default());
-    let digest = content.check(&edits).expect("an edit that fits");
-    content.apply(&Numbered { version, before, digest, edits, proposed_ms: 7 }).expect("it follows");
-    content
-}
-
-/// Was run once, before anything was renamed; the fixture is not written again.
-#[test]
-#[ignore]
-fn write_the_file_that_is_kept() {
-    let file = std::env::temp_dir().join(format!("plovershelf-kept-pin-{}", std::process::id()));
-    Source::new(async_channel::bounded(1).0, Some(file.clone())).keep(&earlier_content());
-    let bytes = std::fs::read(&file).expect("a file");
-    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    let pin = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/content_kept.txt");
-    std::fs::write(pin, format!("content {hex}\n")).expect("a fixture");
+    origin.handle_consensus(late);
+    let (respond, response) = asker();
+    origin.propose(10_000.0, &change(1, 6.0), respond);
+    origin.handle_consensus(committed(3, &change(2, 7.0)));
+    assert!(rejected(&response, "ask `config history`"));
+    let unreadable = ConsensusState { entry: vec![1], ..committed(4, &change(3, 1.0)) };
+    assert!(origin.handle_consensus(unreadable).is_some_and(|got| got.is_err()));
 }
--- a/crates/plovershelf-server/src/config_distribution/subscriber.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -1,92 +1,111 @@
-//! Where what is in force is told to: the owner of a backend, or a trial that counts.
+//! Who is told what is in force: the owner of a backend, or a trial that counts.
 
 use std::collections::BTreeMap;
 
 use async_channel::{Sender, TrySendError};
-use plovershelf_config_distribution::quota_table::{Content, Edit, Version};
+use plovershelf_config_distribution::{Edit, QuotaTable, Version};
 
-/// Quotas that are in force from now on.
+/// Tenants' quotas that are in force from now on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct QuotaUpdate {
+    /// In force from now on.
     pub version: Version,
-    /// All that there are; tenants beyond these have those that they started with.
-    pub whole: bool,
-    /// By tenant; none where it has gone.
+    /// These are all that there are: tenants beyond them have the quotas that they started with.
+    pub is_snapshot: bool,
+    /// By tenant, in requests a second; none where the tenant was removed.
     pub quotas: BTreeMap<Box<str>, Option<f64>>,
 }
 
-/// A version that came into force in a process, for those who count.
+impl QuotaUpdate {
+    /// Takes in what came into force after this.
+    fn merge(&mut self, later: QuotaUpdate) {
+        if later.is_snapshot {
+            *self = later;
+        } else {
+            self.version = later.version;
+            self.quotas.extend(later.quotas);
+        }
+    }
+}
+
+/// A version that came into force in a process, for trials that count.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InForce {
+pub struct VersionInForce {
+    /// Of the process.
     pub name: String,
+    /// In force from now on.
     pub version: Version,
     /// By the clock of [`now_ms`](crate::links::now_ms), which all processes of a machine share.
     pub at_ms: f64,
 }
 
 /// Who is told.
-pub enum Sink {
-    /// The owner of a backend. What it has not taken yet is joined with what comes, so it is bounded by the content.
-    Quotas(Sender<Told>),
-    Versions(Sender<InForce>),
+pub enum Subscriber {
+    /// The owner of a backend. What it has not taken yet is merged with what comes, so it is bounded by the table.
+    Quotas(Sender<QuotaUpdate>),
+    /// A trial that counts.
+    Versions(Sender<VersionInForce>),
+    /// Nobody.
     Nobody,
 }
 
-impl Told {
-    fn join(&mut self, later: Told) {
-        if later.whole {
-            *self = later;
-        } else {
-            self.version = later.version;
-            self.quotas.extend(later.quotas);
-        }
-    }
-}
-
 /// What is still to be told, and to whom.
-pub(super) struct Telling {
+pub(super) struct Publisher {
     name: String,
-    sink: Sink,
-    untold: Option<Told>,
+    subscriber: Subscriber,
+    pending: Option<QuotaUpdate>,
 }
 
-impl Telling {
-    pub fn new(name: String, sink: Sink) -> Self {
-        Telling { name, sink, untold: None }
+impl Publisher {
+    pub(super) fn new(name: String, subscriber: Subscriber) -> Self {
+        Publisher { name, subscriber, pending: None }
+    }
+
+    /// These edits led to the table.
+    pub(super) fn publish_delta(&mut self, now_ms: f64, version: Version, edits: &[Edit]) {
+        self.publish(now_ms, version, || QuotaUpdate {
+            version,
+            is_snapshot: false,
+            quotas: edits.iter().map(|edit| (edit.tenant().into(), edit.quota_per_s())).collect(),
+        });
+    }
+
+    /// The table came as a whole.
+    pub(super) fn publish_snapshot(&mut self, now_ms: f64, version: Version, table: &QuotaTable) {
+        self.publish(now_ms, version, || QuotaUpdate {
+            version,
+            is_snapshot: true,
+            quotas: table.iter().map(|(name, quota_per_s)| (name.into(), Some(quota_per_s))).collect(),
+        });
     }
 
-    /// `edits` led to this content; none where it came whole.
-    pub fn tell(&mut self, now: f64, content: &Content, version: Version, edits: Option<&[Edit]>) {
-        match &self.sink {
-            Sink::Nobody => {}
-            Sink::Versions(to) => {
-                let _ = to.try_send(InForce { name: self.name.clone(), version, at_ms: now });
+    fn publish(&mut self, now_ms: f64, version: Version, update: impl FnOnce() -> QuotaUpdate) {
+        match &self.subscriber {
+            Subscriber::Nobody => {}
+            Subscriber::Versions(to) => {
+                let _ = to.try_send(VersionInForce { name: self.name.clone(), version, at_ms: now_ms });
             }
-            Sink::Quotas(_) => {
-                let quotas = match edits {
-                    Some(edits) => edits.iter().map(|e| (e.tenant().into(), e.quota_per_s())).collect(),
-                    None => content.iter().map(|(name, quota)| (name.into(), Some(quota))).collect(),
-                };
-                let told = Told { version, whole: edits.is_none(), quotas };
-                match self.untold.as_mut() {
-                    Some(untold) => untold.join(told),
-                    None => self.untold = Some(told),
+            Subscriber::Quotas(_) => {
+                match self.pending.as_mut() {
+                    Some(pending) => pending.merge(update()),
+                    None => self.pending = Some(update()),
                 }
-                self.hand_on();
+                self.flush();
             }
         }
     }
 
     /// Whether something waits because nobody took it.
-    pub fn waits(&self) -> bool {
-        self.untold.is_some()
+    pub(super) fn has_pending(&self) -> bool {
+        self.pending.is_some()
     }
 
-    pub fn hand_on(&mut self) {
-        let Sink::Quotas(to) = &self.sink else { return };
-        if let Some(told) = self.untold.take() {
-            match to.try_send(told) {
-                Err(TrySendError::Full(told)) => self.untold = Some(told),
+    /// Offers what waits.
+    pub(super) fn flush(&mut self) {
+        let Subscriber::Quotas(to) = &self.subscriber else { return };
+        if let Some(update) = self.pending.take() {
+            match to.try_send(update) {
+                Err(TrySendError::Full(update)) => self.pending = Some(update),
                 Ok(()) | Err(TrySendError::Closed(_)) => {}
             }
         }
--- /dev/null
+++ b/crates/plovershelf-server/src/entropy.rs
@@ -0,0 +1,15 @@
+//! Random numbers that no other process draws.
+
+use std::fs::File;
+use std::hash::{BuildHasher, Hasher, RandomState};
+use std::io::Read;
+
+/// A number that no other start draws; never 0.
+pub(crate) fn random_u64() -> u64 {
+    let mut bytes = [0; 8];
+    let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
+    if read.is_err() {
+        return RandomState::new().build_hasher().finish() | 1;
+    }
+    u64::from_ne_bytes(bytes) | 1
+}
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -10,7 +10,6 @@
 
 pub use crate::links::now_ms;
 pub use copied::{Asked, Told};
-pub(crate) use folder::drawn;
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -31,7 +30,7 @@
 use plovershelf_config::group::Group as Setup;
 use plovershelf_failover::plan::BANDS;
 
-use crate::config_distribution::{self as changes, Word};
+use crate::config_distribution::{self, ConsensusState, KEY as CONFIG_KEY};
 use crate::links::{self, Heard, Links};
 use folder::Folder;
 
@@ -154,14 +153,16 @@
         seeds: setup.seeds.iter().copied().filter(|seed| *seed != setup.listen).collect(),
         founders: setup.council.clone(),
         kept,
-        seed: folder::drawn(),
+        seed: crate::entropy::random_u64(),
     };
     let zoned =
         setup.zones.clone().map(|zones| zoned::Zoned::new(zones, &setup.zone, now_ms()).map(Box::new));
     let zoned = zoned.transpose()?;
     let (inbox, incoming) = async_channel::bounded(INBOX);
-    let carrier = |source| changes::start_source(&setup, source, name.clone(), inbox.clone());
-    let carrier = setup.changes.as_ref().map(carrier).transpose()?;
+    let propose_to = inbox.clone();
+    let propose = move |number, bytes| drop(propose_to.try_send(Incoming::Propose { number, bytes }));
+    let carrier = |file| config_distribution::start_origin(&setup, file, name.clone(), Box::new(propose));
+    let carrier = setup.changes.as_ref().map(carrier).transpose().map_err(|error| error.to_string())?;
     let own = inbox.clone();
     let run = move || {
         let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
@@ -180,7 +181,7 @@
         let zoned = zoned.map(|zones| *zones);
         let keeper = Keeper {
             carrier,
-            word: Word::default(),
+            word: ConsensusState::default(),
             copies,
             zoned,
             group,
@@ -205,8 +206,8 @@
 struct Keeper {
     group: Group,
     /// Where changes are carried from here: the carrier's queue, and what it was told last.
-    carrier: Option<Sender<changes::Incoming>>,
-    word: Word,
+    carrier: Option<Sender<config_distribution::Input>>,
+    word: ConsensusState,
     copies: Option<copied::Copied>,
     zoned: Option<zoned::Zoned>,
     name: String,
@@ -316,7 +317,7 @@
                 }
             },
             Incoming::Heard(Heard::Odd(what)) => self.note(&what),
-            Incoming::Propose { number, bytes } => drop(self.group.propose(now, changes::KEY, number, bytes)),
+            Incoming::Propose { number, bytes } => drop(self.group.propose(now, CONFIG_KEY, number, bytes)),
             Incoming::Asked(asked) => {
                 if let Some(copies) = self.copies.as_mut() {
                     copies.asked(now, asked);
@@ -326,7 +327,7 @@
             // With copies it stays a member until what it holds stands elsewhere; without any it goes at once.
             Incoming::Leave { within_ms } => {
                 if let Some(carrier) = self.carrier.take() {
-                    let _ = carrier.try_send(changes::Incoming::Leave);
+                    let _ = carrier.try_send(config_distribution::Input::Shutdown);
                 }
                 match self.copies.as_mut() {
                     Some(copies) => {
@@ -460,17 +461,18 @@
     fn tell_carrier(&mut self) {
         let Some(carrier) = &self.carrier else { return };
         let leader = self.group.leader().and_then(|id| self.group.name_of(id));
-        let word = self.group.word(changes::KEY);
-        let (era, number) = (self.group.council().era(), word.map_or(0, |word| word.number));
-        let agrees = leader.is_some() && self.group.undecided_since().is_none();
+        let word = self.group.word(CONFIG_KEY);
+        let (epoch, number) = (self.group.council().era(), word.map_or(0, |word| word.number));
+        let has_quorum = leader.is_some() && self.group.undecided_since().is_none();
         let told = &self.word;
-        if (era, number, agrees) == (told.era, told.number, told.agrees) && leader == told.leader {
+        if (epoch, number, has_quorum) == (told.epoch, told.number, told.has_quorum) && leader == told.leader
+        {
             return;
         }
-        let bytes = word.map_or_else(Vec::new, |word| word.bytes.clone());
-        let word = Word { era, number, bytes, leader, agrees };
-        if carrier.try_send(changes::Incoming::Council(word.clone())).is_ok() {
-            self.word = Word { bytes: Vec::new(), ..word };
+        let entry = word.map_or_else(Vec::new, |word| word.bytes.clone());
+        let word = ConsensusState { epoch, number, entry, leader, has_quorum };
+        if carrier.try_send(config_distribution::Input::Consensus(word.clone())).is_ok() {
+            self.word = ConsensusState { entry: Vec::new(), ..word };
         }
     }
 
--- a/crates/plovershelf-server/src/group/folder.rs
+++ b/crates/plovershelf-server/src/group/folder.rs
@@ -10,6 +10,8 @@
 use plovershelf_config::group::Group as Setup;
 use rustix::fs::{flock, FlockOperation};
 
+use crate::entropy::random_u64;
+
 /// A file is written anew when it has grown over this and over four times what it was then.
 const GROWN: u64 = 256 << 10;
 /// No more of a file is read; one that is longer is none of ours.
@@ -23,17 +25,6 @@
     identity: Identity,
 }
 
-/// A number that no other start draws.
-pub fn drawn() -> u64 {
-    let mut bytes = [0; 8];
-    let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
-    if read.is_err() {
-        use std::hash::{BuildHasher, Hasher};
-        return std::hash::RandomState::new().build_hasher().finish() | 1;
-    }
-    u64::from_ne_bytes(bytes) | 1
-}
-
 type Opened = (Option<Folder>, Identity, Option<Kept<Decided>>);
 
 impl Folder {
@@ -46,7 +37,7 @@
             major: store::MAJOR,
             group: setup.name.clone(),
             name: name.to_string(),
-            id: Id(drawn()),
+            id: Id(random_u64()),
             born,
         };
         let Some(folder) = &setup.folder else { return Ok((None, fresh, None)) };
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -3,6 +3,7 @@
 mod agent;
 pub mod config_distribution;
 mod connection;
+mod entropy;
 pub mod group;
 mod launch;
 mod ledger;
@@ -82,12 +83,9 @@
     let mut carried = None;
     if let Some(file) = changes {
         let (told, in_force) = async_channel::bounded(1);
-        let sink = config_distribution::Sink::Quotas(told);
-        carried = Some(config_distribution::start_until_told(
-            config_distribution::Setup::of(file),
-            launch.name.clone(),
-            sink,
-        )?);
+        let subscriber = config_distribution::Subscriber::Quotas(told);
+        let started = config_distribution::start_listener(file.into(), launch.name.clone(), subscriber);
+        carried = Some(started.map_err(|error| error.to_string())?);
         let events = events.clone();
         let hand_on = async move {
             while let Ok(told) = in_force.recv().await {
@@ -126,7 +124,7 @@
                     let _ = in_group.try_send(group::Incoming::Leave { within_ms });
                 }
                 if let Some(carried) = &carried {
-                    let _ = carried.try_send(config_distribution::Incoming::Leave);
+                    let _ = carried.try_send(config_distribution::Input::Shutdown);
                 }
                 let _ = give_notice.try_send(owner::unix_ms());
             }
@@ -138,7 +136,7 @@
     let start = launch.startup;
     let owner = Owner::new(start, stop_ms, limits.clone(), (inbox, notice), calls, leaving, Some(listening));
     let mut owner =
-        owner.with_pools(pools)?.with_pulse(pulse).with_copies(copied).with_changes(hears_changes);
+        owner.with_pools(pools)?.with_pulse(pulse).with_copies(copied).with_quota_updates(hears_changes);
     let run = async {
         let left = owner.run().await;
         // What was answered last is still on its way out of the connections' own tasks.
--- a/crates/plovershelf-server/src/messages.rs
+++ b/crates/plovershelf-server/src/messages.rs
@@ -46,7 +46,7 @@
     /// The operator's file of pools was read again.
     Pools(plovershelf_bulkhead::Plan),
     /// Tenants' quotas that are in force from now on.
-    Quotas(crate::config_distribution::Quotas),
+    Quotas(crate::config_distribution::QuotaUpdate),
 }
 
 /// What the agent says, as the owner needs it.
--- a/crates/plovershelf-server/src/owner.rs
+++ b/crates/plovershelf-server/src/owner.rs
@@ -159,7 +159,7 @@
     /// Where a group wants to know that this goes round and does its work.
     pulse: Option<std::sync::Arc<crate::group::Pulse>>,
     /// Tenants' quotas that may change while this runs, where an operator has set it up.
-    changed: Option<tenant_quotas::Changed>,
+    initial_quotas: Option<tenant_quotas::InitialQuotas>,
     /// Takes what is wanted of the copies, where tickets have any.
     copies: Option<Sender<crate::group::Incoming>>,
     /// What is held for others stands elsewhere, or nothing is.
@@ -220,7 +220,7 @@
             work_ms: FIRST_WORK_MS,
             worked_at: 0.0,
             pulse: None,
-            changed: None,
+            initial_quotas: None,
             copies: None,
             handed_on: true,
             limits,
@@ -240,8 +240,9 @@
         self
     }
 
-    pub fn with_changes(mut self, on: bool) -> Self {
-        self.changed = on.then(|| tenant_quotas::Changed::new(&self.startup.config.tenant_quotas_per_s));
+    pub fn with_quota_updates(mut self, on: bool) -> Self {
+        self.initial_quotas =
+            on.then(|| tenant_quotas::InitialQuotas::new(&self.startup.config.tenant_quotas_per_s));
         self
     }
 
@@ -400,7 +401,7 @@
             Event::CallOver { id, over } => self.call_over(id, over),
             Event::Copies(told) => self.copies_told(told),
             Event::Pools(plan) => self.replan(plan),
-            Event::Quotas(told) => self.quotas_told(&told),
+            Event::Quotas(update) => self.handle_quota_update(&update),
         }
     }
 
--- a/crates/plovershelf-server/src/owner/tenant_quotas.rs
+++ b/crates/plovershelf-server/src/owner/tenant_quotas.rs
@@ -1,56 +1,64 @@
-//! Tenants' quotas that come into force while this runs. Without a file of the operator's there is nothing here.
+//! Tenants' quotas that come into force while this runs. Without an operator's file for changes there is nothing here.
 
 use plovershelf_settings::Names;
 
 use super::Owner;
-use crate::config_distribution::Quotas;
+use crate::config_distribution::QuotaUpdate;
 
-/// What the settings said of each tenant, by place: it holds for those that no change names.
-pub(super) struct Changed {
-    began_with: Vec<f64>,
+/// The quotas of the start-up settings, in the tenants' order: they hold for tenants that no change names.
+pub(super) struct InitialQuotas {
+    quotas_per_s: Vec<f64>,
 }
 
-impl Changed {
-    pub fn new(quotas: &[f64]) -> Self {
-        Changed { began_with: quotas.to_vec() }
+/// What an update changes here.
+struct QuotaDifference {
+    /// Index and new quota of each tenant whose quota differs from the one in force.
+    changed: Vec<(usize, f64)>,
+    /// Tenants of the update that are none of the settings'.
+    unknown: usize,
+}
+
+impl InitialQuotas {
+    pub(super) fn new(quotas_per_s: &[f64]) -> Self {
+        InitialQuotas { quotas_per_s: quotas_per_s.to_vec() }
     }
 
-    /// By place, the quotas that differ from those that are in force; and how many tenants are none of the settings'.
-    fn differing(&self, told: &Quotas, tenants: &Names, in_force: &[f64]) -> (Vec<(usize, f64)>, usize) {
+    fn difference(&self, update: &QuotaUpdate, tenants: &Names, in_force: &[f64]) -> QuotaDifference {
         let known = |(name, quota): (&str, Option<f64>)| {
-            tenants.place(name).map(|place| (place, quota.unwrap_or(self.began_with[place])))
+            tenants.place(name).map(|index| (index, quota.unwrap_or(self.quotas_per_s[index])))
         };
         let named: Vec<(usize, f64)> =
-            told.quotas.iter().filter_map(|(name, quota)| known((name.as_ref(), *quota))).collect();
-        let unknown = told.quotas.len() - named.len();
-        let differs = |(place, quota): &(usize, f64)| in_force[*place] != *quota;
-        if !told.whole {
-            return (named.into_iter().filter(differs).collect(), unknown);
+            update.quotas.iter().filter_map(|(name, quota)| known((name.as_ref(), *quota))).collect();
+        let unknown = update.quotas.len() - named.len();
+        let differs = |(index, quota): &(usize, f64)| in_force[*index] != *quota;
+        if !update.is_snapshot {
+            return QuotaDifference { changed: named.into_iter().filter(differs).collect(), unknown };
         }
-        let mut next = self.began_with.clone();
-        named.into_iter().for_each(|(place, quota)| next[place] = quota);
-        (next.into_iter().enumerate().filter(differs).collect(), unknown)
+        let mut next = self.quotas_per_s.clone();
+        named.into_iter().for_each(|(index, quota)| next[index] = quota);
+        QuotaDifference { changed: next.into_iter().enumerate().filter(differs).collect(), unknown }
     }
 }
 
 impl Owner {
-    pub(super) fn quotas_told(&mut self, told: &Quotas) {
-        let Some(changed) = &self.changed else { return };
-        let (differing, unknown) =
-            changed.differing(told, &self.startup.tenants, &self.startup.config.tenant_quotas_per_s);
-        for (place, quota) in &differing {
-            self.startup.config.tenant_quotas_per_s[*place] = *quota;
+    /// Applies quotas that are in force from now on.
+    pub(super) fn handle_quota_update(&mut self, update: &QuotaUpdate) {
+        let Some(initial) = &self.initial_quotas else { return };
+        let QuotaDifference { changed, unknown } =
+            initial.difference(update, &self.startup.tenants, &self.startup.config.tenant_quotas_per_s);
+        for (index, quota_per_s) in &changed {
+            self.startup.config.tenant_quotas_per_s[*index] = *quota_per_s;
         }
-        let (version, here) = (told.version, differing.len());
+        let (version, here) = (update.version, changed.len());
         tracing::info!(
-            event = "quotas",
+            event = "tenant_quotas_updated",
             number = version.number,
             here,
             unknown,
             "change {version}: {here} quotas differ here, {unknown} tenants are none of the settings'"
         );
-        if !differing.is_empty() {
-            self.decide(|backend, now| backend.update_tenant_quotas(now, &differing));
+        if !changed.is_empty() {
+            self.decide(|backend, now| backend.update_tenant_quotas(now, &changed));
         }
     }
 }
--- a/crates/plovershelf-server/src/owner/tests.rs
+++ b/crates/plovershelf-server/src/owner/tests.rs
@@ -763,14 +763,14 @@
 /// no module runs yet.
 #[test]
 fn quotas_that_come_into_force_reach_the_module_by_the_tenants_places() {
-    let told = |whole: bool, quotas: &[(&str, Option<f64>)]| {
+    let told = |is_snapshot: bool, quotas: &[(&str, Option<f64>)]| {
         let quotas = quotas.iter().map(|(name, quota)| ((*name).into(), *quota)).collect();
-        Event::Quotas(crate::config_distribution::Quotas { whole, quotas, ..Default::default() })
+        Event::Quotas(crate::config_distribution::QuotaUpdate { is_snapshot, quotas, ..Default::default() })
     };
     let mut stage = Stage::new();
     stage.owner.take(told(true, &[("acme", Some(5.0))]));
     assert_eq!(stage.owner.startup.config.tenant_quotas_per_s, [1000.0], "off by default");
-    stage.owner.changed = Some(tenant_quotas::Changed::new(&[1000.0]));
+    stage.owner.initial_quotas = Some(tenant_quotas::InitialQuotas::new(&[1000.0]));
     let mut quotas = |event: Event| {
         stage.owner.take(event);
         stage.owner.startup.config.tenant_quotas_per_s.clone()
--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -11,10 +11,9 @@
 use async_io::Timer;
 use plovershelf_cluster::frames::{decode, encode, plain, unframed, Hello, Wire};
 use plovershelf_cluster::status::{Answer, Question};
-use plovershelf_config_distribution::node::Terms;
-use plovershelf_config_distribution::quota_table::Edit;
-use plovershelf_server::config_distribution::admin::{Ask, Report, Told, KEY};
-use plovershelf_server::config_distribution::{self as changes, InForce, Setup, Sink};
+use plovershelf_config_distribution::{DistributionConfig, Edit};
+use plovershelf_server::config_distribution::admin::{AdminRequest, AdminResponse, StatusReport, KEY};
+use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber, VersionInForce};
 use plovershelf_server::group::{self, Pulse};
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::scripted::SETTINGS;
@@ -127,19 +126,21 @@
     }
 
     /// What the sources and these say; none where one of them does not answer.
-    fn reports(&self, more: &[SocketAddr]) -> Option<Vec<Report>> {
+    fn reports(&self, more: &[SocketAddr]) -> Option<Vec<StatusReport>> {
         let sources = self.sources.iter().flatten().map(|source| source.at);
         sources.chain(more.iter().copied()).map(report).collect()
     }
 
     /// Waits until all have this number and one content, and a source can have the next one agreed on.
-    fn all_have(&self, number: u64, more: &[SocketAddr]) -> Vec<Report> {
+    fn all_have(&self, number: u64, more: &[SocketAddr]) -> Vec<StatusReport> {
         let mut seen = Vec::new();
         until(&format!("number {number} everywhere"), || {
             seen = self.reports(more).unwrap_or_default();
-            let same =
-                |one: &Report| one.node.version.number == number && one.node.digest == seen[0].node.digest;
-            let agrees = |one: &Report| one.council.as_ref().is_none_or(|council| council.agrees);
+            let same = |one: &StatusReport| {
+                one.node.version.number == number && one.node.digest == seen[0].node.digest
+            };
+            let agrees =
+                |one: &StatusReport| one.consensus.as_ref().is_none_or(|consensus| consensus.has_quorum);
             !seen.is_empty() && seen.iter().all(same) && seen.iter().all(agrees)
         });
         seen
@@ -167,7 +168,7 @@
     sources::say(at, bytes, first)
 }
 
-fn ask(at: SocketAddr, what: &Ask) -> Option<Told> {
+fn ask(at: SocketAddr, what: &AdminRequest) -> Option<AdminResponse> {
     let question = Wire::Ask(Question::Part { part: KEY.into(), bytes: plain(what) });
     match say(at, &[encode(&Hello::of("trial")), encode(&question)].concat())? {
         Wire::Answer(answer) => match *answer {
@@ -178,9 +179,9 @@
     }
 }
 
-fn report(at: SocketAddr) -> Option<Report> {
-    match ask(at, &Ask::Status)? {
-        Told::Status(report) => Some(*report),
+fn report(at: SocketAddr) -> Option<StatusReport> {
+    match ask(at, &AdminRequest::Status)? {
+        AdminResponse::Status(report) => Some(*report),
         _ => None,
     }
 }
@@ -193,8 +194,8 @@
     Edit::Add { tenant: tenant.into(), quota_per_s }
 }
 
-fn propose(at: SocketAddr, edits: Vec<Edit>, after: Option<u64>) -> Told {
-    ask(at, &Ask::Propose { edits, after }).expect("an answer")
+fn propose(at: SocketAddr, edits: Vec<Edit>, after: Option<u64>) -> AdminResponse {
+    ask(at, &AdminRequest::Propose { edits, after }).expect("an answer")
 }
 
 /// The same where the council may have to find a leader first: proposed until it is in force as the number after that.
@@ -205,8 +206,8 @@
     });
 }
 
-fn done(number: u64) -> Told {
-    Told::Done(format!("agreed as number {number}"))
+fn done(number: u64) -> AdminResponse {
+    AdminResponse::Committed(format!("agreed as number {number}"))
 }
 
 #[test]
@@ -218,10 +219,10 @@
     assert_eq!(first[3].node.tenants, 2);
     assert_eq!(propose(stage.at[0], vec![set("acme", 7.0), add("new", 3.0)], None), done(1));
     let all = stage.all_have(1, &[backend.at]);
-    assert!(all[3].node.tenants == 3 && !all[3].source && all[3].node.parent.is_some());
+    assert!(all[3].node.tenants == 3 && !all[3].is_origin && all[3].node.parent.is_some());
     until("its source counts it", || {
         let all = stage.reports(&[]).unwrap_or_default();
-        all.iter().map(|one| (one.node.in_force, one.node.under)).max() == Some((1, 1))
+        all.iter().map(|one| (one.node.up_to_date, one.node.nodes)).max() == Some((1, 1))
     });
     // The owner in the backend has heard of it too; only one of the three tenants is its settings'.
     until("its owner has it", || {
@@ -236,19 +237,21 @@
     assert_eq!(won.len(), 1, "{told:?}");
     let lost = &told[1 - won[0]];
     assert!(
-        matches!(lost, Told::Refused(why) if why.contains("another change took number 2") || why.contains("after 1")),
+        matches!(lost, AdminResponse::Rejected(why) if why.contains("another change took number 2") || why.contains("after 1")),
         "{lost:?}"
     );
     let all = stage.all_have(2, &[backend.at]);
     assert!(all.iter().all(|one| one.node.tenants == 3));
-    let Some(Told::History(changes)) = ask(backend.at, &Ask::History) else { panic!("a history") };
+    let Some(AdminResponse::History(changes)) = ask(backend.at, &AdminRequest::History) else {
+        panic!("a history")
+    };
     let newest = changes.last().expect("a change");
     assert_eq!(newest.edits, [set("acme", [8.0, 9.0][won[0]])]);
     // One that is told to leave is not missing.
     backend.signal("TERM");
     until("nobody is heard of, and nobody missing", || {
         let all = stage.reports(&[]).unwrap_or_default();
-        all.len() == SOURCES && all.iter().all(|one| one.node.under == 0 && one.node.missing.is_empty())
+        all.len() == SOURCES && all.iter().all(|one| one.node.nodes == 0 && one.node.missing.is_empty())
     });
 }
 
@@ -272,13 +275,13 @@
     ];
     for (edits, after, what) in bad {
         let told = propose(at, edits, after);
-        assert!(matches!(&told, Told::Refused(why) if why.contains(what)), "{what}: {told:?}");
+        assert!(matches!(&told, AdminResponse::Rejected(why) if why.contains(what)), "{what}: {told:?}");
     }
     let told = propose(backend.at, vec![set("acme", 2.0)], None);
-    assert!(matches!(&told, Told::Refused(why) if why.contains("listener")), "{told:?}");
+    assert!(matches!(&told, AdminResponse::Rejected(why) if why.contains("listener")), "{told:?}");
     // A torn frame, a stranger, and a message that is none: the link ends, or nothing comes of it.
     let hello = encode(&Hello::of("trial"));
-    let good = encode(&Wire::Ask(Question::Part { part: KEY.into(), bytes: plain(&Ask::Status) }));
+    let good = encode(&Wire::Ask(Question::Part { part: KEY.into(), bytes: plain(&AdminRequest::Status) }));
     let mut torn = good.clone();
     *torn.last_mut().expect("bytes") ^= 1;
     assert!(say(at, &[hello.clone(), torn].concat()).is_none());
@@ -331,19 +334,29 @@
     let stage = Stage::new("relays");
     stage.all_have(0, &[]);
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
-    let (to, heard) = async_channel::unbounded::<InForce>();
-    let terms = Terms { fan_out: 2, failover_fan_out: 4, source_fan_out: 2, ..Terms::default() };
+    let (to, heard) = async_channel::unbounded::<VersionInForce>();
+    let config = DistributionConfig {
+        fan_out: 2,
+        failover_fan_out: 4,
+        origin_fan_out: 2,
+        ..DistributionConfig::default()
+    };
     let begin = |n: usize| -> (SocketAddr, Task<()>) {
         let listen = free_address().expect("a free port");
-        let setup = Setup {
-            group: "trial".into(),
+        let setup = DistributionSetup {
+            cluster: "trial".into(),
             listen,
             zone: format!("z{}", n % 2),
             region: "north".into(),
-            sources: stage.at.clone(),
-            terms: terms.clone(),
+            origins: stage.at.clone(),
+            config: config.clone(),
         };
-        let task = changes::run_on(executor, setup, format!("n{n}"), Sink::Versions(to.clone()));
+        let task = config_distribution::spawn_listener(
+            executor,
+            setup,
+            format!("n{n}"),
+            Subscriber::Versions(to.clone()),
+        );
         (listen, task.expect("a listener"))
     };
     let mut listeners: Vec<(SocketAddr, Task<()>)> = (0..COUNT).map(begin).collect();
@@ -358,10 +371,10 @@
     let all_in_force = move |number: u64, count: u64| {
         let sources = sources.clone();
         move || {
-            let all: Option<Vec<Report>> = sources.iter().map(|at| report(*at)).collect();
+            let all: Option<Vec<StatusReport>> = sources.iter().map(|at| report(*at)).collect();
             let nodes = || all.iter().flatten().map(|one| &one.node);
-            nodes().all(|node| node.version.number == number && node.in_force == node.under)
-                && nodes().map(|node| node.in_force).sum::<u64>() == count
+            nodes().all(|node| node.version.number == number && node.up_to_date == node.nodes)
+                && nodes().map(|node| node.up_to_date).sum::<u64>() == count
         }
     };
     let run = async {
@@ -400,7 +413,7 @@
     };
     async_io::block_on(executor.run(run));
     let mut seen: std::collections::BTreeMap<String, u64> = Default::default();
-    for InForce { name, version, .. } in std::iter::from_fn(|| heard.try_recv().ok()) {
+    for VersionInForce { name, version, .. } in std::iter::from_fn(|| heard.try_recv().ok()) {
         let before = seen.insert(name.clone(), version.number);
         assert!(before.is_none_or(|before| before < version.number), "{name} went back");
     }
--- a/crates/plovershelf-server/tests/config_pins.rs
+++ b/crates/plovershelf-server/tests/config_pins.rs
@@ -1,15 +1,16 @@
-//! The bytes of what the command asks a process that changes are carried to, and of the answers, as an earlier build wrote
+//! The bytes of what the command asks a process that distributes configuration, and of the answers, as an earlier build wrote
 //! them: a command of that build asks a process of this one while a release is under way, and the other way round.
 
 use plovershelf_cluster::frames::{decode, plain};
-use plovershelf_config_distribution::node::Status;
-use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
-use plovershelf_server::config_distribution::admin::{Ask, Council, Report, Told};
+use plovershelf_config_distribution::{Change, Edit, NodeStatus, Version};
+use plovershelf_server::config_distribution::admin::{
+    AdminRequest, AdminResponse, ConsensusReport, StatusReport,
+};
 
 const FIXTURE: &str = include_str!("fixtures/config_questions.txt");
 
-fn version(era: u64, number: u64) -> Version {
-    Version { era, number }
+fn version(epoch: u64, number: u64) -> Version {
+    Version { epoch, number }
 }
 fn edits() -> Vec<Edit> {
     vec![
@@ -18,65 +19,67 @@
         Edit::Remove { tenant: "old".into() },
     ]
 }
-fn status() -> Status {
-    Status {
+fn status() -> NodeStatus {
+    NodeStatus {
         name: "backend-7".into(),
         version: version(3, 41),
         digest: 0x0011_2233_4455_6677_8899_aabb_ccdd_eeff,
         tenants: 34_000,
         age_ms: Some(1234.5),
         parent: Some(([10, 1, 2, 3], 7501).into()),
-        spare: Some(([10, 1, 2, 4], 7502).into()),
+        backup_parent: Some(([10, 1, 2, 4], 7502).into()),
         children: 16,
-        under: 17,
-        in_force: 15,
+        nodes: 17,
+        up_to_date: 15,
         oldest: version(2, 39),
         missing: vec!["gone-1".into(), "gone-2".into()],
     }
 }
 
-fn questions() -> Vec<(&'static str, Ask)> {
+fn requests() -> Vec<(&'static str, AdminRequest)> {
     vec![
-        ("ask-status", Ask::Status),
-        ("ask-history", Ask::History),
-        ("ask-propose", Ask::Propose { edits: edits(), after: Some(41) }),
-        ("ask-propose-any", Ask::Propose { edits: edits(), after: None }),
+        ("ask-status", AdminRequest::Status),
+        ("ask-history", AdminRequest::History),
+        ("ask-propose", AdminRequest::Propose { edits: edits(), after: Some(41) }),
+        ("ask-propose-any", AdminRequest::Propose { edits: edits(), after: None }),
     ]
 }
-fn answers() -> Vec<(&'static str, Told)> {
-    let council = Council { number: 43, leader: Some("c1".into()), agrees: true };
-    let listener = Status { age_ms: None, parent: None, spare: None, ..status() };
-    let change = Numbered {
+fn responses() -> Vec<(&'static str, AdminResponse)> {
+    let consensus = ConsensusReport { number: 43, leader: Some("c1".into()), has_quorum: true };
+    let listener = NodeStatus { age_ms: None, parent: None, backup_parent: None, ..status() };
+    let change = Change {
         version: version(4, 41),
-        before: version(3, 40),
+        previous: version(3, 40),
         digest: 0xffee_ddcc_bbaa_9988_7766_5544_3322_1100,
         edits: edits(),
-        proposed_ms: 1_700_000_000_123,
+        proposed_unix_ms: 1_700_000_000_123,
+    };
+    let report = |node, is_origin, consensus| {
+        AdminResponse::Status(Box::new(StatusReport { node, is_origin, consensus }))
     };
-    let report = |node, source, council| Told::Status(Box::new(Report { node, source, council }));
     vec![
-        ("told-status-source", report(status(), true, Some(council))),
+        ("told-status-source", report(status(), true, Some(consensus))),
         ("told-status-listener", report(listener, false, None)),
-        ("told-history", Told::History(vec![change])),
-        ("told-done", Told::Done("agreed as number 41".into())),
-        ("told-refused", Told::Refused("no leader is known".into())),
+        ("told-history", AdminResponse::History(vec![change])),
+        ("told-done", AdminResponse::Committed("agreed as number 41".into())),
+        ("told-refused", AdminResponse::Rejected("no leader is known".into())),
     ]
 }
 
 /// A variant that is new has to be pinned too: this does not compile until it is named here.
-fn kinds(ask: &Ask, told: &Told) -> (usize, usize) {
-    let ask = match ask {
-        Ask::Status => 0,
-        Ask::History => 1,
-        Ask::Propose { .. } => 2,
+fn kinds(request: &AdminRequest, response: &AdminResponse) -> (usize, usize) {
+    let request = match request {
+        AdminRequest::Status => 0,
+        AdminRequest::History => 1,
+        AdminRequest::Propose { .. } => 2,
     };
-    let told = match told {
-        Told::Status(_) => 0,
-        Told::History(_) => 1,
-        Told::Done(_) => 2,
-        Told::Refused(_) => 3,
+    let response = match response {
+        AdminResponse::Status(_) => 0,
+        AdminResponse::History(_) => 1,
+        AdminResponse::Committed(_) => 2,
+        AdminResponse::Rejected(_) => 3,
     };
-    (ask, told)
+    (request, response)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -93,27 +96,16 @@
 
 #[test]
 fn every_question_and_answer_has_the_bytes_of_the_earlier_build_and_comes_back_from_them() {
-    let of = |(ask, told): (&(_, Ask), &(_, Told))| kinds(&ask.1, &told.1);
-    let kinds: Vec<(usize, usize)> = questions().iter().cycle().zip(&answers()).map(of).collect();
-    assert!((0..3).all(|ask| kinds.iter().any(|kind| kind.0 == ask)));
-    assert!((0..4).all(|told| kinds.iter().any(|kind| kind.1 == told)));
-    for (name, ask) in questions() {
-        assert_eq!(hex(&plain(&ask)), hex(&pinned(name)), "{name}");
-        assert_eq!(decode::<Ask>(&pinned(name)), Ok(ask), "{name}");
+    let of = |(request, response): (&(_, AdminRequest), &(_, AdminResponse))| kinds(&request.1, &response.1);
+    let kinds: Vec<(usize, usize)> = requests().iter().cycle().zip(&responses()).map(of).collect();
+    assert!((0..3).all(|request| kinds.iter().any(|kind| kind.0 == request)));
+    assert!((0..4).all(|response| kinds.iter().any(|kind| kind.1 == response)));
+    for (name, request) in requests() {
+        assert_eq!(hex(&plain(&request)), hex(&pinned(name)), "{name}");
+        assert_eq!(decode::<AdminRequest>(&pinned(name)), Ok(request), "{name}");
     }
-    for (name, told) in answers() {
-        assert_eq!(hex(&plain(&told)), hex(&pinned(name)), "{name}");
-        assert_eq!(decode::<Told>(&pinned(name)), Ok(told), "{name}");
+    for (name, response) in responses() {
+        assert_eq!(hex(&plain(&response)), hex(&pinned(name)), "{name}");
+        assert_eq!(decode::<AdminResponse>(&pinned(name)), Ok(response), "{name}");
     }
 }
-
-/// Was run once, before anything was renamed; the fixture is not written again.
-#[test]
-#[ignore]
-fn write_the_fixture() {
-    let mut lines = String::new();
-    questions().iter().for_each(|(name, ask)| lines += &format!("{name} {}\n", hex(&plain(ask))));
-    answers().iter().for_each(|(name, told)| lines += &format!("{name} {}\n", hex(&plain(told))));
-    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/config_questions.txt");
-    std::fs::write(file, lines).unwrap();
-}
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -1,4 +1,4 @@
-//! Numbered changes on simulated time, carried in three ways on the same seeds, changes and troubles: the leader sends to all,
+//! Change changes on simulated time, carried in three ways on the same seeds, changes and troubles: the leader sends to all,
 //! gossip with exchange, and the very state machines that serve. Each is held to the same promises, and what each costs is counted
 //! at every process.
 //!
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use serde::Serialize;
@@ -40,7 +40,7 @@
 pub struct Ground {
     pub listeners: usize,
     /// What all begin from.
-    pub content: Content,
+    pub content: QuotaTable,
     /// That, as it is sent.
     pub whole_bytes: usize,
     pub seed: u64,
@@ -87,8 +87,8 @@
     fn hear(&mut self, now: f64, from: usize, message: Self::Message);
     fn lost(&mut self, now: f64, place: usize);
     /// Of a source: the change that would come next.
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Numbered, String>;
-    fn agreed(&mut self, now: f64, change: &Rc<Numbered>);
+    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String>;
+    fn agreed(&mut self, now: f64, change: &Rc<Change>);
     /// What is to be sent since the last call, and notes.
     fn take(&mut self, send: &mut Vec<(usize, Self::Message)>);
     /// Beside what was encoded: bytes that stand for content which is not carried in the model.
@@ -111,9 +111,9 @@
 }
 
 /// A change as the ways without content make it: encoded it is as long as the real one.
-pub(crate) fn numbered(chance: &mut Pcg32, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Numbered {
-    let version = Version { era: ERA, number: newest.number + 1 };
-    Numbered { version, before: newest, digest: chance.random(), edits, proposed_ms: unix_ms }
+pub(crate) fn numbered(chance: &mut Pcg32, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Change {
+    let version = Version { epoch: ERA, number: newest.number + 1 };
+    Change { version, previous: newest, digest: chance.random(), edits, proposed_unix_ms: unix_ms }
 }
 
 /// Plays a shape. Where `struck` tells whom each step struck in another way's run, the same are struck here.
--- a/crates/plovershelf-simulation/src/changes/direct.rs
+++ b/crates/plovershelf-simulation/src/changes/direct.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
+use plovershelf_config_distribution::{Change, Edit, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::Serialize;
@@ -202,16 +202,16 @@
         }
     }
 
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Numbered, String> {
+    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
         Ok(numbered(&mut self.chance, edits, newest, unix_ms))
     }
 
-    fn agreed(&mut self, now: f64, change: &Rc<Numbered>) {
+    fn agreed(&mut self, now: f64, change: &Rc<Change>) {
         self.newest = self.newest.max(change.version);
-        if change.before == self.log.version {
+        if change.previous == self.log.version {
             let bytes = bytes_of(&**change) as u32;
             self.log.put(change.version, bytes);
-            let message = Message::Differences { after: change.before, upto: change.version, bytes };
+            let message = Message::Differences { after: change.previous, upto: change.version, bytes };
             self.send.extend(self.children.keys().map(|child| (*child, message.clone())));
         } else {
             self.ask(now);
--- a/crates/plovershelf-simulation/src/changes/gossip.rs
+++ b/crates/plovershelf-simulation/src/changes/gossip.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use plovershelf_config_distribution::quota_table::{Edit, Numbered, Version};
+use plovershelf_config_distribution::{Change, Edit, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::Serialize;
@@ -119,12 +119,12 @@
 
     fn lost(&mut self, _now: f64, _place: usize) {}
 
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Numbered, String> {
+    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
         Ok(numbered(&mut self.chance, edits, newest, unix_ms))
     }
 
-    fn agreed(&mut self, _now: f64, change: &Rc<Numbered>) {
-        if change.before == self.log.version {
+    fn agreed(&mut self, _now: f64, change: &Rc<Change>) {
+        if change.previous == self.log.version {
             self.log.put(change.version, bytes_of(&**change) as u32);
         }
     }
--- a/crates/plovershelf-simulation/src/changes/shapes.rs
+++ b/crates/plovershelf-simulation/src/changes/shapes.rs
@@ -1,6 +1,6 @@
 //! What is played: changes as they are proposed, and troubles, in an order drawn from a seed and the same for each way.
 
-use plovershelf_config_distribution::quota_table::Edit;
+use plovershelf_config_distribution::Edit;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/plovershelf-simulation/src/changes/tree.rs
+++ b/crates/plovershelf-simulation/src/changes/tree.rs
@@ -4,8 +4,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::node::{self, About, Event, Message, Node, Role, Terms};
-use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::{
+    self as distribution, Change, DistributionConfig, Edit, Event, Message, Node, NodeInfo, QuotaTable, Role,
+    Version,
+};
 
 use super::shapes::{region_of, zone_of, NOBODY, SOURCES};
 use rand::RngExt;
@@ -38,28 +40,28 @@
 
 impl Way for Tree {
     type Message = Message;
-    type Kept = Content;
+    type Kept = QuotaTable;
     const LINKS: bool = true;
 
-    fn start(start: Start<'_, Content>, now: f64) -> Self {
+    fn start(start: Start<'_, QuotaTable>, now: f64) -> Self {
         let place = start.place;
         let source = place < SOURCES;
-        let about = About {
+        let info = NodeInfo {
             name: if source { format!("s{}", place + 1) } else { format!("n{}", place + 1 - SOURCES) },
             zone: format!("z{}", zone_of(place) + 1),
             region: format!("r{}", region_of(place) + 1),
             address: address(place),
-            life: start.seed,
+            incarnation: start.seed,
         };
         let held = start.kept.unwrap_or_else(|| start.ground.content.clone());
         let followed = (place % FOLLOWED == SOURCES).then(|| listed(&held));
         let node = Node::new(
-            node::Start {
-                about,
-                role: if source { Role::Source } else { Role::Listener },
-                sources: (0..SOURCES).filter(|other| *other != place).map(address).collect(),
-                terms: Terms::default(),
-                held,
+            distribution::Startup {
+                node: info,
+                role: if source { Role::Origin } else { Role::Listener },
+                origins: (0..SOURCES).filter(|other| *other != place).map(address).collect(),
+                config: DistributionConfig::default(),
+                table: held,
                 seed: start.seed,
             },
             now,
@@ -68,33 +70,33 @@
     }
 
     fn next_at(&self) -> f64 {
-        self.node.next_at()
+        self.node.poll_timeout()
     }
     fn tick(&mut self, now: f64) {
-        self.node.tick(now);
+        self.node.handle_timeout(now);
     }
     fn hear(&mut self, now: f64, from: usize, message: Message) {
-        self.node.hear(now, address(from), message);
+        self.node.handle_message(now, address(from), message);
     }
     fn lost(&mut self, now: f64, place: usize) {
-        self.node.lost(now, address(place));
+        self.node.handle_connection_lost(now, address(place));
     }
 
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Numbered, String> {
-        self.node.prepare(edits, Some(newest.number), ERA, unix_ms)
+    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
+        self.node.prepare_change(edits, Some(newest.number), ERA, unix_ms).map_err(|error| error.to_string())
     }
 
-    fn agreed(&mut self, now: f64, change: &Rc<Numbered>) {
-        self.node.agreed(now, (**change).clone());
+    fn agreed(&mut self, now: f64, change: &Rc<Change>) {
+        self.node.handle_commit(now, (**change).clone());
     }
 
     fn take(&mut self, send: &mut Vec<(usize, Message)>) {
-        let out = self.node.take();
-        send.extend(out.send.into_iter().map(|(to, message)| (place_of(to), message)));
+        let actions = self.node.poll_actions();
+        send.extend(actions.messages.into_iter().map(|(to, message)| (place_of(to), message)));
         let Some(followed) = &mut self.followed else { return };
-        for event in out.events {
+        for event in actions.events {
             match event {
-                Event::InForce { edits, .. } => {
+                Event::DeltaApplied { edits, .. } => {
                     for edit in edits {
                         match edit.quota_per_s() {
                             Some(quota) => drop(followed.insert(edit.tenant().into(), quota)),
@@ -102,14 +104,14 @@
                         }
                     }
                 }
-                Event::Whole { .. } => *followed = listed(self.node.content()),
-                Event::Note(_) => {}
+                Event::SnapshotApplied { .. } => *followed = listed(self.node.table()),
+                Event::Warning(_) => {}
             }
         }
     }
 
     fn mangle(message: &mut Message, chance: &mut Pcg32) {
-        let Message::Changes(changes) = message else { return };
+        let Message::Delta(changes) = message else { return };
         let Some(change) = changes.last_mut() else { return };
         if chance.random_bool(0.5) {
             change.edits.push(Edit::Add { tenant: NOBODY.into(), quota_per_s: -1.0 });
@@ -120,20 +122,20 @@
         }
     }
     fn holds(&self, tenant: &str) -> bool {
-        self.node.content().quota(tenant).is_some()
+        self.node.table().quota_per_s(tenant).is_some()
     }
     fn beside(_message: &Message) -> usize {
         0
     }
     fn version(&self) -> Version {
-        self.node.content().version()
+        self.node.table().version()
     }
     fn digest(&self) -> Option<u128> {
-        Some(self.node.content().digest())
+        Some(self.node.table().digest())
     }
 
     fn differs(&self, from: &BTreeMap<String, f64>) -> bool {
-        let content = self.node.content();
+        let content = self.node.table();
         let same = content.len() == from.len()
             && content.iter().zip(from).all(|(held, told)| held.0 == told.0 && held.1 == *told.1);
         !same || self.followed.as_ref().is_some_and(|followed| followed != from)
@@ -145,16 +147,16 @@
             children: status.children,
             parent: status.parent.map(place_of),
             age_ms: status.age_ms,
-            under: status.under,
-            in_force: status.in_force,
+            under: status.nodes,
+            in_force: status.up_to_date,
         }
     }
 
-    fn keep(self) -> Option<Content> {
-        Some(self.node.content().clone())
+    fn keep(self) -> Option<QuotaTable> {
+        Some(self.node.table().clone())
     }
 }
 
-fn listed(content: &Content) -> BTreeMap<String, f64> {
+fn listed(content: &QuotaTable) -> BTreeMap<String, f64> {
     content.iter().map(|(tenant, quota)| (tenant.to_string(), quota)).collect()
 }
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use plovershelf_config_distribution::quota_table::{Content, Edit, Numbered, Version};
+use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -66,7 +66,7 @@
     Agreed {
         place: usize,
         life: u32,
-        change: Rc<Numbered>,
+        change: Rc<Change>,
     },
     Second,
     /// From now on nothing is lost or mangled any more.
@@ -108,7 +108,7 @@
     processes: Vec<Process<W>>,
     /// The order of messages between two is kept.
     last: BTreeMap<(usize, usize), f64>,
-    newest: Option<Rc<Numbered>>,
+    newest: Option<Rc<Change>>,
     waiting: VecDeque<Vec<Edit>>,
     /// All that was agreed.
     quotas: BTreeMap<String, f64>,
@@ -122,7 +122,7 @@
     pub fn new(shape: Shape) -> Self {
         let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), quota_at_first(n))).collect();
         let whole_bytes = bytes_of(&quotas);
-        let content = Content::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
+        let content = QuotaTable::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
             .unwrap_or_else(|why| unreachable!("the model's own tenants: {why}"));
         let ground = Ground { listeners: shape.listeners, content, whole_bytes, seed: shape.seed };
         let mut net = Net::new(shape.seed, WAY_MS);
--- a/crates/plovershelf-simulation/tests/changes.rs
+++ b/crates/plovershelf-simulation/tests/changes.rs
@@ -1,6 +1,6 @@
 //! Numbered changes on simulated time, small: the same verdict each time.
 
-use plovershelf_config_distribution::node::Terms;
+use plovershelf_config_distribution::DistributionConfig;
 use plovershelf_simulation::changes::direct::Direct;
 use plovershelf_simulation::changes::gossip::Gossip;
 use plovershelf_simulation::changes::shapes::{Shape, Step, Trouble, Who, SHAPES, WARM_MS};
@@ -17,9 +17,9 @@
         let worst = came.in_force_at(0.99).expect("changes in force somewhere");
         assert!(worst <= IN_FORCE_MS, "{at}: 99th percentile {worst} ms");
     }
-    let (terms, spent) = (Terms::default(), came.spent);
-    assert!(spent.children_of_source <= terms.source_failover_fan_out as u64, "{at}: {spent:?}");
-    assert!(spent.children_of_listener <= terms.failover_fan_out as u64, "{at}: {spent:?}");
+    let (config, spent) = (DistributionConfig::default(), came.spent);
+    assert!(spent.children_of_source <= config.origin_failover_fan_out as u64, "{at}: {spent:?}");
+    assert!(spent.children_of_listener <= config.failover_fan_out as u64, "{at}: {spent:?}");
     assert!(spent.depth == 2, "{at}: {spent:?}");
 }
 
