--- a/crates/plovershelf-cli/src/config.rs
+++ b/crates/plovershelf-cli/src/config.rs
@@ -82,8 +82,8 @@
         Command::Propose { file, after, whom } => {
             let shown = file.to_string_lossy();
             let text = std::fs::read_to_string(file).map_err(|error| format!("{shown}: {error}"))?;
-            let edits =
-                plovershelf_config::changes::edits(&shown, &text).map_err(|wrong| wrong.to_string())?;
+            let edits = plovershelf_config::config_distribution::edits(&shown, &text)
+                .map_err(|wrong| wrong.to_string())?;
             ask_one(whom, &AdminRequest::Propose { edits, after: *after })
         }
         Command::History { whom } => ask_one(whom, &AdminRequest::History),
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -74,7 +74,7 @@
         let (name, file) = (word("name")?, word("file")?);
         let wrong = |wrong: plovershelf_config::Wrong| wrong.to_string();
         if member["listener"].as_bool().unwrap_or(false) {
-            let listener = plovershelf_config::changes::read(&name, &file).map_err(wrong)?;
+            let listener = plovershelf_config::config_distribution::read(&name, &file).map_err(wrong)?;
             listeners.push((name, DistributionSetup::from(listener)));
         } else {
             setups.push((name.clone(), plovershelf_config::group::read(&name, &file).map_err(wrong)?));
--- a/crates/plovershelf-config/src/changes.rs
+++ b/crates/plovershelf-config/src/config_distribution.rs
@@ -1,5 +1,5 @@
-//! `changes.ini`: from whom a backend hears of changes; the section `[changes]` of a source's `group.ini`; the list of
-//! tenants that all begin from, and a change that is to be proposed.
+//! Files of configuration distribution: a listener's `changes.ini`, the section `[changes]` of an origin's `group.ini`, the list
+//! of tenants that all start from, and a change that is to be proposed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,35 +13,61 @@
 /// All of a listener's file, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// The group's name.
-    pub name: String,
+    /// The cluster's name.
+    pub cluster: String,
+    /// Where it is reached.
     pub listen: SocketAddr,
+    /// The zone it runs in.
     pub zone: String,
+    /// The region of the zone.
     pub region: String,
-    pub sources: Vec<SocketAddr>,
-    pub terms: DistributionConfig,
+    /// Where origins are reached.
+    pub origins: Vec<SocketAddr>,
+    /// Intervals, timeouts and fan-outs.
+    pub config: DistributionConfig,
 }
 
-/// What a source's `group.ini` says of changes.
+/// The section of an origin's file, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Source {
+pub struct Origin {
+    /// Where it is reached by listeners and other origins.
     pub listen: SocketAddr,
-    /// The other sources' such addresses.
-    pub sources: Vec<SocketAddr>,
-    /// The file with what all begin from.
+    /// Where the other origins are.
+    pub origins: Vec<SocketAddr>,
+    /// The file with the list of tenants that all start from.
     pub tenants: Option<PathBuf>,
-    pub terms: DistributionConfig,
+    /// Intervals, timeouts and fan-outs.
+    pub config: DistributionConfig,
 }
 
-impl Source {
+/// Why the list of tenants can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum InitialTableError {
+    /// The file can't be read.
+    #[error("{path}: {source}")]
+    Read {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// All that is wrong with it.
+    #[error("{0}")]
+    Invalid(Wrong),
+}
+
+impl Origin {
     /// What is in force before any change.
     ///
-    /// Errors: all that is wrong with the file that `tenants` names.
-    pub fn first_content(&self) -> Result<QuotaTable, String> {
+    /// # Errors
+    ///
+    /// All that is wrong with the file that `tenants` names.
+    pub fn initial_table(&self) -> Result<QuotaTable, InitialTableError> {
         let Some(path) = &self.tenants else { return Ok(QuotaTable::default()) };
         let shown = path.to_string_lossy();
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-        tenants(&shown, &text).map_err(|wrong| wrong.to_string())
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| InitialTableError::Read { path: shown.to_string(), source })?;
+        tenants(&shown, &text).map_err(InitialTableError::Invalid)
     }
 }
 
@@ -58,7 +84,7 @@
     "sum_ms",
     "spare_check_ms",
 ];
-const SOURCE_KEYS: [&str; 9] = [
+const ORIGIN_KEYS: [&str; 9] = [
     "listen",
     "sources",
     "tenants",
@@ -70,9 +96,10 @@
     "spare_check_ms",
 ];
 pub(crate) const SECTION: &str = "changes";
-const SOURCES_MOST: usize = 7;
-/// The longest list of tenants that is read.
-const LIST_LONGEST: usize = 16 << 20;
+/// Origins in a file, at most.
+const MAX_ORIGINS: usize = 7;
+/// Bytes of a list of tenants, at most.
+const MAX_LIST_BYTES: usize = 16 << 20;
 
 /// Reads the text of a listener's file.
 ///
@@ -87,15 +114,15 @@
                 reading.check_keys(SECTION, told, &LISTENER_KEYS);
                 let mut word =
                     |key: &str, otherwise: Option<&str>| reading.word(SECTION, told, key, otherwise);
-                let (name, zone) = (word("name", None), word("zone", None));
+                let (cluster, zone) = (word("name", None), word("zone", None));
                 let region = word("region", Some("region"));
-                let (listen, sources) = addresses(&mut reading, told);
-                if sources.is_empty() {
+                let (listen, origins) = addresses(&mut reading, told);
+                if origins.is_empty() {
                     reading
                         .say(SECTION, "sources is missing: ADDRESS:PORT of each source, with commas between");
                 }
-                let terms = terms(&mut reading, told);
-                listener = Some(Listener { name, listen, zone, region, sources, terms });
+                let config = distribution_config(&mut reading, told);
+                listener = Some(Listener { cluster, listen, zone, region, origins, config });
             }
             Some(SECTION) => reading.say(SECTION, "stands there twice"),
             Some(section) => reading.say(section, "is no section here; [changes] is"),
@@ -110,59 +137,62 @@
     }
 }
 
-/// The section of a source.
-pub(crate) fn source(reading: &mut Reading<'_>, told: &Properties) -> Source {
-    reading.check_keys(SECTION, told, &SOURCE_KEYS);
-    let (listen, sources) = addresses(reading, told);
+/// Reads the section of an origin.
+pub(crate) fn origin(reading: &mut Reading<'_>, told: &Properties) -> Origin {
+    reading.check_keys(SECTION, told, &ORIGIN_KEYS);
+    let (listen, origins) = addresses(reading, told);
     let tenants = told.get("tenants").map(|path| PathBuf::from(path.trim()));
-    Source { listen, sources, tenants, terms: terms(reading, told) }
+    Origin { listen, origins, tenants, config: distribution_config(reading, told) }
 }
 
 fn addresses(reading: &mut Reading<'_>, told: &Properties) -> (SocketAddr, Vec<SocketAddr>) {
     let listen = reading.reached_at(SECTION, told, "listen");
-    let mut sources: Vec<SocketAddr> = Vec::new();
+    let mut origins: Vec<SocketAddr> = Vec::new();
     for word in told.get("sources").unwrap_or("").split(',').map(str::trim).filter(|word| !word.is_empty()) {
         match word.parse() {
-            Ok(at) if sources.contains(&at) => reading.say(SECTION, &format!("sources names {word} twice")),
-            Ok(at) => sources.push(at),
+            Ok(at) if origins.contains(&at) => reading.say(SECTION, &format!("sources names {word} twice")),
+            Ok(at) => origins.push(at),
             Err(_) => {
                 reading.say(SECTION, &format!("sources: {word:?}: ADDRESS:PORT, with commas between"));
             }
         }
     }
-    if sources.len() > SOURCES_MOST {
-        reading.say(SECTION, &format!("sources names {}: {SOURCES_MOST} at most", sources.len()));
+    if origins.len() > MAX_ORIGINS {
+        reading.say(SECTION, &format!("sources names {}: {MAX_ORIGINS} at most", origins.len()));
     }
-    (listen, sources)
+    (listen, origins)
 }
 
-fn terms(reading: &mut Reading<'_>, told: &Properties) -> DistributionConfig {
-    let mut terms = DistributionConfig::default();
+fn distribution_config(reading: &mut Reading<'_>, told: &Properties) -> DistributionConfig {
+    let mut config = DistributionConfig::default();
     let mut number =
         |key: &str, range: [f64; 2], otherwise: f64| reading.number(SECTION, told, key, range, otherwise);
-    let hands = |number: f64| (number as usize, 2 * number as usize);
-    (terms.fan_out, terms.failover_fan_out) = hands(number("fan_out", [1.0, 64.0], terms.fan_out as f64));
-    (terms.origin_fan_out, terms.origin_failover_fan_out) =
-        hands(number("source_fan_out", [1.0, 128.0], terms.origin_fan_out as f64));
-    terms.heartbeat_interval_ms = number("beat_ms", [50.0, 10_000.0], terms.heartbeat_interval_ms);
-    let silent_ms = number("silent_ms", [100.0, 60_000.0], terms.min_parent_timeout_ms);
-    (terms.min_parent_timeout_ms, terms.max_parent_timeout_ms) = (silent_ms, silent_ms * 1.25);
-    terms.aggregate_interval_ms = number("sum_ms", [100.0, 60_000.0], terms.aggregate_interval_ms);
-    terms.leaf_probe_interval_ms = number("spare_check_ms", [500.0, 600_000.0], terms.leaf_probe_interval_ms);
-    terms.child_timeout_ms = terms.child_timeout_ms.max(terms.aggregate_interval_ms * 2.5);
-    terms.stale_after_ms = terms.stale_after_ms.max(terms.heartbeat_interval_ms * 5.0);
-    if terms.heartbeat_interval_ms * 2.0 > silent_ms {
+    // Those that lost their parent may double it.
+    let fan_outs = |number: f64| (number as usize, 2 * number as usize);
+    (config.fan_out, config.failover_fan_out) =
+        fan_outs(number("fan_out", [1.0, 64.0], config.fan_out as f64));
+    (config.origin_fan_out, config.origin_failover_fan_out) =
+        fan_outs(number("source_fan_out", [1.0, 128.0], config.origin_fan_out as f64));
+    config.heartbeat_interval_ms = number("beat_ms", [50.0, 10_000.0], config.heartbeat_interval_ms);
+    let silent_ms = number("silent_ms", [100.0, 60_000.0], config.min_parent_timeout_ms);
+    (config.min_parent_timeout_ms, config.max_parent_timeout_ms) = (silent_ms, silent_ms * 1.25);
+    config.aggregate_interval_ms = number("sum_ms", [100.0, 60_000.0], config.aggregate_interval_ms);
+    config.leaf_probe_interval_ms =
+        number("spare_check_ms", [500.0, 600_000.0], config.leaf_probe_interval_ms);
+    config.child_timeout_ms = config.child_timeout_ms.max(config.aggregate_interval_ms * 2.5);
+    config.stale_after_ms = config.stale_after_ms.max(config.heartbeat_interval_ms * 5.0);
+    if config.heartbeat_interval_ms * 2.0 > silent_ms {
         reading
             .say(SECTION, "beat_ms is more than half of silent_ms: one beat lost would have a parent left");
     }
-    terms
+    config
 }
 
 /// A list NAME = quota a second, as what all begin from.
 ///
 /// Errors: all that is wrong with the file.
 pub fn tenants(file: &str, text: &str) -> Result<QuotaTable, Wrong> {
-    let (mut reading, ini) = Reading::up_to(file, text, LIST_LONGEST)?;
+    let (mut reading, ini) = Reading::up_to(file, text, MAX_LIST_BYTES)?;
     let mut list: BTreeMap<Box<str>, f64> = BTreeMap::new();
     for (section, told) in ini.iter() {
         match section {
@@ -177,7 +207,7 @@
             }
             Some(section) => reading.say(section, "is no section here; [tenants] is"),
         }
-        if reading.wrong.len() > TELL_MOST {
+        if reading.wrong.len() > MAX_ERRORS_TOLD {
             break;
         }
     }
@@ -185,18 +215,18 @@
         reading.say("tenants", &format!("names {}: {MAX_TENANTS} at most", list.len()));
         return Err(Wrong(reading.wrong));
     }
-    let content = match QuotaTable::initial(list) {
-        Ok(content) => content,
+    let table = match QuotaTable::initial(list) {
+        Ok(table) => table,
         Err(why) => {
             reading.say("tenants", &why.to_string());
             QuotaTable::default()
         }
     };
-    reading.done(content)
+    reading.done(table)
 }
 
-/// Of a long list that is all wrong.
-const TELL_MOST: usize = 64;
+/// Errors that are told of a list that is all wrong, at most.
+const MAX_ERRORS_TOLD: usize = 64;
 
 /// A change as a file tells it: `[set]` and `[add]` with NAME = quota a second, `[remove]` with NAME =.
 ///
--- a/crates/plovershelf-config/src/changes/tests.rs
+++ b/crates/plovershelf-config/src/config_distribution/tests.rs
@@ -6,9 +6,9 @@
 #[test]
 fn a_listeners_file_becomes_what_it_says() {
     let listener = read("changes.ini", WELL).expect("a good file");
-    assert_eq!((listener.sources.len(), listener.zone.as_str()), (3, "a"));
-    assert_eq!((listener.terms.fan_out, listener.terms.failover_fan_out), (8, 16));
-    assert_eq!(listener.terms.heartbeat_interval_ms, 400.0);
+    assert_eq!((listener.origins.len(), listener.zone.as_str()), (3, "a"));
+    assert_eq!((listener.config.fan_out, listener.config.failover_fan_out), (8, 16));
+    assert_eq!(listener.config.heartbeat_interval_ms, 400.0);
 }
 
 #[test]
@@ -38,8 +38,8 @@
     let section = "[changes]\nlisten = 127.0.0.1:7501\nsources = 127.0.0.1:7502\ntenants = t.ini\n";
     let with = format!("{group}folder = /x\n{section}");
     let read = |text: &str| crate::group::read("g.ini", text);
-    let source = read(&with).expect("a good file").changes.expect("a source");
-    assert_eq!((source.listen.port(), source.sources.len()), (7501, 1));
+    let origin = read(&with).expect("a good file").changes.expect("an origin");
+    assert_eq!((origin.listen.port(), origin.origins.len()), (7501, 1));
     assert!(read(&format!("{group}folder = /x\n")).expect("a good file").changes.is_none());
     let same = with.replace("7501", "7400");
     let (bare, same) = (read(&format!("{group}{section}")), read(&same));
@@ -49,8 +49,8 @@
 
 #[test]
 fn tenants_and_changes_are_read_whole_or_not_at_all() {
-    let content = tenants("t.ini", "[tenants]\nacme = 20\nzeta = 0.5\n").expect("a good file");
-    assert_eq!((content.len(), content.quota_per_s("zeta")), (2, Some(0.5)));
+    let table = tenants("t.ini", "[tenants]\nacme = 20\nzeta = 0.5\n").expect("a good file");
+    assert_eq!((table.len(), table.quota_per_s("zeta")), (2, Some(0.5)));
     let wrong = tenants("t.ini", "[tenants]\nacme = 20\nacme = 3\nzeta = -1\n[more]\n").expect_err("much").0;
     assert_eq!(wrong.len(), 3, "{wrong:?}");
     let change = edits("c.ini", "[set]\nacme = 5\n[add]\nnew = 7\n[remove]\nzeta =\n").expect("a good file");
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -30,7 +30,7 @@
     /// Zones with a plan of what goes where, where sections tell any.
     pub zones: Option<Zones>,
     /// Changes that are agreed on here and carried outward, where a section tells of it.
-    pub changes: Option<crate::changes::Source>,
+    pub changes: Option<crate::config_distribution::Origin>,
 }
 
 /// The zones that a plan is made for.
@@ -115,7 +115,9 @@
                 reading.check_keys(section, told, &COPIES_KEYS);
                 group.copies = Some(copies(&mut reading, told));
             }
-            crate::changes::SECTION => group.changes = Some(crate::changes::source(&mut reading, told)),
+            crate::config_distribution::SECTION => {
+                group.changes = Some(crate::config_distribution::origin(&mut reading, told));
+            }
             "ways" => {
                 for (from, to) in told.iter() {
                     match to.trim().parse() {
--- a/crates/plovershelf-config/src/lib.rs
+++ b/crates/plovershelf-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Operators' files to checked values. A file is taken whole or not at all, and all that is wrong with it is told in one
 //! go: each error names the file, the section, the key, the value, and what would be right.
 
-pub mod changes;
+pub mod config_distribution;
 pub mod group;
 pub mod pools;
 
--- a/crates/plovershelf-server/src/config_distribution.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -29,7 +29,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
-use plovershelf_config::changes as file;
+use plovershelf_config::config_distribution as file;
 use plovershelf_config_distribution::{DistributionConfig, QuotaTable};
 
 use crate::links::Heard;
@@ -58,8 +58,8 @@
 
 impl From<file::Listener> for DistributionSetup {
     fn from(file: file::Listener) -> Self {
-        let file::Listener { name, listen, zone, region, sources, terms } = file;
-        DistributionSetup { cluster: name, listen, zone, region, origins: sources, config: terms }
+        let file::Listener { cluster, listen, zone, region, origins, config } = file;
+        DistributionSetup { cluster, listen, zone, region, origins, config }
     }
 }
 
@@ -89,8 +89,8 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The operator's list of tenants can't be used.
-    #[error("{0}")]
-    InitialTable(String),
+    #[error(transparent)]
+    InitialTable(#[from] file::InitialTableError),
 }
 
 /// All that can happen to a driver from outside.
@@ -149,7 +149,7 @@
 /// Its address can't be listened on, what its files hold can't be used, or no thread can be had.
 pub(crate) fn start_origin(
     cluster: &plovershelf_config::group::Group,
-    file: &file::Source,
+    file: &file::Origin,
     name: String,
     propose: Propose,
 ) -> Result<Sender<Input>, StartError> {
@@ -158,14 +158,14 @@
         listen: file.listen,
         zone: cluster.zone.clone(),
         region: cluster.region.clone(),
-        origins: file.sources.clone(),
-        config: file.terms.clone(),
+        origins: file.origins.clone(),
+        config: file.config.clone(),
     };
     let path: Option<PathBuf> = cluster.folder.as_ref().map(|folder| folder.join("content"));
     let stored = path.as_deref().map(storage::load).transpose()?.flatten();
     let table = match stored {
         Some(table) => table,
-        None => file.first_content().map_err(StartError::InitialTable)?,
+        None => file.initial_table()?,
     };
     let listener = listen(&setup)?;
     let origin = OriginStartup { propose, file: path.map(TableFile::new) };
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -166,7 +166,7 @@
             Input::Consensus(state) => {
                 match self.origin.as_mut().and_then(|origin| origin.handle_consensus(state)) {
                     Some(Ok(change)) => self.node.handle_commit(now_ms, change),
-                    Some(Err(what)) => self.warn(&what),
+                    Some(Err(error)) => self.warn(&error.to_string()),
                     None => {}
                 }
             }
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -8,7 +8,7 @@
 //! | proposed | a later number is committed | answered: rejected, as its own number's change is not known here |
 //! | proposed | the deadline is over | answered: rejected, with what keeps the group from committing |
 
-use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::frames::{decode, plain, Spoilt};
 use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
 
 use super::admin::{AdminResponse, ConsensusReport};
@@ -35,6 +35,14 @@
     pub has_quorum: bool,
 }
 
+/// What the group committed is no change, as after an entry of another version of the program.
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[error("the council's word {number} can't be read: {error}")]
+pub(super) struct UnreadableEntry {
+    number: u64,
+    error: Spoilt,
+}
+
 /// Proposes an encoded change for a number to the consensus group. Nothing comes back but the group's state.
 pub(crate) type Propose = Box<dyn Fn(u64, Vec<u8>) + Send>;
 /// Answers the one who asked.
@@ -125,8 +133,11 @@
     ///
     /// # Errors
     ///
-    /// What it committed can't be read, in one line.
-    pub(super) fn handle_consensus(&mut self, state: ConsensusState) -> Option<Result<Change, String>> {
+    /// What it committed can't be read.
+    pub(super) fn handle_consensus(
+        &mut self,
+        state: ConsensusState,
+    ) -> Option<Result<Change, UnreadableEntry>> {
         let known = (self.consensus.epoch, self.consensus.number);
         let is_new = (state.epoch, state.number) != known && state.number > 0;
         self.consensus = state;
@@ -151,7 +162,7 @@
                 self.newest = change.version;
                 Some(Ok(change))
             }
-            Err(corrupt) => Some(Err(format!("the council's word {number} can't be read: {corrupt}"))),
+            Err(error) => Some(Err(UnreadableEntry { number, error })),
         }
     }
 
--- a/crates/plovershelf-server/src/launch.rs
+++ b/crates/plovershelf-server/src/launch.rs
@@ -25,7 +25,7 @@
     /// The group that it belongs to, where the operator has set one.
     pub group: Option<plovershelf_config::group::Group>,
     /// From whom it hears of changes, where the operator has set it up.
-    pub changes: Option<plovershelf_config::changes::Listener>,
+    pub changes: Option<plovershelf_config::config_distribution::Listener>,
     /// What can't change while it runs, to tell later whether it did.
     pub fixed: Fixed,
 }
@@ -108,11 +108,11 @@
 /// The file that `PLOVERSHELF_CHANGES` names, where it names one; quotas stay as the settings have them without.
 ///
 /// Errors: all that is wrong with the file.
-fn changes() -> Result<Option<plovershelf_config::changes::Listener>, String> {
+fn changes() -> Result<Option<plovershelf_config::config_distribution::Listener>, String> {
     let Some(path) = std::env::var_os("PLOVERSHELF_CHANGES") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("PLOVERSHELF_CHANGES {shown}: {e}"))?;
-    plovershelf_config::changes::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
+    plovershelf_config::config_distribution::read(&shown, &text).map(Some).map_err(|wrong| wrong.to_string())
 }
 
 fn word<'a>(top: &'a Value, key: &str) -> Result<&'a str, String> {
