--- /dev/null
+++ b/crates/plovershelf-cluster/src/node/cluster_node.rs
@@ -0,0 +1,798 @@
+//! The state machine of one node; see the [module](super).
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg32;
+
+use super::config::{NodeConfig, Startup};
+use super::digests::DigestTable;
+use super::epoch_recovery::{EpochRecovery, RecoverError, RecoveryStep, Survey};
+use super::event::{Actions, Event, Notice};
+use super::voters::{is_superseded, Surroundings, VoterManager};
+use crate::broken::{self, BrokenRule};
+use crate::consensus::{self, Payload, PersistentState, Raft};
+use crate::gossip::{Destination, MemberState, NodeInfo, Swim};
+use crate::identity::{Epoch, NodeId};
+use crate::lease::{earlier_leases_expired, Grant, LeaseGrants, LeaseHolder};
+use crate::state::{ClusterState, Command, VersionedValue, MAX_VALUE_BYTES};
+use crate::view::{NextView, View, ViewMember, ViewReconciler};
+use crate::wire::{Envelope, NodeMessage, StateDigest};
+
+/// Between two looks at who is there and who votes.
+const RECONCILE_INTERVAL_MS: f64 = 50.0;
+/// A leader sends what was committed to so many members that are no voters at once; all others hear of it with probes.
+const COMMIT_FANOUT: usize = 16;
+/// Proposals of values that wait for a majority. More are refused.
+const MAX_UNCOMMITTED_VALUES: u64 = 64;
+/// Longest key of a value, in bytes.
+const MAX_KEY_BYTES: usize = 64;
+/// Epochs of other clusters that are remembered, so that each is noticed once.
+const MAX_FOREIGN_EPOCHS: usize = 64;
+/// So many of the longest election timeouts without a leader's word: more than an election takes.
+const NO_LEADER_TIMEOUTS: f64 = 3.0;
+
+/// Why a voter can't be replaced here.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReplaceError {
+    /// This node does not lead, and knows of none that does.
+    #[error("no leader is known")]
+    NoLeader,
+    /// Another node leads.
+    #[error("{leader} leads, not this member; ask there")]
+    NotLeader {
+        /// That node's name.
+        leader: String,
+    },
+    /// The name is no voter's.
+    #[error("{name:?} is no voter; {} are", voters.join(", "))]
+    NoVoter {
+        /// The name.
+        name: String,
+        /// Names of the voters.
+        voters: Vec<String>,
+    },
+    /// The leader was named.
+    #[error("{name} leads; it can't replace itself")]
+    Leader {
+        /// Its name.
+        name: String,
+    },
+}
+
+/// One node of the cluster. It owns no clock, socket or file: each call takes the present time in milliseconds of any clock
+/// that never goes back, and what follows stands in [`ClusterNode::poll_actions`].
+#[derive(Clone, Debug)]
+pub struct ClusterNode {
+    node: NodeInfo,
+    config: NodeConfig,
+    initial_voters: Vec<String>,
+    swim: Swim,
+    raft: Raft<ClusterState>,
+    digests: DigestTable,
+    lease: LeaseHolder,
+    grants: LeaseGrants,
+    views: ViewReconciler,
+    voters: VoterManager,
+    recovery: Option<EpochRecovery>,
+    /// Epochs of other clusters of this name.
+    foreign_epochs: BTreeSet<Epoch>,
+    /// This node goes for good.
+    leaving: bool,
+    /// What the driver was told last.
+    reported_lease: Option<u64>,
+    reported_leader: Option<NodeId>,
+    renew_at_ms: f64,
+    fetch_at_ms: f64,
+    reconcile_at_ms: f64,
+    /// When a leader's word came last.
+    leader_heard_ms: f64,
+    last_timeout_ms: f64,
+    now_ms: f64,
+    rng: Pcg32,
+    actions: Actions,
+}
+
+impl ClusterNode {
+    /// A node at its start.
+    pub fn new(startup: Startup, now_ms: f64) -> Self {
+        let Startup { node, config, seeds, initial_voters, persistent, seed } = startup;
+        let (raft_seed, gossip_seed) = (seed ^ 0x5bd1_e995, seed ^ 0x9e37_79b9);
+        let empty = ClusterState::default();
+        ClusterNode {
+            raft: Raft::new(node.id, config.raft, persistent, empty, raft_seed, now_ms),
+            swim: Swim::new(node.clone(), config.gossip, seeds, gossip_seed, now_ms),
+            node,
+            config,
+            initial_voters,
+            digests: DigestTable::default(),
+            lease: LeaseHolder::default(),
+            grants: LeaseGrants::default(),
+            views: ViewReconciler::default(),
+            voters: VoterManager::default(),
+            recovery: None,
+            foreign_epochs: BTreeSet::new(),
+            leaving: false,
+            reported_lease: None,
+            reported_leader: None,
+            renew_at_ms: now_ms,
+            fetch_at_ms: now_ms,
+            reconcile_at_ms: now_ms,
+            leader_heard_ms: f64::NEG_INFINITY,
+            last_timeout_ms: now_ms,
+            now_ms,
+            rng: Pcg32::seed_from_u64(seed),
+            actions: Actions::default(),
+        }
+    }
+
+    // ---- inputs ------------------------------------------------------------------------------------
+
+    /// A message of another node.
+    pub fn handle_message(&mut self, now_ms: f64, envelope: Envelope) {
+        self.now_ms = self.now_ms.max(now_ms);
+        let Envelope { from, address, to, message } = envelope;
+        if to.is_some_and(|to| to != self.node.id) || from == self.node.id {
+            return;
+        }
+        let sender = Destination { id: Some(from), address };
+        match message {
+            NodeMessage::Gossip { message, digest } => {
+                let (epoch, max_nodes) = (self.raft.epoch(), self.config.gossip.max_members);
+                self.digests.record(from, digest, max_nodes, epoch);
+                self.swim.handle_message(now_ms, from, address, message);
+                self.fetch_if_behind(sender, digest);
+            }
+            NodeMessage::Consensus { epoch, message } => {
+                self.handle_consensus(now_ms, from, sender, epoch, message)
+            }
+            NodeMessage::FetchCommitted { epoch, index } => self.handle_fetch(sender, epoch, index),
+            NodeMessage::CommittedEntries { epoch, previous, entries } => {
+                self.raft.handle_relayed_entries(now_ms, epoch, previous, &entries)
+            }
+            NodeMessage::CommittedSnapshot { epoch, snapshot } => {
+                if self.may_adopt(epoch) {
+                    self.raft.handle_relayed_snapshot(now_ms, epoch, &snapshot);
+                }
+            }
+            NodeMessage::LeaseRequest { sent_at_us } => self.handle_lease_request(from, sender, sent_at_us),
+            NodeMessage::LeaseGrant { sent_at_us, epoch, view, duration_ms } => {
+                let requested_at_ms = sent_at_us as f64 / 1000.0;
+                self.handle_lease_grant(Grant { requested_at_ms, epoch, view, duration_ms })
+            }
+            NodeMessage::Propose { nonce, key, version, bytes } => {
+                let accepted = self.propose_value(&key, version, bytes);
+                self.send(sender, NodeMessage::ProposeResponse { nonce, accepted });
+            }
+            NodeMessage::ProposeResponse { nonce, accepted } => {
+                self.actions.events.push(Event::ProposalAnswered { nonce, accepted })
+            }
+            NodeMessage::EpochConsentRequest { epoch } => self.handle_consent_request(sender, epoch),
+            NodeMessage::EpochConsent { epoch, persistent, refusal } => {
+                self.handle_consent(from, epoch, persistent, refusal)
+            }
+        }
+        self.collect_actions();
+    }
+
+    /// Time has come to [`ClusterNode::poll_timeout`].
+    pub fn handle_timeout(&mut self, now_ms: f64) {
+        let paused = now_ms - self.last_timeout_ms > self.config.pause_threshold_ms;
+        (self.now_ms, self.last_timeout_ms) = (now_ms, now_ms);
+        if paused {
+            self.swim.handle_resume(now_ms);
+            self.notice(Notice::ProcessPaused);
+        }
+        self.swim.handle_timeout(now_ms);
+        self.raft.handle_timeout(now_ms);
+        if self.renew_at_ms <= now_ms {
+            self.renew_at_ms = now_ms + self.config.lease_renew_interval_ms;
+            self.request_lease();
+        }
+        if self.reconcile_at_ms <= now_ms {
+            self.reconcile_at_ms = now_ms + RECONCILE_INTERVAL_MS;
+            self.reconcile();
+        }
+        self.collect_actions();
+    }
+
+    /// Whether this process does its work.
+    pub fn set_ready(&mut self, now_ms: f64, ready: bool) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.swim.set_ready(now_ms, ready);
+    }
+
+    /// This node is about to go: the next view has it as draining, so that nothing new is given to it while it hands off.
+    pub fn drain(&mut self, now_ms: f64) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.swim.drain(now_ms);
+        self.collect_actions();
+    }
+
+    /// This node goes for good: it says so, and acts no longer.
+    pub fn leave(&mut self, now_ms: f64) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.leaving = true;
+        self.lease.release();
+        self.swim.leave(now_ms);
+        self.collect_actions();
+    }
+
+    /// The storage takes nothing: nothing that depends on it may leave.
+    pub fn handle_storage_failed(&mut self, now_ms: f64) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.raft.handle_storage_failed(now_ms);
+        self.actions.save.clear();
+        self.actions.send.retain(|(_, envelope)| !envelope.message.depends_on_storage());
+        self.lease.release();
+    }
+
+    /// The storage works again and holds all that is to be kept.
+    pub fn handle_storage_restored(&mut self, now_ms: f64) {
+        self.now_ms = self.now_ms.max(now_ms);
+        self.raft.handle_storage_restored(now_ms);
+    }
+
+    /// Asks for a value under a key to be committed; `version` is one more than that of the value there is. Returns the nonce
+    /// of [`Event::ProposalAnswered`].
+    pub fn propose(&mut self, now_ms: f64, key: &str, version: u64, bytes: Vec<u8>) -> u64 {
+        self.now_ms = self.now_ms.max(now_ms);
+        let nonce = self.rng.random();
+        if self.raft.leads() {
+            let accepted = self.propose_value(key, version, bytes);
+            self.actions.events.push(Event::ProposalAnswered { nonce, accepted });
+        } else if let Some(leader) = self.leader_destination() {
+            self.send(leader, NodeMessage::Propose { nonce, key: key.to_string(), version, bytes });
+        } else {
+            self.actions.events.push(Event::ProposalAnswered { nonce, accepted: false });
+        }
+        self.collect_actions();
+        nonce
+    }
+
+    /// Has a voter replaced without waiting, where this node leads.
+    ///
+    /// Errors: it does not lead, or the name is no other voter's.
+    pub fn replace_voter(&mut self, now_ms: f64, name: &str) -> Result<(), ReplaceError> {
+        self.now_ms = self.now_ms.max(now_ms);
+        if !self.raft.leads() {
+            let leader = self.leader().and_then(|id| self.name_of(id));
+            return Err(leader.map_or(ReplaceError::NoLeader, |leader| ReplaceError::NotLeader { leader }));
+        }
+        let named = |id: &NodeId| self.name_of(*id).as_deref() == Some(name);
+        let Some(id) = self.raft.voters().iter().copied().find(named) else {
+            let voters = self.raft.voters().iter().filter_map(|id| self.name_of(*id)).collect();
+            return Err(ReplaceError::NoVoter { name: name.to_string(), voters });
+        };
+        if id == self.node.id {
+            return Err(ReplaceError::Leader { name: name.to_string() });
+        }
+        self.voters.replace_now(id);
+        Ok(())
+    }
+
+    /// Begins a new epoch without those that are named lost; [`Event::RecoveryEnded`] tells what came of it.
+    ///
+    /// Errors: why it can't begin.
+    pub fn recover(&mut self, now_ms: f64, lost: &[String]) -> Result<(), RecoverError> {
+        self.now_ms = self.now_ms.max(now_ms);
+        if self.raft.epoch() == Epoch::NONE {
+            return Err(RecoverError::NoEpoch);
+        }
+        let voters = self.raft.voters();
+        let survey = Survey::of(lost, self.view(), voters)?;
+        let remaining = voters.iter().filter(|id| !survey.lost.contains(id)).count();
+        if remaining > voters.len() / 2 && self.no_leader_since_ms().is_none() {
+            return Err(RecoverError::HasMajority { remaining, voters: voters.len() });
+        }
+        if !survey.survivors.contains(&self.node.id) {
+            return Err(RecoverError::NoSurvivor);
+        }
+        let epoch = survey.next_epoch(self.raft.epoch().max(self.raft.promised_epoch()));
+        self.consent(epoch)?;
+        let persistent = self.raft.persistent().clone();
+        self.recovery = Some(EpochRecovery::new(now_ms, epoch, survey, self.node.id, persistent));
+        self.continue_recovery();
+        self.collect_actions();
+        Ok(())
+    }
+
+    /// When [`ClusterNode::handle_timeout`] has something to do.
+    pub fn poll_timeout(&self) -> f64 {
+        let parts = self.reconcile_at_ms.min(self.swim.poll_timeout()).min(self.raft.poll_timeout());
+        parts.min(self.renew_at_ms).max(self.now_ms + 1.0)
+    }
+
+    /// What the calls since the last poll ask for.
+    pub fn poll_actions(&mut self) -> Actions {
+        self.collect_actions();
+        std::mem::take(&mut self.actions)
+    }
+
+    // ---- queries -----------------------------------------------------------------------------------
+
+    /// This node.
+    pub fn node(&self) -> &NodeInfo {
+        &self.node
+    }
+    /// Its gossip.
+    pub fn swim(&self) -> &Swim {
+        &self.swim
+    }
+    /// Its consensus.
+    pub fn raft(&self) -> &Raft<ClusterState> {
+        &self.raft
+    }
+    /// The view in force, as far as it is known here.
+    pub fn view(&self) -> &View {
+        &self.raft.state().view
+    }
+    /// The value under a key, as far as it is known here.
+    pub fn value(&self, key: &str) -> Option<&VersionedValue> {
+        self.raft.state().values.get(key)
+    }
+    /// Of the leader: members that differ from the view, and since when.
+    pub fn differing(&self) -> &BTreeMap<NodeId, f64> {
+        self.views.differing()
+    }
+
+    /// The number of the view by which this node may act now, or none: it belongs to it, and its lease is valid.
+    pub fn may_act(&self, now_ms: f64) -> Option<u64> {
+        let view = self.view();
+        if !view.members.contains_key(&self.node.id) || self.leaving {
+            return None;
+        }
+        if broken::is(BrokenRule::LeaseNotChecked) {
+            return Some(view.number);
+        }
+        if self.awaited_epoch().is_some() {
+            return None;
+        }
+        if self.raft.leads() {
+            return (now_ms < self.raft.leader_lease_until_ms()).then_some(view.number);
+        }
+        // A lease granted under a view holds for the later ones that this node has seen.
+        self.lease.valid_view(now_ms, self.raft.epoch()).map(|granted| granted.max(view.number))
+    }
+
+    /// The leader, as far as it is known here: the newest of what this node and others know.
+    pub fn leader(&self) -> Option<NodeId> {
+        let own = self.raft.leader().map(|id| (self.raft.term(), id));
+        let others = self.digests.leader(self.raft.epoch());
+        others.into_iter().chain(own).max_by_key(|(term, _)| *term).map(|(_, id)| id)
+    }
+
+    /// Since when no leader's word has come here, where that is longer than elections take.
+    pub fn no_leader_since_ms(&self) -> Option<f64> {
+        let late_ms = self.config.raft.election_timeout_ms[1] * NO_LEADER_TIMEOUTS;
+        (self.now_ms - self.leader_heard_ms > late_ms).then_some(self.leader_heard_ms)
+    }
+
+    /// Members of the view that may be gone, as far as this node hears.
+    pub fn suspected(&self) -> BTreeSet<NodeId> {
+        let gone =
+            |id: &&NodeId| self.swim.find(**id).is_some_and(|update| update.state != MemberState::Alive);
+        self.view().members.keys().filter(gone).copied().collect()
+    }
+
+    /// The name of a node, as far as anything here tells it.
+    pub fn name_of(&self, id: NodeId) -> Option<String> {
+        let known = self.swim.find(id).map(|update| &update.node.name);
+        let member = self.view().members.get(&id).map(|member| &member.name);
+        let changes = self.raft.state().view_changes.iter();
+        let mut named = changes.flat_map(|change| change.left.iter().chain(&change.joined));
+        let past = || named.find(|(other, _)| *other == id).map(|(_, name)| name);
+        known.or(member).or_else(past).cloned()
+    }
+
+    fn address_of(&self, id: NodeId) -> Option<SocketAddr> {
+        let known = self.swim.find(id).map(|update| update.node.address);
+        known.or_else(|| self.view().members.get(&id).map(|member| member.address))
+    }
+
+    fn destination_of(&self, id: NodeId) -> Option<Destination> {
+        Some(Destination { id: Some(id), address: self.address_of(id)? })
+    }
+
+    fn leader_destination(&self) -> Option<Destination> {
+        self.leader().and_then(|id| self.destination_of(id))
+    }
+
+    // ---- what is due -------------------------------------------------------------------------------
+
+    fn reconcile(&mut self) {
+        self.bootstrap_if_first();
+        let state = self.raft.state();
+        let superseded = |id: &NodeId| is_superseded(*id, &self.swim, state);
+        let lost = self.raft.voters().iter().copied().filter(superseded).collect();
+        self.raft.set_lost_nodes(self.now_ms, lost);
+        self.reconcile_view();
+        self.reconcile_voters();
+        self.continue_recovery();
+    }
+
+    /// The first of the initial voters bootstraps the cluster when all of them are there and none knows of one. Guards against
+    /// two clusters of one name: the others never bootstrap, and one that comes back without its storage hears of the cluster
+    /// from them.
+    fn bootstrap_if_first(&mut self) {
+        let first = self.initial_voters.first() == Some(&self.node.name);
+        let blank = self.raft.epoch() == Epoch::NONE && self.raft.promised_epoch() == Epoch::NONE;
+        if !first || !blank {
+            return;
+        }
+        let mut state = ClusterState::default();
+        for name in &self.initial_voters {
+            let own = self.node.id;
+            let is_blank = |id: NodeId| self.digests.is_blank(id) || id == own;
+            let mut present = self.swim.present();
+            let found = present.find(|update| update.node.name == *name && is_blank(update.node.id));
+            let Some(update) = found else { return };
+            state.view.members.insert(update.node.id, ViewMember::of(update));
+        }
+        if !self.digests.are_all_blank() {
+            return;
+        }
+        state.view.number = 1;
+        let voters = state.view.members.keys().copied().collect();
+        let epoch = Epoch::new(1, self.rng.random::<u64>() | 1);
+        self.notice(Notice::Bootstrapped);
+        self.raft.bootstrap(self.now_ms, epoch, voters, state);
+    }
+
+    /// The leader has the next view committed where the view differs from who is there.
+    fn reconcile_view(&mut self) {
+        if !self.raft.leads() {
+            self.views.clear();
+            self.grants.clear();
+            return;
+        }
+        let next = self.next_view();
+        let idle = self.raft.persistent().last().index == self.raft.commit_index();
+        if next.is_unchanged() || !idle {
+            return;
+        }
+        let NextView { joined, left } = next;
+        let duplicate = broken::is(BrokenRule::DuplicateViewNumber) && !joined.is_empty();
+        let number = self.view().number + u64::from(!duplicate);
+        let command = Command::ChangeView { number, joined, left };
+        self.raft.propose(self.now_ms, Payload::Command(command));
+    }
+
+    fn next_view(&mut self) -> NextView {
+        let mut views = std::mem::take(&mut self.views);
+        let timing = self.config.view_timing();
+        let next = views.next_view(self.now_ms, &timing, self.view(), &self.swim, |id| self.may_remove(id));
+        self.views = views;
+        next
+    }
+
+    /// Nobody is removed from the view who may still act: neither by this leader's lease nor by one of a leader before it.
+    fn may_remove(&self, id: NodeId) -> bool {
+        if broken::is(BrokenRule::LeaseNotChecked) {
+            return true;
+        }
+        let left = self.swim.find(id).is_some_and(|update| update.state == MemberState::Left);
+        let shortest_ms = self.config.raft.election_timeout_ms[0];
+        let earlier_expired = self.raft.leader_since_ms().is_some_and(|since_ms| {
+            earlier_leases_expired(self.now_ms, since_ms, shortest_ms, &self.config.lease_timing())
+        });
+        left || self.grants.has_expired(id, self.now_ms) && earlier_expired
+    }
+
+    fn reconcile_voters(&mut self) {
+        if !self.raft.leads() {
+            return self.voters.clear();
+        }
+        let around =
+            Surroundings { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
+        self.voters.reconcile(&around, &mut self.raft);
+    }
+
+    // ---- consensus, and what was committed ---------------------------------------------------------
+
+    fn handle_consensus(
+        &mut self,
+        now_ms: f64,
+        from: NodeId,
+        sender: Destination,
+        epoch: Epoch,
+        message: consensus::Message<ClusterState>,
+    ) {
+        let own = self.raft.epoch();
+        if epoch == own && self.awaited_epoch().is_none() {
+            use consensus::Message::{AppendEntries, InstallSnapshot};
+            if matches!(message, AppendEntries { .. } | InstallSnapshot { .. }) {
+                self.leader_heard_ms = now_ms;
+            }
+            self.raft.handle_message(now_ms, from, message);
+        } else if epoch < own && epoch != Epoch::NONE {
+            // A node of an older epoch is told that there is a newer one.
+            self.send_snapshot(sender);
+        }
+    }
+
+    /// A later epoch that this node has promised to wait for.
+    fn awaited_epoch(&self) -> Option<Epoch> {
+        Some(self.raft.promised_epoch()).filter(|epoch| *epoch > self.raft.epoch())
+    }
+
+    /// Whether what is of that epoch may be taken over: it is this cluster's, and none that this node has promised to leave.
+    fn may_adopt(&mut self, epoch: Epoch) -> bool {
+        let own = self.raft.epoch();
+        if epoch.number() == own.number() && epoch != own {
+            if self.foreign_epochs.len() < MAX_FOREIGN_EPOCHS && self.foreign_epochs.insert(epoch) {
+                self.notice(Notice::OtherClusterMet);
+            }
+            return false;
+        }
+        self.awaited_epoch().is_none_or(|awaited| epoch >= awaited)
+    }
+
+    fn digest(&self) -> StateDigest {
+        StateDigest {
+            epoch: self.raft.epoch(),
+            commit_index: self.raft.commit_index(),
+            term: self.raft.term(),
+            leader: self.raft.leader(),
+        }
+    }
+
+    /// Another node is further: this one asks for what it lacks, unless its leader will bring it.
+    fn fetch_if_behind(&mut self, sender: Destination, theirs: StateDigest) {
+        let own = self.digest();
+        let behind = (theirs.epoch, theirs.commit_index) > (own.epoch, own.commit_index);
+        let by_leader = theirs.epoch == own.epoch && !self.raft.accepts_relayed();
+        let due = self.fetch_at_ms <= self.now_ms;
+        if behind && !by_leader && due && self.may_adopt(theirs.epoch) {
+            self.fetch_at_ms = self.now_ms + self.config.fetch_interval_ms;
+            let message = NodeMessage::FetchCommitted { epoch: own.epoch, index: own.commit_index };
+            self.send(sender, message);
+        }
+    }
+
+    fn handle_fetch(&mut self, sender: Destination, epoch: Epoch, index: u64) {
+        let committed = self.raft.committed_after(index).filter(|_| epoch == self.raft.epoch());
+        match committed {
+            Some((previous, entries)) if !entries.is_empty() => {
+                self.send(sender, NodeMessage::CommittedEntries { epoch, previous, entries })
+            }
+            Some(_) => {}
+            None => self.send_snapshot(sender),
+        }
+    }
+
+    fn send_snapshot(&mut self, to: Destination) {
+        let epoch = self.raft.epoch();
+        if epoch != Epoch::NONE {
+            let snapshot = self.raft.snapshot();
+            self.send(to, NodeMessage::CommittedSnapshot { epoch, snapshot });
+        }
+    }
+
+    /// The leader sends the last commit to some members that are no voters, so that few have to wait for a probe.
+    fn relay_commit(&mut self) {
+        if !self.raft.leads() {
+            return;
+        }
+        let voters = self.raft.voters();
+        let members = self.view().members.keys().copied().filter(|id| !voters.contains(id));
+        let members: Vec<NodeId> = members.take(COMMIT_FANOUT).collect();
+        let before = self.raft.commit_index().checked_sub(1);
+        let committed = before.and_then(|index| self.raft.committed_after(index));
+        let Some((previous, entries)) = committed else { return };
+        let epoch = self.raft.epoch();
+        for destination in members.into_iter().filter_map(|id| self.destination_of(id)).collect::<Vec<_>>() {
+            let entries = entries.clone();
+            self.send(destination, NodeMessage::CommittedEntries { epoch, previous, entries });
+        }
+    }
+
+    /// Whether the proposal was taken into the log.
+    fn propose_value(&mut self, key: &str, version: u64, bytes: Vec<u8>) -> bool {
+        let before = self.value(key).map_or(0, |value| value.version);
+        let uncommitted = self.raft.persistent().last().index - self.raft.commit_index();
+        let fits = bytes.len() <= MAX_VALUE_BYTES && key.len() <= MAX_KEY_BYTES && version > before;
+        if !fits || uncommitted > MAX_UNCOMMITTED_VALUES {
+            return false;
+        }
+        let command = Command::SetValue { key: key.to_string(), version, bytes };
+        self.raft.propose(self.now_ms, Payload::Command(command)).is_some()
+    }
+
+    // ---- leases ------------------------------------------------------------------------------------
+
+    fn request_lease(&mut self) {
+        if self.raft.leads() || self.leaving || self.raft.epoch() == Epoch::NONE {
+            return;
+        }
+        if let Some(leader) = self.leader_destination() {
+            let sent_at_us = (self.now_ms.max(0.0) * 1000.0) as u64;
+            self.send(leader, NodeMessage::LeaseRequest { sent_at_us });
+        }
+    }
+
+    fn handle_lease_request(&mut self, from: NodeId, sender: Destination, sent_at_us: u64) {
+        let differs = self.views.differing().contains_key(&from);
+        let belongs = self.view().members.contains_key(&from) && !differs;
+        // A view without it may be committed at any moment, though it is back meanwhile.
+        let being_removed = self.raft.uncommitted().any(|payload| match payload {
+            Payload::Command(Command::ChangeView { left, .. }) => left.contains(&from),
+            _ => false,
+        });
+        let leads = self.raft.leads() && self.now_ms < self.raft.leader_lease_until_ms();
+        if !leads || !belongs || being_removed {
+            return;
+        }
+        self.grants.record(from, self.now_ms, &self.config.lease_timing());
+        let message = NodeMessage::LeaseGrant {
+            sent_at_us,
+            epoch: self.raft.epoch(),
+            view: self.view().number,
+            duration_ms: self.config.lease_duration_ms,
+        };
+        self.send(sender, message);
+    }
+
+    fn handle_lease_grant(&mut self, grant: Grant) {
+        let current = grant.epoch == self.raft.epoch() && !self.leaving;
+        if current && self.lease.accept(self.now_ms, grant, &self.config.lease_timing()) {
+            self.leader_heard_ms = self.now_ms;
+        }
+    }
+
+    // ---- recovery without a majority ---------------------------------------------------------------
+
+    /// The one place where a promise to wait for a later epoch is given: never to an older one than promised before, nor to
+    /// two of one number.
+    fn consent(&mut self, epoch: Epoch) -> Result<(), RecoverError> {
+        let promised = self.raft.promised_epoch();
+        let newest = promised.number().max(self.raft.epoch().number());
+        if epoch != promised && epoch.number() <= newest {
+            return Err(RecoverError::AlreadyConsented { node: self.node.name.clone(), newest });
+        }
+        self.raft.promise_epoch(epoch);
+        self.lease.release();
+        Ok(())
+    }
+
+    fn handle_consent_request(&mut self, sender: Destination, epoch: Epoch) {
+        let (persistent, refusal) = match self.consent(epoch) {
+            Ok(()) => (Some(Box::new(self.raft.persistent().clone())), None),
+            Err(why) => (None, Some(why.to_string())),
+        };
+        self.send(sender, NodeMessage::EpochConsent { epoch, persistent, refusal });
+    }
+
+    fn handle_consent(
+        &mut self,
+        from: NodeId,
+        epoch: Epoch,
+        persistent: Option<Box<PersistentState<ClusterState>>>,
+        refusal: Option<String>,
+    ) {
+        let recovery = self.recovery.as_mut();
+        let asked = recovery.filter(|asked| asked.epoch() == epoch && asked.survivors().contains(&from));
+        let Some(recovery) = asked else { return };
+        if let Some(why) = refusal {
+            return self.end_recovery(Err(RecoverError::Refused(why)));
+        }
+        if let Some(persistent) = persistent {
+            recovery.record_consent(from, *persistent);
+        }
+        self.continue_recovery();
+    }
+
+    fn continue_recovery(&mut self) {
+        let Some(recovery) = &mut self.recovery else { return };
+        let epoch = recovery.epoch();
+        match recovery.next_step(self.now_ms, self.config.fetch_interval_ms) {
+            RecoveryStep::Wait => {}
+            RecoveryStep::Complete => self.complete_recovery(),
+            RecoveryStep::Expired(missing) => {
+                let members = &self.view().members;
+                let names = missing.iter().filter_map(|id| Some(members.get(id)?.name.clone()));
+                let missing = names.collect();
+                self.end_recovery(Err(RecoverError::MissingConsent { missing }));
+            }
+            RecoveryStep::Ask(missing) => {
+                for destination in self.destinations_of(missing) {
+                    self.send(destination, NodeMessage::EpochConsentRequest { epoch });
+                }
+            }
+        }
+    }
+
+    fn complete_recovery(&mut self) {
+        let Some(recovery) = self.recovery.take() else { return };
+        let Some(snapshot) = recovery.outcome(self.config.voters) else { return };
+        self.raft.adopt_epoch(recovery.epoch(), snapshot);
+        let others = recovery.survivors().iter().copied().filter(|id| *id != self.node.id).collect();
+        for destination in self.destinations_of(others) {
+            self.send_snapshot(destination);
+        }
+        self.end_recovery(Ok(recovery.epoch().number()));
+    }
+
+    fn end_recovery(&mut self, outcome: Result<u64, RecoverError>) {
+        self.recovery = None;
+        self.actions.events.push(Event::RecoveryEnded(outcome));
+    }
+
+    // ---- output ------------------------------------------------------------------------------------
+
+    fn destinations_of(&self, ids: Vec<NodeId>) -> Vec<Destination> {
+        ids.into_iter().filter_map(|id| self.destination_of(id)).collect()
+    }
+
+    /// Sends to a node where it is known to be, or else where its message came from.
+    fn send(&mut self, to: Destination, message: NodeMessage) {
+        let address = to.id.and_then(|id| self.address_of(id)).unwrap_or(to.address);
+        let envelope = self.envelope(to.id, message);
+        self.actions.send.push((Destination { id: to.id, address }, envelope));
+    }
+
+    fn envelope(&self, to: Option<NodeId>, message: NodeMessage) -> Envelope {
+        Envelope { from: self.node.id, address: self.node.address, to, message }
+    }
+
+    fn notice(&mut self, notice: Notice) {
+        self.actions.events.push(Event::Notice(notice));
+    }
+
+    /// Collects what the parts ask for, and tells what changed.
+    fn collect_actions(&mut self) {
+        self.collect_consensus();
+        self.collect_gossip();
+        let leader = self.leader();
+        if leader != self.reported_leader {
+            self.reported_leader = leader;
+            self.actions.events.push(Event::Leader(leader));
+        }
+        if self.raft.leads() {
+            self.leader_heard_ms = self.now_ms;
+        }
+        let may_act = self.may_act(self.now_ms);
+        if may_act != self.reported_lease {
+            self.reported_lease = may_act;
+            self.actions.events.push(Event::Lease(may_act));
+        }
+    }
+
+    fn collect_consensus(&mut self) {
+        let raft = self.raft.poll_actions();
+        self.actions.save.extend(raft.save);
+        let epoch = self.raft.epoch();
+        for (to, message) in raft.send {
+            if let Some(destination) = self.destination_of(to) {
+                self.send(destination, NodeMessage::Consensus { epoch, message });
+            }
+        }
+        let mut view_changed = raft.snapshot_installed;
+        for (_, payload) in raft.committed {
+            match payload {
+                Payload::Command(Command::ChangeView { .. }) => view_changed = true,
+                Payload::Command(Command::SetValue { key, version, .. }) => {
+                    self.actions.events.push(Event::ValueCommitted { key, version });
+                    self.relay_commit();
+                }
+                // The lost voter is removed as soon as the one in its place is in: with both of them one loss more would be
+                // one too many.
+                Payload::Voters(_) => self.reconcile_at_ms = self.now_ms,
+                Payload::Noop => {}
+            }
+        }
+        if view_changed {
+            self.actions.events.push(Event::View(self.view().clone()));
+            self.relay_commit();
+        }
+    }
+
+    fn collect_gossip(&mut self) {
+        let digest = self.digest();
+        for (destination, message) in self.swim.poll_messages() {
+            let envelope = self.envelope(destination.id, NodeMessage::Gossip { message, digest });
+            self.actions.send.push((destination, envelope));
+        }
+    }
+}
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -9,8 +9,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use plovershelf_cluster::frames::{decode, plain, Wire};
 use plovershelf_cluster::status::{Answer, Question};
+use plovershelf_cluster::wire::{decode, encode_payload, Wire};
 use plovershelf_config_distribution::{
     DistributionConfig, Edit, Event, Node, NodeInfo, Role, Startup as NodeStartup, Version,
 };
@@ -19,7 +19,7 @@
 use super::origin::{Origin, Respond};
 use super::subscriber::Publisher;
 use super::{Input, StartError, Startup};
-use crate::entropy::random_u64;
+use crate::entropy::random_id;
 use crate::links::{self, now_ms, Bounds, Heard, Links};
 
 /// Lost connections that wait to be told to the node.
@@ -63,9 +63,9 @@
         zone: setup.zone,
         region: setup.region,
         address,
-        incarnation: random_u64(),
+        incarnation: random_id(),
     };
-    let (origins, config, seed) = (setup.origins, setup.config, random_u64());
+    let (origins, config, seed) = (setup.origins, setup.config, random_id());
     let driver = Driver {
         node: Node::new(NodeStartup { node, role, origins, config, table, seed }, now_ms()),
         links,
@@ -153,12 +153,12 @@
         let now_ms = now_ms();
         match input {
             Input::Received(Heard::Wire { wire, from_here, answer }) => match *wire {
-                Wire::Carried { at, bytes } => match decode(&bytes) {
-                    Ok(message) => self.node.handle_message(now_ms, at, message),
-                    Err(malformed) => self.warn(&format!("{at} sent {malformed}")),
+                Wire::ConfigDistribution { address, bytes } => match decode(&bytes) {
+                    Ok(message) => self.node.handle_message(now_ms, address, message),
+                    Err(malformed) => self.warn(&format!("{address} sent {malformed}")),
                 },
-                Wire::Ask(question) => self.handle_question(question, from_here, answer),
-                Wire::Say(_) | Wire::Answer(_) | Wire::Part { .. } => {}
+                Wire::Question(question) => self.handle_question(question, from_here, answer),
+                Wire::Envelope(_) | Wire::Answer(_) | Wire::Subsystem { .. } => {}
             },
             Input::Received(Heard::Odd(what)) => self.warn(&what),
             Input::Shutdown => {}
@@ -174,7 +174,8 @@
     }
 
     fn handle_question(&mut self, question: Question, from_here: bool, answer: Sender<Answer>) {
-        let respond = move |response: AdminResponse| drop(answer.try_send(Answer::Part(plain(&response))));
+        let respond =
+            move |response: AdminResponse| drop(answer.try_send(Answer::Part(encode_payload(&response))));
         match admin_request(question) {
             Ok(AdminRequest::Status) => {
                 let consensus = self.origin.as_ref().map(Origin::report);
@@ -207,9 +208,10 @@
 
     fn carry_out(&mut self) {
         let actions = self.node.poll_actions();
-        let at = self.node.info().address;
+        let address = self.node.info().address;
         for (to, message) in actions.messages {
-            self.links.send(to, None, &Wire::Carried { at, bytes: plain(&message) });
+            let bytes = encode_payload(&message);
+            self.links.send(to, None, &Wire::ConfigDistribution { address, bytes });
         }
         for event in actions.events {
             match event {
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -8,7 +8,7 @@
 //! | proposed | a later number is committed | answered: rejected, as its own number's change is not known here |
 //! | proposed | the deadline is over | answered: rejected, with what keeps the group from committing |
 
-use plovershelf_cluster::frames::{decode, plain, Spoilt};
+use plovershelf_cluster::wire::{decode, encode_payload, FrameError};
 use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
 
 use super::admin::{AdminResponse, ConsensusReport};
@@ -37,10 +37,10 @@
 
 /// What the group committed is no change, as after an entry of another version of the program.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("the council's word {number} can't be read: {error}")]
+#[error("the council's word {number} can't be read: {source}")]
 pub(super) struct UnreadableEntry {
     number: u64,
-    error: Spoilt,
+    source: FrameError,
 }
 
 /// Proposes an encoded change for a number to the consensus group. Nothing comes back but the group's state.
@@ -89,7 +89,7 @@
 
     /// Proposes `change` for the group's next number. It is answered when that number is committed, or at the deadline.
     pub(super) fn propose(&mut self, now_ms: f64, change: &Change, respond: Respond) {
-        let (number, entry) = (self.consensus.number + 1, plain(change));
+        let (number, entry) = (self.consensus.number + 1, encode_payload(change));
         if let Some(why) = self.refusal(change, entry.len()) {
             return respond(AdminResponse::Rejected(why));
         }
@@ -111,7 +111,7 @@
                 self.newest.number
             ));
         }
-        let max = plovershelf_cluster::decided::WORD_BYTES_MOST;
+        let max = plovershelf_cluster::MAX_VALUE_BYTES;
         (length > max).then(|| format!("a change of {length} bytes: {max} at most"))
     }
 
@@ -162,7 +162,7 @@
                 self.newest = change.version;
                 Some(Ok(change))
             }
-            Err(error) => Some(Err(UnreadableEntry { number, error })),
+            Err(source) => Some(Err(UnreadableEntry { number, source })),
         }
     }
 
--- a/crates/plovershelf-server/src/config_distribution/origin/tests.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin/tests.rs
@@ -13,7 +13,13 @@
 }
 
 fn committed(number: u64, change: &Change) -> ConsensusState {
-    ConsensusState { epoch: 7, number, entry: plain(change), leader: Some("c1".into()), has_quorum: true }
+    ConsensusState {
+        epoch: 7,
+        number,
+        entry: encode_payload(change),
+        leader: Some("c1".into()),
+        has_quorum: true,
+    }
 }
 
 /// An origin, and what it proposes to the group.
--- a/crates/plovershelf-server/src/config_distribution/storage.rs
+++ b/crates/plovershelf-server/src/config_distribution/storage.rs
@@ -7,7 +7,7 @@
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-use plovershelf_cluster::frames::{decode, framed, plain, unframed, Spoilt};
+use plovershelf_cluster::wire::{decode, encode_payload, frame, read_frame, FrameError};
 use plovershelf_config_distribution::{Chunk, Entry, QuotaTable, SnapshotBuilder, SnapshotError, Version};
 
 /// Of the file: the longest table with room to spare.
@@ -44,8 +44,8 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum CorruptTable {
     /// A frame or what stands in it is corrupt.
-    #[error("{0}")]
-    Frame(Spoilt),
+    #[error(transparent)]
+    Frame(#[from] FrameError),
     /// The last frame is not whole.
     #[error("it ends too early")]
     Truncated,
@@ -75,15 +75,15 @@
 
 fn decode_table(mut bytes: &[u8]) -> Result<QuotaTable, CorruptTable> {
     let mut next_frame = || {
-        let (content, used) = unframed(bytes).map_err(CorruptTable::Frame)?.ok_or(CorruptTable::Truncated)?;
+        let (content, used) = read_frame(bytes)?.ok_or(CorruptTable::Truncated)?;
         bytes = &bytes[used..];
         Ok::<_, CorruptTable>((content, bytes.is_empty()))
     };
-    let (version, digest): (Version, u128) = decode(next_frame()?.0).map_err(CorruptTable::Frame)?;
+    let (version, digest): (Version, u128) = decode(next_frame()?.0)?;
     let mut builder = SnapshotBuilder::new(version, digest);
     loop {
         let (content, is_last) = next_frame()?;
-        builder.add_entries(decode::<Vec<Entry>>(content).map_err(CorruptTable::Frame)?)?;
+        builder.add_entries(decode::<Vec<Entry>>(content)?)?;
         if is_last {
             return Ok(builder.finish()?);
         }
@@ -121,11 +121,11 @@
 fn write(path: &Path, table: &QuotaTable) -> io::Result<()> {
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
-    file.write_all(&framed(&plain(&(table.version(), table.digest()))))?;
+    file.write_all(&frame(&encode_payload(&(table.version(), table.digest()))))?;
     let mut after = None::<String>;
     loop {
         let Chunk { entries, is_last } = table.chunk(after.as_deref());
-        file.write_all(&framed(&plain(&entries)))?;
+        file.write_all(&frame(&encode_payload(&entries)))?;
         if is_last {
             break;
         }
--- a/crates/plovershelf-server/src/entropy.rs
+++ b/crates/plovershelf-server/src/entropy.rs
@@ -5,7 +5,7 @@
 use std::io::Read;
 
 /// A number that no other start draws; never 0.
-pub(crate) fn random_u64() -> u64 {
+pub(crate) fn random_id() -> u64 {
     let mut bytes = [0; 8];
     let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
     if read.is_err() {
--- a/crates/plovershelf-server/tests/config_pins.rs
+++ b/crates/plovershelf-server/tests/config_pins.rs
@@ -1,7 +1,7 @@
 //! The bytes of what the command asks a process that distributes configuration, and of the answers, as an earlier build wrote
 //! them: a command of that build asks a process of this one while a release is under way, and the other way round.
 
-use plovershelf_cluster::frames::{decode, plain};
+use plovershelf_cluster::wire::{decode, encode_payload};
 use plovershelf_config_distribution::{Change, Edit, NodeStatus, Version};
 use plovershelf_server::config_distribution::admin::{
     AdminRequest, AdminResponse, ConsensusReport, StatusReport,
@@ -101,11 +101,11 @@
     assert!((0..3).all(|request| kinds.iter().any(|kind| kind.0 == request)));
     assert!((0..4).all(|response| kinds.iter().any(|kind| kind.1 == response)));
     for (name, request) in requests() {
-        assert_eq!(hex(&plain(&request)), hex(&pinned(name)), "{name}");
+        assert_eq!(hex(&encode_payload(&request)), hex(&pinned(name)), "{name}");
         assert_eq!(decode::<AdminRequest>(&pinned(name)), Ok(request), "{name}");
     }
     for (name, response) in responses() {
-        assert_eq!(hex(&plain(&response)), hex(&pinned(name)), "{name}");
+        assert_eq!(hex(&encode_payload(&response)), hex(&pinned(name)), "{name}");
         assert_eq!(decode::<AdminResponse>(&pinned(name)), Ok(response), "{name}");
     }
 }
