--- a/crates/plovershelf-server/src/owner/tenant_quotas.rs
+++ b/crates/plovershelf-server/src/driver/tenant_quotas.rs
@@ -2,7 +2,7 @@
 
 use plovershelf_settings::Names;
 
-use super::Owner;
+use super::Driver;
 use crate::config_distribution::QuotaUpdate;
 
 /// The quotas of the start-up settings, in the tenants' order: they hold for tenants that no change names.
@@ -40,7 +40,7 @@
     }
 }
 
-impl Owner {
+impl Driver {
     /// Applies quotas that are in force from now on.
     pub(super) fn handle_quota_update(&mut self, update: &QuotaUpdate) {
         let Some(initial) = &self.initial_quotas else { return };
@@ -58,7 +58,7 @@
             "change {version}: {here} quotas differ here, {unknown} tenants are none of the settings'"
         );
         if !changed.is_empty() {
-            self.decide(|backend, now| backend.update_tenant_quotas(now, &changed));
+            self.decide(|backend, now_ms| backend.update_tenant_quotas(now_ms, &changed));
         }
     }
 }
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -12,7 +12,7 @@
 mod zoned;
 
 pub use crate::links::now_ms;
-pub use copied::{Asked, Told};
+pub use copied::{Asked, Ending, Told};
 pub use owner_heartbeat::OwnerHeartbeat;
 pub use zoned::Counted;
 
