--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -14,7 +14,6 @@
 pub use crate::links::now_ms;
 pub use copied::{Asked, Ending, Told};
 pub use owner_heartbeat::OwnerHeartbeat;
-pub(crate) use storage::random_id;
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -32,7 +31,8 @@
 use plovershelf_cluster::{Actions, ClusterNode, Event, NodeId, Startup};
 use plovershelf_config::group::Group as Setup;
 
-use crate::changes::{self, Word};
+use crate::config_distribution::{self, ConsensusState, KEY as CONFIG_KEY};
+use crate::entropy::random_id;
 use crate::links::{self, Heard, Links};
 use notices::NoticeLimiter;
 use storage::Storage;
@@ -123,8 +123,10 @@
         setup.zones.clone().map(|zones| zoned::Zoned::new(zones, &setup.zone, now_ms()).map(Box::new));
     let zoned = zoned.transpose()?;
     let (inbox, incoming) = async_channel::bounded(INBOX);
-    let carrier = |source| changes::start_source(&setup, source, name.clone(), inbox.clone());
-    let carrier = setup.changes.as_ref().map(carrier).transpose()?;
+    let propose_to = inbox.clone();
+    let propose = move |number, bytes| drop(propose_to.try_send(Incoming::Propose { number, bytes }));
+    let origin = |file| config_distribution::start_origin(&setup, file, name.clone(), Box::new(propose));
+    let carrier = setup.changes.as_ref().map(origin).transpose().map_err(|error| error.to_string())?;
     let own = inbox.clone();
     let storage = opened.storage;
     let run = move || {
@@ -143,7 +145,7 @@
         let copies = copies.map(|(terms, told)| copied::Copied::new(own, boot_id, terms, told));
         let driver = Driver {
             carrier,
-            word: Word::default(),
+            word: ConsensusState::default(),
             copies,
             zoned: zoned.map(|zoned| *zoned),
             node,
@@ -168,8 +170,8 @@
 struct Driver {
     node: ClusterNode,
     /// Where configuration is distributed from here: its queue, and what it was told last.
-    carrier: Option<Sender<changes::Incoming>>,
-    word: Word,
+    carrier: Option<Sender<config_distribution::Input>>,
+    word: ConsensusState,
     copies: Option<copied::Copied>,
     zoned: Option<zoned::Zoned>,
     /// The cluster's name.
@@ -265,7 +267,7 @@
             }
             Incoming::Heard(Heard::Odd(what)) => self.notices.log(&what),
             Incoming::Propose { number, bytes } => {
-                self.node.propose(now_ms, changes::KEY, number, bytes);
+                self.node.propose(now_ms, CONFIG_KEY, number, bytes);
             }
             Incoming::Asked(asked) => {
                 if let Some(copies) = self.copies.as_mut() {
@@ -299,7 +301,7 @@
     /// With replicas it stays a member until what it holds stands elsewhere; without any it goes at once.
     fn handle_drain_notice(&mut self, now_ms: f64, within_ms: f64) {
         if let Some(carrier) = self.carrier.take() {
-            let _ = carrier.try_send(changes::Incoming::Leave);
+            let _ = carrier.try_send(config_distribution::Input::Shutdown);
         }
         match self.copies.as_mut() {
             Some(copies) => {
@@ -391,17 +393,18 @@
     fn tell_carrier(&mut self) {
         let Some(carrier) = &self.carrier else { return };
         let leader = self.node.leader().and_then(|id| self.node.name_of(id));
-        let value = self.node.value(changes::KEY);
-        let (era, number) = (self.node.raft().epoch().0, value.map_or(0, |value| value.version));
-        let agrees = leader.is_some() && self.node.no_leader_since_ms().is_none();
+        let value = self.node.value(CONFIG_KEY);
+        let (epoch, number) = (self.node.raft().epoch().0, value.map_or(0, |value| value.version));
+        let has_quorum = leader.is_some() && self.node.no_leader_since_ms().is_none();
         let told = &self.word;
-        if (era, number, agrees) == (told.era, told.number, told.agrees) && leader == told.leader {
+        if (epoch, number, has_quorum) == (told.epoch, told.number, told.has_quorum) && leader == told.leader
+        {
             return;
         }
-        let bytes = value.map_or_else(Vec::new, |value| value.bytes.clone());
-        let word = Word { era, number, bytes, leader, agrees };
-        if carrier.try_send(changes::Incoming::Council(word.clone())).is_ok() {
-            self.word = Word { bytes: Vec::new(), ..word };
+        let entry = value.map_or_else(Vec::new, |value| value.bytes.clone());
+        let word = ConsensusState { epoch, number, entry, leader, has_quorum };
+        if carrier.try_send(config_distribution::Input::Consensus(word.clone())).is_ok() {
+            self.word = ConsensusState { entry: Vec::new(), ..word };
         }
     }
 
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -15,15 +15,17 @@
 //! | `dependency` | outbound calls |
 //! | `registry` | heartbeats |
 //! | `streams`, `links` | bounded reading and writing; links among processes |
-//! | [`group`], [`changes`] | the drivers of cluster, replication and failover, and of configuration distribution |
+//! | [`group`], [`config_distribution`] | the drivers of cluster, replication and failover, and of configuration distribution |
+//! | `entropy` | random numbers that no other start draws |
 
 mod agent_link;
-pub mod changes;
 mod client_io;
+pub mod config_distribution;
 mod connection_state;
 mod deduplication;
 mod dependency;
 mod driver;
+mod entropy;
 mod event;
 pub mod group;
 mod limits;
