--- /dev/null
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -0,0 +1,203 @@
+//! Deltas and snapshots: answers to those that may ask, and what is fetched and applied here.
+
+use std::net::SocketAddr;
+
+use super::{Event, Node, Role, Warning};
+use crate::broken::{self, Broken};
+use crate::change::Change;
+use crate::entry::MAX_NAME_BYTES;
+use crate::fetch::{ChunkOutcome, ReceivedChunk};
+use crate::message::{HeldVersion, Message};
+use crate::quota_table::{ApplyError, Chunk, QuotaTable};
+use crate::version::Version;
+
+impl Node {
+    /// Children, other origins, and the parent: an origin that begins from nothing asks its relays.
+    fn may_ask(&self, from: SocketAddr) -> bool {
+        self.fan_out.contains(from) || self.origins.contains(from) || self.parent.is_parent(from)
+    }
+
+    pub(super) fn on_sync_request(&mut self, now_ms: f64, from: SocketAddr, theirs: HeldVersion) {
+        if !self.may_ask(from) {
+            return;
+        }
+        let own = self.held(now_ms);
+        let is_same = (theirs.version, theirs.short_digest) == (own.version, own.short_digest);
+        if theirs.version > own.version || is_same {
+            self.send(from, Message::ProbeReply(own));
+        } else if !self.send_delta(from, theirs.version) {
+            self.send_chunk(from, None);
+        }
+    }
+
+    /// The next chunk, after what changed since the last one; or the first one of what is in force by now.
+    pub(super) fn on_chunk_request(&mut self, from: SocketAddr, version: Version, after: Option<String>) {
+        if !self.may_ask(from) || after.as_ref().is_some_and(|after| after.len() > MAX_NAME_BYTES) {
+            return;
+        }
+        let is_same = version == self.store.version();
+        let continues = after.is_some() && (is_same || self.send_delta(from, version));
+        self.send_chunk(from, after.filter(|_| continues));
+    }
+
+    /// All changes after a version; false where the log does not reach back that far.
+    fn send_delta(&mut self, to: SocketAddr, after: Version) -> bool {
+        let Some(batches) = self.store.delta_batches(after) else { return false };
+        for changes in batches {
+            self.send(to, Message::Delta(changes));
+        }
+        true
+    }
+
+    fn send_chunk(&mut self, to: SocketAddr, after: Option<String>) {
+        let Chunk { entries, is_last } = self.table().chunk(after.as_deref());
+        let (version, digest) = (self.store.version(), self.table().digest());
+        self.send(to, Message::SnapshotChunk { version, digest, after, entries, is_last });
+    }
+
+    /// Who holds what is missing here.
+    pub(super) fn fetch_target(&self) -> Option<SocketAddr> {
+        match self.role {
+            Role::Origin => self.origin_fetch_target(),
+            Role::Listener => self
+                .parent
+                .parent()
+                .filter(|_| self.freshness.parent_held().is_some_and(|held| self.lacks(held))),
+        }
+    }
+
+    /// Whether a parent holds what this process does not: a later version, or another table that it started from.
+    fn lacks(&self, held: &HeldVersion) -> bool {
+        let own = self.store.version();
+        let started_otherwise = own == Version::default() && held.short_digest != self.store.short_digest();
+        held.version > own || (held.version == own && started_otherwise)
+    }
+
+    /// Another origin that is ahead; else, for an origin that begins from nothing as all others do, a relay.
+    ///
+    /// Not from a relay later, as what a relay says is no origin's word.
+    fn origin_fetch_target(&self) -> Option<SocketAddr> {
+        let own = self.store.version();
+        if let Some(origin) = self.origins.ahead_of(own) {
+            return Some(origin);
+        }
+        let begins_from_nothing = own == Version::default();
+        let children = self.fan_out.children().iter();
+        let ahead = children.filter(|child| begins_from_nothing && child.aggregate.version > own);
+        ahead.max_by_key(|child| child.aggregate.version).map(|child| child.address)
+    }
+
+    /// Asks for what is missing here, if nothing is under way.
+    pub(super) fn fetch_missing(&mut self, now_ms: f64) {
+        if let Some(failed) = self.fetcher.handle_timeout(now_ms) {
+            self.origins.forget_held(failed.from);
+            if failed.gives_up && self.parent.is_parent(failed.from) {
+                self.send(failed.from, Message::Detach);
+                self.replace_parent(now_ms, failed.from);
+            }
+        }
+        if !self.fetcher.is_ready(now_ms) {
+            return;
+        }
+        if let Some(from) = self.fetch_target() {
+            let held = self.held(now_ms);
+            self.send(from, Message::SyncRequest(held));
+            self.fetcher.begin(now_ms, from);
+        }
+    }
+
+    pub(super) fn on_delta(&mut self, now_ms: f64, from: SocketAddr, changes: Vec<Change>) {
+        let is_parent = self.parent.is_parent(from);
+        if self.role == Role::Listener && !is_parent {
+            self.decline_feeding(from);
+            return;
+        }
+        let was_asked = self.fetcher.is_waiting_for(from);
+        if !is_parent && !was_asked && !self.origins.contains(from) {
+            return;
+        }
+        self.parent.handle_heard_from(now_ms, from);
+        for change in changes {
+            if let Err(warning) = self.take_change(now_ms, from, change) {
+                self.warn(warning);
+                self.request_snapshot(now_ms, from);
+                return;
+            }
+        }
+        if was_asked {
+            self.fetcher.handle_delta_end();
+        }
+    }
+
+    /// Applies a change that came. One that is known or leaves a gap changes nothing; the gap is asked for.
+    fn take_change(&mut self, now_ms: f64, from: SocketAddr, change: Change) -> Result<(), Warning> {
+        self.fetcher.handle_change(from, &change);
+        let version = change.version;
+        if version <= self.store.version() && !broken::is(Broken::VersionNotCompared) {
+            self.check_known_change(&change);
+            return Ok(());
+        }
+        if self.parent.is_parent(from) {
+            self.freshness.handle_parent_change(version, change.digest as u64);
+        }
+        match self.apply(now_ms, change) {
+            Ok(()) | Err(ApplyError::Gap) => Ok(()),
+            Err(error) => Err(Warning::ChangeNotApplied { version, from, error }),
+        }
+    }
+
+    /// A version that is in force, or from before: nothing changes, and another table under its number is told.
+    pub(super) fn check_known_change(&mut self, change: &Change) {
+        if self.store.contradicts(change) {
+            self.warn(Warning::ContradictingChange(change.version));
+        }
+    }
+
+    pub(super) fn apply(&mut self, now_ms: f64, change: Change) -> Result<(), ApplyError> {
+        let (version, edits) = (change.version, change.edits.clone());
+        self.store.apply(change)?;
+        self.actions.events.push(Event::DeltaApplied { version, edits });
+        self.on_table_changed(now_ms);
+        Ok(())
+    }
+
+    fn on_table_changed(&mut self, now_ms: f64) {
+        self.fan_out.schedule_flush(now_ms);
+        self.report.hasten();
+    }
+
+    fn request_snapshot(&mut self, now_ms: f64, from: SocketAddr) {
+        self.send(from, Message::ChunkRequest { version: self.store.version(), after: None });
+        self.fetcher.begin(now_ms, from);
+    }
+
+    pub(super) fn on_chunk(&mut self, now_ms: f64, from: SocketAddr, chunk: ReceivedChunk) {
+        let version = chunk.version;
+        match self.fetcher.handle_chunk(now_ms, from, chunk, &mut self.rng) {
+            ChunkOutcome::Ignored | ChunkOutcome::Abandoned => return,
+            ChunkOutcome::RequestNext { version, after } => {
+                self.send(from, Message::ChunkRequest { version, after });
+            }
+            ChunkOutcome::Complete(table) => self.take_snapshot(now_ms, table),
+            ChunkOutcome::InvalidChunk(error) => {
+                self.warn(Warning::InvalidChunk { version, from, error });
+            }
+            ChunkOutcome::InvalidTable(error) => self.warn(Warning::InvalidSnapshot { from, error }),
+        }
+        self.parent.handle_heard_from(now_ms, from);
+    }
+
+    /// Takes a table that is later than the one in force, or that the origins started from in place of the own.
+    fn take_snapshot(&mut self, now_ms: f64, table: QuotaTable) {
+        let own = self.store.version();
+        let is_first = own == Version::default() && table.version() == own;
+        if table.version() <= own && !is_first {
+            return;
+        }
+        self.fetcher.handle_success();
+        let version = table.version();
+        self.store.replace(table);
+        self.actions.events.push(Event::SnapshotApplied { version });
+        self.on_table_changed(now_ms);
+    }
+}
--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod audit;
 pub mod changes;
+#[path = "cluster/world.rs"]
 pub mod group;
 pub mod net;
 pub mod plot;
