--- a/crates/plovershelf-cli/src/control.rs
+++ b/crates/plovershelf-cli/src/control.rs
@@ -8,7 +8,7 @@
 use async_signal::{Signal, Signals};
 use clap::Args;
 use futures_lite::{future, StreamExt};
-use plovershelf_server::group::{self, Incoming, OwnerHeartbeat};
+use plovershelf_server::group::{self, DriverHeartbeat, Incoming};
 
 #[derive(Args)]
 pub struct Options {
@@ -34,7 +34,7 @@
     let shown = options.file.to_string_lossy();
     let text = std::fs::read_to_string(&options.file).map_err(|error| format!("{shown}: {error}"))?;
     let setup = plovershelf_config::group::read(&shown, &text).map_err(|wrong| wrong.to_string())?;
-    let pulse = Arc::<OwnerHeartbeat>::default();
+    let pulse = Arc::<DriverHeartbeat>::default();
     pulse.record(true);
     let member = group::start(setup, options.name.clone(), pulse.clone(), None)?;
     let beats = async {
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use clap::Args;
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber};
-use plovershelf_server::group::{self, Incoming, OwnerHeartbeat};
+use plovershelf_server::group::{self, DriverHeartbeat, Incoming};
 use serde_json::Value;
 
 #[derive(Args)]
@@ -81,7 +81,7 @@
         }
     }
     // One for all of them: there is no owner here that could be stuck.
-    let pulse = Arc::<OwnerHeartbeat>::default();
+    let pulse = Arc::<DriverHeartbeat>::default();
     let beating = pulse.clone();
     let beat = move || loop {
         beating.record(true);
--- a/crates/plovershelf-server/src/config_distribution.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -32,7 +32,7 @@
 use plovershelf_config::config_distribution as file;
 use plovershelf_config_distribution::{DistributionConfig, QuotaTable};
 
-use crate::links::Heard;
+use crate::links::LinkEvent;
 use origin::Propose;
 use storage::{StorageError, TableFile};
 
@@ -96,7 +96,7 @@
 /// All that can happen to a driver from outside.
 pub enum Input {
     /// Something came over a connection.
-    Received(Heard),
+    Received(LinkEvent),
     /// A connection ended, or could not be made.
     ConnectionLost(SocketAddr),
     /// The consensus group's state, as its thread tells an origin.
@@ -105,8 +105,8 @@
     Shutdown,
 }
 
-impl From<Heard> for Input {
-    fn from(heard: Heard) -> Self {
+impl From<LinkEvent> for Input {
+    fn from(heard: LinkEvent) -> Self {
         Input::Received(heard)
     }
 }
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -20,7 +20,7 @@
 use super::subscriber::Publisher;
 use super::{Input, StartError, Startup};
 use crate::entropy::random_id;
-use crate::links::{self, now_ms, Bounds, Heard, Links};
+use crate::links::{self, now_ms, LinkEvent, LinkLimits, OutgoingLinks};
 
 /// Lost connections that wait to be told to the node.
 const MAX_QUEUED_LOSSES: usize = 256;
@@ -56,8 +56,8 @@
     let role = if origin.is_some() { Role::Origin } else { Role::Listener };
     let bounds = connection_bounds(role, &setup.config);
     let (lost, losses) = async_channel::bounded(MAX_QUEUED_LOSSES);
-    let links = Links::new(executor, &setup.cluster, BTreeMap::new(), bounds, Some(lost));
-    let accepting = links::accept(executor, listener, Rc::from(setup.cluster.as_str()), sender, bounds);
+    let links = OutgoingLinks::new(executor, &setup.cluster, BTreeMap::new(), bounds, Some(lost));
+    let accepting = links::accept_links(executor, listener, Rc::from(setup.cluster.as_str()), sender, bounds);
     let node = NodeInfo {
         name: name.clone(),
         zone: setup.zone,
@@ -82,18 +82,18 @@
 }
 
 /// Connections in and out, by how many hear from one and how many may ask it.
-fn connection_bounds(role: Role, config: &DistributionConfig) -> Bounds {
+fn connection_bounds(role: Role, config: &DistributionConfig) -> LinkLimits {
     let tree = 2 * config.fan_out.max(config.origin_fan_out) + SPARE_CONNECTIONS;
     let each_way = match role {
         Role::Origin => tree + MAX_SIMULTANEOUS_REQUESTS,
         Role::Listener => 2 * tree,
     };
-    Bounds { out: each_way, inward: each_way, idle_ms: IDLE_CONNECTION_MS }
+    LinkLimits { max_outgoing: each_way, max_incoming: each_way, idle_timeout_ms: IDLE_CONNECTION_MS }
 }
 
 struct Driver {
     node: Node,
-    links: Links,
+    links: OutgoingLinks,
     publisher: Publisher,
     origin: Option<Origin>,
     warnings: WarningLimit,
@@ -152,15 +152,15 @@
     fn handle_input(&mut self, input: Input) {
         let now_ms = now_ms();
         match input {
-            Input::Received(Heard::Wire { wire, from_here, answer }) => match *wire {
+            Input::Received(LinkEvent::Message { wire, is_local, answer }) => match *wire {
                 Wire::ConfigDistribution { address, bytes } => match decode(&bytes) {
                     Ok(message) => self.node.handle_message(now_ms, address, message),
                     Err(malformed) => self.warn(&format!("{address} sent {malformed}")),
                 },
-                Wire::Question(question) => self.handle_question(question, from_here, answer),
+                Wire::Question(question) => self.handle_question(question, is_local, answer),
                 Wire::Envelope(_) | Wire::Answer(_) | Wire::Subsystem { .. } => {}
             },
-            Input::Received(Heard::Odd(what)) => self.warn(&what),
+            Input::Received(LinkEvent::PeerError(what)) => self.warn(&what),
             Input::Shutdown => {}
             Input::ConnectionLost(address) => self.node.handle_connection_lost(now_ms, address),
             Input::Consensus(state) => {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn handle_question(&mut self, question: Question, from_here: bool, answer: Sender<Answer>) {
+    fn handle_question(&mut self, question: Question, is_local: bool, answer: Sender<Answer>) {
         let respond =
             move |response: AdminResponse| drop(answer.try_send(Answer::Part(encode_payload(&response))));
         match admin_request(question) {
@@ -183,7 +183,7 @@
                 respond(AdminResponse::Status(Box::new(StatusReport { node, is_origin, consensus })));
             }
             Ok(AdminRequest::History) => respond(AdminResponse::History(self.node.history())),
-            Ok(AdminRequest::Propose { edits, after }) if from_here => {
+            Ok(AdminRequest::Propose { edits, after }) if is_local => {
                 self.propose(edits, after, Box::new(respond));
             }
             Ok(AdminRequest::Propose { .. }) => respond(AdminResponse::Rejected(match self.origin {
@@ -272,7 +272,7 @@
     }
 }
 
-/// Bounds the warnings of a second.
+/// LinkLimits the warnings of a second.
 ///
 /// Against a peer that sends what can't be read over and over: the log would grow as fast as it sends.
 #[derive(Default)]
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -152,7 +152,7 @@
     work_ms: f64,
     sampled_ms: f64,
     /// Shows the cluster that this loop makes progress.
-    pulse: Option<Arc<group::OwnerHeartbeat>>,
+    heartbeat: Option<Arc<group::DriverHeartbeat>>,
     initial_quotas: Option<InitialQuotas>,
     /// Takes requests for replication, where keyed requests are replicated.
     replication: Option<Sender<group::Incoming>>,
@@ -218,7 +218,7 @@
             runs_since_sample: 0.0,
             work_ms: INITIAL_WORK_MS,
             sampled_ms: 0.0,
-            pulse: None,
+            heartbeat: None,
             initial_quotas: None,
             replication: None,
             is_handed_off: true,
@@ -239,8 +239,8 @@
     }
 
     /// Shows a cluster that the loop makes progress.
-    pub(crate) fn with_pulse(mut self, pulse: Option<Arc<group::OwnerHeartbeat>>) -> Self {
-        self.pulse = pulse;
+    pub(crate) fn with_heartbeat(mut self, heartbeat: Option<Arc<group::DriverHeartbeat>>) -> Self {
+        self.heartbeat = heartbeat;
         self
     }
 
@@ -393,9 +393,9 @@
         let is_idle = || self.connections.is_empty() && self.requests.values().all(|one| one.is_answered);
         let accepts = !matches!(self.listener, ListenerState::Closed);
         self.is_over |= self.is_grace_over && !accepts && self.is_handed_off && is_idle();
-        if let Some(pulse) = &self.pulse {
-            pulse.record(self.backend.is_some() && self.agent.is_some());
-            pulse.record_counts(self.startup.config.cores, &self.counters);
+        if let Some(heartbeat) = &self.heartbeat {
+            heartbeat.record(self.backend.is_some() && self.agent.is_some());
+            heartbeat.record_counts(self.startup.config.cores, &self.counters);
         }
     }
 
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -213,7 +213,7 @@
 
     /// Counts demand for the cluster's traffic plan: work by bands of value, against the class of the highest.
     fn count_demand(&mut self, class: usize, work_hint_ms: Option<f64>) {
-        if self.pulse.is_none() {
+        if self.heartbeat.is_none() {
             return;
         }
         let classes = &self.startup.config.classes;
--- a/crates/plovershelf-server/src/driver/agent.rs
+++ b/crates/plovershelf-server/src/driver/agent.rs
@@ -235,7 +235,7 @@
         if self.awaited_gauges == Some(tag) {
             self.awaited_gauges = None;
             let gauges = self.startup.gauges(gauges);
-            if self.pulse.is_some() {
+            if self.heartbeat.is_some() {
                 self.learn_work(gauges.cores_busy);
             }
             self.handle_backend_timeout(Timer::Periodic, gauges);
--- a/crates/plovershelf-server/src/driver/requests.rs
+++ b/crates/plovershelf-server/src/driver/requests.rs
@@ -108,7 +108,7 @@
 
     /// Counts an answer for the cluster's traffic plan.
     fn count_answer(&mut self, completion: Completion, is_in_time: bool) {
-        if self.pulse.is_none() || !matches!(completion, Completion::Succeeded | Completion::Failed) {
+        if self.heartbeat.is_none() || !matches!(completion, Completion::Succeeded | Completion::Failed) {
             return;
         }
         self.counters.answered += 1.0;
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -5,15 +5,15 @@
 //! saved, and only then sends what is to be sent.
 
 mod copied;
+mod driver_heartbeat;
 mod notices;
-mod owner_heartbeat;
 mod replication_status;
 mod storage;
 mod zoned;
 
 pub use crate::links::now_ms;
 pub use copied::{Asked, Ending, Told};
-pub use owner_heartbeat::OwnerHeartbeat;
+pub use driver_heartbeat::DriverHeartbeat;
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -33,7 +33,7 @@
 
 use crate::config_distribution::{self, ConsensusState, KEY as CONFIG_KEY};
 use crate::entropy::random_id;
-use crate::links::{self, Heard, Links};
+use crate::links::{self, LinkEvent, OutgoingLinks};
 use notices::NoticeLimiter;
 use storage::Storage;
 
@@ -59,7 +59,7 @@
 /// All that can happen to the driver from outside.
 pub enum Incoming {
     /// Something came over a connection.
-    Heard(Heard),
+    Link(LinkEvent),
     /// A configuration is to be committed under its key.
     Propose {
         /// One more than the version there is.
@@ -85,9 +85,9 @@
     },
 }
 
-impl From<Heard> for Incoming {
-    fn from(heard: Heard) -> Self {
-        Incoming::Heard(heard)
+impl From<LinkEvent> for Incoming {
+    fn from(heard: LinkEvent) -> Self {
+        Incoming::Link(heard)
     }
 }
 
@@ -97,7 +97,7 @@
 pub fn start(
     setup: Setup,
     name: String,
-    heartbeat: Arc<OwnerHeartbeat>,
+    heartbeat: Arc<DriverHeartbeat>,
     told: Option<Sender<Told>>,
 ) -> Result<Sender<Incoming>, String> {
     let listener = TcpListener::bind(setup.listen)
@@ -132,13 +132,17 @@
     let run = move || {
         let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
         let listening = match Async::new(listener) {
-            Ok(listener) => {
-                links::accept(executor, listener, Rc::from(setup.name.as_str()), own, links::AMONG_MEMBERS)
-            }
+            Ok(listener) => links::accept_links(
+                executor,
+                listener,
+                Rc::from(setup.name.as_str()),
+                own,
+                links::CLUSTER_LINKS,
+            ),
             Err(error) => return tracing::error!("the group ends: {error}"),
         };
         executor.spawn(listening).detach();
-        let links = Links::new(executor, &setup.name, setup.ways.clone(), links::AMONG_MEMBERS, None);
+        let links = OutgoingLinks::new(executor, &setup.name, setup.ways.clone(), links::CLUSTER_LINKS, None);
         let node = ClusterNode::new(startup, now_ms());
         let (own, boot_id) = (node.node().id, node.swim().own().boot_id);
         let copies = setup.copies.clone().zip(told);
@@ -179,8 +183,8 @@
     storage: Option<Storage>,
     /// When storage that failed is tried again.
     storage_retry_at_ms: Option<f64>,
-    links: Links,
-    heartbeat: Arc<OwnerHeartbeat>,
+    links: OutgoingLinks,
+    heartbeat: Arc<DriverHeartbeat>,
     readiness_at_ms: f64,
     /// Who waits to hear what came of a recovery.
     awaiting_recovery: Vec<Sender<Answer>>,
@@ -262,10 +266,10 @@
     fn handle_event(&mut self, event: Incoming) {
         let now_ms = now_ms();
         match event {
-            Incoming::Heard(Heard::Wire { wire, from_here, answer }) => {
-                self.handle_wire(now_ms, *wire, from_here, answer)
+            Incoming::Link(LinkEvent::Message { wire, is_local, answer }) => {
+                self.handle_wire(now_ms, *wire, is_local, answer)
             }
-            Incoming::Heard(Heard::Odd(what)) => self.notices.log(&what),
+            Incoming::Link(LinkEvent::PeerError(what)) => self.notices.log(&what),
             Incoming::Propose { number, bytes } => {
                 self.node.propose(now_ms, CONFIG_KEY, number, bytes);
             }
@@ -282,10 +286,10 @@
         self.carry_out();
     }
 
-    fn handle_wire(&mut self, now_ms: f64, wire: Wire, from_here: bool, answer: Sender<Answer>) {
+    fn handle_wire(&mut self, now_ms: f64, wire: Wire, is_local: bool, answer: Sender<Answer>) {
         match wire {
             Wire::Envelope(envelope) => self.node.handle_message(now_ms, envelope),
-            Wire::Question(question) => self.handle_question(now_ms, question, from_here, answer),
+            Wire::Question(question) => self.handle_question(now_ms, question, is_local, answer),
             Wire::Answer(_) | Wire::ConfigDistribution { .. } => {}
             Wire::Subsystem { from, to, bytes } => {
                 let own = self.node.node().id;
@@ -313,20 +317,20 @@
     }
 
     /// Commands that change something are taken from this machine alone.
-    fn handle_question(&mut self, now_ms: f64, question: Question, from_here: bool, answer: Sender<Answer>) {
+    fn handle_question(&mut self, now_ms: f64, question: Question, is_local: bool, answer: Sender<Answer>) {
         let answered = match question {
             Question::Copies | Question::Ticket { .. } => {
                 replication_status::answer(self.copies.as_ref(), &self.node, question)
             }
             Question::Part { part, bytes } => match (self.zoned.as_mut(), wire::decode(&bytes)) {
                 (Some(zoned), Ok(ask)) if part == zoned::KEY => {
-                    Answer::Part(wire::encode_payload(&zoned.asked(now_ms, ask, from_here, &self.node)))
+                    Answer::Part(wire::encode_payload(&zoned.asked(now_ms, ask, is_local, &self.node)))
                 }
                 _ => Answer::Refused(format!("nothing here is asked of {part:?}")),
             },
             Question::Brief { names } => Answer::Brief(Box::new(Brief::of(&self.node, &names, now_ms))),
             Question::Status => Answer::Status(Box::new(Status::of(&self.node, &self.cluster, now_ms))),
-            _ if !from_here => {
+            _ if !is_local => {
                 Answer::Refused("such a command is taken on the member's own machine alone".into())
             }
             Question::Replace { voter } => match self.node.replace_voter(now_ms, &voter) {
--- a/crates/plovershelf-server/src/group/owner_heartbeat.rs
+++ b/crates/plovershelf-server/src/group/driver_heartbeat.rs
@@ -1,6 +1,6 @@
-//! What the owner tells of itself without being asked: when it last went round, whether it is ready, and what it counted.
+//! What the event loop tells of itself without being asked: when it last turned, whether it is ready, and what it counted.
 //!
-//! The owner writes, the cluster's thread reads; neither ever waits for the other.
+//! The event loop writes, the cluster's thread reads; neither ever waits for the other.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,28 +8,28 @@
 
 use super::{now_ms, Counted};
 
-/// The owner goes round at least once a second, so one that has not for longer is stuck.
+/// The event loop turns at least once a second, so one that has not for longer is stuck.
 const STUCK_MS: f64 = 2000.0;
 /// Figures before those of the bands: cores, answers, answers in time.
 const FIRST_BAND: usize = 3;
 
-/// Shared between the owner and the cluster's thread.
+/// Shared between the event loop and the cluster's thread.
 #[derive(Default)]
-pub struct OwnerHeartbeat {
+pub struct DriverHeartbeat {
     at_ms: AtomicU64,
     ready: AtomicU64,
     /// Bits of f64 figures: cores; answers, and those in time; work asked by bands.
     figures: [AtomicU64; FIRST_BAND + BANDS],
 }
 
-impl OwnerHeartbeat {
-    /// The owner goes round.
+impl DriverHeartbeat {
+    /// The event loop turns.
     pub fn record(&self, ready: bool) {
         self.at_ms.store(now_ms() as u64, Ordering::Relaxed);
         self.ready.store(u64::from(ready), Ordering::Relaxed);
     }
 
-    /// What the owner has counted since its start.
+    /// What the event loop has counted since its start.
     pub fn record_counts(&self, cores: f64, counted: &Counted) {
         let figures = [cores, counted.answered, counted.in_time].into_iter().chain(counted.asked);
         for (place, figure) in self.figures.iter().zip(figures) {
--- a/crates/plovershelf-server/src/group/zoned.rs
+++ b/crates/plovershelf-server/src/group/zoned.rs
@@ -11,7 +11,7 @@
 use plovershelf_failover::planner::Planner;
 use plovershelf_failover::seen::{Outside, Report, Seen};
 
-use super::OwnerHeartbeat;
+use super::DriverHeartbeat;
 
 /// Under which the plan is agreed on.
 pub const KEY: &str = "zones";
@@ -79,7 +79,7 @@
         self.period_at
     }
 
-    fn report(&mut self, now: f64, heartbeat: &OwnerHeartbeat) -> Report {
+    fn report(&mut self, now: f64, heartbeat: &DriverHeartbeat) -> Report {
         let counted = heartbeat.counted();
         let (since, before) = self.counted.front().copied().unwrap_or((now, counted));
         self.counted.push_back((now, counted));
@@ -100,7 +100,7 @@
 
     /// Once a period: this member's report to the leader, and where it leads the next plan. Tells what goes to whom, and what is
     /// to be agreed on.
-    pub fn tick(&mut self, now: f64, heartbeat: &OwnerHeartbeat, group: &ClusterNode) -> Due {
+    pub fn tick(&mut self, now: f64, heartbeat: &DriverHeartbeat, group: &ClusterNode) -> Due {
         let leader = group.leader();
         if now < self.period_at && leader == self.reported_to {
             return Due::default();
@@ -179,7 +179,7 @@
         }
     }
 
-    pub fn asked(&mut self, now: f64, ask: Ask, from_here: bool, group: &ClusterNode) -> Told {
+    pub fn asked(&mut self, now: f64, ask: Ask, is_local: bool, group: &ClusterNode) -> Told {
         let leads = group.raft().leads();
         let leader = || group.leader().and_then(|id| group.name_of(id)).unwrap_or_else(|| "nobody".into());
         match ask {
@@ -199,7 +199,7 @@
                     None => Told::Refused(format!("{} names no zones", zones.join(", "))),
                 }
             }
-            _ if !from_here => {
+            _ if !is_local => {
                 Told::Refused("such a command is taken on the leader's own machine alone".into())
             }
             Ask::Shift(wish) => match self.planner.shift(now, &self.seen, &wish) {
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -137,6 +137,7 @@
 
 impl Limits {
     /// Limits of a program with this much memory, in MiB, and this many descriptors.
+    #[expect(clippy::too_many_lines, reason = "a table of values, one a line")]
     pub(crate) fn new(memory_mb: f64, sockets: usize) -> Self {
         let memory_bytes = (memory_mb * 1024.0 * 1024.0) as usize;
         let max_dependency_connections = (sockets / SOCKETS_PER_DEPENDENCY_CONNECTION)
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -16,7 +16,8 @@
 use crate::agent_link::AgentLinks;
 use crate::dependency::DependencyCalls;
 use crate::driver::{unix_ms, Driver, DriverQueues};
-use crate::event::Event;
+use crate::event::{CallCommand, Event};
+use crate::limits::Limits;
 use crate::listener::{listen, Acceptor};
 use crate::startup::{self, FixedParts, Launch, Peers, StartupError};
 use crate::{config_distribution, group, registry};
@@ -66,35 +67,12 @@
 
     let cluster = start_cluster(executor, group, &name, &events)?;
     let distribution = start_distribution(executor, changes, &name, &events)?;
-    let (agent_moved, moved) = async_channel::bounded(1);
-    let agent =
-        AgentLinks { address: peers.agent.clone(), moved, events: events.clone(), limits: limits.clone() };
-    executor.spawn(agent.run()).detach();
-    let address = peers.dependency.clone();
-    let dependency = DependencyCalls {
-        executor,
-        address,
-        commands: call_commands,
-        events: events.clone(),
-        limits: limits.clone(),
-    };
-    executor.spawn(dependency.run()).detach();
-    let heartbeat = Duration::from_millis(limits.heartbeat_ms);
-    let registry = peers.registry.clone();
-    let heartbeats = registry::send_heartbeats(registry, name.clone(), draining.clone(), heartbeat);
-    executor.spawn(heartbeats).detach();
-    let (listening, stop) = async_channel::bounded(1);
+    let tasks = Tasks { executor, events: &events, limits: &limits, peers: &peers };
+    let agent_moved = tasks.start_agent_links();
+    tasks.start_dependency_calls(call_commands);
+    tasks.start_heartbeats(name.clone(), draining.clone());
     let slots = Rc::new(());
-    let (slots_of_all, limits_of_all) = (slots.clone(), limits.clone());
-    let acceptor = Acceptor {
-        executor,
-        listener,
-        stop,
-        slots: slots_of_all,
-        events: events.clone(),
-        limits: limits_of_all,
-    };
-    executor.spawn(acceptor.run()).detach();
+    let listening = tasks.start_accepting(listener, slots.clone());
     let (give_notice, notice) = async_channel::bounded(1);
     let signal_handler = SignalHandler {
         peers,
@@ -111,26 +89,79 @@
 
     tracing::info!(event = "listening", "{name} listens on {listen}");
     let queues = DriverQueues { inbox, notice, calls };
-    let mut driver = Driver::new(startup, stop_ms, limits, queues, draining, Some(listening))
+    let driver = Driver::new(startup, stop_ms, limits, queues, draining, Some(listening))
         .with_bulkheads(bulkheads)
         .map_err(|error| ServiceError::Part(error.to_string()))?
-        .with_pulse(cluster.pulse)
+        .with_heartbeat(cluster.heartbeat)
         .with_replication(cluster.replication)
         .with_changes(distribution.is_some());
-    let run = async {
-        let left = driver.run().await;
-        // The last responses are still on their way out of the connections' own tasks.
-        drop(driver);
-        future::or(all_connections_closed(&slots), async {
-            Timer::after(left).await;
-        })
-        .await;
-    };
-    async_io::block_on(executor.run(run));
+    async_io::block_on(executor.run(drive_to_end(driver, slots)));
     tracing::info!(event = "drained", "ended as told");
     Ok(())
 }
 
+/// Runs the driver, and then waits until the last responses are out, for as long as there is time.
+async fn drive_to_end(mut driver: Driver, slots: Rc<()>) {
+    let left = driver.run().await;
+    // The last responses are still on their way out of the connections' own tasks.
+    drop(driver);
+    let timeout = async {
+        Timer::after(left).await;
+    };
+    future::or(all_connections_closed(&slots), timeout).await;
+}
+
+async fn all_connections_closed(slots: &Rc<()>) {
+    while Rc::strong_count(slots) > 1 {
+        Timer::after(Duration::from_millis(1)).await;
+    }
+}
+
+/// What the tasks that talk to peers share.
+struct Tasks<'a> {
+    executor: &'static LocalExecutor<'static>,
+    events: &'a Sender<Event>,
+    limits: &'a Rc<Limits>,
+    peers: &'a Peers,
+}
+
+impl Tasks<'_> {
+    /// Keeps a link with the agent. What is sent to the returned queue tells that its address may have changed.
+    fn start_agent_links(&self) -> Sender<()> {
+        let (agent_moved, moved) = async_channel::bounded(1);
+        let (events, limits) = (self.events.clone(), self.limits.clone());
+        let links = AgentLinks { address: self.peers.agent.clone(), moved, events, limits };
+        self.executor.spawn(links.run()).detach();
+        agent_moved
+    }
+
+    fn start_dependency_calls(&self, commands: Receiver<CallCommand>) {
+        let calls = DependencyCalls {
+            executor: self.executor,
+            address: self.peers.dependency.clone(),
+            commands,
+            events: self.events.clone(),
+            limits: self.limits.clone(),
+        };
+        self.executor.spawn(calls.run()).detach();
+    }
+
+    fn start_heartbeats(&self, name: String, draining: Rc<Cell<bool>>) {
+        let interval = Duration::from_millis(self.limits.heartbeat_ms);
+        let heartbeats = registry::send_heartbeats(self.peers.registry.clone(), name, draining, interval);
+        self.executor.spawn(heartbeats).detach();
+    }
+
+    /// Accepts connections until the returned sender is dropped.
+    fn start_accepting(&self, listener: Async<TcpListener>, slots: Rc<()>) -> Sender<()> {
+        let (listening, stop) = async_channel::bounded(1);
+        let (events, limits) = (self.events.clone(), self.limits.clone());
+        let acceptor = Acceptor { executor: self.executor, listener, stop, slots, events, limits };
+        self.executor.spawn(acceptor.run()).detach();
+        listening
+    }
+}
+
 /// Listens where the configuration says; `None` where the drain notice comes before the address is free.
 fn listen_until_notice(
     signals: &mut Signals,
@@ -152,18 +183,12 @@
     async_io::block_on(future::or(listening, notice))
 }
 
-async fn all_connections_closed(slots: &Rc<()>) {
-    while Rc::strong_count(slots) > 1 {
-        Timer::after(Duration::from_millis(1)).await;
-    }
-}
-
 /// The cluster's thread, as far as the rest of the program uses it.
 #[derive(Default)]
 struct Cluster {
     commands: Option<Sender<group::Incoming>>,
     /// Shows the cluster that the driver makes progress.
-    pulse: Option<Arc<group::OwnerHeartbeat>>,
+    heartbeat: Option<Arc<group::DriverHeartbeat>>,
     /// The same commands, where keyed requests are replicated.
     replication: Option<Sender<group::Incoming>>,
 }
@@ -175,17 +200,17 @@
     events: &Sender<Event>,
 ) -> Result<Cluster, ServiceError> {
     let Some(setup) = setup else { return Ok(Cluster::default()) };
-    let pulse = Arc::<group::OwnerHeartbeat>::default();
+    let heartbeat = Arc::<group::DriverHeartbeat>::default();
     let is_replicated = setup.copies.is_some();
     let (sender, receiver) = async_channel::unbounded();
     let replication_events = is_replicated.then_some(sender);
-    let commands = group::start(setup, name.to_string(), pulse.clone(), replication_events)
+    let commands = group::start(setup, name.to_string(), heartbeat.clone(), replication_events)
         .map_err(|error| ServiceError::Part(error.to_string()))?;
     if is_replicated {
         forward(executor, receiver, events, Event::Replication);
     }
     let replication = is_replicated.then(|| commands.clone());
-    Ok(Cluster { commands: Some(commands), pulse: Some(pulse), replication })
+    Ok(Cluster { commands: Some(commands), heartbeat: Some(heartbeat), replication })
 }
 
 /// The thread that receives configuration changes, where an operator has set it up.
--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -16,7 +16,7 @@
 use plovershelf_config_distribution::{DistributionConfig, Edit};
 use plovershelf_server::config_distribution::admin::{AdminRequest, AdminResponse, StatusReport, KEY};
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber, VersionInForce};
-use plovershelf_server::group::{self, OwnerHeartbeat};
+use plovershelf_server::group::{self, DriverHeartbeat};
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::scripted::SETTINGS;
 use plovershelf_testkit::sources::{self, Sources, SOURCES};
@@ -31,7 +31,7 @@
     let text = std::fs::read_to_string(&file).expect("a file");
     let setup = plovershelf_config::group::read("group.ini", &text).expect("a good file");
     let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
-    let pulse = Arc::<OwnerHeartbeat>::default();
+    let pulse = Arc::<DriverHeartbeat>::default();
     let _member = group::start(setup, name, pulse.clone(), None).expect("a member");
     loop {
         pulse.record(true);
