--- a/crates/plovershelf-cli/src/trial/group_model.rs
+++ b/crates/plovershelf-cli/src/trial/group_model.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::cluster::{Plan, Report, World};
 use plovershelf_simulation::plot::{lines, Line};
 use plovershelf_simulation::schedule::Schedule;
 use plovershelf_simulation::statistics::{Fit, Spread};
@@ -15,7 +15,7 @@
 const STEPS: usize = 14;
 const SPAN_MS: f64 = 30_000.0;
 
-/// What all seeds came to.
+/// What all seeds report to.
 #[derive(Default)]
 struct Sum {
     broken: Vec<(u64, String)>,
@@ -35,16 +35,16 @@
             return;
         }
         let schedule = Schedule::draw(seed, members, ZONES, STEPS, SPAN_MS);
-        let came = World::run(Plan::of(schedule, seed));
+        let report = World::run(Plan::of(schedule, seed));
         let Ok(mut sum) = sum.lock() else { return };
-        sum.broken.extend(came.audit.broken.iter().map(|b| (seed, b.promise.to_string())));
-        match came.agreed_after_ms {
+        sum.broken.extend(report.audit.broken.iter().map(|b| (seed, b.promise.to_string())));
+        match report.committed_after_ms {
             Some(ms) => sum.agreed.put(ms),
             None => sum.never.push(seed),
         }
-        sum.lagging += (came.lagging + came.left_out) as u64;
-        sum.healthy += came.healthy_put_out.len() as u64;
-        sum.put_out.join(&came.put_out_ms);
+        sum.lagging += (report.lagging + report.outside_view) as u64;
+        sum.healthy += report.healthy_removed.len() as u64;
+        sum.put_out.join(&report.removal_ms);
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(work))));
@@ -61,27 +61,27 @@
 }
 
 /// How it grows: the start, then nothing, then deaths of single members, far apart, and nothing else wrong.
-fn growth(seed: u64, size: usize) -> (Came, Figures) {
-    let came = World::run(Plan::growing(size, ZONES, seed, DEATHS));
+fn growth(seed: u64, size: usize) -> (Report, Figures) {
+    let report = World::run(Plan::growing(size, ZONES, seed, DEATHS));
     let mut figures = Figures::default();
-    let grown = &came.grown;
-    figures.told("all_know_all_s", seconds(grown.all_know_all_ms));
-    figures.told("view_whole_s", seconds(grown.view_whole_ms));
+    let grown = &report.growth;
+    figures.told("all_know_all_s", seconds(grown.all_known_ms));
+    figures.told("view_whole_s", seconds(grown.view_complete_ms));
     figures.told("start_bytes_a_member", grown.start_bytes);
-    figures.put("bytes_a_member_a_second", grown.calm_bytes, Aim::AtMost(BYTES_A_SECOND));
-    figures.told("bytes_a_second_busiest", grown.calm_bytes_busiest);
-    figures.told("news_under_way_in_calm", grown.calm_rumours);
+    figures.put("bytes_a_member_a_second", grown.rest_bytes, Aim::AtMost(BYTES_A_SECOND));
+    figures.told("bytes_a_second_busiest", grown.rest_bytes_busiest);
+    figures.told("news_under_way_in_calm", grown.rest_pending_updates);
     figures.told("death_bytes_a_member", grown.death_bytes);
-    figures.put("deaths_not_known", came.deaths_not_known as f64, Aim::AtMost(0.0));
-    figures.told("until_all_know_s_median", seconds(came.known_ms.at(0.5)));
-    figures.put("until_all_know_s_worst", seconds(came.known_ms.most()), Aim::AtMost(KNOWN_S));
-    figures.told("put_out_s_worst", seconds(came.put_out_ms.most()));
-    figures.put("healthy_put_out", came.healthy_put_out.len() as f64, Aim::AtMost(0.0));
-    figures.put("promises_broken", came.audit.broken.len() as f64, Aim::AtMost(0.0));
-    (came, figures)
+    figures.put("deaths_not_known", report.deaths_not_known as f64, Aim::AtMost(0.0));
+    figures.told("until_all_know_s_median", seconds(report.known_ms.at(0.5)));
+    figures.put("until_all_know_s_worst", seconds(report.known_ms.most()), Aim::AtMost(KNOWN_S));
+    figures.told("put_out_s_worst", seconds(report.removal_ms.most()));
+    figures.put("healthy_put_out", report.healthy_removed.len() as f64, Aim::AtMost(0.0));
+    figures.put("promises_broken", report.audit.broken.len() as f64, Aim::AtMost(0.0));
+    (report, figures)
 }
 
-/// A line through what each size came to. Sizes that a figure is missing for are missing here too, and fail by themselves.
+/// A line through what each size report to. Sizes that a figure is missing for are missing here too, and fail by themselves.
 fn slope(points: &[(f64, f64)]) -> Figures {
     let fit = Fit::of(points);
     let mut figures = Figures::default();
@@ -121,10 +121,11 @@
         [9, 30, 90, 300, 900].into_iter().filter(|size| *size <= members.max(90)).collect();
     let mut seen: [Vec<(f64, f64)>; 4] = Default::default();
     for size in sizes {
-        let (came, of_size) = growth(ground.seed, size);
+        let (report, of_size) = growth(ground.seed, size);
         figures.phase(name_of(size), of_size);
-        let grown = &came.grown;
-        let values = [seconds(came.known_ms.most()), grown.calm_bytes, grown.start_bytes, grown.death_bytes];
+        let grown = &report.growth;
+        let values =
+            [seconds(report.known_ms.most()), grown.rest_bytes, grown.start_bytes, grown.death_bytes];
         for (points, value) in seen.iter_mut().zip(values) {
             points.extend(value.map(|value| (size as f64, value)));
         }
--- a/crates/plovershelf-simulation/examples/shrink.rs
+++ b/crates/plovershelf-simulation/examples/shrink.rs
@@ -1,11 +1,13 @@
 //! Cuts the schedule of a seed, or of a file, down to the fewest steps that still fail, and prints it:
 //! `-- SEED MEMBERS [VOTERS [FILE]]`.
 
-use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::cluster::{Plan, Report, World};
 use plovershelf_simulation::schedule::Schedule;
 
-fn fails(came: &Came) -> bool {
-    !came.audit.broken.is_empty() || came.agreed_after_ms.is_none() || came.lagging + came.left_out > 0
+fn fails(report: &Report) -> bool {
+    !report.audit.broken.is_empty()
+        || report.committed_after_ms.is_none()
+        || report.lagging + report.outside_view > 0
 }
 
 fn main() {
@@ -27,7 +29,7 @@
     };
     let run = |schedule: &Schedule| {
         let mut plan = Plan::of(schedule.clone(), seed);
-        (plan.founders, plan.config.voters) = (voters, voters);
+        (plan.initial_voters, plan.config.voters) = (voters, voters);
         if voters > 3 {
             plan.config.replace_voter_after_ms = 1500.0;
         }
@@ -39,11 +41,12 @@
     }
     // Without any fault there is nothing that it could agree after.
     let small = schedule.shrink(|fewer| !fewer.steps.is_empty() && fails(&run(fewer)));
-    let came = run(&small);
+    let report = run(&small);
     println!("{small}");
-    came.audit
+    report
+        .audit
         .broken
         .iter()
         .for_each(|broken| println!("{} at {:.0}: {}", broken.promise, broken.at, broken.told));
-    came.end.iter().for_each(|line| println!("{line}"));
+    report.final_states.iter().for_each(|line| println!("{line}"));
 }
--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -3,9 +3,8 @@
 
 pub mod audit;
 pub mod changes;
+pub mod cluster;
 pub mod copies;
-#[path = "cluster/world.rs"]
-pub mod group;
 pub mod net;
 pub mod plot;
 pub mod schedule;
--- a/crates/plovershelf-simulation/tests/broken.rs
+++ b/crates/plovershelf-simulation/tests/broken.rs
@@ -2,7 +2,7 @@
 
 use plovershelf_cluster::broken::{set, BrokenRule};
 use plovershelf_simulation::audit::{NOT_PAST_LEASE, ONE_VIEW_A_NUMBER};
-use plovershelf_simulation::group::{Plan, World};
+use plovershelf_simulation::cluster::{Plan, World};
 use plovershelf_simulation::schedule::Schedule;
 
 fn found(promise: &str) -> usize {
--- a/crates/plovershelf-simulation/tests/groups.rs
+++ b/crates/plovershelf-simulation/tests/groups.rs
@@ -1,6 +1,6 @@
 //! Groups on simulated time under schedules that are fixed: the same verdict each time.
 
-use plovershelf_simulation::group::{Came, Plan, World};
+use plovershelf_simulation::cluster::{Plan, RecoveryCommand, Report, World};
 use plovershelf_simulation::schedule::Schedule;
 
 fn plan(text: &str) -> Plan {
@@ -8,54 +8,58 @@
     Plan::of(schedule, 11)
 }
 
-fn play(text: &str) -> Came {
+fn recovery(at_ms: f64, member: usize, lost: &[&str]) -> RecoveryCommand {
+    RecoveryCommand { at_ms, member, lost: lost.iter().map(|name| name.to_string()).collect() }
+}
+
+fn play(text: &str) -> Report {
     World::run(plan(text))
 }
 
 /// No promise is broken, all belong, all know it, and something new is agreed on within the span.
-fn well(came: &Came, within_ms: f64) {
-    assert!(came.audit.broken.is_empty(), "{:?}", came.audit.broken);
-    assert_eq!((came.lagging, came.left_out), (0, 0), "{:#?}", came.end);
+fn well(report: &Report, within_ms: f64) {
+    assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
+    assert_eq!((report.lagging, report.outside_view), (0, 0), "{:#?}", report.final_states);
     assert!(
-        came.agreed_after_ms.is_some_and(|ms| ms <= within_ms),
+        report.committed_after_ms.is_some_and(|ms| ms <= within_ms),
         "{:?} {:#?}",
-        came.agreed_after_ms,
-        came.end
+        report.committed_after_ms,
+        report.final_states
     );
 }
 
 const NINE: &str = "members 9 zones 3\n";
 
-fn nine(steps: &str) -> Came {
+fn nine(steps: &str) -> Report {
     play(&format!("{NINE}{steps}"))
 }
 
 #[test]
 fn one_that_dies_is_out_within_three_seconds_and_comes_back() {
     for member in ["n1", "n2", "n5", "n9"] {
-        let came = nine(&format!("5000 6000 kill {member}\n"));
-        well(&came, 3000.0);
+        let report = nine(&format!("5000 6000 kill {member}\n"));
+        well(&report, 3000.0);
         assert!(
-            came.put_out_ms.count() == 1 && came.put_out_ms.most().is_some_and(|ms| ms < 3000.0),
+            report.removal_ms.count() == 1 && report.removal_ms.most().is_some_and(|ms| ms < 3000.0),
             "{member}: {:?}",
-            came.put_out_ms.most()
+            report.removal_ms.most()
         );
-        assert!(came.healthy_put_out.is_empty(), "{:?}", came.healthy_put_out);
+        assert!(report.healthy_removed.is_empty(), "{:?}", report.healthy_removed);
     }
 }
 
 #[test]
 fn a_cut_that_leaves_both_halves_alive_has_one_council() {
-    let came = nine("5000 5000 cut n1,n4,n7 n2,n3,n5,n6,n8,n9\n");
-    well(&came, 3000.0);
-    assert!(came.views >= 3);
+    let report = nine("5000 5000 cut n1,n4,n7 n2,n3,n5,n6,n8,n9\n");
+    well(&report, 3000.0);
+    assert!(report.views >= 3);
 }
 
 #[test]
 fn two_that_are_cut_from_each_other_stay_as_a_third_sees_both() {
-    let came = nine("5000 6000 cut n4 n5\n");
-    well(&came, 3000.0);
-    assert!(came.healthy_put_out.is_empty() && came.views <= 2, "{} views", came.views);
+    let report = nine("5000 6000 cut n4 n5\n");
+    well(&report, 3000.0);
+    assert!(report.healthy_removed.is_empty() && report.views <= 2, "{} views", report.views);
 }
 
 #[test]
@@ -72,9 +76,9 @@
 
 #[test]
 fn one_that_answers_but_does_no_work_is_out_and_comes_back() {
-    let came = nine("5000 5000 unfit n6\n");
-    well(&came, 3000.0);
-    assert!(came.views >= 4, "out and in again: {} views", came.views);
+    let report = nine("5000 5000 unfit n6\n");
+    well(&report, 3000.0);
+    assert!(report.views >= 4, "out and in again: {} views", report.views);
 }
 
 #[test]
@@ -87,9 +91,9 @@
 #[test]
 fn one_that_flaps_each_second_for_a_minute() {
     let steps: String = (0..30).map(|n| format!("{} 900 kill n8\n", 5000 + n * 2000)).collect();
-    let came = nine(&steps);
-    well(&came, 3000.0);
-    assert!(came.views < 70, "{} views", came.views);
+    let report = nine(&steps);
+    well(&report, 3000.0);
+    assert!(report.views < 70, "{} views", report.views);
 }
 
 #[test]
@@ -100,9 +104,9 @@
 
 #[test]
 fn a_voter_that_is_back_without_its_folder_is_someone_new_also_while_another_is_down() {
-    let came = nine("5000 2000 kill-wiped n2\n");
-    well(&came, 3000.0);
-    assert!(came.audit.count("blank-is-someone-new") == 0);
+    let report = nine("5000 2000 kill-wiped n2\n");
+    well(&report, 3000.0);
+    assert!(report.audit.count("blank-is-someone-new") == 0);
     well(&nine("5000 8000 kill n3\n6000 2000 kill-wiped n2\n"), 5000.0);
 }
 
@@ -115,8 +119,8 @@
 
 #[test]
 fn a_third_of_messages_lost_and_as_many_doubled() {
-    let came = nine("5000 10000 loss 0.3\n");
-    well(&came, 4000.0);
+    let report = nine("5000 10000 loss 0.3\n");
+    well(&report, 4000.0);
 }
 
 #[test]
@@ -136,7 +140,7 @@
 fn without_folders_each_restart_is_someone_new_and_the_council_follows() {
     let steps: String = (0..9).map(|n| format!("{} 800 kill n{}\n", 6000 + n * 6000, n + 1)).collect();
     let mut plan = plan(&format!("{NINE}{steps}"));
-    plan.folders = false;
+    plan.storage = false;
     well(&World::run(plan), 3000.0);
 }
 
@@ -168,8 +172,8 @@
 fn all_at_once() {
     for seed in 500..530 {
         let schedule = Schedule::draw(seed, 9, 3, 14, 30_000.0);
-        let came = World::run(Plan::of(schedule, seed));
-        assert!(came.audit.broken.is_empty(), "seed {seed}: {:?}", came.audit.broken);
+        let report = World::run(Plan::of(schedule, seed));
+        assert!(report.audit.broken.is_empty(), "seed {seed}: {:?}", report.audit.broken);
     }
 }
 
@@ -181,8 +185,8 @@
         (7, "9 zones 3\n6000 5000 kill-third n1\n"),
     ] {
         let mut plan = plan(&format!("members {schedule}"));
-        (plan.founders, plan.config.voters) = (voters, voters);
-        plan.span_ms = plan.span_ms.max(9000.0);
+        (plan.initial_voters, plan.config.voters) = (voters, voters);
+        plan.duration_ms = plan.duration_ms.max(9000.0);
         well(&World::run(plan), 4000.0);
     }
 }
@@ -195,7 +199,7 @@
         let mut plan = plan(
             "members 9 zones 3\n7207 2200 kill-wiped n1\n20312 2785 kill-wiped n2\n20312 2785 kill-wiped n3\n25092 2216 kill-wiped n7\n",
         );
-        (plan.seed, plan.founders, plan.config.voters, plan.config.replace_voter_after_ms) =
+        (plan.seed, plan.initial_voters, plan.config.voters, plan.config.replace_voter_after_ms) =
             (seed, 7, 7, 1500.0);
         well(&World::run(plan), 4000.0);
     }
@@ -205,49 +209,58 @@
 #[test]
 fn a_council_that_lost_its_majority_is_put_right_by_one_command() {
     let mut plan = plan("members 9 zones 3\n5000 40000 kill n1\n5000 40000 kill n2\n");
-    plan.span_ms = 30_000.0;
-    plan.recoveries = vec![(10_000.0, 4, vec!["n1".into()]), (16_000.0, 4, vec!["n1".into(), "n2".into()])];
-    let came = World::run(plan.clone());
-    assert!(came.audit.broken.is_empty(), "{:?}", came.audit.broken);
-    // The first left n2 out, which does not answer either; nothing came of it.
-    assert!(matches!(&came.recovered[..], [Err(why), Ok(3)] if why.contains("n2")), "{:?}", came.recovered);
-    assert!(came.end.iter().all(|line| !line.starts_with("n4") || line.contains("view")), "{:#?}", came.end);
+    plan.duration_ms = 30_000.0;
+    plan.recoveries = vec![recovery(10_000.0, 4, &["n1"]), recovery(16_000.0, 4, &["n1", "n2"])];
+    let report = World::run(plan.clone());
+    assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
+    // The first left n2 out, which does not answer either; nothing report of it.
+    assert!(
+        matches!(&report.recovered[..], [Err(why), Ok(3)] if why.contains("n2")),
+        "{:?}",
+        report.recovered
+    );
+    assert!(
+        report.final_states.iter().all(|line| !line.starts_with("n4") || line.contains("view")),
+        "{:#?}",
+        report.final_states
+    );
     // The lost ones come back with their folders: they follow the new council.
     plan.schedule =
         "members 9 zones 3\n5000 15000 kill n1\n5000 15000 kill n2\n".parse().expect("a schedule");
-    let came = World::run(plan);
-    assert!(came.audit.broken.is_empty(), "{:?}", came.audit.broken);
-    assert_eq!((came.lagging, came.left_out), (0, 0), "{:#?}", came.end);
+    let report = World::run(plan);
+    assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
+    assert_eq!((report.lagging, report.outside_view), (0, 0), "{:#?}", report.final_states);
 }
 
 #[test]
 fn two_recoveries_at_once_never_have_two_outcomes() {
     let mut plan = plan("members 9 zones 3\n5000 40000 kill n1\n5000 40000 kill n2\n5000 40000 kill n4\n");
-    plan.span_ms = 30_000.0;
-    let (some, all) = (vec!["n1".into(), "n2".into()], vec!["n1".into(), "n2".into(), "n4".into()]);
-    plan.recoveries = vec![(10_000.0, 4, all.clone()), (10_000.0, 8, some.clone()), (20_000.0, 8, all)];
-    let came = World::run(plan);
-    assert!(came.audit.broken.is_empty(), "{:?}", came.audit.broken);
-    let numbers: Vec<&u64> = came.recovered.iter().flatten().collect();
-    assert!(numbers.len() <= 2, "{:?}", came.recovered);
+    plan.duration_ms = 30_000.0;
+    let (some, all) = (["n1", "n2"], ["n1", "n2", "n4"]);
+    plan.recoveries =
+        vec![recovery(10_000.0, 4, &all), recovery(10_000.0, 8, &some), recovery(20_000.0, 8, &all)];
+    let report = World::run(plan);
+    assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
+    let numbers: Vec<&u64> = report.recovered.iter().flatten().collect();
+    assert!(numbers.len() <= 2, "{:?}", report.recovered);
 }
 
 /// Of those that start all at once each knows all within seconds, a death is known by all within 4 s, and at rest a member
 /// spends no more than 4 KB a second.
 #[test]
 fn a_hundred_and_twenty_that_start_at_once_know_all_and_soon_of_each_death() {
-    let came = World::run(Plan::growing(120, 3, 5, 3));
-    assert!(came.audit.broken.is_empty(), "{:?}", came.audit.broken);
-    let grown = &came.grown;
-    assert!(grown.all_know_all_ms.is_some_and(|ms| ms < 5000.0), "{grown:?}");
-    assert!(grown.calm_bytes.is_some_and(|bytes| bytes > 0.0 && bytes <= 4096.0), "{grown:?}");
-    assert_eq!((came.known_ms.count(), came.deaths_not_known), (3, 0));
-    assert!(came.known_ms.most().is_some_and(|ms| ms <= 4000.0), "{:?}", came.known_ms.most());
-    assert!(came.healthy_put_out.is_empty(), "{:?}", came.healthy_put_out);
+    let report = World::run(Plan::growing(120, 3, 5, 3));
+    assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
+    let grown = &report.growth;
+    assert!(grown.all_known_ms.is_some_and(|ms| ms < 5000.0), "{grown:?}");
+    assert!(grown.rest_bytes.is_some_and(|bytes| bytes > 0.0 && bytes <= 4096.0), "{grown:?}");
+    assert_eq!((report.known_ms.count(), report.deaths_not_known), (3, 0));
+    assert!(report.known_ms.most().is_some_and(|ms| ms <= 4000.0), "{:?}", report.known_ms.most());
+    assert!(report.healthy_removed.is_empty(), "{:?}", report.healthy_removed);
 }
 
 #[test]
 fn a_death_that_is_over_before_all_know_is_counted_and_no_time_is_told() {
-    let came = nine("5000 300 kill n5\n");
-    assert_eq!((came.known_ms.count(), came.known_ms.most(), came.deaths_not_known), (0, None, 1));
+    let report = nine("5000 300 kill n5\n");
+    assert_eq!((report.known_ms.count(), report.known_ms.most(), report.deaths_not_known), (0, None, 1));
 }
