--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -91,8 +91,10 @@
     }
 }
 
+/// A real cluster bootstraps, loses a member with its storage, has one paused and one that is not ready. Each is removed from
+/// the view and joins again, the one without its storage as a new node.
 #[test]
-fn a_group_is_founded_loses_a_member_with_its_folder_and_takes_it_back_as_someone_new() {
+fn a_cluster_bootstraps_and_removes_and_readmits_a_lost_a_paused_and_an_unready_member() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
     let mut fleet = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
@@ -126,8 +128,10 @@
     async_io::block_on(executor.run(run));
 }
 
+/// Two of three voters are lost for good: nothing is committed and nobody may act. One command with the right names begins a new
+/// epoch; one that comes too early, or with an unknown name, is refused.
 #[test]
-fn a_majority_that_is_gone_is_put_right_by_one_command_and_by_no_other() {
+fn a_lost_majority_is_replaced_by_one_command_and_by_no_other() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
     let mut fleet = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
