--- /dev/null
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -0,0 +1,83 @@
+//! Sources that stand still: they take what is sent to them, and answer nothing.
+
+use std::net::SocketAddr;
+
+use plovershelf_config_distribution::{
+    DistributionConfig, FanOutLimit, HeldVersion, ListenerKind, Message, Node, NodeInfo, QuotaTable, Role,
+    Startup,
+};
+
+fn at(port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], port))
+}
+
+fn info(port: u16) -> NodeInfo {
+    let (zone, region) = ("z1".to_string(), "r1".to_string());
+    NodeInfo { name: format!("n{port}"), zone, region, address: at(port), incarnation: port.into() }
+}
+
+fn node(port: u16, role: Role, origins: &[u16], config: DistributionConfig, seed: u64) -> Node {
+    let origins = origins.iter().map(|port| at(*port)).collect();
+    Node::new(Startup { node: info(port), role, origins, config, table: QuotaTable::default(), seed }, 0.0)
+}
+
+/// Where it asks for ways from its start on, nobody answering, and when.
+fn asked(node: &mut Node, until: f64) -> Vec<(f64, SocketAddr)> {
+    let (mut asked, mut now) = (Vec::new(), 0.0);
+    while now < until {
+        now = node.poll_timeout().max(now + 1.0);
+        node.handle_timeout(now);
+        let sent = node.poll_actions().messages;
+        let finds = sent.into_iter().filter(|(_, message)| matches!(message, Message::FindParent { .. }));
+        asked.extend(finds.map(|(to, _)| (now, to)));
+    }
+    asked
+}
+
+/// Origins stand still: connections to them open, and nothing is answered. A listener must ask each of them before it asks one a
+/// second time, and go on asking.
+#[test]
+fn each_origin_is_asked_before_one_that_did_not_answer_is_asked_again() {
+    for seed in 1..=20 {
+        let mut listener = node(9, Role::Listener, &[1, 2, 3], DistributionConfig::default(), seed);
+        let asked = asked(&mut listener, 10_000.0);
+        let first: std::collections::BTreeSet<SocketAddr> = asked.iter().take(3).map(|(_, at)| *at).collect();
+        assert_eq!(first.len(), 3, "{seed}: {asked:?}");
+        assert!(asked[2].0 < 2500.0, "{seed}: {asked:?}");
+        assert!(asked.len() > 5, "{seed}: it goes on: {asked:?}");
+    }
+}
+
+/// A listener is told to become a relay, and relays that lost another origin come in between. The place that it was promised must
+/// still be there; one that was promised nothing is rejected.
+#[test]
+fn promised_relay_is_taken_though_others_took_the_capacity_meanwhile() {
+    let config =
+        DistributionConfig { origin_fan_out: 2, origin_failover_fan_out: 4, ..DistributionConfig::default() };
+    let mut origin = node(1, Role::Origin, &[], config, 1);
+    let held = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
+    let attach =
+        |port: u16, limit| Message::Attach { node: info(port), held, kind: ListenerKind::Relay, limit };
+    origin.handle_message(
+        10.0,
+        at(9),
+        Message::FindParent { node: info(9), excluded: Vec::new(), redirected: false },
+    );
+    let told = origin.poll_actions().messages;
+    assert!(
+        matches!(&told[..], [(to, Message::ParentCandidates { kind: ListenerKind::Relay, .. })] if *to == at(9)),
+        "{told:?}"
+    );
+    // Relays of another origin, which is gone, come in between.
+    for port in [20, 21] {
+        origin.handle_message(20.0, at(port), attach(port, FanOutLimit::Failover));
+    }
+    origin.poll_actions();
+    origin.handle_message(30.0, at(9), attach(9, FanOutLimit::Normal));
+    let told = origin.poll_actions().messages;
+    assert!(told.iter().any(|(to, say)| *to == at(9) && matches!(say, Message::Attached(_))), "{told:?}");
+    // One that was promised nothing is rejected.
+    origin.handle_message(40.0, at(10), attach(10, FanOutLimit::Normal));
+    let told = origin.poll_actions().messages;
+    assert!(told.iter().any(|(to, say)| *to == at(10) && matches!(say, Message::Rejected)), "{told:?}");
+}
--- a/crates/plovershelf-server/src/driver/tenant_quotas.rs
+++ b/crates/plovershelf-server/src/driver/tenant_quotas.rs
@@ -3,7 +3,7 @@
 use plovershelf_settings::Names;
 
 use super::Driver;
-use crate::changes::Quotas;
+use crate::config_distribution::QuotaUpdate;
 
 /// The quotas of the start-up settings, in the tenants' order: they hold for tenants that no change names.
 pub(super) struct InitialQuotas {
@@ -23,7 +23,7 @@
         InitialQuotas { quotas_per_s: quotas_per_s.to_vec() }
     }
 
-    fn difference(&self, update: &Quotas, tenants: &Names, in_force: &[f64]) -> QuotaDifference {
+    fn difference(&self, update: &QuotaUpdate, tenants: &Names, in_force: &[f64]) -> QuotaDifference {
         let known = |(name, quota): (&str, Option<f64>)| {
             tenants.place(name).map(|index| (index, quota.unwrap_or(self.quotas_per_s[index])))
         };
@@ -31,7 +31,7 @@
             update.quotas.iter().filter_map(|(name, quota)| known((name.as_ref(), *quota))).collect();
         let unknown = update.quotas.len() - named.len();
         let differs = |(index, quota): &(usize, f64)| in_force[*index] != *quota;
-        if !update.whole {
+        if !update.is_snapshot {
             return QuotaDifference { changed: named.into_iter().filter(differs).collect(), unknown };
         }
         let mut next = self.quotas_per_s.clone();
@@ -42,7 +42,7 @@
 
 impl Driver {
     /// Applies quotas that are in force from now on.
-    pub(super) fn handle_quota_update(&mut self, update: &Quotas) {
+    pub(super) fn handle_quota_update(&mut self, update: &QuotaUpdate) {
         let Some(initial) = &self.initial_quotas else { return };
         let QuotaDifference { changed, unknown } =
             initial.difference(update, &self.startup.tenants, &self.startup.config.tenant_quotas_per_s);
--- a/crates/plovershelf-server/src/driver/tests.rs
+++ b/crates/plovershelf-server/src/driver/tests.rs
@@ -753,9 +753,9 @@
 /// no module runs yet.
 #[test]
 fn quotas_that_come_into_force_reach_the_module_by_the_tenants_places() {
-    let told = |whole: bool, quotas: &[(&str, Option<f64>)]| {
+    let told = |is_snapshot: bool, quotas: &[(&str, Option<f64>)]| {
         let quotas = quotas.iter().map(|(name, quota)| ((*name).into(), *quota)).collect();
-        Event::Quotas(crate::changes::Quotas { whole, quotas, ..Default::default() })
+        Event::Quotas(crate::config_distribution::QuotaUpdate { is_snapshot, quotas, ..Default::default() })
     };
     let mut stage = Stage::new();
     stage.driver.handle_event(told(true, &[("acme", Some(5.0))]));
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -54,7 +54,7 @@
     /// The operator's file of bulkheads was read again.
     Bulkheads(plovershelf_bulkhead::Plan),
     /// Tenants' quotas that are in force from now on.
-    Quotas(crate::changes::Quotas),
+    Quotas(crate::config_distribution::QuotaUpdate),
 }
 
 /// An event of the agent's link.
--- a/crates/plovershelf-server/src/group/storage.rs
+++ b/crates/plovershelf-server/src/group/storage.rs
@@ -11,6 +11,8 @@
 use plovershelf_config::group::Group as Setup;
 use rustix::fs::{flock, FlockOperation};
 
+use crate::entropy::random_id;
+
 /// The file within the folder.
 const FILE_NAME: &str = "group.log";
 /// A file is rewritten when it has grown over this and over [`REWRITE_GROWTH`] times what it was then.
@@ -53,17 +55,6 @@
     pub(super) persistent: Option<PersistentState<ClusterState>>,
 }
 
-/// A number that no other start draws.
-pub(crate) fn random_id() -> u64 {
-    let mut bytes = [0; 8];
-    let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
-    if read.is_err() {
-        use std::hash::{BuildHasher, Hasher};
-        return std::hash::RandomState::new().build_hasher().finish() | 1;
-    }
-    u64::from_ne_bytes(bytes) | 1
-}
-
 /// What the folder holds, or a new node in it. A file that is corrupt is put aside.
 ///
 /// Errors: the folder can't be used, or the file is another's.
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -19,7 +19,7 @@
 use crate::event::Event;
 use crate::listener::{listen, Acceptor};
 use crate::startup::{self, FixedParts, Launch, Peers, StartupError};
-use crate::{changes, group, registry};
+use crate::{config_distribution, group, registry};
 
 /// Why a backend can't start.
 #[derive(Debug, Error)]
@@ -191,14 +191,14 @@
 /// The thread that receives configuration changes, where an operator has set it up.
 fn start_distribution(
     executor: &LocalExecutor<'static>,
-    listener: Option<plovershelf_config::changes::Listener>,
+    listener: Option<plovershelf_config::config_distribution::Listener>,
     name: &str,
     events: &Sender<Event>,
-) -> Result<Option<Sender<changes::Incoming>>, ServiceError> {
+) -> Result<Option<Sender<config_distribution::Input>>, ServiceError> {
     let Some(listener) = listener else { return Ok(None) };
     let (sender, receiver) = async_channel::bounded(1);
-    let sink = changes::Sink::Quotas(sender);
-    let commands = changes::start_until_told(changes::Setup::of(listener), name.to_string(), sink)
+    let subscriber = config_distribution::Subscriber::Quotas(sender);
+    let commands = config_distribution::start_listener(listener.into(), name.to_string(), subscriber)
         .map_err(|error| ServiceError::Part(error.to_string()))?;
     forward(executor, receiver, events, Event::Quotas);
     Ok(Some(commands))
@@ -228,7 +228,7 @@
     events: Sender<Event>,
     classes: plovershelf_settings::Names,
     cluster: Option<Sender<group::Incoming>>,
-    distribution: Option<Sender<changes::Incoming>>,
+    distribution: Option<Sender<config_distribution::Input>>,
     give_notice: Sender<f64>,
     /// Time in which replicas are handed off after the notice.
     handoff_ms: f64,
@@ -261,7 +261,7 @@
             let _ = cluster.try_send(group::Incoming::Leave { within_ms: self.handoff_ms });
         }
         if let Some(distribution) = &self.distribution {
-            let _ = distribution.try_send(changes::Incoming::Leave);
+            let _ = distribution.try_send(config_distribution::Input::Shutdown);
         }
         let _ = self.give_notice.try_send(unix_ms());
     }
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -77,7 +77,7 @@
     /// The cluster that the backend belongs to, where the operator has set one.
     pub(crate) group: Option<plovershelf_config::group::Group>,
     /// Where configuration changes come from, where the operator has set it up.
-    pub(crate) changes: Option<plovershelf_config::changes::Listener>,
+    pub(crate) changes: Option<plovershelf_config::config_distribution::Listener>,
     /// What can't change while the program runs, to tell later whether it did.
     pub(crate) fixed: FixedParts,
 }
@@ -137,7 +137,7 @@
         plovershelf_config::group::read(path, text).map_err(|error| error.to_string())
     })?;
     launch.changes = read_operator_file(CHANGES_VARIABLE, |path, text| {
-        plovershelf_config::changes::read(path, text).map_err(|error| error.to_string())
+        plovershelf_config::config_distribution::read(path, text).map_err(|error| error.to_string())
     })?;
     Ok(launch)
 }
