--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -3,8 +3,7 @@
 
 pub mod audit;
 pub mod changes;
-#[path = "cluster/world.rs"]
-pub mod group;
+pub mod cluster;
 pub mod net;
 pub mod plot;
 pub mod replication;
