--- a/crates/plovershelf-bulkhead/src/pools.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads.rs
@@ -8,8 +8,8 @@
 //! | `begin`, `end` | a run or a call begins, if it may; ends, after so long, well or not |
 //! | `replace` | the operator's file was read again |
 
-use crate::limit::{Bounds, Limit, Way};
-use crate::room::{PoolTerms, Reserve, Rooms};
+use crate::capacity::{PoolTerms, Reserve, Rooms};
+use crate::concurrency_limit::{Bounds, Limit, Way};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
--- a/crates/plovershelf-bulkhead/src/lib.rs
+++ b/crates/plovershelf-bulkhead/src/lib.rs
@@ -2,10 +2,10 @@
 //! lent to others and a reserve that the cheapest always have. Pure: it is told what begins, ends and waits, and says
 //! who may begin. The sum over pools never passes the bounds that it is told, whatever its own limits say.
 
-pub mod limit;
-pub mod pools;
-pub mod room;
+pub mod bulkheads;
+pub mod capacity;
+pub mod concurrency_limit;
 
-pub use limit::{Bounds, Limit, Way};
-pub use pools::{Kind, Plan, Pools, Terms};
-pub use room::{PoolTerms, Reserve, Rooms};
+pub use bulkheads::{Kind, Plan, Pools, Terms};
+pub use capacity::{PoolTerms, Reserve, Rooms};
+pub use concurrency_limit::{Bounds, Limit, Way};
