--- a/crates/plovershelf-bulkhead/examples/compare.rs
+++ b/crates/plovershelf-bulkhead/examples/compare.rs
@@ -1,125 +1,195 @@
-//! The three ways of a limit on the same shapes of demand: `cargo run --release --example compare`. Each row is the mean
-//! over seeds 1 to 5; a place with 16 servers that share, where beyond 64 in hand less gets done.
+//! The three algorithms of a concurrency limit under the same demand: `cargo run --release --example compare`. Each row is
+//! the mean over seeds 1 to 5, of 16 servers that share the work, where beyond 64 in flight less gets done.
 
-use plovershelf_bulkhead::{Bounds, Limit, Way};
+use plovershelf_bulkhead::{ConcurrencyLimit, LimitAlgorithm, LimitBounds, WorkOutcome, WorkSample};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
 
 const SERVERS: f64 = 16.0;
-const CROWD: f64 = 64.0;
+/// Work in flight beyond which throughput sinks.
+const OVERLOAD_IN_FLIGHT: f64 = 64.0;
 const WORK_MS: f64 = 20.0;
-const CONTRACT_MS: f64 = 200.0;
+const LATENCY_OBJECTIVE_MS: f64 = 200.0;
 const STEP_MS: f64 = 0.5;
-const SPAN_MS: f64 = 40_000.0;
+const DURATION_MS: f64 = 40_000.0;
+const DISTURBANCE_MS: std::ops::Range<f64> = 15_000.0..25_000.0;
+/// The calm over which the swing of the limit is taken.
+const CALM_MS: std::ops::Range<f64> = 5_000.0..15_000.0;
+const BOUNDS: LimitBounds = LimitBounds { min: 4.0, max: 200.0 };
+const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
+/// A shape of demand. The factors hold during the disturbance.
 #[derive(Clone, Copy)]
 struct Shape {
     name: &'static str,
-    /// Of what the servers do.
+    /// As a fraction of what the servers do.
     demand: f64,
     /// Spread of single pieces of work.
     spread: f64,
-    /// Work, and the place, are so many times as slow between 15 and 25 s. The second does not hang on what is in hand.
-    costly: f64,
-    slow: f64,
-    alone: f64,
+    work_factor: f64,
+    slowdown: f64,
+    /// Slowdown that does not depend on what is in flight.
+    independent_slowdown: f64,
 }
 
-const STEADY: Shape = Shape { name: "steady", demand: 0.8, spread: 0.5, costly: 1.0, slow: 1.0, alone: 1.0 };
+const STEADY: Shape = Shape {
+    name: "steady",
+    demand: 0.8,
+    spread: 0.5,
+    work_factor: 1.0,
+    slowdown: 1.0,
+    independent_slowdown: 1.0,
+};
 const SHAPES: [Shape; 6] = [
     STEADY,
     Shape { name: "overload", demand: 1.5, ..STEADY },
-    Shape { name: "costly burst", costly: 4.0, ..STEADY },
-    Shape { name: "slowdown of all", slow: 3.0, ..STEADY },
-    Shape { name: "slow by itself", alone: 6.0, ..STEADY },
+    Shape { name: "costly burst", work_factor: 4.0, ..STEADY },
+    Shape { name: "slowdown of all", slowdown: 3.0, ..STEADY },
+    Shape { name: "slow by itself", independent_slowdown: 6.0, ..STEADY },
     Shape { name: "long tail", spread: 1.4, ..STEADY },
 ];
 
-struct Piece {
-    left_ms: f64,
-    lag_ms: f64,
-    asked_at: f64,
-    began: f64,
+struct Work {
+    work_left_ms: f64,
+    delay_left_ms: f64,
+    started_ms: f64,
 }
 
-struct Came {
-    served: f64,
+struct Outcome {
+    in_time_fraction: f64,
     mean_ms: f64,
-    most: f64,
-    swing: f64,
+    max_in_flight: f64,
+    limit_swing: f64,
 }
 
-fn play(way: Way, shape: Shape, seed: u64) -> Came {
-    let mut chance = Pcg64::seed_from_u64(seed);
-    let spread = LogNormal::new(-shape.spread * shape.spread / 2.0, shape.spread).expect("a fit spread");
-    let mut limit = Limit::new(way, Bounds { least: 4.0, most: 200.0 }, 16.0);
-    let (mut hand, mut asked, mut served, mut took): (Vec<Piece>, f64, f64, f64) =
-        (Vec::new(), 0.0, 0.0, 0.0);
-    let (mut ended, mut most, mut values) = (0.0f64, 0usize, Vec::new());
-    let mut now = 0.0;
-    while now < SPAN_MS {
-        now += STEP_MS;
-        let trouble = (15_000.0..25_000.0).contains(&now);
-        if chance.random::<f64>() < shape.demand * SERVERS / WORK_MS * STEP_MS {
-            asked += 1.0;
-            // What finds no room is turned away at once.
-            if (hand.len() as f64) < limit.value().floor() {
-                let costly = if trouble { shape.costly } else { 1.0 };
-                let lag_ms = if trouble { WORK_MS * (shape.alone - 1.0) } else { 0.0 };
-                let left_ms = WORK_MS * costly * spread.sample(&mut chance);
-                hand.push(Piece { left_ms, lag_ms, asked_at: now, began: now });
+struct Simulation {
+    shape: Shape,
+    random: Pcg64,
+    spread: LogNormal<f64>,
+    limit: ConcurrencyLimit,
+    now_ms: f64,
+    in_flight: Vec<Work>,
+    max_in_flight: usize,
+    arrived: f64,
+    ended: f64,
+    in_time: f64,
+    total_duration_ms: f64,
+    calm_limits: Vec<f64>,
+}
+
+impl Simulation {
+    fn new(algorithm: LimitAlgorithm, shape: Shape, seed: u64) -> Self {
+        let spread = LogNormal::new(-shape.spread * shape.spread / 2.0, shape.spread).expect("a fit spread");
+        Simulation {
+            shape,
+            random: Pcg64::seed_from_u64(seed),
+            spread,
+            limit: ConcurrencyLimit::new(algorithm, BOUNDS, SERVERS),
+            now_ms: 0.0,
+            in_flight: Vec::new(),
+            max_in_flight: 0,
+            arrived: 0.0,
+            ended: 0.0,
+            in_time: 0.0,
+            total_duration_ms: 0.0,
+            calm_limits: Vec::new(),
+        }
+    }
+
+    fn run(mut self) -> Outcome {
+        while self.now_ms < DURATION_MS {
+            self.now_ms += STEP_MS;
+            let is_disturbed = DISTURBANCE_MS.contains(&self.now_ms);
+            let active = if is_disturbed { self.shape } else { STEADY };
+            self.arrive(active);
+            self.max_in_flight = self.max_in_flight.max(self.in_flight.len());
+            self.work(active);
+            self.end();
+            if CALM_MS.contains(&self.now_ms) {
+                self.calm_limits.push(self.limit.limit());
             }
         }
-        most = most.max(hand.len());
-        let count = hand.len().max(1) as f64;
-        let slow = if trouble { shape.slow } else { 1.0 };
-        let rate = (SERVERS / count).min(1.0) * (CROWD / count).min(1.0) / slow;
-        let in_hand = hand.len();
-        for piece in &mut hand {
-            if piece.left_ms > 0.0 {
-                piece.left_ms -= rate * STEP_MS;
+        self.outcome()
+    }
+
+    /// What arrives above the limit is rejected at once.
+    fn arrive(&mut self, active: Shape) {
+        if self.random.random::<f64>() >= self.shape.demand * SERVERS / WORK_MS * STEP_MS {
+            return;
+        }
+        self.arrived += 1.0;
+        if (self.in_flight.len() as f64) < self.limit.limit().floor() {
+            self.in_flight.push(Work {
+                work_left_ms: WORK_MS * active.work_factor * self.spread.sample(&mut self.random),
+                delay_left_ms: WORK_MS * (active.independent_slowdown - 1.0),
+                started_ms: self.now_ms,
+            });
+        }
+    }
+
+    fn work(&mut self, active: Shape) {
+        let count = self.in_flight.len().max(1) as f64;
+        let rate = (SERVERS / count).min(1.0) * (OVERLOAD_IN_FLIGHT / count).min(1.0) / active.slowdown;
+        for work in &mut self.in_flight {
+            if work.work_left_ms > 0.0 {
+                work.work_left_ms -= rate * STEP_MS;
             } else {
-                piece.lag_ms -= STEP_MS;
+                work.delay_left_ms -= STEP_MS;
             }
         }
-        hand.retain(|piece| {
-            let over = piece.left_ms <= 0.0 && piece.lag_ms <= 0.0;
-            if over {
-                limit.ended(now, now - piece.began, in_hand, true);
-                (ended, took) = (ended + 1.0, took + now - piece.began);
-                served += f64::from(u8::from(now - piece.asked_at <= CONTRACT_MS));
-            }
-            !over
-        });
-        if (5_000.0..15_000.0).contains(&now) {
-            values.push(limit.value());
+    }
+
+    fn end(&mut self) {
+        let in_flight = self.in_flight.len();
+        let now_ms = self.now_ms;
+        for work in
+            self.in_flight.extract_if(.., |work| work.work_left_ms <= 0.0 && work.delay_left_ms <= 0.0)
+        {
+            let duration_ms = now_ms - work.started_ms;
+            self.limit.record(WorkSample { now_ms, duration_ms, in_flight, outcome: WorkOutcome::Succeeded });
+            self.ended += 1.0;
+            self.total_duration_ms = self.total_duration_ms + now_ms - work.started_ms;
+            self.in_time += f64::from(u8::from(duration_ms <= LATENCY_OBJECTIVE_MS));
         }
     }
-    let mean = values.iter().sum::<f64>() / values.len() as f64;
-    let variance = values.iter().map(|v| (v - mean) * (v - mean)).sum::<f64>() / values.len() as f64;
-    Came {
-        served: served / asked,
-        mean_ms: took / ended.max(1.0),
-        most: most as f64,
-        swing: variance.sqrt() / mean,
+
+    fn outcome(&self) -> Outcome {
+        let count = self.calm_limits.len() as f64;
+        let mean = self.calm_limits.iter().sum::<f64>() / count;
+        let variance =
+            self.calm_limits.iter().map(|limit| (limit - mean) * (limit - mean)).sum::<f64>() / count;
+        Outcome {
+            in_time_fraction: self.in_time / self.arrived,
+            mean_ms: self.total_duration_ms / self.ended.max(1.0),
+            max_in_flight: self.max_in_flight as f64,
+            limit_swing: variance.sqrt() / mean,
+        }
     }
 }
 
+/// The algorithms, as the table names them.
+const ALGORITHMS: [(&str, LimitAlgorithm); 3] = [
+    ("Additive", LimitAlgorithm::Aimd),
+    ("Gradient", LimitAlgorithm::Gradient),
+    ("Standing", LimitAlgorithm::DelayTarget),
+];
+
 fn main() {
     println!("{:18} {:10} {:>10} {:>9} {:>8} {:>7}", "shape", "way", "in time", "mean ms", "most", "swing");
     for shape in SHAPES {
-        for way in [Way::Additive, Way::Gradient, Way::Standing] {
-            let all: Vec<Came> = (1..=5).map(|seed| play(way, shape, seed)).collect();
-            let mean = |of: fn(&Came) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+        for (name, algorithm) in ALGORITHMS {
+            let outcomes: Vec<Outcome> =
+                SEEDS.map(|seed| Simulation::new(algorithm, shape, seed).run()).collect();
+            let mean = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
             println!(
                 "{:18} {:10} {:>10.3} {:>9.1} {:>8.1} {:>7.3}",
                 shape.name,
-                format!("{way:?}"),
-                mean(|came| came.served),
-                mean(|came| came.mean_ms),
-                mean(|came| came.most),
-                mean(|came| came.swing),
+                name,
+                mean(|outcome| outcome.in_time_fraction),
+                mean(|outcome| outcome.mean_ms),
+                mean(|outcome| outcome.max_in_flight),
+                mean(|outcome| outcome.limit_swing),
             );
         }
     }
--- a/crates/plovershelf-bulkhead/src/bulkheads.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads.rs
@@ -1,248 +1,297 @@
-//! The pools of one backend: which offering is in which, a limit each on runs and on calls that adapts to what those
-//! take, and the rooms that keep the sums within what the backend and its ledger survive.
+//! The bulkheads of one backend: which request class is in which, and for runs and for calls an adaptive limit each and
+//! the division of what the backend and its dependency bear.
 //!
-//! | told | when |
+//! | input | when |
 //! | --- | --- |
-//! | `bound` | the crowd that may run, or the share of calls, has changed: cold, warming, shrunk |
-//! | `waits` | how much of a pool waits for a core, or for its call |
-//! | `begin`, `end` | a run or a call begins, if it may; ends, after so long, well or not |
-//! | `replace` | the operator's file was read again |
+//! | [`set_total`](AdaptiveBulkheads::set_total) | the overload bound, or the share of calls, changed: slow start, a smaller share |
+//! | [`set_waiting`](AdaptiveBulkheads::set_waiting) | work waits for a core, or for its call |
+//! | [`try_start`](AdaptiveBulkheads::try_start), [`end`](AdaptiveBulkheads::end) | a run or a call would start; has ended |
+//! | [`set_in_flight`](AdaptiveBulkheads::set_in_flight), [`record`](AdaptiveBulkheads::record) | in place of the two above, for a caller that admits by itself |
+//! | [`replace`](AdaptiveBulkheads::replace) | the operator's file was read again |
 
-use crate::capacity::{PoolTerms, Reserve, Rooms};
-use crate::concurrency_limit::{Bounds, Limit, Way};
+use std::fmt;
 
+use crate::capacity::{CapacityAllocator, CapacityConfig, Reserve};
+use crate::concurrency_limit::{ConcurrencyLimit, LimitAlgorithm, LimitBounds, WorkOutcome, WorkSample};
+use crate::error::BulkheadError;
+
+/// What capacity is counted in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum WorkKind {
+    /// Execution on the backend's cores.
     Run,
+    /// An outbound call to the dependency.
     Call,
 }
 
-/// One pool in both kinds of room.
+impl fmt::Display for WorkKind {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            WorkKind::Run => "runs",
+            WorkKind::Call => "calls",
+        })
+    }
+}
+
+/// One bulkhead, for both kinds of work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct BulkheadConfig {
+    /// The operator's name for it.
     pub name: String,
-    /// Places of its offerings in the backend's table. One pool, the first, takes those that no pool names.
-    pub offerings: Vec<usize>,
-    pub least_runs: usize,
-    pub most_runs: usize,
-    pub least_calls: usize,
-    pub most_calls: usize,
+    /// Indices of its request classes. The first bulkhead takes also those that no bulkhead names.
+    pub classes: Vec<usize>,
+    /// Runs that it always has where it asks.
+    pub reserved_runs: usize,
+    /// Runs at most.
+    pub max_runs: usize,
+    /// Calls that it always has where it asks.
+    pub reserved_calls: usize,
+    /// Calls at most.
+    pub max_calls: usize,
+    /// Its part of what is left beyond reservations, against the others'.
     pub weight: f64,
 }
 
-/// What all pools of a backend are.
+impl BulkheadConfig {
+    fn capacity(&self, kind: WorkKind) -> CapacityConfig {
+        let (reserved, max) = match kind {
+            WorkKind::Run => (self.reserved_runs, self.max_runs),
+            WorkKind::Call => (self.reserved_calls, self.max_calls),
+        };
+        CapacityConfig { name: self.name.clone(), reserved, max, weight: self.weight }
+    }
+}
+
+/// All bulkheads of a backend.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    pub pools: Vec<Terms>,
+pub struct BulkheadPlan {
+    /// The bulkheads, in the file's order.
+    pub bulkheads: Vec<BulkheadConfig>,
+    /// Capacity that one of them always finds.
     pub reserve: Option<Reserve>,
 }
 
-/// What is to be seen of one pool, of one kind.
+/// What a bulkhead has of one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
-    pub in_hand: usize,
+pub struct BulkheadStatus {
+    /// Work in flight.
+    pub in_flight: usize,
+    /// The adaptive limit.
     pub limit: f64,
+    /// Work in flight beyond the limit.
     pub borrowed: usize,
-    /// Times that one more was not let begin since this was last asked.
-    pub held_back: u64,
-    pub base_ms: Option<f64>,
 }
 
+/// One kind of work: its capacity, and the bulkheads' adaptive limits on it.
 #[derive(Clone, Debug)]
-struct Side {
-    rooms: Rooms,
-    limits: Vec<Limit>,
-    total: usize,
-    held_back: Vec<u64>,
+struct KindState {
+    capacity: CapacityAllocator,
+    limits: Vec<ConcurrencyLimit>,
 }
 
-impl Side {
-    fn new(plan: &Plan, kind: Kind, total: usize) -> Result<Self, String> {
-        let terms = |pool: &Terms| {
-            let (least, most) = match kind {
-                Kind::Run => (pool.least_runs, pool.most_runs),
-                Kind::Call => (pool.least_calls, pool.most_calls),
-            };
-            PoolTerms { name: pool.name.clone(), least, most, weight: pool.weight }
-        };
-        let terms: Vec<PoolTerms> = plan.pools.iter().map(terms).collect();
-        let limit = |pool: &PoolTerms| {
-            let bounds = Bounds { least: pool.least.max(1) as f64, most: pool.most.max(1) as f64 };
-            // A cold one begins at its part, not at its most: what it takes is not known.
-            let sum: f64 = terms.iter().map(|other| other.weight).sum();
-            Limit::new(Way::Additive, bounds, total as f64 * pool.weight / sum)
+impl KindState {
+    fn new(plan: &BulkheadPlan, kind: WorkKind, total: usize) -> Result<Self, BulkheadError> {
+        let configs: Vec<CapacityConfig> =
+            plan.bulkheads.iter().map(|bulkhead| bulkhead.capacity(kind)).collect();
+        let weights: f64 = configs.iter().map(|config| config.weight).sum();
+        let limit = |config: &CapacityConfig| {
+            let bounds = LimitBounds { min: config.reserved.max(1) as f64, max: config.max.max(1) as f64 };
+            // It begins at its part and not at its maximum: what its work takes is not known yet.
+            ConcurrencyLimit::new(LimitAlgorithm::Aimd, bounds, total as f64 * config.weight / weights)
         };
-        let limits = terms.iter().map(limit).collect();
-        let held_back = vec![0; terms.len()];
-        let rooms = Rooms::new(terms.clone(), plan.reserve, total).map_err(|wrong| {
-            format!("{wrong}, counted in {}", if kind == Kind::Run { "runs" } else { "calls" })
-        })?;
-        Ok(Side { rooms, limits, total, held_back })
+        let limits = configs.iter().map(limit).collect();
+        let capacity = CapacityAllocator::new(configs, plan.reserve, total)
+            .map_err(|source| BulkheadError::Capacity { kind, source })?;
+        Ok(KindState { capacity, limits })
+    }
+
+    fn record(&mut self, bulkhead: usize, sample: WorkSample) {
+        self.limits[bulkhead].record(sample);
+        self.apply_limit(bulkhead);
+    }
+
+    fn apply_limit(&mut self, bulkhead: usize) {
+        let limit = self.limits[bulkhead].limit();
+        self.capacity.set_limit(bulkhead, limit);
+    }
+
+    /// Takes over what a bulkhead of the plan before had in flight and, where it keeps its name, had learnt.
+    fn adopt(&mut self, before: &KindState, old: usize, new: Option<usize>) {
+        self.capacity.adopt(new.unwrap_or(0), before.capacity.in_flight(old));
+        if let Some(new) = new {
+            let bounds = self.limits[new].bounds();
+            self.limits[new] = before.limits[old].clone();
+            self.limits[new].set_bounds(bounds);
+            self.apply_limit(new);
+        }
     }
 }
 
+/// Bulkheads whose limits adapt to what their work takes.
 #[derive(Clone, Debug)]
-pub struct Pools {
-    plan: Plan,
-    /// The pool of each offering.
-    of: Vec<usize>,
-    runs: Side,
-    calls: Side,
+pub struct AdaptiveBulkheads {
+    plan: BulkheadPlan,
+    bulkhead_of_class: Vec<usize>,
+    runs: KindState,
+    calls: KindState,
 }
 
-impl Pools {
-    /// Pools for so many offerings, with room for so many runs and calls when warm.
+impl AdaptiveBulkheads {
+    /// Bulkheads for so many request classes, with so many runs and calls in total when warm.
     ///
-    /// Errors: an offering in two pools, or that does not exist; what [`Rooms::new`] says of either kind.
-    pub fn new(plan: Plan, offerings: usize, runs: usize, calls: usize) -> Result<Self, String> {
-        let mut of = vec![None; offerings];
-        for (place, pool) in plan.pools.iter().enumerate() {
-            for offering in &pool.offerings {
-                match of.get_mut(*offering) {
-                    None => {
-                        return Err(format!("[pool {}] names offering {offering} of {offerings}", pool.name))
-                    }
-                    Some(Some(other)) => {
-                        let other: &Terms = &plan.pools[*other];
-                        return Err(format!(
-                            "[pool {}] names an offering of [pool {}]",
-                            pool.name, other.name
-                        ));
-                    }
-                    Some(slot) => *slot = Some(place),
-                }
-            }
-        }
-        let of = of.into_iter().map(|pool: Option<usize>| pool.unwrap_or(0)).collect();
-        let (runs, calls) = (Side::new(&plan, Kind::Run, runs)?, Side::new(&plan, Kind::Call, calls)?);
-        Ok(Pools { plan, of, runs, calls })
+    /// # Errors
+    /// A class in two bulkheads, or one that does not exist; capacities of either kind that do not fit.
+    pub fn new(
+        plan: BulkheadPlan,
+        classes: usize,
+        total_runs: usize,
+        total_calls: usize,
+    ) -> Result<Self, BulkheadError> {
+        let bulkhead_of_class = assign_classes(&plan, classes)?;
+        let runs = KindState::new(&plan, WorkKind::Run, total_runs)?;
+        let calls = KindState::new(&plan, WorkKind::Call, total_calls)?;
+        Ok(AdaptiveBulkheads { plan, bulkhead_of_class, runs, calls })
     }
 
-    /// The pool of an offering.
-    pub fn pool(&self, offering: usize) -> usize {
-        self.of.get(offering).copied().unwrap_or(0)
+    /// The bulkhead of a request class.
+    pub fn bulkhead_of_class(&self, class: usize) -> usize {
+        self.bulkhead_of_class.get(class).copied().unwrap_or(0)
     }
 
-    fn side(&mut self, kind: Kind) -> &mut Side {
-        match kind {
-            Kind::Run => &mut self.runs,
-            Kind::Call => &mut self.calls,
-        }
+    /// Names of the bulkheads, in their order.
+    pub fn names(&self) -> impl Iterator<Item = &str> {
+        self.plan.bulkheads.iter().map(|bulkhead| bulkhead.name.as_str())
     }
 
-    /// So much may be in hand of all pools from now on.
-    pub fn bound(&mut self, kind: Kind, total: usize) {
-        let side = self.side(kind);
-        side.total = total;
-        side.rooms.bound(total);
+    /// Sets what all bulkheads together may have in flight.
+    pub fn set_total(&mut self, kind: WorkKind, total: usize) {
+        self.kind_mut(kind).capacity.set_total(total);
     }
 
-    pub fn waits(&mut self, kind: Kind, pool: usize, waiting: usize) {
-        self.side(kind).rooms.waits(pool, waiting);
+    /// Sets how much of a bulkhead waits to start.
+    pub fn set_waiting(&mut self, kind: WorkKind, bulkhead: usize, waiting: usize) {
+        self.kind_mut(kind).capacity.set_waiting(bulkhead, waiting);
     }
 
-    /// One more of a pool would begin; it does where this says so.
-    pub fn begin(&mut self, kind: Kind, pool: usize) -> bool {
-        let side = self.side(kind);
-        let may = side.rooms.begin(pool);
-        side.held_back[pool] += u64::from(!may);
-        may
+    /// Starts one more of a bulkhead if it may; returns whether it did.
+    pub fn try_start(&mut self, kind: WorkKind, bulkhead: usize) -> bool {
+        self.kind_mut(kind).capacity.try_start(bulkhead)
     }
 
-    /// One has ended after so long; `well` is false where it was turned away or failed below. `None` for one that ended
-    /// without having shown what it takes: given up, cancelled.
-    pub fn end(&mut self, kind: Kind, pool: usize, now: f64, took_ms: Option<f64>, well: bool) {
-        let side = self.side(kind);
-        let in_hand = side.rooms.in_hand(pool);
-        side.rooms.end(pool);
-        if let Some(took_ms) = took_ms {
-            side.limits[pool].ended(now, took_ms, in_hand, well);
+    /// One ended after `duration_ms`; `None` for one that shows nothing of what it takes: given up, cancelled.
+    pub fn end(
+        &mut self,
+        kind: WorkKind,
+        bulkhead: usize,
+        now_ms: f64,
+        duration_ms: Option<f64>,
+        outcome: WorkOutcome,
+    ) {
+        let state = self.kind_mut(kind);
+        let in_flight = state.capacity.in_flight(bulkhead);
+        state.capacity.end(bulkhead);
+        match duration_ms {
+            Some(duration_ms) => {
+                state.record(bulkhead, WorkSample { now_ms, duration_ms, in_flight, outcome });
+            }
+            None => state.apply_limit(bulkhead),
         }
-        let limit = side.limits[pool].value();
-        side.rooms.limit(pool, limit);
     }
 
-    /// So much of a pool is in hand, for hosts that decide by themselves who begins, by the room that they were told.
-    pub fn counted(&mut self, kind: Kind, pool: usize, in_hand: usize) {
-        self.side(kind).rooms.counted(pool, in_hand);
+    /// Sets how much of a bulkhead is in flight, for a caller that admits by itself, by [`Self::available`].
+    pub fn set_in_flight(&mut self, kind: WorkKind, bulkhead: usize, in_flight: usize) {
+        self.kind_mut(kind).capacity.set_in_flight(bulkhead, in_flight);
     }
 
-    /// What one took, for the same hosts.
-    pub fn learn(&mut self, kind: Kind, pool: usize, now: f64, took_ms: f64, well: bool) {
-        let side = self.side(kind);
-        let in_hand = side.rooms.in_hand(pool);
-        side.limits[pool].ended(now, took_ms, in_hand, well);
-        let limit = side.limits[pool].value();
-        side.rooms.limit(pool, limit);
+    /// Learns what work took, for a caller that admits by itself.
+    pub fn record(
+        &mut self,
+        kind: WorkKind,
+        bulkhead: usize,
+        now_ms: f64,
+        duration_ms: f64,
+        outcome: WorkOutcome,
+    ) {
+        let state = self.kind_mut(kind);
+        let in_flight = state.capacity.in_flight(bulkhead);
+        state.record(bulkhead, WorkSample { now_ms, duration_ms, in_flight, outcome });
     }
 
-    /// What each pool could have now, asked it for all there is, while the others have and want what they do.
-    pub fn room(&self, kind: Kind) -> Vec<usize> {
-        let (rooms, total) = match kind {
-            Kind::Run => (&self.runs.rooms, self.runs.total),
-            Kind::Call => (&self.calls.rooms, self.calls.total),
-        };
-        (0..self.plan.pools.len()).map(|pool| rooms.room(pool, total)).collect()
+    /// What each bulkhead could have now, if it wanted the total, while the others have and want what they do.
+    pub fn available(&self, kind: WorkKind) -> Vec<usize> {
+        let capacity = &self.kind(kind).capacity;
+        (0..self.plan.bulkheads.len()).map(|bulkhead| capacity.available(bulkhead)).collect()
     }
 
-    /// Runs that a pool always has where it asks.
-    pub fn kept_runs(&self, pool: usize) -> usize {
-        let reserve = self.plan.reserve.filter(|reserve| reserve.pool == pool);
-        let reserved = reserve.map_or(0, |reserve| (reserve.share * self.runs.total as f64).ceil() as usize);
-        self.plan.pools[pool].least_runs.max(reserved).min(self.runs.total)
+    /// Runs that a bulkhead always has where it asks.
+    pub fn reserved_runs(&self, bulkhead: usize) -> usize {
+        let total = self.runs.capacity.total();
+        let reserve = self.plan.reserve.filter(|reserve| reserve.bulkhead == bulkhead);
+        let reserved = reserve.map_or(0, |reserve| reserve.of(total));
+        self.plan.bulkheads[bulkhead].reserved_runs.max(reserved).min(total)
     }
 
-    /// Names of the pools, in their order.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.plan.pools.iter().map(|pool| pool.name.as_str())
+    /// What a bulkhead has of one kind of work.
+    pub fn status(&self, kind: WorkKind, bulkhead: usize) -> BulkheadStatus {
+        let state = self.kind(kind);
+        BulkheadStatus {
+            in_flight: state.capacity.in_flight(bulkhead),
+            limit: state.limits[bulkhead].limit(),
+            borrowed: state.capacity.borrowed(bulkhead),
+        }
+    }
+
+    /// Takes a new plan, all or nothing. A bulkhead that keeps its name keeps its work in flight and what was learnt;
+    /// one that is gone leaves its work to the first.
+    ///
+    /// # Errors
+    /// As of [`Self::new`]; nothing has changed then.
+    pub fn replace(&mut self, plan: BulkheadPlan) -> Result<(), BulkheadError> {
+        let (total_runs, total_calls) = (self.runs.capacity.total(), self.calls.capacity.total());
+        let mut next = AdaptiveBulkheads::new(plan, self.bulkhead_of_class.len(), total_runs, total_calls)?;
+        for (old, name) in self.names().enumerate() {
+            let new = next.names().position(|other| other == name);
+            next.runs.adopt(&self.runs, old, new);
+            next.calls.adopt(&self.calls, old, new);
+        }
+        *self = next;
+        Ok(())
     }
 
-    /// What each pool may have now.
-    pub fn shares(&self, kind: Kind) -> Vec<usize> {
+    fn kind(&self, kind: WorkKind) -> &KindState {
         match kind {
-            Kind::Run => self.runs.rooms.shares(),
-            Kind::Call => self.calls.rooms.shares(),
+            WorkKind::Run => &self.runs,
+            WorkKind::Call => &self.calls,
         }
     }
 
-    pub fn figures(&mut self, kind: Kind, pool: usize) -> Figures {
-        let side = self.side(kind);
-        Figures {
-            in_hand: side.rooms.in_hand(pool),
-            limit: side.limits[pool].value(),
-            borrowed: side.rooms.borrowed(pool),
-            held_back: std::mem::take(&mut side.held_back[pool]),
-            base_ms: side.limits[pool].base_ms(),
+    fn kind_mut(&mut self, kind: WorkKind) -> &mut KindState {
+        match kind {
+            WorkKind::Run => &mut self.runs,
+            WorkKind::Call => &mut self.calls,
         }
     }
+}
 
-    /// Takes a new plan, all or nothing. What is in hand goes on in the pool of its offering's new place by name; pools that
-    /// have gone leave what they had to the first. What was learnt of a pool that keeps its name is kept.
-    ///
-    /// Errors: as of [`Pools::new`]; nothing has changed then.
-    pub fn replace(&mut self, plan: Plan) -> Result<(), String> {
-        let (runs, calls) = (self.runs.total, self.calls.total);
-        let mut next = Pools::new(plan, self.of.len(), runs, calls)?;
-        for (place, pool) in self.plan.pools.iter().enumerate() {
-            let to = next.plan.pools.iter().position(|other| other.name == pool.name);
-            for kind in [Kind::Run, Kind::Call] {
-                let (old, new) = match kind {
-                    Kind::Run => (&self.runs, &mut next.runs),
-                    Kind::Call => (&self.calls, &mut next.calls),
-                };
-                new.rooms.take_over(to.unwrap_or(0), old.rooms.in_hand(place));
-                if let Some(to) = to {
-                    let bounds = new.limits[to].bounds();
-                    new.limits[to] = old.limits[place].clone();
-                    new.limits[to].rebound(bounds);
-                    let limit = new.limits[to].value();
-                    new.rooms.limit(to, limit);
-                }
+/// The bulkhead of each class; the first for those that no bulkhead names.
+fn assign_classes(plan: &BulkheadPlan, classes: usize) -> Result<Vec<usize>, BulkheadError> {
+    let mut assigned: Vec<Option<usize>> = vec![None; classes];
+    for (place, BulkheadConfig { name, classes: own, .. }) in plan.bulkheads.iter().enumerate() {
+        let bulkhead = || name.clone();
+        for class in own {
+            let slot = assigned.get_mut(*class).ok_or_else(|| BulkheadError::UnknownClass {
+                bulkhead: bulkhead(),
+                class: *class,
+                classes,
+            })?;
+            if let Some(owner) = *slot {
+                let owner = plan.bulkheads[owner].name.clone();
+                return Err(BulkheadError::ClassInTwoBulkheads { bulkhead: bulkhead(), owner });
             }
+            *slot = Some(place);
         }
-        *self = next;
-        Ok(())
     }
+    Ok(assigned.into_iter().map(|bulkhead| bulkhead.unwrap_or(0)).collect())
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
@@ -1,136 +1,165 @@
 use super::*;
 
-fn terms(name: &str, offerings: &[usize], weight: f64) -> Terms {
-    Terms {
+fn config(name: &str, classes: &[usize], weight: f64) -> BulkheadConfig {
+    BulkheadConfig {
         name: name.into(),
-        offerings: offerings.to_vec(),
-        least_runs: 2,
-        most_runs: 60,
-        least_calls: 1,
-        most_calls: 30,
+        classes: classes.to_vec(),
+        reserved_runs: 2,
+        max_runs: 60,
+        reserved_calls: 1,
+        max_calls: 30,
         weight,
     }
 }
 
-fn plan() -> Plan {
-    let pools = vec![terms("cheap", &[0], 1.0), terms("dear", &[1, 2], 4.0)];
-    Plan { pools, reserve: Some(Reserve { pool: 0, share: 0.1 }) }
+/// A run in flight.
+struct Run {
+    ends_ms: f64,
+    bulkhead: usize,
+    run_ms: f64,
 }
 
-fn pools() -> Pools {
-    Pools::new(plan(), 4, 40, 20).expect("fit terms")
+fn plan() -> BulkheadPlan {
+    let bulkheads = vec![config("cheap", &[0], 1.0), config("dear", &[1, 2], 4.0)];
+    BulkheadPlan { bulkheads, reserve: Some(Reserve { bulkhead: 0, fraction: 0.1 }) }
 }
 
-/// Each pool would have so many runs in hand, of so long each; hands back how many of each ended in the span.
-fn plays(pools: &mut Pools, from: f64, span: f64, takes: [f64; 2], asks: [usize; 2]) -> [u32; 2] {
-    let mut hand: Vec<(f64, usize, f64)> = Vec::new();
-    let (mut ended, mut now) = ([0, 0], from);
-    while now < from + span {
-        now += 1.0;
-        let over: Vec<_> = hand.iter().filter(|(at, ..)| *at <= now).copied().collect();
-        hand.retain(|(at, ..)| *at > now);
-        for (_, pool, took) in over {
-            pools.end(Kind::Run, pool, now, Some(took), true);
-            ended[pool] += 1;
+fn bulkheads() -> AdaptiveBulkheads {
+    AdaptiveBulkheads::new(plan(), 4, 40, 20).expect("fit terms")
+}
+
+/// Each bulkhead wants so many runs in flight, of so many milliseconds each. Returns how many of each ended in the time.
+fn simulate(
+    bulkheads: &mut AdaptiveBulkheads,
+    start_ms: f64,
+    duration_ms: f64,
+    run_ms: [f64; 2],
+    wanted: [usize; 2],
+) -> [u32; 2] {
+    let mut in_flight: Vec<Run> = Vec::new();
+    let (mut ended, mut now_ms) = ([0, 0], start_ms);
+    while now_ms < start_ms + duration_ms {
+        now_ms += 1.0;
+        for run in in_flight.extract_if(.., |run| run.ends_ms <= now_ms) {
+            let Run { bulkhead, run_ms, .. } = run;
+            bulkheads.end(WorkKind::Run, bulkhead, now_ms, Some(run_ms), WorkOutcome::Succeeded);
+            ended[bulkhead] += 1;
         }
-        let in_hand =
-            |pool: usize, hand: &[(f64, usize, f64)]| hand.iter().filter(|(_, of, _)| *of == pool).count();
-        let waiting = [0, 1].map(|pool| asks[pool] - in_hand(pool, &hand));
-        for pool in [0, 1] {
-            pools.waits(Kind::Run, pool, waiting[pool]);
+        let count = |bulkhead: usize| in_flight.iter().filter(|run| run.bulkhead == bulkhead).count();
+        let waiting = [0, 1].map(|bulkhead| wanted[bulkhead] - count(bulkhead));
+        for bulkhead in [0, 1] {
+            bulkheads.set_waiting(WorkKind::Run, bulkhead, waiting[bulkhead]);
         }
-        for pool in [0, 1] {
-            for _ in 0..waiting[pool] {
-                if !pools.begin(Kind::Run, pool) {
+        for bulkhead in [0, 1] {
+            for _ in 0..waiting[bulkhead] {
+                if !bulkheads.try_start(WorkKind::Run, bulkhead) {
                     break;
                 }
-                hand.push((now + takes[pool], pool, takes[pool]));
+                in_flight.push(Run {
+                    ends_ms: now_ms + run_ms[bulkhead],
+                    bulkhead,
+                    run_ms: run_ms[bulkhead],
+                });
             }
         }
-        assert!(hand.len() <= 40, "{} at {now}", hand.len());
+        assert!(in_flight.len() <= 40, "{} at {now_ms}", in_flight.len());
+    }
+    for run in in_flight {
+        bulkheads.end(WorkKind::Run, run.bulkhead, now_ms, None, WorkOutcome::Succeeded);
     }
-    hand.into_iter().for_each(|(_, pool, _)| pools.end(Kind::Run, pool, now, None, true));
     ended
 }
 
+/// Ten times the capacity is asked for by the cheap class. The valuable class must hardly notice, and the cheap class must
+/// still be served.
 #[test]
-fn a_flood_of_the_cheap_does_not_starve_the_dear_and_the_cheap_do_not_die() {
-    let alone = plays(&mut pools(), 0.0, 5000.0, [20.0, 20.0], [0, 24])[1];
-    let [cheap, dear] = plays(&mut pools(), 0.0, 5000.0, [20.0, 20.0], [240, 24]);
+fn flood_of_the_cheap_class_starves_neither_class() {
+    let alone = simulate(&mut bulkheads(), 0.0, 5000.0, [20.0, 20.0], [0, 24])[1];
+    let [cheap, dear] = simulate(&mut bulkheads(), 0.0, 5000.0, [20.0, 20.0], [240, 24]);
     assert!(f64::from(dear) >= 0.97 * f64::from(alone), "{dear} of {alone}");
     assert!(cheap >= 500, "{cheap}");
 }
 
+/// The work of one bulkhead gets ten times as long. The limit of the other must not sink for it.
 #[test]
-fn a_costly_burst_in_one_pool_shrinks_that_one_alone() {
-    let mut pools = pools();
-    plays(&mut pools, 0.0, 3000.0, [20.0, 20.0], [30, 30]);
-    let before = pools.figures(Kind::Run, 1).limit;
-    plays(&mut pools, 3000.0, 400.0, [200.0, 20.0], [30, 30]);
-    assert!(pools.figures(Kind::Run, 1).limit >= before);
+fn long_work_in_one_bulkhead_does_not_lower_the_limit_of_another() {
+    let mut bulkheads = bulkheads();
+    simulate(&mut bulkheads, 0.0, 3000.0, [20.0, 20.0], [30, 30]);
+    let before = bulkheads.status(WorkKind::Run, 1).limit;
+    simulate(&mut bulkheads, 3000.0, 400.0, [200.0, 20.0], [30, 30]);
+    assert!(bulkheads.status(WorkKind::Run, 1).limit >= before);
 }
 
+/// A bulkhead has no traffic for an hour and lends all it has. With its traffic, its capacity must return within one run.
 #[test]
-fn a_pool_whose_traffic_comes_back_after_an_hour_has_its_room_within_one_run() {
-    let mut pools = pools();
-    plays(&mut pools, 0.0, 2000.0, [20.0, 20.0], [200, 30]);
-    plays(&mut pools, 2000.0, 10_000.0, [20.0, 20.0], [200, 0]);
-    let ended = plays(&mut pools, 3_600_000.0, 200.0, [20.0, 20.0], [200, 30]);
+fn lent_capacity_returns_within_one_run_after_an_idle_hour() {
+    let mut bulkheads = bulkheads();
+    simulate(&mut bulkheads, 0.0, 2000.0, [20.0, 20.0], [200, 30]);
+    simulate(&mut bulkheads, 2000.0, 10_000.0, [20.0, 20.0], [200, 0]);
+    let ended = simulate(&mut bulkheads, 3_600_000.0, 200.0, [20.0, 20.0], [200, 30]);
     assert!(ended[1] >= 150, "{ended:?}");
 }
 
+/// The operator lowers a maximum below what runs: nothing may be ended for it, and nothing started until it fits. A plan that
+/// is refused must change nothing.
 #[test]
-fn a_plan_that_shrinks_a_pool_below_what_it_runs_kills_nothing_and_a_bad_one_changes_nothing() {
-    let mut pools = pools();
-    pools.waits(Kind::Run, 1, 30);
-    let begun = (0..30).filter(|_| pools.begin(Kind::Run, 1)).count();
-    let bad = Plan { pools: vec![terms("a", &[0], 1.0), terms("b", &[0], 1.0)], reserve: None };
-    assert_eq!(pools.replace(bad), Err("[pool b] names an offering of [pool a]".into()));
-    assert_eq!(pools.figures(Kind::Run, 1).in_hand, begun);
+fn lower_maximum_ends_nothing_and_refused_plan_changes_nothing() {
+    let mut bulkheads = bulkheads();
+    bulkheads.set_waiting(WorkKind::Run, 1, 30);
+    let started = (0..30).filter(|_| bulkheads.try_start(WorkKind::Run, 1)).count();
+    let bulkheads_of_one_class = vec![config("a", &[0], 1.0), config("b", &[0], 1.0)];
+    let bad = BulkheadPlan { bulkheads: bulkheads_of_one_class, reserve: None };
+    let refusal = bulkheads.replace(bad).expect_err("one class twice");
+    assert_eq!(refusal.to_string(), "[pool b] names an offering of [pool a]");
+    assert_eq!(bulkheads.status(WorkKind::Run, 1).in_flight, started);
     let mut small = plan();
-    small.pools[1].most_runs = 5;
-    pools.replace(small).expect("fit terms");
-    pools.waits(Kind::Run, 1, 30);
-    for left in (5..begun).rev() {
-        assert!(!pools.begin(Kind::Run, 1));
-        pools.end(Kind::Run, 1, 1.0, None, true);
-        assert_eq!(pools.figures(Kind::Run, 1).in_hand, left);
+    small.bulkheads[1].max_runs = 5;
+    bulkheads.replace(small).expect("fit terms");
+    bulkheads.set_waiting(WorkKind::Run, 1, 30);
+    for left in (5..started).rev() {
+        assert!(!bulkheads.try_start(WorkKind::Run, 1));
+        bulkheads.end(WorkKind::Run, 1, 1.0, None, WorkOutcome::Succeeded);
+        assert_eq!(bulkheads.status(WorkKind::Run, 1).in_flight, left);
     }
-    pools.end(Kind::Run, 1, 1.0, None, true);
-    assert!(pools.begin(Kind::Run, 1) && !pools.begin(Kind::Run, 1));
+    bulkheads.end(WorkKind::Run, 1, 1.0, None, WorkOutcome::Succeeded);
+    assert!(bulkheads.try_start(WorkKind::Run, 1) && !bulkheads.try_start(WorkKind::Run, 1));
 }
 
+/// During slow start the total lies below the reservations. The total must hold.
 #[test]
-fn a_cold_successor_keeps_within_a_bound_below_all_that_is_promised() {
-    let mut pools = pools();
-    pools.bound(Kind::Run, 3);
-    for pool in [0, 1] {
-        pools.waits(Kind::Run, pool, 50);
+fn total_below_the_reservations_holds() {
+    let mut bulkheads = bulkheads();
+    bulkheads.set_total(WorkKind::Run, 3);
+    for bulkhead in [0, 1] {
+        bulkheads.set_waiting(WorkKind::Run, bulkhead, 50);
     }
-    let begun = (0..50).map(|n| usize::from(pools.begin(Kind::Run, n % 2))).sum::<usize>();
-    assert_eq!(begun, 3);
-    assert_eq!(pools.pool(3), 0);
+    let started = (0..50).map(|n| usize::from(bulkheads.try_start(WorkKind::Run, n % 2))).sum::<usize>();
+    assert_eq!(started, 3);
+    assert_eq!(bulkheads.bulkhead_of_class(3), 0);
 }
 
+/// The dependency fails all calls of one bulkhead. Its limit must sink to the least, the other must keep its own.
 #[test]
-fn a_ledger_that_errs_for_one_pool_leaves_the_others_calls() {
-    let mut pools = pools();
+fn failing_calls_of_one_bulkhead_leave_the_limit_of_another() {
+    let mut bulkheads = bulkheads();
     for n in 0..400 {
-        for pool in [0, 1] {
-            pools.waits(Kind::Call, pool, 5);
-            if pools.begin(Kind::Call, pool) {
-                pools.end(Kind::Call, pool, f64::from(n) * 10.0, Some(10.0), pool == 1);
+        for bulkhead in [0, 1] {
+            bulkheads.set_waiting(WorkKind::Call, bulkhead, 5);
+            let outcome = [WorkOutcome::Failed, WorkOutcome::Succeeded][bulkhead];
+            if bulkheads.try_start(WorkKind::Call, bulkhead) {
+                bulkheads.end(WorkKind::Call, bulkhead, f64::from(n) * 10.0, Some(10.0), outcome);
             }
         }
     }
-    let (failing, well) = (pools.figures(Kind::Call, 0).limit, pools.figures(Kind::Call, 1).limit);
-    assert!(failing <= 1.0 && well >= 12.0, "{failing}, {well}");
+    let (failing, healthy) =
+        (bulkheads.status(WorkKind::Call, 0).limit, bulkheads.status(WorkKind::Call, 1).limit);
+    assert!(failing <= 1.0 && healthy >= 12.0, "{failing}, {healthy}");
 }
 
 #[test]
-fn leasts_beyond_the_ledgers_share_are_refused_with_their_sum() {
+fn reservations_above_the_total_are_refused_with_their_sum() {
     let mut large = plan();
-    large.pools[0].least_calls = 25;
-    let wrong = Pools::new(large, 4, 40, 20).expect_err("too many");
-    assert_eq!(wrong, "the least of all pools add up to 26, and there is room for 20, counted in calls");
+    large.bulkheads[0].reserved_calls = 25;
+    let refusal = AdaptiveBulkheads::new(large, 4, 40, 20).expect_err("too many").to_string();
+    assert_eq!(refusal, "the least of all pools add up to 26, and there is room for 20, counted in calls");
 }
--- a/crates/plovershelf-bulkhead/src/capacity.rs
+++ b/crates/plovershelf-bulkhead/src/capacity.rs
@@ -1,198 +1,273 @@
-//! Room for one kind of work (runs on the cores, or calls below) shared among pools: who may begin one more.
+//! Capacity for one kind of work (runs on the cores, or outbound calls) divided among bulkheads.
+//!
+//! *Decides*: what each bulkhead may have in flight, and whether one may start one more.
+//! *Inputs*: each bulkhead's work in flight, work waiting, present limit; the total.
+//! *Rule*: each first gets what is reserved for it, then one unit at a time goes to the bulkhead furthest below its
+//! weight, up to the limits, then beyond them up to the maxima. The reserve is left to its owner.
+//! *Why*: idle capacity serves whoever waits, and its owner has it back with the next end of work.
+//! *Source*: weighted max-min fairness; Nygard, "Release It!", "Bulkheads".
+//! *Without it*: a flood of one bulkhead takes the capacity of the others.
 
-/// A pool as an operator names it.
+use crate::error::CapacityError;
+
+/// Capacity of one bulkhead for one kind of work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PoolTerms {
-    pub name: String,
-    /// What it always has where it asks, and the most that it may have.
-    pub least: usize,
-    pub most: usize,
-    /// Its part of what is left beyond the least, against the others'.
-    pub weight: f64,
+pub(crate) struct CapacityConfig {
+    /// The bulkhead's name.
+    pub(crate) name: String,
+    /// What it always has where it asks.
+    pub(crate) reserved: usize,
+    /// The most that it may have.
+    pub(crate) max: usize,
+    /// Its part of what is left beyond reservations, against the others'.
+    pub(crate) weight: f64,
 }
 
-/// Room that one pool, that of the cheapest, always finds: the others may not take the last of it.
+/// Capacity that one bulkhead, that of the least valuable requests, always finds: the others may not take the last of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
-    pub pool: usize,
-    /// Of all the room, from 0 to a half.
-    pub share: f64,
+    /// The index of the bulkhead that owns it.
+    pub bulkhead: usize,
+    /// Fraction of the total, from 0 to [`MAX_RESERVE_FRACTION`].
+    pub fraction: f64,
+}
+
+/// The largest reserve, as a fraction of the total.
+const MAX_RESERVE_FRACTION: f64 = 0.5;
+
+impl Reserve {
+    /// Whole units of a total.
+    pub(crate) fn of(self, total: usize) -> usize {
+        (self.fraction * total as f64).ceil() as usize
+    }
+}
+
+/// How far the second part of an allocation may go for a bulkhead.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Ceiling {
+    /// Its present limit.
+    Limit,
+    /// Its maximum: what is beyond the limit is borrowed.
+    Max,
 }
 
 #[derive(Clone, Debug)]
-struct Pool {
-    terms: PoolTerms,
+struct Slot {
+    config: CapacityConfig,
     /// The present limit, as it adapts.
     limit: usize,
-    in_hand: usize,
+    in_flight: usize,
     waiting: usize,
 }
 
-/// The room of all pools. Its sum is bounded by what it is told last; what is in hand beyond that, as the bound sank, only
-/// keeps others from beginning.
+impl Slot {
+    fn ceiling(&self, ceiling: Ceiling) -> usize {
+        match ceiling {
+            Ceiling::Limit => self.limit,
+            Ceiling::Max => self.config.max,
+        }
+    }
+}
+
+/// The capacity of all bulkheads. Its sum is bounded by the total that was set last; work in flight beyond that, where
+/// the total sank, only keeps more from starting.
 #[derive(Clone, Debug)]
-pub struct Rooms {
-    pools: Vec<Pool>,
+pub(crate) struct CapacityAllocator {
+    slots: Vec<Slot>,
     reserve: Option<Reserve>,
     total: usize,
 }
 
-impl Rooms {
-    /// Errors name the pool and what would be right: no pools, a weight that is none, a least above the most, leasts that
-    /// add up to more than there is.
-    pub fn new(terms: Vec<PoolTerms>, reserve: Option<Reserve>, total: usize) -> Result<Self, String> {
-        if terms.is_empty() {
-            return Err("no pool is named; one at least is needed".into());
-        }
-        for pool in &terms {
-            if !(pool.weight.is_finite() && pool.weight > 0.0) {
-                return Err(format!("[pool {}] weight = {}: a number above 0", pool.name, pool.weight));
-            }
-            if pool.least > pool.most {
-                return Err(format!(
-                    "[pool {}] least {} is above most {}: at most {}",
-                    pool.name, pool.least, pool.most, pool.most
-                ));
-            }
-        }
-        if let Some(reserve) = reserve {
-            if reserve.pool >= terms.len() || !(0.0..=0.5).contains(&reserve.share) {
-                return Err(format!(
-                    "reserve = {}: a share from 0 to 0.5 for a pool that is named",
-                    reserve.share
-                ));
-            }
-        }
-        let sum: usize = terms.iter().map(|pool| pool.least).sum();
-        if sum > total {
-            return Err(format!("the least of all pools add up to {sum}, and there is room for {total}"));
-        }
-        let pools = terms.into_iter().map(|terms| Pool { limit: terms.most, terms, in_hand: 0, waiting: 0 });
-        Ok(Rooms { pools: pools.collect(), reserve, total })
+impl CapacityAllocator {
+    /// # Errors
+    /// No bulkhead, a bad weight or reserve, reservations that are above a maximum or, added up, above the total.
+    pub(crate) fn new(
+        configs: Vec<CapacityConfig>,
+        reserve: Option<Reserve>,
+        total: usize,
+    ) -> Result<Self, CapacityError> {
+        validate(&configs, reserve, total)?;
+        let slots =
+            configs.into_iter().map(|config| Slot { limit: config.max, config, in_flight: 0, waiting: 0 });
+        Ok(CapacityAllocator { slots: slots.collect(), reserve, total })
     }
 
-    /// The bound on the sum, as it is now; in a cold state it may lie below what pools are promised.
-    pub fn bound(&mut self, total: usize) {
+    /// Sets the total. During slow start it may lie below the reservations.
+    pub(crate) fn set_total(&mut self, total: usize) {
         self.total = total;
     }
 
-    /// What an adaptive limit says for a pool, within its terms.
-    pub fn limit(&mut self, pool: usize, limit: f64) {
-        let terms = &self.pools[pool].terms;
-        let limit = if limit.is_finite() { limit.max(0.0).floor() as usize } else { terms.most };
-        self.pools[pool].limit = limit.clamp(terms.least, terms.most);
+    /// Sets a bulkhead's limit, as its adaptive limit has it, within its configuration.
+    pub(crate) fn set_limit(&mut self, bulkhead: usize, limit: f64) {
+        let slot = &mut self.slots[bulkhead];
+        let limit = if limit.is_finite() { limit.max(0.0).floor() as usize } else { slot.config.max };
+        slot.limit = limit.clamp(slot.config.reserved, slot.config.max);
     }
 
-    /// So much of a pool waits to begin.
-    pub fn waits(&mut self, pool: usize, waiting: usize) {
-        self.pools[pool].waiting = waiting;
+    /// Sets how much of a bulkhead waits to start.
+    pub(crate) fn set_waiting(&mut self, bulkhead: usize, waiting: usize) {
+        self.slots[bulkhead].waiting = waiting;
     }
 
-    pub fn in_hand(&self, pool: usize) -> usize {
-        self.pools[pool].in_hand
+    /// Sets how much of a bulkhead is in flight, whatever was allowed to start.
+    pub(crate) fn set_in_flight(&mut self, bulkhead: usize, in_flight: usize) {
+        self.slots[bulkhead].in_flight = in_flight;
     }
 
-    fn all_in_hand(&self) -> usize {
-        self.pools.iter().map(|pool| pool.in_hand).sum()
+    /// Starts one more of a bulkhead if it may; returns whether it did.
+    pub(crate) fn try_start(&mut self, bulkhead: usize) -> bool {
+        let may_start = self.may_start(bulkhead);
+        if may_start {
+            let slot = &mut self.slots[bulkhead];
+            slot.in_flight += 1;
+            slot.waiting = slot.waiting.saturating_sub(1);
+        }
+        may_start
     }
 
-    /// Room that all but its owner leave alone, as far as the owner has not taken it.
-    fn kept(&self, from: usize) -> usize {
-        let Some(reserve) = self.reserve.filter(|reserve| reserve.pool != from) else { return 0 };
-        let room = ((reserve.share * self.total as f64).ceil() as usize).min(self.total);
-        room.saturating_sub(self.pools[reserve.pool].in_hand)
+    /// One of a bulkhead ended.
+    pub(crate) fn end(&mut self, bulkhead: usize) {
+        self.slots[bulkhead].in_flight = self.slots[bulkhead].in_flight.saturating_sub(1);
     }
 
-    /// What each pool may have now, by what it has in hand and waits for: first its least, then by weights, each up to
-    /// its limit, and what nobody in need is entitled to goes to those who wait. The sum is the bound at most.
-    pub fn shares(&self) -> Vec<usize> {
-        let mut shares = vec![0usize; self.pools.len()];
-        let wants = |pool: &Pool| pool.in_hand + pool.waiting;
-        // In a cold state not even the least fits: one at a time to each, so that none is left out for its place.
-        let mut left = self.total;
-        let own = |pool: &Pool| {
-            let reserved = self.reserve.filter(|r| std::ptr::eq(&self.pools[r.pool], pool));
-            let reserved = reserved.map_or(0, |r| (r.share * self.total as f64).ceil() as usize);
-            wants(pool).min(pool.terms.least.max(reserved))
-        };
-        loop {
-            let mut given = false;
-            for (share, pool) in shares.iter_mut().zip(&self.pools) {
-                if left > 0 && *share < own(pool) {
-                    (*share, left, given) = (*share + 1, left - 1, true);
-                }
-            }
-            if !given {
-                break;
-            }
-        }
-        // Beyond it one at a time to whoever is furthest below its weight; first within limits, then beyond them.
-        for lent in [false, true] {
-            while left > 0 {
-                let most = |pool: &Pool| if lent { pool.terms.most } else { pool.limit };
-                let open = |place: &usize| {
-                    shares[*place] < wants(&self.pools[*place]).min(most(&self.pools[*place]))
-                };
-                let need = |place: &usize| (shares[*place] as f64 + 1.0) / self.pools[*place].terms.weight;
-                let next = (0..shares.len()).filter(open).min_by(|a, b| need(a).total_cmp(&need(b)));
-                let Some(place) = next else { break };
-                (shares[place], left) = (shares[place] + 1, left - 1);
-            }
-            if lent {
-                break;
-            }
-        }
-        shares
+    /// Takes in work that started under another plan.
+    pub(crate) fn adopt(&mut self, bulkhead: usize, in_flight: usize) {
+        self.slots[bulkhead].in_flight += in_flight;
+    }
+
+    /// The total that was set last.
+    pub(crate) fn total(&self) -> usize {
+        self.total
+    }
+
+    /// Work of a bulkhead in flight.
+    pub(crate) fn in_flight(&self, bulkhead: usize) -> usize {
+        self.slots[bulkhead].in_flight
+    }
+
+    /// What a bulkhead has beyond its limit, lent to it until the owners ask.
+    pub(crate) fn borrowed(&self, bulkhead: usize) -> usize {
+        self.slots[bulkhead].in_flight.saturating_sub(self.slots[bulkhead].limit)
+    }
+
+    /// What a bulkhead could have if it wanted the total, while the others have and want what they do.
+    pub(crate) fn available(&self, bulkhead: usize) -> usize {
+        let mut wanted = self.wanted();
+        wanted[bulkhead] = self.slots[bulkhead].in_flight + self.total;
+        self.allocate(&wanted)[bulkhead].min(self.total.saturating_sub(self.reserved_from(bulkhead)))
     }
 
-    /// May a pool begin one more? Where it may not, what it has lent, or others are owed, comes first.
-    pub fn may_begin(&self, pool: usize) -> bool {
-        let own = &self.pools[pool];
-        if self.all_in_hand() + self.kept(pool) >= self.total || own.in_hand >= own.terms.most {
+    /// Whether a bulkhead may start one more: not where the total or its maximum is reached, nor where what it has lent,
+    /// or what others are owed, comes first.
+    fn may_start(&self, bulkhead: usize) -> bool {
+        let slot = &self.slots[bulkhead];
+        if self.total_in_flight() + self.reserved_from(bulkhead) >= self.total
+            || slot.in_flight >= slot.config.max
+        {
             return false;
         }
-        // Asked for one more than it may have said that waits.
-        let mut asked = self.clone();
-        asked.pools[pool].waiting = own.waiting.max(1);
-        own.in_hand < asked.shares()[pool]
-    }
-
-    /// Work of a pool begins; tells whether it may.
-    pub fn begin(&mut self, pool: usize) -> bool {
-        let may = self.may_begin(pool);
-        if may {
-            self.pools[pool].in_hand += 1;
-            self.pools[pool].waiting = self.pools[pool].waiting.saturating_sub(1);
-        }
-        may
+        // It wants this one at least, also where it had none waiting.
+        let mut wanted = self.wanted();
+        wanted[bulkhead] = slot.in_flight + slot.waiting.max(1);
+        slot.in_flight < self.allocate(&wanted)[bulkhead]
     }
 
-    pub fn end(&mut self, pool: usize) {
-        self.pools[pool].in_hand = self.pools[pool].in_hand.saturating_sub(1);
+    fn wanted(&self) -> Vec<usize> {
+        self.slots.iter().map(|slot| slot.in_flight + slot.waiting).collect()
     }
 
-    /// So much is in hand, whatever was let begin.
-    pub fn counted(&mut self, pool: usize, in_hand: usize) {
-        self.pools[pool].in_hand = in_hand;
+    fn total_in_flight(&self) -> usize {
+        self.slots.iter().map(|slot| slot.in_flight).sum()
     }
 
-    /// What a pool could have, asked it for so much.
-    pub fn room(&self, pool: usize, asked: usize) -> usize {
-        let mut all = self.clone();
-        all.pools[pool].waiting = asked;
-        // The reserve is left to its owner.
-        all.shares()[pool].min(self.total.saturating_sub(self.kept(pool)))
+    /// What of the reserve a bulkhead must leave to its owner, as far as the owner has not taken it.
+    fn reserved_from(&self, bulkhead: usize) -> usize {
+        let Some(reserve) = self.reserve.filter(|reserve| reserve.bulkhead != bulkhead) else { return 0 };
+        reserve.of(self.total).min(self.total).saturating_sub(self.slots[reserve.bulkhead].in_flight)
     }
 
-    /// Work that began under another plan goes on here.
-    pub fn take_over(&mut self, pool: usize, in_hand: usize) {
-        self.pools[pool].in_hand += in_hand;
+    /// What a bulkhead has before the others' weights count, of what it wants.
+    fn reservation(&self, bulkhead: usize, wanted: usize) -> usize {
+        let reserve = self.reserve.filter(|reserve| reserve.bulkhead == bulkhead);
+        let reserved = reserve.map_or(0, |reserve| reserve.of(self.total));
+        wanted.min(self.slots[bulkhead].config.reserved.max(reserved))
     }
 
-    /// What a pool has beyond its own part: lent to it until the owners ask.
-    pub fn borrowed(&self, pool: usize) -> usize {
-        self.pools[pool].in_hand.saturating_sub(self.pools[pool].limit)
+    /// Divides the total, given what each bulkhead wants in flight. The sum is the total at most.
+    fn allocate(&self, wanted: &[usize]) -> Vec<usize> {
+        let mut allocated = vec![0usize; self.slots.len()];
+        let mut left = self.allocate_reservations(wanted, &mut allocated);
+        for ceiling in [Ceiling::Limit, Ceiling::Max] {
+            left = self.allocate_by_weight(wanted, ceiling, left, &mut allocated);
+        }
+        allocated
+    }
+
+    /// Gives one unit to each in turn, so that none goes without for its place where not even the reservations fit, as
+    /// during slow start. Returns what is left.
+    fn allocate_reservations(&self, wanted: &[usize], allocated: &mut [usize]) -> usize {
+        let mut left = self.total;
+        loop {
+            let mut has_given = false;
+            for (bulkhead, allocated) in allocated.iter_mut().enumerate() {
+                if left > 0 && *allocated < self.reservation(bulkhead, wanted[bulkhead]) {
+                    *allocated += 1;
+                    left -= 1;
+                    has_given = true;
+                }
+            }
+            if !has_given {
+                return left;
+            }
+        }
+    }
+
+    /// Gives one unit at a time to the bulkhead furthest below its weight. Returns what is left.
+    fn allocate_by_weight(
+        &self,
+        wanted: &[usize],
+        ceiling: Ceiling,
+        mut left: usize,
+        allocated: &mut [usize],
+    ) -> usize {
+        while left > 0 {
+            let is_open =
+                |place: &usize| allocated[*place] < wanted[*place].min(self.slots[*place].ceiling(ceiling));
+            let weighted =
+                |place: &usize| (allocated[*place] as f64 + 1.0) / self.slots[*place].config.weight;
+            let next =
+                (0..allocated.len()).filter(is_open).min_by(|a, b| weighted(a).total_cmp(&weighted(b)));
+            let Some(place) = next else { break };
+            allocated[place] += 1;
+            left -= 1;
+        }
+        left
+    }
+}
+
+fn validate(configs: &[CapacityConfig], reserve: Option<Reserve>, total: usize) -> Result<(), CapacityError> {
+    if configs.is_empty() {
+        return Err(CapacityError::NoBulkhead);
+    }
+    for CapacityConfig { name, reserved, max, weight } in configs {
+        if !(weight.is_finite() && *weight > 0.0) {
+            return Err(CapacityError::BadWeight { bulkhead: name.clone(), weight: *weight });
+        }
+        if reserved > max {
+            let (bulkhead, reserved, max) = (name.clone(), *reserved, *max);
+            return Err(CapacityError::ReservedAboveMax { bulkhead, reserved, max });
+        }
+    }
+    if let Some(Reserve { bulkhead, fraction }) = reserve {
+        if bulkhead >= configs.len() || !(0.0..=MAX_RESERVE_FRACTION).contains(&fraction) {
+            return Err(CapacityError::BadReserve { fraction });
+        }
+    }
+    let reserved: usize = configs.iter().map(|config| config.reserved).sum();
+    if reserved > total {
+        return Err(CapacityError::ReservedAboveTotal { reserved, total });
     }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-bulkhead/src/capacity/tests.rs
+++ b/crates/plovershelf-bulkhead/src/capacity/tests.rs
@@ -2,119 +2,126 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn pool(name: &str, least: usize, weight: f64) -> PoolTerms {
-    PoolTerms { name: name.into(), least, most: 1000, weight }
+fn config(name: &str, reserved: usize, weight: f64) -> CapacityConfig {
+    CapacityConfig { name: name.into(), reserved, max: 1000, weight }
 }
 
-/// A cheap pool with the reserve, and a dear one.
-fn two(total: usize) -> Rooms {
-    let reserve = Some(Reserve { pool: 0, share: 0.1 });
-    Rooms::new(vec![pool("cheap", 1, 1.0), pool("dear", 4, 10.0)], reserve, total).expect("fit terms")
+/// Bulkhead 0, cheap, with the reserve, and 1, of ten times its weight.
+fn two_bulkheads(total: usize) -> CapacityAllocator {
+    let reserve = Some(Reserve { bulkhead: 0, fraction: 0.1 });
+    CapacityAllocator::new(vec![config("cheap", 1, 1.0), config("dear", 4, 10.0)], reserve, total)
+        .expect("fit terms")
 }
 
-fn fill(rooms: &mut Rooms, pool: usize, waiting: usize) -> usize {
-    rooms.waits(pool, waiting);
-    (0..waiting).filter(|_| rooms.begin(pool)).count()
+/// Starts what it can of so much that waits; returns how much started.
+fn fill(capacity: &mut CapacityAllocator, bulkhead: usize, waiting: usize) -> usize {
+    capacity.set_waiting(bulkhead, waiting);
+    (0..waiting).filter(|_| capacity.try_start(bulkhead)).count()
 }
 
+/// One bulkhead is idle and the other takes all. When the owner of the idle part asks, each end must go to it.
 #[test]
-fn unused_room_serves_others_and_comes_back_with_the_next_end() {
-    let mut rooms = two(20);
-    assert_eq!(fill(&mut rooms, 0, 100), 20);
-    rooms.waits(1, 50);
-    assert!(!rooms.begin(1));
+fn idle_capacity_is_lent_and_returns_with_the_next_end() {
+    let mut capacity = two_bulkheads(20);
+    assert_eq!(fill(&mut capacity, 0, 100), 20);
+    capacity.set_waiting(1, 50);
+    assert!(!capacity.try_start(1));
     for _ in 0..10 {
-        rooms.end(0);
-        assert!(!rooms.begin(0) && rooms.begin(1));
+        capacity.end(0);
+        assert!(!capacity.try_start(0) && capacity.try_start(1));
     }
 }
 
+/// A flood of the valuable class takes all that it may. The reserve must be left for its owner.
 #[test]
-fn the_cheapest_find_their_reserve_under_any_flood_of_the_dear() {
-    let mut rooms = two(20);
-    assert_eq!(fill(&mut rooms, 1, 500), 18);
-    rooms.waits(0, 500);
-    assert!(rooms.begin(0) && rooms.begin(0) && !rooms.begin(0));
-    rooms.end(0);
-    assert!(!rooms.begin(1) && rooms.begin(0));
+fn reserve_is_left_to_its_owner_under_a_flood_of_others() {
+    let mut capacity = two_bulkheads(20);
+    assert_eq!(fill(&mut capacity, 1, 500), 18);
+    capacity.set_waiting(0, 500);
+    assert!(capacity.try_start(0) && capacity.try_start(0) && !capacity.try_start(0));
+    capacity.end(0);
+    assert!(!capacity.try_start(1) && capacity.try_start(0));
 }
 
 #[test]
-fn room_goes_by_weight_where_all_ask() {
-    let mut rooms = two(44);
-    rooms.waits(0, 500);
-    rooms.waits(1, 500);
-    let shares = rooms.shares();
-    assert_eq!(shares.iter().sum::<usize>(), 44);
-    assert!(shares[0] >= 4 && shares[1] >= 36, "{shares:?}");
+fn capacity_goes_by_weight_where_all_ask() {
+    let mut capacity = two_bulkheads(44);
+    capacity.set_waiting(0, 500);
+    capacity.set_waiting(1, 500);
+    let allocated = capacity.allocate(&capacity.wanted());
+    assert_eq!(allocated.iter().sum::<usize>(), 44);
+    assert!(allocated[0] >= 4 && allocated[1] >= 36, "{allocated:?}");
 }
 
+/// The total sinks below what is in flight. Nothing may be ended for it, and nothing started until it fits.
 #[test]
-fn a_bound_that_sinks_kills_nothing_and_lets_nothing_begin_until_it_fits() {
-    let mut rooms = two(20);
-    fill(&mut rooms, 1, 18);
-    rooms.bound(6);
-    rooms.waits(0, 5);
+fn lower_total_ends_nothing_and_starts_nothing_until_it_fits() {
+    let mut capacity = two_bulkheads(20);
+    fill(&mut capacity, 1, 18);
+    capacity.set_total(6);
+    capacity.set_waiting(0, 5);
     for left in (5..18).rev() {
-        assert!(!rooms.begin(1) && !rooms.begin(0));
-        rooms.end(1);
-        assert_eq!(rooms.in_hand(1), left);
+        assert!(!capacity.try_start(1) && !capacity.try_start(0));
+        capacity.end(1);
+        assert_eq!(capacity.in_flight(1), left);
     }
-    assert!(rooms.begin(0));
+    assert!(capacity.try_start(0));
 }
 
 #[test]
-fn what_is_wrong_with_pools_is_named() {
-    let wrong = |pools: Vec<PoolTerms>, total| Rooms::new(pools, None, total).expect_err("wrong");
-    assert!(wrong(vec![], 10).starts_with("no pool"));
-    let sum = wrong(vec![pool("a", 6, 1.0), pool("b", 5, 1.0)], 10);
+fn refused_configuration_is_named() {
+    let refusal = |configs: Vec<CapacityConfig>, total| {
+        CapacityAllocator::new(configs, None, total).expect_err("refused").to_string()
+    };
+    assert!(refusal(vec![], 10).starts_with("no pool"));
+    let sum = refusal(vec![config("a", 6, 1.0), config("b", 5, 1.0)], 10);
     assert_eq!(sum, "the least of all pools add up to 11, and there is room for 10");
-    assert!(wrong(vec![pool("a", 1, 0.0)], 10).starts_with("[pool a] weight = 0"));
-    let above = PoolTerms { most: 2, ..pool("a", 3, 1.0) };
-    assert!(wrong(vec![above], 10).starts_with("[pool a] least 3 is above most 2"));
+    assert!(refusal(vec![config("a", 1, 0.0)], 10).starts_with("[pool a] weight = 0"));
+    let above = CapacityConfig { max: 2, ..config("a", 3, 1.0) };
+    assert!(refusal(vec![above], 10).starts_with("[pool a] least 3 is above most 2"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever begins, ends, waits, adapts and sinks: nothing begins past the bound, the reserve is never taken by
-    /// others, no pool passes its most, and where there is room and somebody waits, somebody may begin.
+    /// Any order of starts, ends, waiting work, limits and totals: nothing starts past the total, others never take the
+    /// reserve, no bulkhead passes its maximum, and where capacity is left and work waits, some may start.
     #[test]
-    fn the_sum_never_passes_the_bound(
+    fn sum_in_flight_never_grows_past_the_total(
         steps in proptest::collection::vec((0u8..5, 0usize..4, 0usize..40), 1..300),
-        leasts in proptest::collection::vec(0usize..4, 4),
-        share in 0.0f64..0.5,
+        reservations in proptest::collection::vec(0usize..4, 4),
+        fraction in 0.0f64..0.5,
     ) {
-        let terms = leasts.iter().enumerate().map(|(n, least)| PoolTerms {
-            name: n.to_string(), least: *least, most: 15, weight: 1.0 + n as f64,
+        let configs = reservations.iter().enumerate().map(|(n, reserved)| CapacityConfig {
+            name: n.to_string(), reserved: *reserved, max: 15, weight: 1.0 + n as f64,
         });
-        let reserve = Reserve { pool: 0, share };
-        let mut rooms = Rooms::new(terms.collect(), Some(reserve), 30).expect("fit terms");
+        let reserve = Reserve { bulkhead: 0, fraction };
+        let mut capacity = CapacityAllocator::new(configs.collect(), Some(reserve), 30).expect("fit terms");
         let mut total = 30;
-        for (what, pool, number) in steps {
-            match what {
+        for (input, bulkhead, number) in steps {
+            match input {
                 0 => {
-                    let before = rooms.all_in_hand();
-                    let room = (share * total as f64).ceil() as usize;
-                    if rooms.begin(pool) {
+                    let before = capacity.total_in_flight();
+                    let reserve = (fraction * total as f64).ceil() as usize;
+                    if capacity.try_start(bulkhead) {
                         prop_assert!(before < total);
-                        prop_assert!(rooms.in_hand(pool) <= 15);
-                        let others: usize = (1..4).map(|n| rooms.in_hand(n)).sum();
-                        prop_assert!(pool == 0 || others + room.max(rooms.in_hand(0)) <= total.max(room));
+                        prop_assert!(capacity.in_flight(bulkhead) <= 15);
+                        let others: usize = (1..4).map(|n| capacity.in_flight(n)).sum();
+                        prop_assert!(bulkhead == 0 || others + reserve.max(capacity.in_flight(0)) <= total.max(reserve));
                     }
                 }
-                1 => rooms.end(pool),
-                2 => rooms.waits(pool, number),
-                3 => rooms.limit(pool, number as f64),
-                _ => { total = number; rooms.bound(number); }
+                1 => capacity.end(bulkhead),
+                2 => capacity.set_waiting(bulkhead, number),
+                3 => capacity.set_limit(bulkhead, number as f64),
+                _ => { total = number; capacity.set_total(number); }
             }
-            let shares = rooms.shares();
-            prop_assert!(shares.iter().sum::<usize>() <= total);
-            // Nobody is left waiting beside room that is nobody's: the reserve aside.
-            let reserved = ((share * total as f64).ceil() as usize).saturating_sub(rooms.in_hand(0));
-            let waits = |n: usize| rooms.pools[n].waiting > 0 && rooms.in_hand(n) < 15;
-            if rooms.all_in_hand() + reserved < total && (0..4).any(waits) {
-                prop_assert!((0..4).any(|n| waits(n) && rooms.may_begin(n)), "idle beside waiting work");
+            let allocated = capacity.allocate(&capacity.wanted());
+            prop_assert!(allocated.iter().sum::<usize>() <= total);
+            // No work waits beside capacity that is nobody's, the reserve aside.
+            let reserved = ((fraction * total as f64).ceil() as usize).saturating_sub(capacity.in_flight(0));
+            let waits = |n: usize| capacity.slots[n].waiting > 0 && capacity.in_flight(n) < 15;
+            if capacity.total_in_flight() + reserved < total && (0..4).any(waits) {
+                prop_assert!((0..4).any(|n| waits(n) && capacity.may_start(n)), "idle beside waiting work");
             }
         }
     }
--- a/crates/plovershelf-bulkhead/src/concurrency_limit/tests.rs
+++ b/crates/plovershelf-bulkhead/src/concurrency_limit/tests.rs
@@ -1,69 +1,77 @@
 use super::*;
 
-const WAYS: [Way; 3] = [Way::Additive, Way::Gradient, Way::Standing];
-const WIDE: Bounds = Bounds { least: 2.0, most: 100.0 };
+const ALGORITHMS: [LimitAlgorithm; 3] =
+    [LimitAlgorithm::Aimd, LimitAlgorithm::Gradient, LimitAlgorithm::DelayTarget];
+const WIDE: LimitBounds = LimitBounds { min: 2.0, max: 100.0 };
 
-/// A place with so many servers where work takes `work_ms` each and the rest stands in line.
-fn settles(limit: &mut Limit, from: f64, servers: f64, work_ms: f64, ends: u32) -> f64 {
-    let mut now = from;
+fn end(limit: &mut ConcurrencyLimit, now_ms: f64, duration_ms: f64, in_flight: usize) {
+    limit.record(WorkSample { now_ms, duration_ms, in_flight, outcome: WorkOutcome::Succeeded });
+}
+
+/// As much work as the limit allows, on servers where one takes `work_ms` and what is beyond the servers queues. Returns the
+/// time of the last end.
+fn run_at_limit(limit: &mut ConcurrencyLimit, start_ms: f64, servers: f64, work_ms: f64, ends: u32) -> f64 {
+    let mut now_ms = start_ms;
     for _ in 0..ends {
-        let in_hand = limit.value().floor().max(1.0);
-        let took = work_ms * (in_hand / servers).max(1.0);
-        now += took / in_hand;
-        limit.ended(now, took, in_hand as usize, true);
+        let in_flight = limit.limit().floor().max(1.0);
+        let duration_ms = work_ms * (in_flight / servers).max(1.0);
+        now_ms += duration_ms / in_flight;
+        end(limit, now_ms, duration_ms, in_flight as usize);
     }
-    now
+    now_ms
 }
 
 #[test]
-fn each_way_settles_near_what_the_servers_take() {
-    for way in WAYS {
-        let mut limit = Limit::new(way, WIDE, 4.0);
-        let now = settles(&mut limit, 0.0, 20.0, 10.0, 20_000);
+fn limit_settles_near_what_the_servers_take() {
+    for algorithm in ALGORITHMS {
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 4.0);
+        let mut now_ms = run_at_limit(&mut limit, 0.0, 20.0, 10.0, 20_000);
         let mut seen = Vec::new();
-        let mut now = now;
         for _ in 0..200 {
-            now = settles(&mut limit, now, 20.0, 10.0, 50);
-            seen.push(limit.value());
+            now_ms = run_at_limit(&mut limit, now_ms, 20.0, 10.0, 50);
+            seen.push(limit.limit());
         }
         let mean = seen.iter().sum::<f64>() / seen.len() as f64;
-        assert!((12.0..60.0).contains(&mean), "{way:?} {mean}");
+        assert!((12.0..60.0).contains(&mean), "{algorithm:?} {mean}");
     }
 }
 
 #[test]
-fn a_limit_that_is_not_used_does_not_grow() {
-    for way in WAYS {
-        let mut limit = Limit::new(way, WIDE, 10.0);
+fn unused_limit_does_not_grow() {
+    for algorithm in ALGORITHMS {
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 10.0);
         for n in 0..5000 {
-            limit.ended(f64::from(n) * 10.0, 10.0, 2, true);
+            end(&mut limit, f64::from(n) * 10.0, 10.0, 2);
         }
-        assert!(limit.value() <= 10.0, "{way:?} {}", limit.value());
+        assert!(limit.limit() <= 10.0, "{algorithm:?} {}", limit.limit());
     }
 }
 
+/// A dependency gets six times as slow, whatever is in flight. That looks like queueing, and cuts would go on to the least limit;
+/// the limit must be back near where it was.
 #[test]
-fn a_place_that_is_slow_by_itself_is_not_taken_for_a_crowd_for_good() {
-    for way in WAYS {
-        let mut limit = Limit::new(way, WIDE, 20.0);
-        let mut now = settles(&mut limit, 0.0, 1e9, 10.0, 5000);
-        let before = limit.value();
-        // Six times as slow from now on, whatever is in hand.
-        now = settles(&mut limit, now, 1e9, 60.0, 30_000);
-        assert!(limit.value() >= 0.8 * before, "{way:?} {} of {before} at {now}", limit.value());
+fn limit_recovers_where_the_dependency_is_slow_by_itself() {
+    for algorithm in ALGORITHMS {
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 20.0);
+        let mut now_ms = run_at_limit(&mut limit, 0.0, 1e9, 10.0, 5000);
+        let before = limit.limit();
+        now_ms = run_at_limit(&mut limit, now_ms, 1e9, 60.0, 30_000);
+        assert!(limit.limit() >= 0.8 * before, "{algorithm:?} {} of {before} at {now_ms}", limit.limit());
     }
 }
 
 #[test]
-fn bounds_hold_whatever_comes() {
-    for way in WAYS {
-        let mut limit = Limit::new(way, Bounds { least: 3.0, most: 9.0 }, 100.0);
+fn limit_stays_within_bounds_for_any_samples() {
+    for algorithm in ALGORITHMS {
+        let mut limit = ConcurrencyLimit::new(algorithm, LimitBounds { min: 3.0, max: 9.0 }, 100.0);
         let odd = [f64::NAN, -1.0, 0.0, 1e12, f64::INFINITY, 5.0];
         for n in 0..3000usize {
-            limit.ended(n as f64, odd[n % odd.len()], n % 17, n % 5 != 0);
-            assert!((3.0..=9.0).contains(&limit.value()), "{way:?}");
+            let outcome = if n % 5 != 0 { WorkOutcome::Succeeded } else { WorkOutcome::Failed };
+            let duration_ms = odd[n % odd.len()];
+            limit.record(WorkSample { now_ms: n as f64, duration_ms, in_flight: n % 17, outcome });
+            assert!((3.0..=9.0).contains(&limit.limit()), "{algorithm:?}");
         }
-        limit.rebound(Bounds { least: 1.0, most: 2.0 });
-        assert!(limit.value() <= 2.0);
+        limit.set_bounds(LimitBounds { min: 1.0, max: 2.0 });
+        assert!(limit.limit() <= 2.0);
     }
 }
--- a/crates/plovershelf-bulkhead/src/lib.rs
+++ b/crates/plovershelf-bulkhead/src/lib.rs
@@ -1,11 +1,23 @@
-//! Pools of offerings: how many runs and calls each may have, as limits that adapt to what those take, with unused room
-//! lent to others and a reserve that the cheapest always have. Pure: it is told what begins, ends and waits, and says
-//! who may begin. The sum over pools never passes the bounds that it is told, whatever its own limits say.
+//! Bulkheads over groups of request classes: adaptive concurrency limits, lending of idle capacity, and a reserve. No I/O.
+//!
+//! The caller reports what starts, ends and waits, and asks who may start. The sum over all bulkheads never passes the
+//! totals that the caller sets, whatever the bulkheads' own limits are.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `bulkheads` | the bulkheads of one backend, for runs and for calls; replacement of their plan |
+//! | `capacity` | divides one kind of capacity among bulkheads: reservations, weights, lending, the reserve |
+//! | `concurrency_limit` | one adaptive limit on work in flight: AIMD, gradient or delay target |
+//! | `latency_baseline` | what work takes without overload, which the limits compare with |
+//! | `error` | what a plan can have against it |
 
-pub mod bulkheads;
-pub mod capacity;
-pub mod concurrency_limit;
+mod bulkheads;
+mod capacity;
+mod concurrency_limit;
+mod error;
+mod latency_baseline;
 
-pub use bulkheads::{Kind, Plan, Pools, Terms};
-pub use capacity::{PoolTerms, Reserve, Rooms};
-pub use concurrency_limit::{Bounds, Limit, Way};
+pub use bulkheads::{AdaptiveBulkheads, BulkheadConfig, BulkheadPlan, BulkheadStatus, WorkKind};
+pub use capacity::Reserve;
+pub use concurrency_limit::{ConcurrencyLimit, LimitAlgorithm, LimitBounds, WorkOutcome, WorkSample};
+pub use error::{BulkheadError, CapacityError};
--- a/crates/plovershelf-config/src/pools.rs
+++ b/crates/plovershelf-config/src/pools.rs
@@ -1,81 +1,133 @@
-//! `pools.ini`: a section `[pool NAME]` for each pool, and `[reserve]`.
+//! `pools.ini`, the operator's plan of bulkheads: a section `[pool NAME]` for each bulkhead, and `[reserve]`.
 
-use plovershelf_bulkhead::{Plan, Reserve, Terms};
+use ini::{Ini, Properties};
+use plovershelf_bulkhead::{BulkheadConfig, BulkheadPlan, Reserve};
 
 use crate::{nearest, Reading, Wrong};
 
-const POOL_KEYS: [&str; 6] = ["offerings", "least_runs", "most_runs", "least_calls", "most_calls", "weight"];
+const BULKHEAD_KEYS: [&str; 6] =
+    ["offerings", "least_runs", "most_runs", "least_calls", "most_calls", "weight"];
 const RESERVE_KEYS: [&str; 2] = ["pool", "share"];
 
-/// Reads the file's text. `offerings` are the names that the backend knows, in their order.
+const DEFAULT_RESERVED_RUNS: usize = 1;
+const DEFAULT_RESERVED_CALLS: usize = 0;
+const DEFAULT_MAX: usize = 10_000;
+const DEFAULT_WEIGHT: f64 = 1.0;
+const WEIGHT_RANGE: [f64; 2] = [0.01, 10_000.0];
+const DEFAULT_RESERVE_FRACTION: f64 = 0.05;
+const RESERVE_FRACTION_RANGE: [f64; 2] = [0.0, 0.5];
+
+/// The reserve as the file has it: its owner by name.
+struct NamedReserve {
+    bulkhead: String,
+    fraction: f64,
+}
+
+/// Reads the file's text. `classes` are the names of the backend's request classes, in their order.
 ///
-/// Errors: all that is wrong with the file.
-pub fn read(file: &str, text: &str, offerings: &[String]) -> Result<Plan, Wrong> {
+/// # Errors
+/// All that is wrong with the file.
+pub fn read(file: &str, text: &str, classes: &[String]) -> Result<BulkheadPlan, Wrong> {
     let (mut reading, ini) = Reading::of(file, text)?;
-    let mut plan = Plan { pools: Vec::new(), reserve: None };
+    let (bulkheads, reserve) = read_sections(&mut reading, &ini, classes);
+    if bulkheads.is_empty() {
+        reading.say("pool NAME", "is missing: one pool at least is needed");
+    }
+    let reserve = reserve.and_then(|reserve| find_owner(&mut reading, &bulkheads, &reserve));
+    reading.done(BulkheadPlan { bulkheads, reserve })
+}
+
+fn read_sections(
+    reading: &mut Reading<'_>,
+    ini: &Ini,
+    classes: &[String],
+) -> (Vec<BulkheadConfig>, Option<NamedReserve>) {
+    let mut bulkheads: Vec<BulkheadConfig> = Vec::new();
     let mut reserve = None;
-    for (section, told) in ini.iter() {
+    for (section, properties) in ini.iter() {
         let Some(section) = section else {
-            for (key, _) in told.iter() {
-                reading.say(
-                    "",
-                    &format!("{key} stands before any section; [pool NAME] or [reserve] begins one"),
-                );
-            }
+            reading.outside(properties, "[pool NAME] or [reserve]");
             continue;
         };
         match section.split_once(' ') {
             Some(("pool", name)) if !name.trim().is_empty() => {
-                if plan.pools.iter().any(|pool| pool.name == name) {
+                if bulkheads.iter().any(|bulkhead| bulkhead.name == name) {
                     reading.say(section, "stands there twice");
-                    continue;
+                } else {
+                    bulkheads.push(read_bulkhead(reading, section, name, properties, classes));
                 }
-                reading.check_keys(section, told, &POOL_KEYS);
-                let mut own = Vec::new();
-                for word in told.get("offerings").unwrap_or("").split(',').map(str::trim) {
-                    match offerings.iter().position(|known| known == word) {
-                        Some(place) => own.push(place),
-                        None if word.is_empty() => {
-                            reading.say(section, "offerings = \"\": names, with commas between")
-                        }
-                        None => {
-                            let near = nearest(word, offerings.iter().map(String::as_str));
-                            reading.say(section, &format!("offerings: there is no {word:?}{near}"));
-                        }
-                    }
-                }
-                plan.pools.push(Terms {
-                    name: name.to_string(),
-                    offerings: own,
-                    least_runs: reading.count(section, told, "least_runs", 1),
-                    most_runs: reading.count(section, told, "most_runs", 10_000),
-                    least_calls: reading.count(section, told, "least_calls", 0),
-                    most_calls: reading.count(section, told, "most_calls", 10_000),
-                    weight: reading.number(section, told, "weight", [0.01, 10_000.0], 1.0),
-                });
             }
             _ if section == "reserve" && reserve.is_none() => {
-                reading.check_keys(section, told, &RESERVE_KEYS);
-                let share = reading.number(section, told, "share", [0.0, 0.5], 0.05);
-                reserve = Some((told.get("pool").unwrap_or("").to_string(), share));
+                reserve = Some(read_reserve(reading, section, properties));
             }
             _ if section == "reserve" => reading.say(section, "stands there twice"),
             _ => reading.say(section, "is no section here; [pool NAME] and [reserve] are"),
         }
     }
-    if plan.pools.is_empty() {
-        reading.say("pool NAME", "is missing: one pool at least is needed");
+    (bulkheads, reserve)
+}
+
+fn read_bulkhead(
+    reading: &mut Reading<'_>,
+    section: &str,
+    name: &str,
+    properties: &Properties,
+    classes: &[String],
+) -> BulkheadConfig {
+    reading.check_keys(section, properties, &BULKHEAD_KEYS);
+    BulkheadConfig {
+        name: name.to_string(),
+        classes: read_classes(reading, section, properties, classes),
+        reserved_runs: reading.count(section, properties, "least_runs", DEFAULT_RESERVED_RUNS),
+        max_runs: reading.count(section, properties, "most_runs", DEFAULT_MAX),
+        reserved_calls: reading.count(section, properties, "least_calls", DEFAULT_RESERVED_CALLS),
+        max_calls: reading.count(section, properties, "most_calls", DEFAULT_MAX),
+        weight: reading.number(section, properties, "weight", WEIGHT_RANGE, DEFAULT_WEIGHT),
     }
-    if let Some((name, share)) = reserve {
-        match plan.pools.iter().position(|pool| pool.name == name) {
-            Some(pool) => plan.reserve = Some(Reserve { pool, share }),
+}
+
+/// The indices of the request classes that a bulkhead names.
+fn read_classes(
+    reading: &mut Reading<'_>,
+    section: &str,
+    properties: &Properties,
+    classes: &[String],
+) -> Vec<usize> {
+    let mut own = Vec::new();
+    for name in properties.get("offerings").unwrap_or("").split(',').map(str::trim) {
+        match classes.iter().position(|known| known == name) {
+            Some(class) => own.push(class),
+            None if name.is_empty() => {
+                reading.say(section, "offerings = \"\": names, with commas between");
+            }
             None => {
-                let near = nearest(&name, plan.pools.iter().map(|pool| pool.name.as_str()));
-                reading.say("reserve", &format!("pool = {name:?}: there is no such pool{near}"));
+                let near = nearest(name, classes.iter().map(String::as_str));
+                reading.say(section, &format!("offerings: there is no {name:?}{near}"));
             }
         }
     }
-    reading.done(plan)
+    own
+}
+
+fn read_reserve(reading: &mut Reading<'_>, section: &str, properties: &Properties) -> NamedReserve {
+    reading.check_keys(section, properties, &RESERVE_KEYS);
+    let fraction =
+        reading.number(section, properties, "share", RESERVE_FRACTION_RANGE, DEFAULT_RESERVE_FRACTION);
+    NamedReserve { bulkhead: properties.get("pool").unwrap_or("").to_string(), fraction }
+}
+
+fn find_owner(
+    reading: &mut Reading<'_>,
+    bulkheads: &[BulkheadConfig],
+    reserve: &NamedReserve,
+) -> Option<Reserve> {
+    let NamedReserve { bulkhead: name, fraction } = reserve;
+    let owner = bulkheads.iter().position(|bulkhead| bulkhead.name == *name);
+    if owner.is_none() {
+        let near = nearest(name, bulkheads.iter().map(|bulkhead| bulkhead.name.as_str()));
+        reading.say("reserve", &format!("pool = {name:?}: there is no such pool{near}"));
+    }
+    owner.map(|bulkhead| Reserve { bulkhead, fraction: *fraction })
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-config/src/pools/tests.rs
+++ b/crates/plovershelf-config/src/pools/tests.rs
@@ -5,20 +5,20 @@
 }
 
 #[test]
-fn a_file_becomes_pools_with_defaults_for_what_it_leaves_out() {
+fn file_becomes_a_plan_with_defaults_for_missing_keys() {
     let text = "# ours\n[pool cheap]\nofferings = quote, usage-check\n[pool dear]\nofferings = plan-apply\nweight = 10\n\
                 least_runs = 4\n[reserve]\npool = cheap\nshare = 0.1\n";
     let plan = read("pools.ini", text, &names()).expect("a plan");
-    assert_eq!((plan.pools[0].offerings.clone(), plan.pools[0].least_runs), (vec![0, 1], 1));
-    assert_eq!((plan.pools[1].weight, plan.pools[1].least_runs), (10.0, 4));
-    assert_eq!(plan.reserve, Some(Reserve { pool: 0, share: 0.1 }));
+    assert_eq!((plan.bulkheads[0].classes.clone(), plan.bulkheads[0].reserved_runs), (vec![0, 1], 1));
+    assert_eq!((plan.bulkheads[1].weight, plan.bulkheads[1].reserved_runs), (10.0, 4));
+    assert_eq!(plan.reserve, Some(Reserve { bulkhead: 0, fraction: 0.1 }));
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once_by_section_key_and_value() {
+fn all_errors_are_reported_at_once_by_section_key_and_value() {
     let text = "[pool a]\nofferings = qoute\nleast_runs = many\nwieght = 2\nweight = 0\n[pool a]\nofferings = quote\n\
                 [poool b]\nx = 1\n[reserve]\npool = aa\nshare = 0.9\n";
-    let wrong = read("pools.ini", text, &names()).expect_err("wrong");
+    let errors = read("pools.ini", text, &names()).expect_err("wrong");
     let expected = [
         "pools.ini: [pool a] wieght is no key here; did you mean \"weight\"?",
         "pools.ini: [pool a] offerings: there is no \"qoute\"; did you mean \"quote\"?",
@@ -29,7 +29,7 @@
         "pools.ini: [reserve] share = \"0.9\": a number from 0 to 0.5",
         "pools.ini: [reserve] pool = \"aa\": there is no such pool; did you mean \"a\"?",
     ];
-    assert_eq!(wrong.0, expected);
+    assert_eq!(errors.0, expected);
     assert!(read("pools.ini", "", &names()).is_err());
     assert!(read("pools.ini", "[pool", &names()).expect_err("wrong").0[0].contains("line"));
 }
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -45,7 +45,7 @@
 use crate::group;
 use crate::limits::Limits;
 use agent::CommandLog;
-use bulkheads::{BulkheadError, BulkheadState};
+use bulkheads::BulkheadState;
 use clients::{ClientConnection, PeerErrorLog};
 use open_request::OpenRequest;
 use tenant_quotas::InitialQuotas;
@@ -232,8 +232,8 @@
     /// What the plan has against the backend's configuration.
     pub(crate) fn with_bulkheads(
         mut self,
-        plan: Option<plovershelf_bulkhead::Plan>,
-    ) -> Result<Self, BulkheadError> {
+        plan: Option<plovershelf_bulkhead::BulkheadPlan>,
+    ) -> Result<Self, plovershelf_bulkhead::BulkheadError> {
         self.bulkheads = plan.map(|plan| BulkheadState::new(plan, &self.startup.config)).transpose()?;
         Ok(self)
     }
--- a/crates/plovershelf-server/src/driver/bulkheads.rs
+++ b/crates/plovershelf-server/src/driver/bulkheads.rs
@@ -4,16 +4,10 @@
 use std::collections::BTreeMap;
 
 use plovershelf::api::{BackendConfig, BulkheadCapacity, Bulkheads, Completion, RequestState, Transition};
-use plovershelf_bulkhead::{Kind, Plan, Pools};
-use thiserror::Error;
+use plovershelf_bulkhead::{AdaptiveBulkheads, BulkheadError, BulkheadPlan, WorkKind, WorkOutcome};
 
 use super::Driver;
 
-/// What a plan of bulkheads has against the backend's configuration.
-#[derive(Debug, Error)]
-#[error("{0}")]
-pub(crate) struct BulkheadError(String);
-
 /// A bulkhead is not taken to want more than this, however many of its requests were rejected.
 const MAX_WANTED: usize = 64;
 /// What is left of a peak at each update, and how many times the peak is kept free.
@@ -92,7 +86,7 @@
 
 /// Bulkheads with what they have learnt.
 pub(super) struct BulkheadState {
-    bulkheads: Pools,
+    bulkheads: AdaptiveBulkheads,
     classes: usize,
     in_flight: Vec<InFlight>,
     /// Requests of each bulkhead that were rejected on arrival since the last update.
@@ -104,12 +98,11 @@
 impl BulkheadState {
     /// # Errors
     /// What the plan has against this configuration.
-    pub(super) fn new(plan: Plan, config: &BackendConfig) -> Result<Self, BulkheadError> {
+    pub(super) fn new(plan: BulkheadPlan, config: &BackendConfig) -> Result<Self, BulkheadError> {
         let classes = config.classes.len();
         let runs = (config.cores * config.overload_multiple / 2.0).max(1.0) as usize;
         let calls = config.dependency_share.map_or(UNSHARED_CALLS, |share| share.max(1.0) as usize);
-        let bulkheads =
-            Pools::new(plan, classes, runs, calls).map_err(|error| BulkheadError(error.to_string()))?;
+        let bulkheads = AdaptiveBulkheads::new(plan, classes, runs, calls)?;
         let mut state = BulkheadState {
             bulkheads,
             classes,
@@ -129,7 +122,7 @@
         self.rejected = vec![0; count];
         self.peaks = vec![Peak::default(); count];
         for CountedRequest { class, state, .. } in self.open.values() {
-            self.in_flight[self.bulkheads.pool(*class)].count(*state, CountChange::Add);
+            self.in_flight[self.bulkheads.bulkhead_of_class(*class)].count(*state, CountChange::Add);
         }
     }
 
@@ -137,14 +130,14 @@
     ///
     /// # Errors
     /// What the plan has against the configuration; nothing has changed then.
-    fn replace(&mut self, plan: Plan) -> Result<(), BulkheadError> {
-        self.bulkheads.replace(plan).map_err(|error| BulkheadError(error.to_string()))?;
+    fn replace(&mut self, plan: BulkheadPlan) -> Result<(), BulkheadError> {
+        self.bulkheads.replace(plan)?;
         self.recount();
         Ok(())
     }
 
     fn record(&mut self, now_ms: f64, transition: &Transition, class: usize) {
-        let bulkhead = self.bulkheads.pool(class);
+        let bulkhead = self.bulkheads.bulkhead_of_class(class);
         let before = self.open.remove(&transition.id);
         if let Some(before) = before {
             self.in_flight[bulkhead].count(before.state, CountChange::Remove);
@@ -165,62 +158,74 @@
 
     /// Learns how long a run or a call took. One that was given up shows nothing of what it takes.
     fn learn(&mut self, now_ms: f64, bulkhead: usize, before: CountedRequest, to: RequestState) {
-        let took_ms = now_ms - before.since_ms;
-        let (kind, is_good) = match (before.state, to) {
+        let duration_ms = now_ms - before.since_ms;
+        let (kind, outcome) = match (before.state, to) {
             (RequestState::Running, RequestState::AwaitingCall | RequestState::Completed(_)) => {
-                (Kind::Run, true)
+                (WorkKind::Run, WorkOutcome::Succeeded)
+            }
+            (RequestState::Calling { .. }, RequestState::Running) => (WorkKind::Call, WorkOutcome::Succeeded),
+            (RequestState::Calling { .. }, RequestState::AwaitingCall) => {
+                (WorkKind::Call, WorkOutcome::Failed)
             }
-            (RequestState::Calling { .. }, RequestState::Running) => (Kind::Call, true),
-            (RequestState::Calling { .. }, RequestState::AwaitingCall) => (Kind::Call, false),
             _ => return,
         };
-        self.bulkheads.learn(kind, bulkhead, now_ms, took_ms, is_good);
+        self.bulkheads.record(kind, bulkhead, now_ms, duration_ms, outcome);
     }
 
     /// The capacity of each bulkhead, given what all may use together, by what each has in flight and wants.
     fn update(&mut self, total_runs: f64, total_calls: f64) -> Bulkheads {
         let whole = |capacity: f64| capacity.clamp(0.0, MAX_CAPACITY).floor() as usize;
-        self.bulkheads.bound(Kind::Run, whole(total_runs));
-        self.bulkheads.bound(Kind::Call, whole(total_calls));
+        self.bulkheads.set_total(WorkKind::Run, whole(total_runs));
+        self.bulkheads.set_total(WorkKind::Call, whole(total_calls));
         for (bulkhead, in_flight) in self.in_flight.iter().enumerate() {
             let InFlight { runs, calls, awaiting_call } = *in_flight;
             let wanted = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_WANTED);
             let peak = &mut self.peaks[bulkhead];
             peak.update(runs + wanted, calls + awaiting_call + wanted);
-            self.bulkheads.counted(Kind::Run, bulkhead, runs);
-            self.bulkheads.waits(Kind::Run, bulkhead, Peak::headroom(peak.runs).saturating_sub(runs));
-            self.bulkheads.counted(Kind::Call, bulkhead, calls);
-            self.bulkheads.waits(Kind::Call, bulkhead, Peak::headroom(peak.calls).saturating_sub(calls));
+            self.bulkheads.set_in_flight(WorkKind::Run, bulkhead, runs);
+            self.bulkheads.set_waiting(
+                WorkKind::Run,
+                bulkhead,
+                Peak::headroom(peak.runs).saturating_sub(runs),
+            );
+            self.bulkheads.set_in_flight(WorkKind::Call, bulkhead, calls);
+            self.bulkheads.set_waiting(
+                WorkKind::Call,
+                bulkhead,
+                Peak::headroom(peak.calls).saturating_sub(calls),
+            );
         }
         self.capacities()
     }
 
     fn capacities(&self) -> Bulkheads {
-        let (runs, calls) = (self.bulkheads.room(Kind::Run), self.bulkheads.room(Kind::Call));
+        let (runs, calls) =
+            (self.bulkheads.available(WorkKind::Run), self.bulkheads.available(WorkKind::Call));
         let capacity = |bulkhead: usize| BulkheadCapacity {
-            reserved_runs: self.bulkheads.kept_runs(bulkhead) as f64,
+            reserved_runs: self.bulkheads.reserved_runs(bulkhead) as f64,
             max_runs: runs[bulkhead] as f64,
             // One at least, or a bulkhead whose calls are all lent out would wait for good.
             max_calls: calls[bulkhead].max(1) as f64,
         };
         Bulkheads {
-            bulkhead_of_class: (0..self.classes).map(|class| self.bulkheads.pool(class)).collect(),
+            bulkhead_of_class: (0..self.classes)
+                .map(|class| self.bulkheads.bulkhead_of_class(class))
+                .collect(),
             capacities: (0..self.in_flight.len()).map(capacity).collect(),
         }
     }
 
-    fn log(&mut self) {
-        let names: Vec<String> = self.bulkheads.names().map(String::from).collect();
-        for (bulkhead, name) in names.iter().enumerate() {
-            let runs = self.bulkheads.figures(Kind::Run, bulkhead);
-            let calls = self.bulkheads.figures(Kind::Call, bulkhead);
+    fn log(&self) {
+        for (bulkhead, name) in self.bulkheads.names().enumerate() {
+            let runs = self.bulkheads.status(WorkKind::Run, bulkhead);
+            let calls = self.bulkheads.status(WorkKind::Call, bulkhead);
             tracing::info!(
                 event = "bulkhead",
                 name,
-                runs = runs.in_hand,
+                runs = runs.in_flight,
                 runs_limit = runs.limit.round(),
                 runs_borrowed = runs.borrowed,
-                calls = calls.in_hand,
+                calls = calls.in_flight,
                 calls_limit = calls.limit.round(),
                 calls_borrowed = calls.borrowed,
             );
@@ -249,7 +254,7 @@
     }
 
     /// The operator's file was read again: all of it counts, or nothing changes.
-    pub(super) fn replace_bulkheads(&mut self, plan: Plan) {
+    pub(super) fn replace_bulkheads(&mut self, plan: BulkheadPlan) {
         let Some(bulkheads) = &mut self.bulkheads else {
             tracing::warn!(
                 event = "bulkheads_rejected",
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -52,7 +52,7 @@
     /// Replication of a keyed request.
     Replication(crate::group::Told),
     /// The operator's file of bulkheads was read again.
-    Bulkheads(plovershelf_bulkhead::Plan),
+    Bulkheads(plovershelf_bulkhead::BulkheadPlan),
     /// Tenants' quotas that are in force from now on.
     Quotas(crate::config_distribution::QuotaUpdate),
 }
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plovershelf_bulkhead::Plan;
+use plovershelf_bulkhead::BulkheadPlan;
 use plovershelf_settings::Startup;
 use serde_json::Value;
 use thiserror::Error;
@@ -73,7 +73,7 @@
     pub(crate) limits: Limits,
     pub(crate) startup: Startup,
     /// Bulkheads, where the operator has set any.
-    pub(crate) bulkheads: Option<Plan>,
+    pub(crate) bulkheads: Option<BulkheadPlan>,
     /// The cluster that the backend belongs to, where the operator has set one.
     pub(crate) group: Option<plovershelf_config::group::Group>,
     /// Where configuration changes come from, where the operator has set it up.
@@ -172,7 +172,7 @@
 ///
 /// # Errors
 /// All that is wrong with the file.
-pub(crate) fn read_bulkheads(classes: &[String]) -> Result<Option<Plan>, StartupError> {
+pub(crate) fn read_bulkheads(classes: &[String]) -> Result<Option<BulkheadPlan>, StartupError> {
     read_operator_file(BULKHEADS_VARIABLE, |path, text| {
         plovershelf_config::pools::read(path, text, classes).map_err(|error| error.to_string())
     })
