--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -4,16 +4,16 @@
 //! The ordinary path: a frame or a timeout reaches [`Driver`], which passes it to the state machine, saves what is to be
 //! saved, and only then sends what is to be sent.
 
-mod copied;
 mod driver_heartbeat;
 mod notices;
+mod replication;
 mod replication_status;
 mod storage;
 mod zoned;
 
 pub use crate::links::now_ms;
-pub use copied::{Asked, Ending, Told};
 pub use driver_heartbeat::DriverHeartbeat;
+pub use replication::{ReplicationCommand, ReplicationEvent};
 pub use zoned::Counted;
 
 use std::net::TcpListener;
@@ -35,6 +35,7 @@
 use crate::entropy::random_id;
 use crate::links::{self, LinkEvent, OutgoingLinks};
 use notices::NoticeLimiter;
+use replication::{HandoffEnd, ReplicationDriver};
 use storage::Storage;
 
 /// How often the node is told whether the owner is ready.
@@ -68,8 +69,8 @@
         bytes: Vec<u8>,
     },
     /// What the owner wants of replication.
-    Asked(Asked),
-    /// The drain notice: what is held for others is to stand elsewhere within so long.
+    Replication(ReplicationCommand),
+    /// The drain notice: replicated records are to be handed off within so long.
     Leave {
         /// How long.
         within_ms: f64,
@@ -98,7 +99,7 @@
     setup: Setup,
     name: String,
     heartbeat: Arc<DriverHeartbeat>,
-    told: Option<Sender<Told>>,
+    replication_events: Option<Sender<ReplicationEvent>>,
 ) -> Result<Sender<Incoming>, String> {
     let listener = TcpListener::bind(setup.listen)
         .map_err(|error| format!("the group's listener on {}: {error}", setup.listen))?;
@@ -145,12 +146,13 @@
         let links = OutgoingLinks::new(executor, &setup.name, setup.ways.clone(), links::CLUSTER_LINKS, None);
         let node = ClusterNode::new(startup, now_ms());
         let (own, boot_id) = (node.node().id, node.swim().own().boot_id);
-        let copies = setup.copies.clone().zip(told);
-        let copies = copies.map(|(terms, told)| copied::Copied::new(own, boot_id, terms, told));
+        let replication = setup.replication.clone().zip(replication_events);
+        let replication =
+            replication.map(|(config, events)| ReplicationDriver::new(own, boot_id, config, events));
         let driver = Driver {
             carrier,
             word: ConsensusState::default(),
-            copies,
+            replication,
             zoned: zoned.map(|zoned| *zoned),
             node,
             cluster: setup.name.clone(),
@@ -176,7 +178,7 @@
     /// Where configuration is distributed from here: its queue, and what it was told last.
     carrier: Option<Sender<config_distribution::Input>>,
     word: ConsensusState,
-    copies: Option<copied::Copied>,
+    replication: Option<ReplicationDriver>,
     zoned: Option<zoned::Zoned>,
     /// The cluster's name.
     cluster: String,
@@ -210,10 +212,10 @@
     }
 
     fn poll_timeout(&self) -> f64 {
-        let copies = self.copies.as_ref().map_or(f64::INFINITY, copied::Copied::next_at);
+        let replication = self.replication.as_ref().map_or(f64::INFINITY, ReplicationDriver::poll_timeout);
         let zoned = self.zoned.as_ref().map_or(f64::INFINITY, zoned::Zoned::next_at);
         let own = self.readiness_at_ms.min(self.storage_retry_at_ms.unwrap_or(f64::INFINITY));
-        self.node.poll_timeout().min(copies).min(zoned).min(own)
+        self.node.poll_timeout().min(replication).min(zoned).min(own)
     }
 
     fn handle_timeout(&mut self) {
@@ -228,8 +230,9 @@
         if self.node.poll_timeout() <= now_ms {
             self.node.handle_timeout(now_ms);
         }
-        if let Some(copies) = self.copies.as_mut().filter(|copies| copies.next_at() <= now_ms) {
-            copies.tick(now_ms);
+        if let Some(replication) = self.replication.as_mut().filter(|driver| driver.poll_timeout() <= now_ms)
+        {
+            replication.handle_timeout(now_ms);
         }
         self.plan_traffic(now_ms);
         self.carry_out();
@@ -249,15 +252,18 @@
     }
 
     fn leave_once_handed_off(&mut self, now_ms: f64) {
-        let Some(left) = self.copies.as_mut().and_then(|copies| copies.may_go(now_ms)) else { return };
-        if left == 0 {
-            tracing::info!(event = "handoff_complete", "all that was held for others stands elsewhere");
-        } else {
-            tracing::warn!(
+        let Some(end) = self.replication.as_mut().and_then(|driver| driver.poll_handoff(now_ms)) else {
+            return;
+        };
+        match end {
+            HandoffEnd::Complete | HandoffEnd::DeadlinePassed { remaining: 0 } => {
+                tracing::info!(event = "handoff_complete", "all that was held for others stands elsewhere");
+            }
+            HandoffEnd::DeadlinePassed { remaining } => tracing::warn!(
                 event = "handoff_incomplete",
-                records = left,
+                records = remaining,
                 "time is over before others had all that was held for them"
-            );
+            ),
         }
         self.node.leave(now_ms);
         self.carry_out();
@@ -273,9 +279,9 @@
             Incoming::Propose { number, bytes } => {
                 self.node.propose(now_ms, CONFIG_KEY, number, bytes);
             }
-            Incoming::Asked(asked) => {
-                if let Some(copies) = self.copies.as_mut() {
-                    copies.asked(now_ms, asked);
+            Incoming::Replication(command) => {
+                if let Some(replication) = self.replication.as_mut() {
+                    replication.handle_command(now_ms, command);
                 }
             }
             Incoming::Word { key, number, bytes } => {
@@ -295,21 +301,21 @@
                 let own = self.node.node().id;
                 if let Some(zoned) = self.zoned.as_mut().filter(|_| to == own) {
                     zoned.hear(now_ms, from, &bytes);
-                } else if let Some(copies) = self.copies.as_mut() {
-                    copies.hear(now_ms, from, to, &bytes);
+                } else if let Some(replication) = self.replication.as_mut() {
+                    replication.handle_message(now_ms, from, to, &bytes);
                 }
             }
         }
     }
 
-    /// With replicas it stays a member until what it holds stands elsewhere; without any it goes at once.
+    /// With replication it stays a member until its records are handed off; without it leaves at once.
     fn handle_drain_notice(&mut self, now_ms: f64, within_ms: f64) {
         if let Some(carrier) = self.carrier.take() {
             let _ = carrier.try_send(config_distribution::Input::Shutdown);
         }
-        match self.copies.as_mut() {
-            Some(copies) => {
-                copies.leave(now_ms, now_ms + within_ms);
+        match self.replication.as_mut() {
+            Some(replication) => {
+                replication.start_handoff(now_ms, now_ms + within_ms);
                 self.node.drain(now_ms);
             }
             None => self.node.leave(now_ms),
@@ -320,7 +326,7 @@
     fn handle_question(&mut self, now_ms: f64, question: Question, is_local: bool, answer: Sender<Answer>) {
         let answered = match question {
             Question::Copies | Question::Ticket { .. } => {
-                replication_status::answer(self.copies.as_ref(), &self.node, question)
+                replication_status::answer(self.replication.as_ref(), &self.node, question)
             }
             Question::Part { part, bytes } => match (self.zoned.as_mut(), wire::decode(&bytes)) {
                 (Some(zoned), Ok(ask)) if part == zoned::KEY => {
@@ -365,8 +371,8 @@
             self.links.send(destination.address, name.as_deref(), &Wire::Envelope(envelope));
         }
         events.into_iter().for_each(|event| self.report(event));
-        if let Some(copies) = self.copies.as_mut() {
-            copies.doubts(now_ms(), &self.node.suspected());
+        if let Some(replication) = self.replication.as_mut() {
+            replication.update_suspected(now_ms(), &self.node.suspected());
         }
         self.send_replication();
         self.tell_carrier();
@@ -414,10 +420,12 @@
 
     /// What replication sends goes over the cluster's connections, to whom the view says.
     fn send_replication(&mut self) {
-        let Some(copies) = self.copies.as_mut() else { return };
-        let (from, send) = copies.take();
-        let members: Vec<_> =
-            send.into_iter().filter_map(|(to, bytes)| Some((copies.member(to)?, to, bytes))).collect();
+        let Some(replication) = self.replication.as_mut() else { return };
+        let (from, messages) = replication.poll_actions();
+        let members: Vec<_> = messages
+            .into_iter()
+            .filter_map(|(to, bytes)| Some((replication.member(to)?, to, bytes)))
+            .collect();
         for (member, to, bytes) in members {
             self.send_subsystem(member, Wire::Subsystem { from, to, bytes });
         }
@@ -440,8 +448,8 @@
             Event::View(view) => {
                 // The committed state may have come as a snapshot, with a plan in it.
                 self.apply_traffic_plan();
-                if let Some(copies) = self.copies.as_mut() {
-                    copies.view_is(now_ms(), &view);
+                if let Some(replication) = self.replication.as_mut() {
+                    replication.update_view(now_ms(), &view);
                 }
                 let (number, members) = (view.number, view.members.len());
                 tracing::info!(event = "view_changed", number, members, "view {number}")
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -201,7 +201,7 @@
 ) -> Result<Cluster, ServiceError> {
     let Some(setup) = setup else { return Ok(Cluster::default()) };
     let heartbeat = Arc::<group::DriverHeartbeat>::default();
-    let is_replicated = setup.copies.is_some();
+    let is_replicated = setup.replication.is_some();
     let (sender, receiver) = async_channel::unbounded();
     let replication_events = is_replicated.then_some(sender);
     let commands = group::start(setup, name.to_string(), heartbeat.clone(), replication_events)
