--- a/crates/plovershelf-cluster/src/lib.rs
+++ b/crates/plovershelf-cluster/src/lib.rs
@@ -16,9 +16,6 @@
 //! | [`status`] | what people may ask of a member |
 //! | [`broken`] | rules that tests break on purpose |
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 pub mod broken;
 pub mod consensus;
 pub mod gossip;
--- a/crates/plovershelf-cluster/tests/properties.rs
+++ b/crates/plovershelf-cluster/tests/properties.rs
@@ -114,8 +114,12 @@
     })
 }
 
-fn node_messages() -> impl Strategy<Value = NodeMessage> {
-    let consensus = prop_oneof![
+fn epochs() -> impl Strategy<Value = Epoch> {
+    prop_oneof![Just(0u64), Just(1u64 << 40), Just(2u64 << 40), any::<u64>()].prop_map(Epoch)
+}
+
+fn consensus_messages() -> impl Strategy<Value = Message<ClusterState>> {
+    prop_oneof![
         (terms(), positions(), ballots()).prop_map(|(term, last, ballot)| Message::RequestVote {
             term,
             last,
@@ -159,9 +163,11 @@
                 }
             }
         ),
-    ];
-    let epochs = prop_oneof![Just(0u64), Just(1u64 << 40), Just(2u64 << 40), any::<u64>()].prop_map(Epoch);
-    let gossip = prop_oneof![
+    ]
+}
+
+fn gossip_messages() -> impl Strategy<Value = gossip::Message> {
+    prop_oneof![
         (any::<u64>(), vec(updates(), 0..5))
             .prop_map(|(nonce, updates)| gossip::Message::Ping { nonce, updates }),
         (any::<u64>(), vec(updates(), 0..5))
@@ -180,19 +186,22 @@
         (vec(any::<u32>(), 60..70), any::<bool>())
             .prop_map(|(checksums, reply)| gossip::Message::Digest { checksums, reply }),
         vec(updates(), 0..60).prop_map(|updates| gossip::Message::Sync { updates }),
-    ];
+    ]
+}
+
+fn node_messages() -> impl Strategy<Value = NodeMessage> {
     prop_oneof![
-        4 => (epochs.clone(), consensus).prop_map(|(epoch, message)| NodeMessage::Consensus { epoch, message }),
-        3 => (gossip, epochs.clone(), 0u64..9, terms(), proptest::option::of(ids())).prop_map(|(message, epoch, commit_index, term, leader)| {
+        4 => (epochs(), consensus_messages()).prop_map(|(epoch, message)| NodeMessage::Consensus { epoch, message }),
+        3 => (gossip_messages(), epochs(), 0u64..9, terms(), proptest::option::of(ids())).prop_map(|(message, epoch, commit_index, term, leader)| {
             NodeMessage::Gossip { message, digest: StateDigest { epoch, commit_index, term, leader } }
         }),
-        1 => (epochs.clone(), 0u64..9).prop_map(|(epoch, index)| NodeMessage::FetchCommitted { epoch, index }),
-        1 => (epochs.clone(), positions(), entries()).prop_map(|(epoch, previous, entries)| NodeMessage::CommittedEntries { epoch, previous, entries }),
-        1 => (epochs.clone(), snapshots()).prop_map(|(epoch, snapshot)| NodeMessage::CommittedSnapshot { epoch, snapshot }),
+        1 => (epochs(), 0u64..9).prop_map(|(epoch, index)| NodeMessage::FetchCommitted { epoch, index }),
+        1 => (epochs(), positions(), entries()).prop_map(|(epoch, previous, entries)| NodeMessage::CommittedEntries { epoch, previous, entries }),
+        1 => (epochs(), snapshots()).prop_map(|(epoch, snapshot)| NodeMessage::CommittedSnapshot { epoch, snapshot }),
         1 => any::<u64>().prop_map(|sent_at_us| NodeMessage::LeaseRequest { sent_at_us }),
-        1 => (any::<u64>(), epochs.clone(), 0u64..4, any::<f64>()).prop_map(|(sent_at_us, epoch, view, duration_ms)| NodeMessage::LeaseGrant { sent_at_us, epoch, view, duration_ms }),
+        1 => (any::<u64>(), epochs(), 0u64..4, any::<f64>()).prop_map(|(sent_at_us, epoch, view, duration_ms)| NodeMessage::LeaseGrant { sent_at_us, epoch, view, duration_ms }),
         1 => (0u64..3).prop_map(|version| NodeMessage::Propose { nonce: 1, key: "k".into(), version, bytes: vec![0; 10] }),
-        1 => epochs.prop_map(|epoch| NodeMessage::EpochConsentRequest { epoch }),
+        1 => epochs().prop_map(|epoch| NodeMessage::EpochConsentRequest { epoch }),
     ]
 }
 
--- a/crates/plovershelf-cluster/tests/walk/mod.rs
+++ b/crates/plovershelf-cluster/tests/walk/mod.rs
@@ -15,7 +15,7 @@
 
 /// Commands in the order in which they were applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Applied(Vec<u8>);
+pub(crate) struct Applied(Vec<u8>);
 
 impl StateMachine for Applied {
     type Command = u8;
@@ -26,19 +26,19 @@
 
 /// How often each may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
-    pub elections: u8,
-    pub heartbeats: u8,
-    pub crashes: u8,
-    pub commands: u8,
-    pub duplicates: u8,
-    pub breaks: u8,
+pub(crate) struct Budget {
+    pub(crate) elections: u8,
+    pub(crate) heartbeats: u8,
+    pub(crate) crashes: u8,
+    pub(crate) commands: u8,
+    pub(crate) duplicates: u8,
+    pub(crate) breaks: u8,
 }
 
 /// What becomes of the disk in a crash.
 #[allow(dead_code, reason = "each test takes some of them")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Disk {
+pub(crate) enum Disk {
     Kept,
     /// As it was at the beginning: an older copy was restored.
     Restored,
@@ -46,14 +46,14 @@
     Lost,
 }
 
-pub struct Cluster {
-    pub voters: usize,
-    pub budget: Budget,
-    pub disks: Vec<Disk>,
+pub(crate) struct Cluster {
+    pub(crate) voters: usize,
+    pub(crate) budget: Budget,
+    pub(crate) disks: Vec<Disk>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Member {
+pub(crate) struct Member {
     node: Option<Raft<Applied>>,
     disk: PersistentState<Applied>,
     starts: u64,
@@ -79,7 +79,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct World {
+pub(crate) struct World {
     members: Vec<Member>,
     /// From whom, to whom: in order, as on a link. What is sent again alike right behind itself is one.
     in_flight: BTreeMap<(usize, usize), VecDeque<Arc<Message<Applied>>>>,
@@ -111,7 +111,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub(crate) enum Step {
     /// The first message of a connection; it may come once more.
     Deliver(usize, usize, bool),
     /// A connection breaks, and all on it is lost.
