--- a/crates/plovershelf-config-distribution/src/aggregation.rs
+++ b/crates/plovershelf-config-distribution/src/aggregation.rs
@@ -17,7 +17,7 @@
 /// Attachments that are still to be passed on, at most.
 const MAX_PENDING: usize = 256;
 
-/// Children that fell silent without a word.
+/// Children that fell silent without detaching.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SilentNodes(Vec<SilentNode>);
 
@@ -54,7 +54,7 @@
 /// Where processes attached lately.
 ///
 /// A process that moved to another parent would stay on the old parent's list of silent ones. So attachments are passed
-/// up to the origins and among them, and a relay that still names such a process as missing is told so.
+/// up to the origins and among them, which correct a relay that still names such a process as missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttachmentLog {
     /// Of an origin: by name, when, and the relay or origin that feeds it.
--- a/crates/plovershelf-config-distribution/src/config.rs
+++ b/crates/plovershelf-config-distribution/src/config.rs
@@ -30,7 +30,7 @@
     pub leaf_probe_interval_ms: f64,
     /// How often a relay does. Default 2 s.
     pub relay_probe_interval_ms: f64,
-    /// An origin's word that is older has the backup parent asked at once. Default 2.5 s.
+    /// A listener that heard from no origin for this long probes its backup parent at once. Default 2.5 s.
     pub stale_after_ms: f64,
     /// Until an attempt to find or attach to a parent is given up. Default 400 ms.
     pub attach_timeout_ms: f64,
@@ -40,7 +40,7 @@
     pub max_backoff_ms: f64,
     /// The first requests after a start are spread over this. Default 200 ms.
     pub start_jitter_ms: f64,
-    /// How often an origin tells other origins of its relays, and its children of alternate parents. Default 2 s.
+    /// Between an origin's lists of relays to other origins, and of alternate parents to children. Default 2 s.
     pub relay_list_interval_ms: f64,
     /// How often a parent with too many children, or an origin that is not the nearest, sends one of them elsewhere.
     /// Default 5 s.
--- a/crates/plovershelf-config-distribution/src/fan_out.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Child {
     pub(crate) address: SocketAddr,
     pub(crate) node: NodeInfo,
-    /// What it reported last, or as much as its attaching says.
+    /// What it reported last; before that, what it attached with.
     pub(crate) aggregate: Aggregate,
     pub(crate) heard_at_ms: f64,
     /// Has reported since it attached.
@@ -23,7 +23,7 @@
     extended: bool,
     /// The version up to which it was sent everything.
     sent: Version,
-    /// Alternate parents that it was told of.
+    /// Alternate parents that it was sent.
     pub(crate) alternates: Vec<SocketAddr>,
     /// Listeners that an origin sent to it since its last report.
     pub(crate) recently_placed: u32,
--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -1,7 +1,7 @@
-//! How old an origin's word is here, and whether another process has a fresher one than the parent.
+//! How long ago an origin was heard from, and whether another process is fresher than the parent.
 //!
 //! A parent that is stuck but not silent would hold its children back. So a listener asks its backup parent from time to
-//! time what it holds, and others in turn once an origin's word is old.
+//! time what it holds, and others in turn once no origin was heard from for long.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::parent_selection::ParentSelector;
 use crate::version::Version;
 
-/// The next probe comes no later than this while the origin's word is old, or while another process is ahead.
+/// The next probe comes no later than this while no origin was heard from for long, or another process is ahead.
 const URGENT_PROBE_MS: f64 = 1000.0;
 
 /// What follows from the answer to a probe.
@@ -33,10 +33,10 @@
 pub(crate) struct Freshness {
     /// What the parent was last heard to hold.
     parent_held: Option<HeldVersion>,
-    /// When an origin sent the latest word that came here, over whichever relays.
-    origin_word_at_ms: Option<f64>,
+    /// When an origin sent the latest heartbeat that came here, directly or through relays.
+    origin_contact_ms: Option<f64>,
     probed: Option<SocketAddr>,
-    /// Probes in a row that were sent because the word was old.
+    /// Probes in a row that were sent because no origin was heard from.
     stale_probes: usize,
     /// What the last one that was probed held and this process did not.
     ahead_elsewhere: Option<Version>,
@@ -47,7 +47,7 @@
     pub(crate) fn new(probe_at_ms: f64) -> Self {
         Freshness {
             parent_held: None,
-            origin_word_at_ms: None,
+            origin_contact_ms: None,
             probed: None,
             stale_probes: 0,
             ahead_elsewhere: None,
@@ -59,12 +59,12 @@
         self.parent_held.as_ref()
     }
 
-    pub(crate) fn origin_word_age_ms(&self, now_ms: f64) -> Option<f64> {
-        self.origin_word_at_ms.map(|at_ms| (now_ms - at_ms).max(0.0))
+    pub(crate) fn origin_contact_age_ms(&self, now_ms: f64) -> Option<f64> {
+        self.origin_contact_ms.map(|at_ms| (now_ms - at_ms).max(0.0))
     }
 
     pub(crate) fn is_stale(&self, now_ms: f64, config: &DistributionConfig) -> bool {
-        self.origin_word_at_ms.is_none_or(|at_ms| now_ms - at_ms > config.stale_after_ms)
+        self.origin_contact_ms.is_none_or(|at_ms| now_ms - at_ms > config.stale_after_ms)
     }
 
     pub(crate) fn poll_timeout(&self) -> f64 {
@@ -72,15 +72,15 @@
     }
 
     /// A heartbeat or the like of the parent.
-    pub(crate) fn handle_parent_word(&mut self, now_ms: f64, held: HeldVersion) {
+    pub(crate) fn handle_parent_held(&mut self, now_ms: f64, held: HeldVersion) {
         if held.age_ms < u32::MAX {
             let at_ms = now_ms - f64::from(held.age_ms);
-            self.origin_word_at_ms = Some(self.origin_word_at_ms.map_or(at_ms, |latest| latest.max(at_ms)));
+            self.origin_contact_ms = Some(self.origin_contact_ms.map_or(at_ms, |latest| latest.max(at_ms)));
         }
         self.parent_held = Some(held);
     }
 
-    /// The parent sent a change with this version, which says nothing of its age.
+    /// The parent sent a change with this version, which has no age.
     pub(crate) fn handle_parent_change(&mut self, version: Version, short_digest: u64) {
         self.parent_held = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
     }
--- a/crates/plovershelf-config-distribution/src/known_parents.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents.rs
@@ -11,7 +11,7 @@
 /// Alternates that are asked whether they hold newer, before origins are.
 const ALTERNATES_PROBED: usize = 2;
 
-/// Origins from the operator's file, and the alternates that the parent told of.
+/// Origins from the operator's file, and the alternates that the parent sent.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownParents {
     /// The backup first.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whom to ask whether an origin's word is fresher there, when the parent's is old.
+    /// Whom to probe when no origin was heard from through the parent for long.
     ///
     /// The backup and one more alternate, as the backup may hear no origin either, then origins; at each turn the next.
     pub(crate) fn probe_target(
--- a/crates/plovershelf-config-distribution/src/lib.rs
+++ b/crates/plovershelf-config-distribution/src/lib.rs
@@ -5,7 +5,7 @@
 //! force where travels back up the same tree. Nothing here owns a clock, a socket or a file: a driver passes in the time,
 //! messages and ends of connections, and carries out what [`Node::poll_actions`] returns.
 //!
-//! | promise | what it says |
+//! | guarantee | meaning |
 //! | --- | --- |
 //! | ONE_CONTENT_A_NUMBER | two processes that have the same version in force have the same quotas in force |
 //! | NEVER_BACKWARDS | a process's version in force only ever grows |
@@ -29,7 +29,7 @@
 //! | `config` | intervals, timeouts and fan-outs |
 //! | `known_parents` | which parents a listener knows, and which of them failed it of late |
 //! | `parent_selection` | a listener's state machine for finding, keeping and replacing its parent |
-//! | `freshness` | how old an origin's word is here, and whether another process has fresher |
+//! | `freshness` | how long ago an origin was heard from, and whether another process is fresher |
 //! | `fan_out` | the children that are fed from here, and the deltas they still need |
 //! | `origin_peers` | what an origin knows of the other origins |
 //! | `placement` | to which parent an origin sends a listener that looks for one |
--- a/crates/plovershelf-config-distribution/src/message.rs
+++ b/crates/plovershelf-config-distribution/src/message.rs
@@ -14,7 +14,7 @@
 pub(crate) const MAX_NAMES: usize = 8;
 /// Processes that attached lately, in a message between origins, at most.
 pub(crate) const MAX_ATTACHMENTS: usize = 80;
-/// Relays that an origin tells another origin of, at most.
+/// Relays in an origin's list for another origin, at most.
 pub(crate) const MAX_RELAYS: usize = 64;
 
 /// How a process introduces itself.
@@ -57,7 +57,7 @@
     Failover,
 }
 
-/// A relay as origins tell each other of it.
+/// A relay in the lists that origins exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayInfo {
     /// Where it is reached.
@@ -89,14 +89,14 @@
     pub attached: Vec<String>,
 }
 
-/// The version that a process holds, and the age of the origin's word that it goes back to.
+/// The version that a process holds, and how long ago an origin was heard from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldVersion {
     /// In force there.
     pub version: Version,
     /// The low half of the table's digest.
     pub short_digest: u64,
-    /// How long ago an origin's word last came there, over whichever relay; `u32::MAX` where it never did.
+    /// How long ago an origin was last heard from, directly or through relays; `u32::MAX` where it never was.
     pub age_ms: u32,
 }
 
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -184,12 +184,12 @@
         self.fetch_missing(now_ms);
     }
 
-    /// What is to be sent and told since the last call.
+    /// What is to be sent and published since the last call.
     pub fn poll_actions(&mut self) -> Actions {
         std::mem::take(&mut self.actions)
     }
 
-    /// The process ends on purpose: parent and children are told, so that nobody waits for its silence.
+    /// The process ends on purpose: parent and children are notified, so that nobody waits for its silence.
     pub fn close(&mut self) {
         let children = self.fan_out.clear();
         for to in children.into_iter().chain(self.parent.parent()) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// What this process can say of the fleet.
+    /// This process's view of the fleet.
     pub fn status(&self, now_ms: f64) -> NodeStatus {
         let aggregate = self.aggregate();
         NodeStatus {
@@ -207,7 +207,7 @@
             tenants: self.table().len() as u64,
             age_ms: match self.role {
                 Role::Origin => Some(0.0),
-                Role::Listener => self.freshness.origin_word_age_ms(now_ms),
+                Role::Listener => self.freshness.origin_contact_age_ms(now_ms),
             },
             parent: self.parent.parent(),
             backup_parent: self.parent.backup_parent(),
@@ -224,7 +224,7 @@
         self.store.log().iter().cloned().collect()
     }
 
-    /// A message from its own address counts for nothing, nor does a parent's word to attach where it can't.
+    /// Not a message from its own address, nor a parent's request to attach where it can't.
     fn accepts(&self, from: SocketAddr, message: &Message) -> bool {
         match message {
             Message::Reattach(to) if self.parent.is_parent(from) => self.accepts_reattach(*to),
@@ -271,11 +271,11 @@
         self.role == Role::Origin || self.parent.is_relay()
     }
 
-    /// What this process holds, as it tells others.
+    /// What this process holds, as heartbeats carry it.
     fn held(&self, now_ms: f64) -> HeldVersion {
         let age_ms = match self.role {
             Role::Origin => 0.0,
-            Role::Listener => self.freshness.origin_word_age_ms(now_ms).unwrap_or(f64::INFINITY),
+            Role::Listener => self.freshness.origin_contact_age_ms(now_ms).unwrap_or(f64::INFINITY),
         };
         HeldVersion {
             version: self.store.version(),
--- a/crates/plovershelf-config-distribution/src/node/children.rs
+++ b/crates/plovershelf-config-distribution/src/node/children.rs
@@ -1,4 +1,4 @@
-//! What a parent does for its children: takes them, takes in their reports, tells them of other parents.
+//! What a parent does for its children: accepts them, handles their reports, keeps their lists of alternate parents.
 
 use std::net::SocketAddr;
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Children are told of other parents that they may go to, where that changed since they were told last.
+    /// Sends children their alternate parents, where the list changed since it was sent last.
     pub(super) fn send_alternates(&mut self, now_ms: f64) {
         let mut changed = Vec::new();
         for child in self.fan_out.children() {
@@ -135,7 +135,7 @@
     }
 }
 
-/// A relay's children are leaves, which count themselves alone, whatever they say.
+/// A relay's children are leaves, which count themselves alone, whatever they report.
 fn reduce_to_leaf(aggregate: &mut Aggregate) {
     aggregate.nodes = 1;
     aggregate.up_to_date = aggregate.up_to_date.min(1);
--- a/crates/plovershelf-config-distribution/src/node/interface.rs
+++ b/crates/plovershelf-config-distribution/src/node/interface.rs
@@ -37,7 +37,7 @@
     pub seed: u64,
 }
 
-/// What the driver is to tell those that use the configuration, in order.
+/// What the driver is to publish to those that use the configuration, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// In force from now on: these edits of what was.
@@ -107,7 +107,7 @@
 pub struct Actions {
     /// To be sent, in order, each to the process that is reached there.
     pub messages: Vec<(SocketAddr, Message)>,
-    /// To be told, in order.
+    /// To be published, in order.
     pub events: Vec<Event>,
 }
 
@@ -153,7 +153,7 @@
     NumbersUsedUp,
 }
 
-/// What one process can say of the fleet, for people.
+/// One process's view of the fleet, for people.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Of this process.
@@ -164,7 +164,7 @@
     pub digest: u128,
     /// How many the table has.
     pub tenants: u64,
-    /// How long ago an origin's word last came here, over whichever relays; none where it never did.
+    /// How long ago an origin was last heard from, directly or through relays; none where it never was.
     pub age_ms: Option<f64>,
     /// Whom it hears from.
     pub parent: Option<SocketAddr>,
--- a/crates/plovershelf-config-distribution/src/node/listener.rs
+++ b/crates/plovershelf-config-distribution/src/node/listener.rs
@@ -37,7 +37,7 @@
         if self.attachments.has_pending() {
             self.report.hasten();
         } else if let Some(child) = self.fan_out.next_name() {
-            // In turn again, as what was told once may be lost with a connection or an origin.
+            // In turn again, as what was reported once may be lost with a connection or an origin.
             aggregate.attached.push(child);
             aggregate.attached.truncate(MAX_NAMES);
         }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// An origin says that these, which were reported as missing, attached elsewhere.
+    /// From an origin: these, which were reported as missing, attached elsewhere.
     pub(super) fn on_relocated(&mut self, from: SocketAddr, names: &[String]) {
         if names.len() <= MAX_NAMES && self.parent.is_parent(from) {
             names.iter().for_each(|name| self.silent.remove(name));
@@ -253,7 +253,7 @@
             return;
         }
         self.parent.handle_parent_heard(now_ms);
-        self.freshness.handle_parent_word(now_ms, held);
+        self.freshness.handle_parent_held(now_ms, held);
     }
 
     /// Somebody asks what this process holds.
--- a/crates/plovershelf-config-distribution/src/node/origin.rs
+++ b/crates/plovershelf-config-distribution/src/node/origin.rs
@@ -1,4 +1,4 @@
-//! What an origin does: proposals and commits, placement of listeners, word among origins.
+//! What an origin does: proposals and commits, placement of listeners, the exchange among origins.
 
 use std::net::SocketAddr;
 
@@ -13,8 +13,8 @@
 use crate::placement::ParentRequest;
 use crate::version::Version;
 
-/// Children whose names are told to the other origins again, each time that the list of relays is.
-const CHILDREN_RETOLD: usize = 4;
+/// Children whose names are sent to the other origins again, each time that the list of relays is.
+const CHILDREN_RESENT: usize = 4;
 
 impl Node {
     /// Of an origin: makes of edits the change that would come next, validated against the table in force.
@@ -73,14 +73,14 @@
         self.flush_deltas(now_ms);
     }
 
-    /// Tells the other origins and the children of relays; now and then sends a relay to a better origin.
+    /// Sends relay lists to the other origins and to children; now and then sends a relay to a better origin.
     pub(super) fn handle_origin_timeout(&mut self, now_ms: f64) {
         if now_ms < self.timers.relay_list_ms {
             return;
         }
         self.timers.relay_list_ms = now_ms + self.config.relay_list_interval_ms;
         self.rebalance_origins(now_ms);
-        self.retell_children(now_ms);
+        self.resend_children(now_ms);
         let attached = self.attachments.take_pending(MAX_ATTACHMENTS);
         let relays = self.placement.own_relays(&self.fan_out);
         let peers: Vec<SocketAddr> = self.origins.addresses().collect();
@@ -105,9 +105,9 @@
         }
     }
 
-    /// A few children are told of again, in turn, as what was told once may be lost with a connection.
-    fn retell_children(&mut self, now_ms: f64) {
-        for _ in 0..CHILDREN_RETOLD.min(self.fan_out.len()) {
+    /// A few children are named again, in turn, as what was sent once may be lost with a connection.
+    fn resend_children(&mut self, now_ms: f64) {
+        for _ in 0..CHILDREN_RESENT.min(self.fan_out.len()) {
             let Some(child) = self.fan_out.next_name() else { break };
             self.attachments.locate(now_ms, &child, self.info.address);
             self.attachments.pass_on(&child, self.info.address);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes in who attached to a child lately, and tells the child who of its missing ones attached elsewhere.
+    /// Records who attached to a child lately, and notifies the child of missing ones that attached elsewhere.
     pub(super) fn locate_attached(&mut self, now_ms: f64, from: SocketAddr, aggregate: &mut Aggregate) {
         for name in std::mem::take(&mut aggregate.attached) {
             self.locate(now_ms, &name, from);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Another origin tells who attached where.
+    /// From another origin: who attached where.
     pub(super) fn on_attachments(&mut self, now_ms: f64, from: SocketAddr, attached: Vec<Attachment>) {
         if attached.len() > MAX_ATTACHMENTS || !self.origins.contains(from) {
             return;
--- a/crates/plovershelf-config-distribution/src/node/sync.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -75,7 +75,7 @@
 
     /// Another origin that is ahead; else, for an origin that begins from nothing as all others do, a relay.
     ///
-    /// Not from a relay later, as what a relay says is no origin's word.
+    /// Not from a relay later: only origins know what is committed.
     fn origin_fetch_target(&self) -> Option<SocketAddr> {
         let own = self.store.version();
         if let Some(origin) = self.origins.ahead_of(own) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A version that is in force, or from before: nothing changes, and another table under its number is told.
+    /// A version that is in force, or from before: nothing changes, and another digest under it is a warning.
     pub(super) fn check_known_change(&mut self, change: &Change) {
         if self.store.contradicts(change) {
             self.warn(Warning::ContradictingChange(change.version));
--- a/crates/plovershelf-config-distribution/src/origin_peers.rs
+++ b/crates/plovershelf-config-distribution/src/origin_peers.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OriginPeers {
     peers: Vec<OriginPeer>,
-    /// One that is silent for this long is left out, and what it told of with it.
+    /// One that is silent for this long is left out, and its relays with it.
     silent_after_ms: f64,
 }
 
@@ -96,7 +96,7 @@
         self.peers.iter().filter(move |peer| peer.heard_at_ms + self.silent_after_ms > now_ms)
     }
 
-    /// All relays that the origins told of, to be counted on; the silent ones' too.
+    /// All relays of the other origins; those of silent ones too.
     pub(crate) fn relays_mut(&mut self) -> impl Iterator<Item = &mut RelayInfo> {
         self.peers.iter_mut().flat_map(|peer| &mut peer.relays)
     }
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -4,7 +4,7 @@
 //! | --- | --- | --- |
 //! | BackingOff | the backoff is over | Finding, an origin is asked; a relay goes to Attaching, at an origin |
 //! | Finding | candidates: relays | Attaching, at the first of them |
-//! | Finding | candidates: be a relay | Attaching, at the origin that said so, as a relay |
+//! | Finding | candidates: be a relay | Attaching, at the origin that answered, as a relay |
 //! | Finding | candidates: ask that origin | Finding, at that one |
 //! | Finding | no candidates, no answer in time, connection lost | BackingOff, doubled up to a bound; then another origin |
 //! | Attaching | attached | Attached |
@@ -13,7 +13,7 @@
 //! | Attached | a relay that feeds nobody for long | Finding, as a leaf again |
 //! | Attached | a leaf whose relay feeds more than its fan-out and sends it elsewhere | Finding |
 //! | Attached | a relay whose origin sends it to a nearer one, or to one that feeds far fewer | Attaching, at that one |
-//! | Attaching, as a relay | rejected by each origin, twice | BackingOff, as a leaf; its children are told |
+//! | Attaching, as a relay | rejected by each origin, twice | BackingOff, as a leaf; its children are detached |
 //!
 //! A relay attaches to origins only and a leaf feeds nobody, so no cycle of parents can come about. In all states what is
 //! in force stays in force.
@@ -70,7 +70,7 @@
         /// Which of its fan-outs applies.
         limit: FanOutLimit,
     },
-    /// No origin takes it as a relay: its children are to be told that it is a leaf from now on.
+    /// No origin takes it as a relay: its children are to be detached, as it is a leaf from now on.
     ReleaseChildren,
 }
 
@@ -163,7 +163,7 @@
         self.known.backup(self.kind, self.parent())
     }
 
-    /// Whom to ask whether an origin's word is fresher there, when the parent's is old; at each turn the next.
+    /// Whom to probe when no origin was heard from through the parent for long; at each turn the next.
     pub(crate) fn probe_target(&self, turn: usize) -> Option<SocketAddr> {
         self.known.probe_target(self.kind, self.parent(), turn)
     }
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -15,9 +15,9 @@
 
 /// By how many relays two origins of a region may differ before one is sent from the one to the other.
 const REBALANCE_SLACK: usize = 4;
-/// For how long a listener that was told to become a relay has its place.
+/// For how long a place is reserved for a listener that is to become a relay.
 const PROMISE_MS: f64 = 2000.0;
-/// Alternate parents that a relay tells its child of, at most; an origin twice as many.
+/// Alternate parents in a relay's list for a child, at most; an origin twice as many.
 const MAX_ALTERNATES: usize = 4;
 /// Relays in an answer to a listener, at most.
 const MAX_CANDIDATES: usize = 3;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Told to become a relay, of which no report has come yet.
+/// A place for a listener that is to become a relay and has not reported yet.
 #[derive(Clone, Debug)]
 struct Promise {
     relay: RelayInfo,
@@ -117,7 +117,7 @@
         candidates(found, ListenerKind::Leaf, limit, None)
     }
 
-    /// Whether it was told to become a relay here, so that there is a place for it though others came meanwhile.
+    /// Whether a place is reserved for it here, though others may have come meanwhile.
     pub(crate) fn is_promised(&self, address: SocketAddr) -> bool {
         self.promises.iter().any(|promise| promise.relay.address == address)
     }
@@ -246,7 +246,7 @@
     }
 }
 
-/// What a relay tells a child of the alternates that it knows itself.
+/// A relay's list for a child, of the alternates that it knows itself.
 ///
 /// Each child gets another one first, drawn by its address, so that it stays the same as others come and go.
 pub(crate) fn rotated_for(alternates: &[SocketAddr], child: SocketAddr) -> Vec<SocketAddr> {
--- a/crates/plovershelf-config-distribution/src/quota_table.rs
+++ b/crates/plovershelf-config-distribution/src/quota_table.rs
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The same entries, said to be in force at this version.
+    /// The same entries, in force at this version.
     pub(crate) fn at_version(self, version: Version) -> Self {
         QuotaTable { version, ..self }
     }
--- a/crates/plovershelf-config-distribution/src/snapshot.rs
+++ b/crates/plovershelf-config-distribution/src/snapshot.rs
@@ -36,7 +36,7 @@
 }
 
 impl SnapshotBuilder {
-    /// Begins with a version and digest as the sender says them.
+    /// Begins with the sender's version and digest.
     pub fn new(version: Version, digest: u128) -> Self {
         SnapshotBuilder { version, digest, last_name: None, table: QuotaTable::default() }
     }
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// The sender's version moved on. A change that does not follow is left out; the digest at the end tells.
+    /// The sender's version moved on. A change that does not follow is left out; the digest shows it at the end.
     pub fn apply_change(&mut self, change: &Change) {
         if change.previous != self.version || change.version <= self.version {
             return;
--- a/crates/plovershelf-server/src/config_distribution.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -1,10 +1,10 @@
 //! Configuration distribution on real sockets: connections, timers and queues around [`plovershelf_config_distribution`].
 //!
-//! A listener's driver runs on a thread of its own, beside the owner; an origin's beside the cluster's thread, so that a
+//! A listener's driver runs on a thread of its own, beside the backend's driver; an origin's beside the cluster's thread, so that a
 //! whole fleet that asks at once keeps the consensus group from nothing. Trials put many on one executor.
 //!
-//! The ordinary path of a change: the cluster's thread tells an origin's driver what was committed, which sends it to the
-//! relays that hear from it; they send it to their leaves; each driver tells its owner what is in force.
+//! The ordinary path of a change: the cluster's thread passes what was committed to an origin's driver, which sends it
+//! to its relays; they send it to their leaves; each listener's driver publishes what is in force to its subscriber.
 //!
 //! | module | its job |
 //! | --- | --- |
@@ -12,7 +12,7 @@
 //! | `driver` | carries out what the node decides |
 //! | `origin` | proposals on their way to the consensus group, and what it committed |
 //! | `storage` | the table of an origin, kept in a folder |
-//! | `subscriber` | who is told what is in force |
+//! | `subscriber` | who receives what is in force |
 
 pub mod admin;
 mod driver;
@@ -99,9 +99,9 @@
     Received(Heard),
     /// A connection ended, or could not be made.
     ConnectionLost(SocketAddr),
-    /// The consensus group's state, as its thread tells an origin.
+    /// The consensus group's state, from the cluster's thread to an origin.
     Consensus(ConsensusState),
-    /// The process is about to end: others are told, and the driver ends.
+    /// The process is about to end: others are notified, and the driver ends.
     Shutdown,
 }
 
--- a/crates/plovershelf-server/src/config_distribution/admin.rs
+++ b/crates/plovershelf-server/src/config_distribution/admin.rs
@@ -35,7 +35,7 @@
     Rejected(String),
 }
 
-/// What one process says is in force.
+/// What is in force in one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// Of its node.
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what the node decides: connections, the clock, answers to people, what its owner is told.
+//! Carries out what the node decides: connections, the clock, answers to people, updates to the subscriber.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -22,14 +22,14 @@
 use crate::entropy::random_id;
 use crate::links::{self, now_ms, Bounds, Heard, Links};
 
-/// Lost connections that wait to be told to the node.
+/// Lost connections that wait to be passed to the node.
 const MAX_QUEUED_LOSSES: usize = 256;
 /// Inputs that are handled before time is looked at again.
 const INPUTS_A_TURN: usize = 64;
-/// The longest sleep, whatever the node says.
+/// The longest sleep, whatever the node asks for.
 const MAX_SLEEP_MS: f64 = 1000.0;
 const MAX_WARNINGS_A_SECOND: u32 = 10;
-/// What an owner did not take is offered again after this.
+/// An update that the subscriber did not take is offered again after this.
 const PUBLISH_RETRY_MS: f64 = 50.0;
 /// Listeners that may ask an origin at once, as when a release starts all of them anew.
 const MAX_SIMULTANEOUS_REQUESTS: usize = 1024;
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -20,7 +20,7 @@
 const PROPOSAL_RETRY_MS: f64 = 700.0;
 const MAX_PROPOSALS: usize = 16;
 
-/// What the consensus group committed last, as the cluster's thread tells it.
+/// What the consensus group committed last, as the cluster's thread reports it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusState {
     /// Of the group.
--- a/crates/plovershelf-server/src/config_distribution/storage.rs
+++ b/crates/plovershelf-server/src/config_distribution/storage.rs
@@ -49,7 +49,7 @@
     /// The last frame is not whole.
     #[error("it ends too early")]
     Truncated,
-    /// The entries are not those of a table, or of another than the first frame says.
+    /// The entries are not valid, or not those of the first frame's digest.
     #[error(transparent)]
     Table(#[from] SnapshotError),
 }
@@ -93,7 +93,7 @@
 /// Where an origin's table is stored.
 pub(super) struct TableFile {
     path: PathBuf,
-    /// The last attempt failed, which is told once.
+    /// The last attempt failed, which is logged once.
     fails: bool,
 }
 
--- a/crates/plovershelf-server/src/config_distribution/subscriber.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -1,4 +1,4 @@
-//! Who is told what is in force: the owner of a backend, or a trial that counts.
+//! Who receives what is in force: a backend's driver, or a trial that counts.
 
 use std::collections::BTreeMap;
 
@@ -39,9 +39,9 @@
     pub at_ms: f64,
 }
 
-/// Who is told.
+/// Who receives updates.
 pub enum Subscriber {
-    /// The owner of a backend. What it has not taken yet is merged with what comes, so it is bounded by the table.
+    /// A backend's driver. What it has not taken yet is merged with what comes, so it is bounded by the table.
     Quotas(Sender<QuotaUpdate>),
     /// A trial that counts.
     Versions(Sender<VersionInForce>),
@@ -49,7 +49,7 @@
     Nobody,
 }
 
-/// What is still to be told, and to whom.
+/// What is still to be published, and to whom.
 pub(super) struct Publisher {
     name: String,
     subscriber: Subscriber,
--- a/crates/plovershelf-server/src/config_distribution/subscriber/tests.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber/tests.rs
@@ -4,10 +4,10 @@
     Edit::Set { tenant: tenant.into(), quota_per_s }
 }
 
-/// An owner takes nothing for a while, and several versions come into force meanwhile. It must get one update that leads
+/// A subscriber takes nothing for a while, and several versions come into force meanwhile. It must get one update that leads
 /// to the newest, so that what waits stays bounded.
 #[test]
-fn updates_that_the_owner_did_not_take_are_merged_with_later_ones() {
+fn updates_that_the_subscriber_did_not_take_are_merged_with_later_ones() {
     let (to, taken) = async_channel::bounded(1);
     let mut publisher = Publisher::new("n1".into(), Subscriber::Quotas(to));
     let table = QuotaTable::initial([("acme", 1.0), ("zeta", 2.0)]).expect("a table");
