--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -1,5 +1,5 @@
-//! Changes on real sockets: three sources as processes, a real backend that hears of them, and what is asked of all from outside.
-//! No verdict hangs on the time it took: each waits for a state, a minute at most.
+//! Configuration distribution on real sockets: three origins as processes, a real backend that listens, and questions to all from
+//! outside. No verdict depends on the time it took: each waits for a state, a minute at most.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -212,8 +212,10 @@
     AdminResponse::Committed(format!("agreed as number {number}"))
 }
 
+/// An operator changes quotas while a backend serves, then two operators propose at once. The change must reach the backend's
+/// admission; of the two one must be committed and the other told why not; a backend that drains must not count as missing.
 #[test]
-fn a_change_is_in_force_in_a_real_backend_and_one_of_two_at_once_wins() {
+fn change_is_in_force_in_a_real_backend_and_one_of_two_at_once_is_committed() {
     let stage = Stage::new("force");
     let backend = stage.backend(true);
     // What all begin from, before any change.
@@ -257,8 +259,10 @@
     });
 }
 
+/// Operators propose what can't be, and peers send corrupt frames, another cluster's greeting and payloads that are no message.
+/// Each proposal must be rejected with its reason, and the table stay as it is everywhere.
 #[test]
-fn what_is_bad_changes_nothing_and_is_named() {
+fn invalid_changes_and_frames_change_nothing_and_are_named() {
     let stage = Stage::new("bad");
     let backend = stage.backend(true);
     let at = stage.at[0];
@@ -295,8 +299,10 @@
     assert!(after.iter().all(|one| one.node.digest == before));
 }
 
+/// A backend stands still during two changes, then loses its parent, then all origins. It must have the newest in force again,
+/// attach to another origin, and at last serve on with an age that grows, until the origins are back from their folders.
 #[test]
-fn one_that_stood_still_or_lost_its_sources_has_the_newest_or_serves_on_and_says_how_old_it_is() {
+fn paused_backend_catches_up_and_one_without_origins_serves_on_and_reports_its_age() {
     let mut stage = Stage::new("still");
     let backend = stage.backend(true);
     stage.all_have(0, &[backend.at]);
@@ -330,9 +336,10 @@
     stage.all_have(4, &[backend.at]);
 }
 
-/// Ten listeners on one executor, fed by relays that feed two each; a relay that ends is gone with its listener and its links.
+/// Ten listeners on one executor are fed by relays with two children each, and a relay ends with its socket and connections. Its
+/// children must attach elsewhere and receive the next change; no version may go back.
 #[test]
-fn listeners_whose_relay_ends_hear_from_another_and_all_have_what_comes_next() {
+fn listeners_whose_relay_ends_attach_elsewhere_and_receive_the_next_change() {
     const COUNT: usize = 10;
     let stage = Stage::new("relays");
     stage.all_have(0, &[]);
