--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -23,6 +23,9 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
+use children::AttachRequest;
+use listener::Candidates;
+
 pub use interface::{Actions, Event, NodeStatus, ProposalError, Role, Startup, Warning};
 
 use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, SilentNodes};
@@ -34,7 +37,7 @@
 use crate::message::{Aggregate, HeldVersion, Message, NodeInfo};
 use crate::origin_peers::OriginPeers;
 use crate::parent_selection::ParentSelector;
-use crate::placement::Placement;
+use crate::placement::{ParentRequest, Placement};
 use crate::quota_table::QuotaTable;
 use crate::store::ConfigStore;
 
@@ -235,13 +238,14 @@
     fn dispatch(&mut self, now_ms: f64, from: SocketAddr, message: Message) {
         match message {
             Message::FindParent { node, excluded, redirected } => {
-                self.on_find_parent(now_ms, from, &node, &excluded, redirected);
+                let request = ParentRequest { from, node: &node, excluded: &excluded, redirected };
+                self.on_find_parent(now_ms, &request);
             }
             Message::ParentCandidates { relays, kind, limit, ask_origin } => {
-                self.on_candidates(now_ms, from, relays, kind, limit, ask_origin);
+                self.on_candidates(now_ms, from, Candidates { relays, kind, limit, ask_origin });
             }
             Message::Attach { node, held, kind, limit } => {
-                self.on_attach(now_ms, from, node, held, kind, limit);
+                self.on_attach(now_ms, from, AttachRequest { node, held, kind, limit });
             }
             Message::Attached(held) => self.on_attached(now_ms, from, held),
             Message::Rejected => self.on_rejected(now_ms, from),
--- a/crates/plovershelf-config-distribution/src/node/children.rs
+++ b/crates/plovershelf-config-distribution/src/node/children.rs
@@ -8,22 +8,24 @@
 use crate::message::{Aggregate, FanOutLimit, HeldVersion, ListenerKind, Message, NodeInfo, MAX_NAMES};
 use crate::placement::rotated_for;
 
+/// A process asks to be fed.
+pub(super) struct AttachRequest {
+    pub(super) node: NodeInfo,
+    pub(super) held: HeldVersion,
+    pub(super) kind: ListenerKind,
+    pub(super) limit: FanOutLimit,
+}
+
 impl Node {
+    /// A child fell silent, or its connection is lost.
     pub(super) fn on_child_gone(&mut self, now_ms: f64, child: Child) {
         self.silent.add(now_ms, child.node.name);
         self.report.hasten();
     }
 
     /// A process asks to be fed from here.
-    pub(super) fn on_attach(
-        &mut self,
-        now_ms: f64,
-        from: SocketAddr,
-        node: NodeInfo,
-        held: HeldVersion,
-        kind: ListenerKind,
-        limit: FanOutLimit,
-    ) {
+    pub(super) fn on_attach(&mut self, now_ms: f64, from: SocketAddr, request: AttachRequest) {
+        let AttachRequest { node, held, kind, limit } = request;
         let is_known = self.fan_out.contains(from);
         let has_capacity = is_known || self.fan_out.len() < self.max_children(from, limit);
         if !self.may_feed(from, kind) || !has_capacity || !node.is_bounded() {
--- a/crates/plovershelf-config-distribution/src/node/listener.rs
+++ b/crates/plovershelf-config-distribution/src/node/listener.rs
@@ -8,10 +8,19 @@
 use crate::broken::{self, Broken};
 use crate::freshness::{FetchState, ProbeVerdict};
 use crate::message::{FanOutLimit, HeldVersion, ListenerKind, Message, MAX_ADDRESSES, MAX_NAMES};
-use crate::parent_selection::{Failure, ParentAction};
+use crate::parent_selection::{Failure, FindRequest, ParentAction};
 use crate::quota_table::QuotaTable;
 
+/// An origin's answer to a listener that looks for a parent.
+pub(super) struct Candidates {
+    pub(super) relays: Vec<SocketAddr>,
+    pub(super) kind: ListenerKind,
+    pub(super) limit: FanOutLimit,
+    pub(super) ask_origin: Option<SocketAddr>,
+}
+
 impl Node {
+    /// The parent, reports, probes, children and the own kind, as far as they are due.
     pub(super) fn handle_listener_timeout(&mut self, now_ms: f64) {
         if let Some(parent) = self.parent.silent_parent(now_ms) {
             self.on_parent_silent(now_ms, parent);
@@ -111,7 +120,7 @@
 
     fn carry_out(&mut self, now_ms: f64, action: Option<ParentAction>) {
         match action {
-            Some(ParentAction::Find { origin, redirected }) => {
+            Some(ParentAction::Find(FindRequest { origin, redirected })) => {
                 let excluded = self.parent.known().failed().to_vec();
                 self.send(origin, Message::FindParent { node: self.info.clone(), excluded, redirected });
             }
@@ -141,20 +150,14 @@
     }
 
     /// An origin's answer to a listener that looks for a parent.
-    pub(super) fn on_candidates(
-        &mut self,
-        now_ms: f64,
-        from: SocketAddr,
-        relays: Vec<SocketAddr>,
-        kind: ListenerKind,
-        limit: FanOutLimit,
-        ask_origin: Option<SocketAddr>,
-    ) {
-        let Some(redirected) = self.parent.find_request(from) else { return };
+    pub(super) fn on_candidates(&mut self, now_ms: f64, from: SocketAddr, candidates: Candidates) {
+        let Some(request) = self.parent.find_request(from) else { return };
+        let Candidates { relays, kind, limit, ask_origin } = candidates;
         if relays.len() > MAX_ADDRESSES {
             return;
         }
-        let ask_origin = ask_origin.filter(|origin| !redirected && self.parent.known().is_origin(*origin));
+        let ask_origin =
+            ask_origin.filter(|origin| !request.redirected && self.parent.known().is_origin(*origin));
         let action = if kind == ListenerKind::Relay {
             self.idle_since_ms = now_ms;
             self.parent.become_relay(now_ms, from, &mut self.rng)
--- a/crates/plovershelf-config-distribution/src/node/origin.rs
+++ b/crates/plovershelf-config-distribution/src/node/origin.rs
@@ -114,23 +114,16 @@
         }
     }
 
-    pub(super) fn on_find_parent(
-        &mut self,
-        now_ms: f64,
-        from: SocketAddr,
-        node: &NodeInfo,
-        excluded: &[SocketAddr],
-        redirected: bool,
-    ) {
+    /// A listener looks for a parent.
+    pub(super) fn on_find_parent(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
         if self.role != Role::Origin {
-            self.send(from, Message::Rejected);
+            self.send(request.from, Message::Rejected);
             return;
         }
-        if node.is_bounded() && excluded.len() <= MAX_ADDRESSES {
-            let request = ParentRequest { from, node, excluded, redirected };
+        if request.node.is_bounded() && request.excluded.len() <= MAX_ADDRESSES {
             let answer =
-                self.placement.handle_find_parent(now_ms, &request, &mut self.fan_out, &mut self.origins);
-            self.send(from, answer);
+                self.placement.handle_find_parent(now_ms, request, &mut self.fan_out, &mut self.origins);
+            self.send(request.from, answer);
         }
     }
 
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     BackingOff { until_ms: f64 },
-    Finding { origin: SocketAddr, until_ms: f64, redirected: bool },
+    Finding { request: FindRequest, until_ms: f64 },
     Attaching { to: SocketAddr, until_ms: f64, next: Vec<SocketAddr>, limit: FanOutLimit },
     Attached(Parent),
 }
@@ -53,16 +53,19 @@
     extended: bool,
 }
 
+/// A question for candidates.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct FindRequest {
+    pub(crate) origin: SocketAddr,
+    /// Another origin sent the listener there.
+    pub(crate) redirected: bool,
+}
+
 /// What the listener is to send next.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ParentAction {
     /// Ask an origin for candidates.
-    Find {
-        /// The origin.
-        origin: SocketAddr,
-        /// Another origin sent it there.
-        redirected: bool,
-    },
+    Find(FindRequest),
     /// Ask a candidate to be its parent.
     Attach {
         /// The candidate.
@@ -146,10 +149,10 @@
         matches!(self.state, State::Attaching { to, .. } if to == address)
     }
 
-    /// Whether this origin is asked for candidates now, and whether another origin sent the listener there.
-    pub(crate) fn find_request(&self, address: SocketAddr) -> Option<bool> {
+    /// The question that this origin was asked and has not answered yet.
+    pub(crate) fn find_request(&self, address: SocketAddr) -> Option<FindRequest> {
         match self.state {
-            State::Finding { origin, redirected, .. } if origin == address => Some(redirected),
+            State::Finding { request, .. } if request.origin == address => Some(request),
             _ => None,
         }
     }
@@ -196,7 +199,7 @@
                 }
                 action
             }
-            State::Finding { origin: at, .. }
+            State::Finding { request: FindRequest { origin: at, .. }, .. }
             | State::Attaching { to: at, .. }
             | State::Attached(Parent { address: at, .. }) => {
                 let at = *at;
@@ -274,17 +277,17 @@
     /// Asks the next origin for candidates.
     pub(crate) fn find(&mut self, now_ms: f64) -> Option<ParentAction> {
         let origin = self.known.next_origin()?;
-        Some(self.ask_origin(now_ms, origin, false))
+        Some(self.ask_origin(now_ms, FindRequest { origin, redirected: false }))
     }
 
     /// Asks the origin that another one pointed to.
     pub(crate) fn find_at(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
-        self.ask_origin(now_ms, origin, true)
+        self.ask_origin(now_ms, FindRequest { origin, redirected: true })
     }
 
-    fn ask_origin(&mut self, now_ms: f64, origin: SocketAddr, redirected: bool) -> ParentAction {
-        self.state = State::Finding { origin, until_ms: now_ms + self.attach_timeout_ms, redirected };
-        ParentAction::Find { origin, redirected }
+    fn ask_origin(&mut self, now_ms: f64, request: FindRequest) -> ParentAction {
+        self.state = State::Finding { request, until_ms: now_ms + self.attach_timeout_ms };
+        ParentAction::Find(request)
     }
 
     /// Tries these one after the other; backs off where there is none.
@@ -343,7 +346,7 @@
             State::Attaching { to, next, limit, .. } if to == at => {
                 self.attach_to_next(now_ms, at, failure, next, limit, rng)
             }
-            State::Finding { origin, .. } if origin == at => {
+            State::Finding { request, .. } if request.origin == at => {
                 // So that no other origin sends it there again.
                 self.known.remember_failed(at);
                 self.back_off(now_ms, rng);
--- a/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
@@ -7,7 +7,7 @@
     let origins = vec![address(1), address(2), address(3)];
     let mut selector = ParentSelector::new(origins, 0.0, &DistributionConfig::default(), rng);
     let action = selector.handle_timeout(selector.poll_timeout(), rng);
-    assert!(matches!(action, Some(ParentAction::Find { redirected: false, .. })), "{action:?}");
+    assert!(matches!(action, Some(ParentAction::Find(FindRequest { redirected: false, .. }))), "{action:?}");
     selector
 }
 
@@ -37,7 +37,7 @@
     let action = selector.handle_timeout(selector.poll_timeout(), rng);
     assert_eq!(action, attach_to(12, FanOutLimit::Failover));
     let action = selector.handle_timeout(selector.poll_timeout(), rng);
-    assert!(matches!(action, Some(ParentAction::Find { .. })), "{action:?}");
+    assert!(matches!(action, Some(ParentAction::Find(_))), "{action:?}");
 }
 
 /// All origins are full. A relay that each of them rejected twice can't feed its children; it must release them rather than
@@ -92,7 +92,7 @@
         assert!(backoff_ms >= bound_ms / 4.0 && backoff_ms <= bound_ms, "{attempt}: {backoff_ms}");
         longest_ms = f64::max(longest_ms, backoff_ms);
         let action = selector.handle_timeout(selector.poll_timeout(), rng);
-        assert!(matches!(action, Some(ParentAction::Find { .. })), "{action:?}");
+        assert!(matches!(action, Some(ParentAction::Find(_))), "{action:?}");
     }
     assert!(longest_ms > config.max_backoff_ms / 4.0);
 }
