--- a/crates/plovershelf-cluster/src/consensus/mod.rs
+++ b/crates/plovershelf-cluster/src/consensus/mod.rs
@@ -35,6 +35,7 @@
 //! | `persistent` | state on disk and its records |
 //! | `log` | log, commit index, state machine |
 //! | `election` | election timeout, and whom a voter votes for |
+//! | `follower` | whom a node follows, what it may vote for, how it takes over the leader's log |
 //! | `leader` | a leader's term: heartbeats, lease, what it sends and commits |
 //! | `replication` | progress of each follower |
 //! | `membership` | which changes of voters are safe; majorities |
@@ -43,6 +44,7 @@
 
 mod election;
 mod entry;
+mod follower;
 mod leader;
 mod log;
 mod membership;
--- a/crates/plovershelf-cluster/src/consensus/raft.rs
+++ b/crates/plovershelf-cluster/src/consensus/raft.rs
@@ -5,8 +5,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::election::{ElectionTimer, VoteRequest, Voter};
+use super::election::VoteRequest;
 use super::entry::{Entry, LogPosition, Payload, Snapshot, StateMachine, Term, VoterConfig};
+use super::follower::{self, AppendOutcome, Following};
 use super::leader::{AppendAnswer, Leadership};
 use super::log::ReplicatedLog;
 use super::membership::{is_safe_change, majority};
@@ -31,11 +32,8 @@
     config: RaftConfig,
     log: ReplicatedLog<S>,
     role: Role,
-    leader: Option<NodeId>,
-    election: ElectionTimer,
+    following: Following,
     leadership: Leadership,
-    /// A recovered voter may have acknowledged logs up to here: it votes for none that ends before, nor campaigns.
-    min_log: LogPosition,
     /// Nodes that are lost for good, as their names are back under other ids.
     lost: BTreeSet<NodeId>,
     rng: Pcg32,
@@ -59,10 +57,8 @@
             config,
             log: ReplicatedLog::new(persistent),
             role: Role::NonVoter,
-            leader: None,
-            election: ElectionTimer::new(config.election_timeout_ms),
+            following: Following::new(config.election_timeout_ms),
             leadership: Leadership::new(id, config),
-            min_log: LogPosition::default(),
             lost: BTreeSet::new(),
             rng: Pcg32::seed_from_u64(seed),
             send: Vec::new(),
@@ -92,7 +88,8 @@
             return;
         }
         self.log.adopt_epoch(epoch, snapshot);
-        (self.leader, self.min_log) = (None, LogPosition::default());
+        self.following.set_leader(None);
+        self.following.require_no_log();
         self.set_role(Role::NonVoter);
         self.reconcile_role();
     }
@@ -144,7 +141,7 @@
                 self.start_recovery(recovery.min_term)
             }
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. }
-                if self.election.is_expired(now_ms) =>
+                if self.following.election().is_expired(now_ms) =>
             {
                 self.campaign(if self.config.pre_vote { Ballot::PreVote } else { Ballot::Vote })
             }
@@ -219,7 +216,7 @@
         self.lost = lost;
         // What a lost node reported may be kept by nobody now, and would be waited for for ever.
         if self.log.voters().iter().any(|id| self.lost.contains(id)) {
-            self.min_log = LogPosition::default();
+            self.following.require_no_log();
         }
         self.maybe_finish_recovery();
     }
@@ -228,7 +225,7 @@
     pub fn handle_storage_failed(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         drop(self.poll_actions());
-        self.leader = None;
+        self.following.set_leader(None);
         self.set_role(Role::StorageFailed);
     }
 
@@ -250,7 +247,7 @@
             Role::Recovering(recovery) => recovery.retry_at_ms,
             Role::Leader => self.leadership.heartbeat_at_ms(),
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
-                self.election.deadline_ms()
+                self.following.election().deadline_ms()
             }
         }
     }
@@ -290,7 +287,7 @@
     }
     /// The leader of its term, where it knows one.
     pub fn leader(&self) -> Option<NodeId> {
-        self.leader
+        self.following.leader()
     }
     /// Whether it leads.
     pub fn leads(&self) -> bool {
@@ -351,7 +348,7 @@
         match self.role {
             Role::NonVoter => true,
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
-                self.election.has_lost_leader(self.now_ms)
+                self.following.election().has_lost_leader(self.now_ms)
             }
             Role::Leader | Role::Recovering(_) | Role::StorageFailed => false,
         }
@@ -369,10 +366,10 @@
 
     fn campaign(&mut self, ballot: Ballot) {
         self.reset_election_timer();
-        if !self.is_voter() || self.log.last() < self.min_log {
+        if !self.is_voter() || !self.following.is_reached_by(self.log.last()) {
             return;
         }
-        self.leader = None;
+        self.following.set_leader(None);
         let term = self.log.term().next();
         match ballot {
             Ballot::PreVote => self.become_pre_candidate(),
@@ -388,7 +385,7 @@
     fn handle_vote_request(&mut self, request: &VoteRequest) {
         let (candidate, ballot) = (request.candidate, request.ballot);
         // A leader's lease holds as long as the voters that it hears from keep to this.
-        let has_leader = self.leads() || self.election.must_keep_leader(self.now_ms);
+        let has_leader = self.leads() || self.following.election().must_keep_leader(self.now_ms);
         // A node that does not know yet that it is a voter votes too: the entry that makes it one may need its vote.
         if has_leader || matches!(self.role, Role::Recovering(_) | Role::StorageFailed) {
             return self.send(candidate, Message::Vote { term: self.log.term(), granted: false, ballot });
@@ -396,11 +393,9 @@
         if request.term > self.log.term() && ballot == Ballot::Vote {
             self.step_down(request.term);
         }
-        let vote = self.log.persistent().vote;
-        let voter = Voter { term: self.log.term(), vote, min_last: self.log.last().max(self.min_log) };
-        let granted = voter.grants(request);
+        let granted = self.following.grants(request, &self.log);
         if granted && ballot == Ballot::Vote {
-            if vote.is_none() {
+            if self.log.persistent().vote.is_none() {
                 self.log.set_term(request.term, Some(candidate));
             }
             self.reset_election_timer();
@@ -452,7 +447,7 @@
 
     fn become_leader(&mut self) {
         self.set_role(Role::Leader);
-        self.leader = Some(self.id);
+        self.following.set_leader(Some(self.id));
         self.leadership.begin(self.now_ms);
         self.log.append(Payload::Noop);
         self.maybe_commit();
@@ -477,7 +472,7 @@
     /// A leader that no majority answers steps down.
     fn handle_heartbeat_due(&mut self) {
         if self.leadership.has_lost_quorum(self.now_ms, self.log.voters()) {
-            self.leader = None;
+            self.following.set_leader(None);
             return self.set_role(Role::Follower);
         }
         self.leadership.schedule_heartbeat(self.now_ms);
@@ -536,9 +531,7 @@
         if !matches!(self.role, Role::Follower | Role::NonVoter) {
             self.set_role(Role::Follower);
         }
-        self.leader = Some(from);
-        self.election.record_leader_contact(self.now_ms);
-        self.reset_election_timer();
+        self.following.follow(from, self.now_ms, &mut self.rng);
         true
     }
 
@@ -550,18 +543,13 @@
         commit_index: u64,
         sent_at_us: u64,
     ) {
-        let term = self.log.term();
-        if !self.log.contains(previous) {
-            let before = previous.index.saturating_sub(1);
-            let last_index = self.log.last().index.min(before).max(self.log.commit_index());
-            let response = Message::AppendResponse { term, matches: false, last_index, sent_at_us };
-            return self.send(from, response);
+        let AppendOutcome { matches, last_index } =
+            follower::append(&mut self.log, previous, entries, commit_index);
+        if matches {
+            self.reconcile_role();
         }
-        let last_index = previous.index + entries.len() as u64;
-        self.log.merge(previous.index, entries);
-        self.log.commit_to(commit_index.min(last_index));
-        self.reconcile_role();
-        self.send(from, Message::AppendResponse { term, matches: true, last_index, sent_at_us });
+        let term = self.log.term();
+        self.send(from, Message::AppendResponse { term, matches, last_index, sent_at_us });
     }
 
     fn handle_snapshot(&mut self, from: NodeId, snapshot: Snapshot<S>, sent_at_us: u64) {
@@ -611,7 +599,7 @@
         let response = Message::RecoveryResponse {
             nonce,
             term: self.log.term(),
-            last: self.log.last().max(self.min_log),
+            last: self.log.last().max(self.following.min_log()),
             voters_index: self.log.voters_index(),
             voters: self.voters().clone(),
             active: self.is_active_voter(),
@@ -633,7 +621,7 @@
         }
         if config.index > recovery.asked.index {
             // The voters have changed meanwhile: those in force now are to be asked.
-            self.min_log = self.min_log.max(report.last);
+            self.following.require_log(report.last);
             if !config.voters.contains(&self.id) {
                 return self.set_role(Role::NonVoter);
             }
@@ -650,7 +638,7 @@
             RecoveryOutcome::Waiting => {}
             RecoveryOutcome::AskInLaterTerm(term) => self.start_recovery(term),
             RecoveryOutcome::Recovered { term, min_log } => {
-                self.min_log = self.min_log.max(min_log);
+                self.following.require_log(min_log);
                 self.log.set_term(term, Some(UNKNOWN_VOTE));
                 self.become_follower();
             }
@@ -665,7 +653,7 @@
             self.log.set_term(term, None);
         }
         if matches!(self.role, Role::PreCandidate { .. } | Role::Candidate { .. } | Role::Leader) {
-            self.leader = None;
+            self.following.set_leader(None);
             self.become_follower();
         }
     }
@@ -674,7 +662,7 @@
     fn reconcile_role(&mut self) {
         match (&self.role, self.is_voter()) {
             // A node that was told of newer voters without it stays out until its log says otherwise.
-            (Role::NonVoter, true) if self.log.last() >= self.min_log => self.become_follower(),
+            (Role::NonVoter, true) if self.following.is_reached_by(self.log.last()) => self.become_follower(),
             // A leader that is no voter any more leads until that is committed (Raft, section 6).
             (Role::Leader, false) if self.log.has_committed_voters() => self.set_role(Role::NonVoter),
             (
@@ -689,13 +677,13 @@
     fn set_role(&mut self, role: Role) {
         if self.role == Role::Leader && role != Role::Leader {
             self.leadership.end();
-            self.leader = None;
+            self.following.set_leader(None);
         }
         self.role = role;
     }
 
     fn reset_election_timer(&mut self) {
-        self.election.reset(self.now_ms, &mut self.rng);
+        self.following.reset_election_timer(self.now_ms, &mut self.rng);
     }
 
     fn other_voters(&self) -> Vec<NodeId> {
