--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -23,6 +23,9 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
+use children::AttachRequest;
+use listener::Candidates;
+
 pub use interface::{Actions, Event, NodeStatus, ProposalError, Role, Startup, Warning};
 
 use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, SilentNodes};
@@ -34,7 +37,7 @@
 use crate::message::{Aggregate, HeldVersion, Message, NodeInfo};
 use crate::origin_peers::OriginPeers;
 use crate::parent_selection::ParentSelector;
-use crate::placement::Placement;
+use crate::placement::{ParentRequest, Placement};
 use crate::quota_table::QuotaTable;
 use crate::store::ConfigStore;
 
@@ -184,12 +187,12 @@
         self.fetch_missing(now_ms);
     }
 
-    /// What is to be sent and told since the last call.
+    /// What is to be sent and published since the last call.
     pub fn poll_actions(&mut self) -> Actions {
         std::mem::take(&mut self.actions)
     }
 
-    /// The process ends on purpose: parent and children are told, so that nobody waits for its silence.
+    /// The process ends on purpose: parent and children are notified, so that nobody waits for its silence.
     pub fn close(&mut self) {
         let children = self.fan_out.clear();
         for to in children.into_iter().chain(self.parent.parent()) {
@@ -197,7 +200,7 @@
         }
     }
 
-    /// What this process can say of the fleet.
+    /// This process's view of the fleet.
     pub fn status(&self, now_ms: f64) -> NodeStatus {
         let aggregate = self.aggregate();
         NodeStatus {
@@ -207,7 +210,7 @@
             tenants: self.table().len() as u64,
             age_ms: match self.role {
                 Role::Origin => Some(0.0),
-                Role::Listener => self.freshness.origin_word_age_ms(now_ms),
+                Role::Listener => self.freshness.origin_contact_age_ms(now_ms),
             },
             parent: self.parent.parent(),
             backup_parent: self.parent.backup_parent(),
@@ -224,7 +227,7 @@
         self.store.log().iter().cloned().collect()
     }
 
-    /// A message from its own address counts for nothing, nor does a parent's word to attach where it can't.
+    /// Not a message from its own address, nor a parent's request to attach where it can't.
     fn accepts(&self, from: SocketAddr, message: &Message) -> bool {
         match message {
             Message::Reattach(to) if self.parent.is_parent(from) => self.accepts_reattach(*to),
@@ -235,13 +238,14 @@
     fn dispatch(&mut self, now_ms: f64, from: SocketAddr, message: Message) {
         match message {
             Message::FindParent { node, excluded, redirected } => {
-                self.on_find_parent(now_ms, from, &node, &excluded, redirected);
+                let request = ParentRequest { from, node: &node, excluded: &excluded, redirected };
+                self.on_find_parent(now_ms, &request);
             }
             Message::ParentCandidates { relays, kind, limit, ask_origin } => {
-                self.on_candidates(now_ms, from, relays, kind, limit, ask_origin);
+                self.on_candidates(now_ms, from, Candidates { relays, kind, limit, ask_origin });
             }
             Message::Attach { node, held, kind, limit } => {
-                self.on_attach(now_ms, from, node, held, kind, limit);
+                self.on_attach(now_ms, from, AttachRequest { node, held, kind, limit });
             }
             Message::Attached(held) => self.on_attached(now_ms, from, held),
             Message::Rejected => self.on_rejected(now_ms, from),
@@ -271,11 +275,11 @@
         self.role == Role::Origin || self.parent.is_relay()
     }
 
-    /// What this process holds, as it tells others.
+    /// What this process holds, as heartbeats carry it.
     fn held(&self, now_ms: f64) -> HeldVersion {
         let age_ms = match self.role {
             Role::Origin => 0.0,
-            Role::Listener => self.freshness.origin_word_age_ms(now_ms).unwrap_or(f64::INFINITY),
+            Role::Listener => self.freshness.origin_contact_age_ms(now_ms).unwrap_or(f64::INFINITY),
         };
         HeldVersion {
             version: self.store.version(),
--- a/crates/plovershelf-server/src/driver/replication.rs
+++ b/crates/plovershelf-server/src/driver/replication.rs
@@ -13,12 +13,12 @@
 
 use plovershelf::api::{Completion, RunOutcome};
 use plovershelf_codec::agent::RunResult;
-use plovershelf_replication::placement::Ticket;
+use plovershelf_replication::{IdempotencyKey, Outcome};
 
 use super::open_request::LaunchState;
 use super::Driver;
 use crate::deduplication::DeduplicationKey;
-use crate::group::{Asked, Ending, Incoming, Told};
+use crate::group::{Incoming, ReplicationCommand, ReplicationEvent};
 
 /// How far the replication of an open request is; see the module's table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,26 +46,26 @@
     pub(super) fn reserve(&mut self, id: u32) -> bool {
         let Some(replication) = &self.replication else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        let Some(DeduplicationKey::Idempotency(class, key)) = &request.key else { return false };
-        let ticket = Ticket::of(&self.startup.classes[*class], key.as_bytes());
+        let Some(DeduplicationKey::Idempotency(class, client_key)) = &request.key else { return false };
+        let key = IdempotencyKey::new(&self.startup.classes[*class], client_key.as_bytes());
         let config = &self.startup.config.classes[*class];
-        let reservation = Asked::Claim {
+        let command = ReplicationCommand::Reserve {
             id,
-            ticket,
+            key,
             within_ms: config.timeout_ms,
-            window_ms: config.deduplication_window_ms,
+            retention_ms: config.deduplication_window_ms,
         };
         request.replication = ReplicationStage::Reserving;
-        if replication.try_send(Incoming::Asked(reservation)).is_err() {
+        if replication.try_send(Incoming::Replication(command)).is_err() {
             // The cluster accepts nothing: nothing is promised, and nothing runs on a promise.
             self.reject_unreserved(id);
         }
         true
     }
 
-    fn send_to_replication(&self, message: Asked) {
+    fn send_to_replication(&self, command: ReplicationCommand) {
         if let Some(replication) = &self.replication {
-            let _ = replication.try_send(Incoming::Asked(message));
+            let _ = replication.try_send(Incoming::Replication(command));
         }
     }
 
@@ -87,7 +87,7 @@
                 unavailable
             }
             ReplicationStage::Replicating if is_failure => match request.replicated_outcome.take() {
-                Some(Ending::Succeeded(result)) => {
+                Some(Outcome::Succeeded(result)) => {
                     request.result = result;
                     Completion::Succeeded
                 }
@@ -110,7 +110,7 @@
     pub(super) fn abandon_reservation(&mut self, id: u32) {
         let is_reserving = |stage| stage == ReplicationStage::Reserving;
         if self.requests.get(&id).is_some_and(|request| is_reserving(request.replication)) {
-            self.send_to_replication(Asked::GivenUp { id });
+            self.send_to_replication(ReplicationCommand::Cancel { id });
         }
     }
 
@@ -122,36 +122,36 @@
         }
         if result == RunResult::NotFound {
             request.replication = ReplicationStage::Done;
-            self.send_to_replication(Asked::NeverLaunched { id });
+            self.send_to_replication(ReplicationCommand::CancelLaunch { id });
             return false;
         }
         request.replication = ReplicationStage::Replicating;
         let is_success = result == RunResult::Succeeded && !request.is_failure_told;
-        let ending = if is_success { Ending::Succeeded(body.to_vec()) } else { Ending::Failed };
-        self.send_to_replication(Asked::Ended { id, ending });
+        let outcome = if is_success { Outcome::Succeeded(body.to_vec()) } else { Outcome::Failed };
+        self.send_to_replication(ReplicationCommand::Complete { id, outcome });
         true
     }
 
-    pub(super) fn handle_replication_event(&mut self, event: Told) {
+    pub(super) fn handle_replication_event(&mut self, event: ReplicationEvent) {
         match event {
-            Told::Launch(id) => self.handle_reserved(id),
-            Told::Ended(id, ending) => {
-                let completion = match &ending {
-                    Ending::Succeeded(_) => Completion::Succeeded,
-                    Ending::Failed | Ending::InDoubt => Completion::Failed,
+            ReplicationEvent::Launch(id) => self.handle_reserved(id),
+            ReplicationEvent::AlreadyCompleted(id, outcome) => {
+                let completion = match &outcome {
+                    Outcome::Succeeded(_) => Completion::Succeeded,
+                    Outcome::Failed | Outcome::InDoubt => Completion::Failed,
                 };
-                self.end_unstarted(id, completion, ending);
+                self.end_unstarted(id, completion, outcome);
             }
-            Told::Answer(id, ending) => self.handle_replicated(id, ending),
-            Told::Enough(id, ending) => {
+            ReplicationEvent::OutcomeReplicated(id, outcome) => self.handle_replicated(id, outcome),
+            ReplicationEvent::OutcomeProvisional(id, outcome) => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     if request.replication == ReplicationStage::Replicating {
-                        request.replicated_outcome = Some(ending);
+                        request.replicated_outcome = Some(outcome);
                     }
                 }
             }
-            Told::Refuse(id) => self.reject_unreserved(id),
-            Told::HandedOn => self.is_handed_off = true,
+            ReplicationEvent::Rejected(id) => self.reject_unreserved(id),
+            ReplicationEvent::HandoffEnded => self.is_handed_off = true,
         }
     }
 
@@ -162,36 +162,36 @@
                 self.start_run(id);
             }
             // It was given up meanwhile.
-            _ => self.send_to_replication(Asked::NeverLaunched { id }),
+            _ => self.send_to_replication(ReplicationCommand::CancelLaunch { id }),
         }
     }
 
-    fn handle_replicated(&mut self, id: u32, ending: Ending) {
+    fn handle_replicated(&mut self, id: u32, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.replication = ReplicationStage::Done;
-        let (outcome, result) = match ending {
-            Ending::Succeeded(result) => (RunOutcome::Completed, result),
-            Ending::Failed | Ending::InDoubt => (RunOutcome::Failed, Vec::new()),
+        let (run, result) = match outcome {
+            Outcome::Succeeded(result) => (RunOutcome::Completed, result),
+            Outcome::Failed | Outcome::InDoubt => (RunOutcome::Failed, Vec::new()),
         };
-        self.handle_run_ended(id, outcome, result);
+        self.handle_run_ended(id, run, result);
     }
 
     /// Nothing can be promised, and nothing was started.
     fn reject_unreserved(&mut self, id: u32) {
         let completion = self.unavailable();
-        self.end_unstarted(id, completion, Ending::Failed);
+        self.end_unstarted(id, completion, Outcome::Failed);
     }
 
     /// It is answered without a run here; so are the duplicates that wait for it.
-    fn end_unstarted(&mut self, id: u32, completion: Completion, ending: Ending) {
+    fn end_unstarted(&mut self, id: u32, completion: Completion, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.replication != ReplicationStage::Reserving {
             return;
         }
         request.replication = ReplicationStage::Done;
-        let result = match ending {
-            Ending::Succeeded(result) => Some(result),
-            Ending::Failed | Ending::InDoubt => None,
+        let result = match outcome {
+            Outcome::Succeeded(result) => Some(result),
+            Outcome::Failed | Outcome::InDoubt => None,
         };
         request.result = result.clone().unwrap_or_default();
         self.end_duplicates_of(id, result.as_deref());
