--- a/crates/plovershelf-cli/src/control.rs
+++ b/crates/plovershelf-cli/src/control.rs
@@ -8,7 +8,7 @@
 use async_signal::{Signal, Signals};
 use clap::Args;
 use futures_lite::{future, StreamExt};
-use plovershelf_server::group::{self, DriverHeartbeat, Incoming};
+use plovershelf_server::cluster::{self, DriverHeartbeat, Incoming};
 
 #[derive(Args)]
 pub struct Options {
@@ -36,7 +36,7 @@
     let setup = plovershelf_config::group::read(&shown, &text).map_err(|wrong| wrong.to_string())?;
     let pulse = Arc::<DriverHeartbeat>::default();
     pulse.record(true);
-    let member = group::start(setup, options.name.clone(), pulse.clone(), None)?;
+    let member = cluster::start(setup, options.name.clone(), pulse.clone(), None)?;
     let beats = async {
         loop {
             Timer::after(BEAT).await;
@@ -45,7 +45,7 @@
     };
     let told = async { drop(signals.next().await) };
     async_io::block_on(future::or(told, beats));
-    let _ = member.try_send(Incoming::Leave { within_ms: LEAVES_MS });
+    let _ = member.try_send(Incoming::DrainNotice { within_ms: LEAVES_MS });
     async_io::block_on(Timer::after(Duration::from_secs_f64(LEAVES_MS / 1000.0)));
     Ok(0)
 }
--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -10,8 +10,8 @@
 
 use async_executor::LocalExecutor;
 use clap::Args;
+use plovershelf_server::cluster::{self, DriverHeartbeat, Incoming};
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber};
-use plovershelf_server::group::{self, DriverHeartbeat, Incoming};
 use serde_json::Value;
 
 #[derive(Args)]
@@ -93,15 +93,15 @@
         match Line::read(&line.map_err(|error| format!("standard input: {error}"))?)? {
             Line::Begin => {
                 for (name, setup) in setups.drain(..) {
-                    let inbox = group::start(setup, name.clone(), pulse.clone(), None)?;
+                    let inbox = cluster::start(setup, name.clone(), pulse.clone(), None)?;
                     members.insert(name, inbox);
                 }
                 listen(std::mem::take(&mut listeners))?;
             }
-            Line::Word { member, key, number, bytes } => {
+            Line::Word { member, key, number: version, bytes } => {
                 let inbox =
                     members.get(&member).ok_or_else(|| named(format!("no member {member:?} runs")))?;
-                let _ = inbox.try_send(Incoming::Word { key, number, bytes });
+                let _ = inbox.try_send(Incoming::ProposeValue { key, version, bytes });
             }
         }
     }
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -62,25 +62,25 @@
     /// Something came over a connection.
     Link(LinkEvent),
     /// A configuration is to be committed under its key.
-    Propose {
+    ProposeConfiguration {
         /// One more than the version there is.
-        number: u64,
+        version: u64,
         /// The value.
         bytes: Vec<u8>,
     },
     /// What the owner wants of replication.
     Replication(ReplicationCommand),
     /// The drain notice: replicated records are to be handed off within so long.
-    Leave {
+    DrainNotice {
         /// How long.
         within_ms: f64,
     },
     /// A value that is to be committed, for trials.
-    Word {
+    ProposeValue {
         /// Its key.
         key: String,
         /// One more than the version there is.
-        number: u64,
+        version: u64,
         /// The value.
         bytes: Vec<u8>,
     },
@@ -125,7 +125,8 @@
     let zoned = zoned.transpose()?;
     let (inbox, incoming) = async_channel::bounded(INBOX);
     let propose_to = inbox.clone();
-    let propose = move |number, bytes| drop(propose_to.try_send(Incoming::Propose { number, bytes }));
+    let propose =
+        move |version, bytes| drop(propose_to.try_send(Incoming::ProposeConfiguration { version, bytes }));
     let origin = |file| config_distribution::start_origin(&setup, file, name.clone(), Box::new(propose));
     let carrier = setup.changes.as_ref().map(origin).transpose().map_err(|error| error.to_string())?;
     let own = inbox.clone();
@@ -276,18 +277,18 @@
                 self.handle_wire(now_ms, *wire, is_local, answer)
             }
             Incoming::Link(LinkEvent::PeerError(what)) => self.notices.log(&what),
-            Incoming::Propose { number, bytes } => {
-                self.node.propose(now_ms, CONFIG_KEY, number, bytes);
+            Incoming::ProposeConfiguration { version, bytes } => {
+                self.node.propose(now_ms, CONFIG_KEY, version, bytes);
             }
             Incoming::Replication(command) => {
                 if let Some(replication) = self.replication.as_mut() {
                     replication.handle_command(now_ms, command);
                 }
             }
-            Incoming::Word { key, number, bytes } => {
-                self.node.propose(now_ms, &key, number, bytes);
+            Incoming::ProposeValue { key, version, bytes } => {
+                self.node.propose(now_ms, &key, version, bytes);
             }
-            Incoming::Leave { within_ms } => self.handle_drain_notice(now_ms, within_ms),
+            Incoming::DrainNotice { within_ms } => self.handle_drain_notice(now_ms, within_ms),
         }
         self.carry_out();
     }
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -40,9 +40,9 @@
 use plovershelf_codec::AttemptId;
 use plovershelf_settings::Startup;
 
+use crate::cluster;
 use crate::deduplication::{DeduplicationLimits, DeduplicationRecords};
 use crate::event::{CallCommand, ConnectionId, Event};
-use crate::group;
 use crate::limits::Limits;
 use agent::CommandLog;
 use bulkheads::BulkheadState;
@@ -147,15 +147,15 @@
     bulkheads: Option<BulkheadState>,
     bulkheads_logged_ms: f64,
     /// Counted for the cluster's traffic plan.
-    counters: group::Counted,
+    counters: cluster::Counted,
     runs_since_sample: f64,
     work_ms: f64,
     sampled_ms: f64,
     /// Shows the cluster that this loop makes progress.
-    heartbeat: Option<Arc<group::DriverHeartbeat>>,
+    heartbeat: Option<Arc<cluster::DriverHeartbeat>>,
     initial_quotas: Option<InitialQuotas>,
     /// Takes requests for replication, where keyed requests are replicated.
-    replication: Option<Sender<group::Incoming>>,
+    replication: Option<Sender<cluster::Incoming>>,
     /// What this backend holds for others stands elsewhere, or there is nothing.
     is_handed_off: bool,
 }
@@ -239,7 +239,7 @@
     }
 
     /// Shows a cluster that the loop makes progress.
-    pub(crate) fn with_heartbeat(mut self, heartbeat: Option<Arc<group::DriverHeartbeat>>) -> Self {
+    pub(crate) fn with_heartbeat(mut self, heartbeat: Option<Arc<cluster::DriverHeartbeat>>) -> Self {
         self.heartbeat = heartbeat;
         self
     }
@@ -251,7 +251,7 @@
     }
 
     /// With keyed requests that are replicated.
-    pub(crate) fn with_replication(mut self, replication: Option<Sender<group::Incoming>>) -> Self {
+    pub(crate) fn with_replication(mut self, replication: Option<Sender<cluster::Incoming>>) -> Self {
         self.is_handed_off = replication.is_none();
         self.replication = replication;
         self
--- a/crates/plovershelf-server/src/driver/replication.rs
+++ b/crates/plovershelf-server/src/driver/replication.rs
@@ -17,8 +17,8 @@
 
 use super::open_request::LaunchState;
 use super::Driver;
+use crate::cluster::{Incoming, ReplicationCommand, ReplicationEvent};
 use crate::deduplication::DeduplicationKey;
-use crate::group::{Incoming, ReplicationCommand, ReplicationEvent};
 
 /// How far the replication of an open request is; see the module's table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -50,7 +50,7 @@
     /// An outbound call ended.
     CallEnded { id: AttemptId, result: CallResult },
     /// Replication of a keyed request.
-    Replication(crate::group::ReplicationEvent),
+    Replication(crate::cluster::ReplicationEvent),
     /// The operator's file of bulkheads was read again.
     Bulkheads(plovershelf_bulkhead::BulkheadPlan),
     /// Tenants' quotas that are in force from now on.
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -15,11 +15,12 @@
 //! | `dependency` | outbound calls |
 //! | `registry` | heartbeats |
 //! | `streams`, `links` | bounded reading and writing; links among processes |
-//! | [`group`], [`config_distribution`] | the drivers of cluster, replication and failover, and of configuration distribution |
+//! | [`cluster`], [`config_distribution`] | the drivers of cluster, replication and failover, and of configuration distribution |
 //! | `entropy` | random numbers that no other start draws |
 
 mod agent_link;
 mod client_io;
+pub mod cluster;
 pub mod config_distribution;
 mod connection_state;
 mod deduplication;
@@ -27,7 +28,6 @@
 mod driver;
 mod entropy;
 mod event;
-pub mod group;
 mod limits;
 mod links;
 mod listener;
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -20,7 +20,7 @@
 use crate::limits::Limits;
 use crate::listener::{listen, Acceptor};
 use crate::startup::{self, FixedParts, Launch, Peers, StartupError};
-use crate::{config_distribution, group, registry};
+use crate::{cluster, config_distribution, registry};
 
 /// Why a backend can't start.
 #[derive(Debug, Error)]
@@ -186,11 +186,11 @@
 /// The cluster's thread, as far as the rest of the program uses it.
 #[derive(Default)]
 struct Cluster {
-    commands: Option<Sender<group::Incoming>>,
+    commands: Option<Sender<cluster::Incoming>>,
     /// Shows the cluster that the driver makes progress.
-    heartbeat: Option<Arc<group::DriverHeartbeat>>,
+    heartbeat: Option<Arc<cluster::DriverHeartbeat>>,
     /// The same commands, where keyed requests are replicated.
-    replication: Option<Sender<group::Incoming>>,
+    replication: Option<Sender<cluster::Incoming>>,
 }
 
 fn start_cluster(
@@ -200,11 +200,11 @@
     events: &Sender<Event>,
 ) -> Result<Cluster, ServiceError> {
     let Some(setup) = setup else { return Ok(Cluster::default()) };
-    let heartbeat = Arc::<group::DriverHeartbeat>::default();
+    let heartbeat = Arc::<cluster::DriverHeartbeat>::default();
     let is_replicated = setup.replication.is_some();
     let (sender, receiver) = async_channel::unbounded();
     let replication_events = is_replicated.then_some(sender);
-    let commands = group::start(setup, name.to_string(), heartbeat.clone(), replication_events)
+    let commands = cluster::start(setup, name.to_string(), heartbeat.clone(), replication_events)
         .map_err(|error| ServiceError::Part(error.to_string()))?;
     if is_replicated {
         forward(executor, receiver, events, Event::Replication);
@@ -252,7 +252,7 @@
     agent_moved: Sender<()>,
     events: Sender<Event>,
     classes: plovershelf_settings::Names,
-    cluster: Option<Sender<group::Incoming>>,
+    cluster: Option<Sender<cluster::Incoming>>,
     distribution: Option<Sender<config_distribution::Input>>,
     give_notice: Sender<f64>,
     /// Time in which replicas are handed off after the notice.
@@ -283,7 +283,7 @@
 
     fn drain(&self) {
         if let Some(cluster) = &self.cluster {
-            let _ = cluster.try_send(group::Incoming::Leave { within_ms: self.handoff_ms });
+            let _ = cluster.try_send(cluster::Incoming::DrainNotice { within_ms: self.handoff_ms });
         }
         if let Some(distribution) = &self.distribution {
             let _ = distribution.try_send(config_distribution::Input::Shutdown);
--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -14,9 +14,9 @@
     decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
 };
 use plovershelf_config_distribution::{DistributionConfig, Edit};
+use plovershelf_server::cluster::{self, DriverHeartbeat};
 use plovershelf_server::config_distribution::admin::{AdminRequest, AdminResponse, StatusReport, KEY};
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber, VersionInForce};
-use plovershelf_server::group::{self, DriverHeartbeat};
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::scripted::SETTINGS;
 use plovershelf_testkit::sources::{self, Sources, SOURCES};
@@ -32,7 +32,7 @@
     let setup = plovershelf_config::group::read("group.ini", &text).expect("a good file");
     let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
     let pulse = Arc::<DriverHeartbeat>::default();
-    let _member = group::start(setup, name, pulse.clone(), None).expect("a member");
+    let _member = cluster::start(setup, name, pulse.clone(), None).expect("a member");
     loop {
         pulse.record(true);
         std::thread::sleep(Duration::from_millis(200));
