--- a/crates/plovershelf-replication/tests/support/mod.rs
+++ b/crates/plovershelf-replication/tests/support/mod.rs
@@ -1,4 +1,5 @@
 //! Some members whose messages are delivered at once, and a clock that is moved by hand.
+#![allow(dead_code)] // each test program uses its part of this
 
 use plovershelf_cluster::NodeId;
 use plovershelf_replication::{
