--- a/crates/plovershelf-cli/src/demo.rs
+++ b/crates/plovershelf-cli/src/demo.rs
@@ -7,8 +7,9 @@
 use clap::Args;
 use comfy_table::{presets, Table};
 use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
-use plovershelf_testkit::backend::{self, Fleet, Plan};
-use plovershelf_testkit::{cores, ledger, Clock, Executor};
+use plovershelf_testkit::backend::server_program;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::{cores, dependency, Clock, Executor};
 
 use crate::load::{self, Asker, End};
 use crate::trial::taps;
@@ -31,18 +32,28 @@
 pub fn run(options: &Options) -> Result<u8, String> {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let plan = Plan {
-        program: backend::program()?,
+    let plan = FleetConfig {
+        program: server_program().map_err(|error| error.to_string())?,
         backends: 1,
-        cores: cores::Shape { cores: CORES, crowd: CROWD, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape { call_ms: 12.0, slots: 24, survives: 40, down_ms: 2000.0 },
+        cores: cores::CoresConfig {
+            cores: CORES,
+            overload_factor: CROWD,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
+            call_ms: 12.0,
+            slots: 24,
+            max_in_flight: 40,
+            outage_ms: 2000.0,
+        },
         settings: load::settings(CORES, 1, CLIENTS, 40.0, CROWD),
         memory_mb: 64.0,
         sockets: 512,
         stop_ms: 2500.0,
         logs: None,
         pools: None,
-        group: None,
+        cluster: None,
     };
     let span_ms = f64::from(options.seconds) * 1000.0;
     let capacity = CORES * 1000.0 / load::mean_work_ms();
@@ -89,10 +100,10 @@
         futures_lite::future::zip(play, show).await;
         println!();
         // The notice to leave, while nothing is asked any more.
-        fleet.backends[0].leave(GRACE_MS);
+        fleet.backends[0].start_drain(GRACE_MS);
         let mut status = None;
         for _ in 0..400 {
-            status = fleet.backends[0].ended();
+            status = fleet.backends[0].poll_exit();
             if status.is_some() {
                 break;
             }
@@ -115,22 +126,22 @@
             table.add_row(row);
         }
         println!("{table}\n");
-        let (account, seen) = (fleet.account.borrow(), tap.seen.borrow());
-        let answers = seen.answered_twice + seen.answered_late + seen.unanswered;
+        let (effects, seen) = (fleet.effects.borrow(), tap.traffic.borrow());
+        let answers = seen.duplicate_responses + seen.late_responses + seen.unanswered;
         let rules = [
             (
                 "1. One final answer to each that was read, in time",
                 answers + sum.without_result as u64 + sum.with_two as u64,
             ),
-            ("2. No effect twice", account.ran_twice().len() as u64 + sum.wrong as u64),
+            ("2. No effect twice", effects.repeated_executions().len() as u64 + sum.wrong as u64),
             (
                 "3. Nothing run past the grace, all answered before the stop",
-                account.launched_late + u64::from(!status.is_some_and(|s| s.success())),
+                effects.launched_after_drain + u64::from(!status.is_some_and(|s| s.success())),
             ),
             (
                 "4. Neither the backend nor the ledger fell",
-                u64::from(account.crowd_most > 1.0)
-                    + account.ledger_fell
+                u64::from(effects.peak_overload > 1.0)
+                    + effects.dependency_outages
                     + u64::from(fleet.backends[0].crashes),
             ),
         ];
@@ -143,8 +154,8 @@
         println!(
             "\n{} asked for, {} tries reached the backend ({} of them repeats), {:.0} % of the revenue came in time.",
             sum.calls,
-            seen.asked,
-            seen.marked.values().sum::<u64>(),
+            seen.requests,
+            seen.marked_retries.values().sum::<u64>(),
             100.0 * sum.revenue_in_time / sum.revenue.max(1e-9)
         );
         Ok(u8::from(rules.iter().any(|(_, broken)| *broken > 0)))
--- a/crates/plovershelf-cli/src/load.rs
+++ b/crates/plovershelf-cli/src/load.rs
@@ -7,8 +7,8 @@
 
 use async_io::Timer;
 use plovershelf_client::{Client, NotSentReason, Request, Response};
-use plovershelf_testkit::plain::{Asked, Ended, Plain};
-use plovershelf_testkit::work::{Effect, Work};
+use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
+use plovershelf_testkit::work::{Idempotency, WorkSpec};
 use plovershelf_testkit::{Clock, Executor};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Offering {
     pub name: &'static str,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub revenue: f64,
     /// Of all that is asked for.
     pub share: f64,
@@ -35,7 +35,7 @@
 pub const OFFERINGS: [Offering; 4] = [
     Offering {
         name: "quote",
-        effect: Effect::Rerunnable,
+        effect: Idempotency::Idempotent,
         revenue: 1.0,
         share: 0.55,
         work_ms: 18.0,
@@ -45,7 +45,7 @@
     },
     Offering {
         name: "book",
-        effect: Effect::Ticketed,
+        effect: Idempotency::Keyed,
         revenue: 4.0,
         share: 0.12,
         work_ms: 22.0,
@@ -55,7 +55,7 @@
     },
     Offering {
         name: "settle",
-        effect: Effect::Exclusive,
+        effect: Idempotency::NonIdempotent,
         revenue: 4.0,
         share: 0.08,
         work_ms: 22.0,
@@ -65,7 +65,7 @@
     },
     Offering {
         name: "plan",
-        effect: Effect::Rerunnable,
+        effect: Idempotency::Idempotent,
         revenue: 10.0,
         share: 0.25,
         work_ms: 25.0,
@@ -89,9 +89,9 @@
         .iter()
         .map(|offering| {
             let effect = match offering.effect {
-                Effect::Rerunnable => "repeatable",
-                Effect::Ticketed => "by_key",
-                Effect::Exclusive => "once",
+                Idempotency::Idempotent => "repeatable",
+                Idempotency::Keyed => "by_key",
+                Idempotency::NonIdempotent => "once",
             };
             json!({"name": offering.name, "aim_ms": offering.contract_ms, "deadline_ms": offering.hard_limit_ms,
                    "effect": effect, "dedup_window_ms": 5000.0, "gain": offering.revenue, "late_worth": 0.0})
@@ -119,7 +119,7 @@
     pub offering: usize,
     pub tenant: usize,
     pub rank: f64,
-    pub work: Work,
+    pub work: WorkSpec,
 }
 
 /// What so many clients ask for, each by itself at random times. `per_second` tells the demand at a time.
@@ -159,11 +159,11 @@
             draw -= share;
         }
         let told = OFFERINGS[offering];
-        let work = Work {
+        let work = WorkSpec {
             number: planned.len() as u64 + 1,
             work_ms: told.work_ms * spread.sample(&mut chance),
-            calls: told.calls,
-            effect: told.effect,
+            outbound_calls: told.calls,
+            idempotency: told.effect,
         };
         planned.push(Planned {
             at_ms,
@@ -201,7 +201,7 @@
 #[derive(Clone)]
 pub enum Asker {
     Library(Client),
-    Plain(Plain),
+    Basic(BasicClient),
 }
 
 impl Asker {
@@ -216,9 +216,9 @@
                 let mut one = Request::new(offering.name, body, within);
                 one = one.tenant(TENANTS[planned.tenant]).priority(planned.rank);
                 one = match offering.effect {
-                    Effect::Rerunnable => one,
-                    Effect::Ticketed => one.idempotency_key(ticket),
-                    Effect::Exclusive => one.non_idempotent(),
+                    Idempotency::Idempotent => one,
+                    Idempotency::Keyed => one.idempotency_key(ticket),
+                    Idempotency::NonIdempotent => one.non_idempotent(),
                 };
                 match client.call(one).await {
                     Response::Succeeded(result) => succeeded(result),
@@ -229,20 +229,20 @@
                     Response::Invalid(_) => End::GivenUp(None),
                 }
             }
-            Asker::Plain(plain) => {
-                let asked = Asked {
-                    offering: offering.name,
+            Asker::Basic(plain) => {
+                let asked = Call {
+                    class: offering.name,
                     tenant: TENANTS[planned.tenant],
                     rank: planned.rank,
-                    ticket: (offering.effect == Effect::Ticketed).then_some(&*ticket),
-                    rerunnable: offering.effect == Effect::Rerunnable,
+                    idempotency_key: (offering.effect == Idempotency::Keyed).then_some(&*ticket),
+                    idempotent: offering.effect == Idempotency::Idempotent,
                     body: &body,
-                    within,
+                    timeout: within,
                 };
                 match plain.call(&asked).await {
-                    Ended::Succeeded(result) => succeeded(result),
-                    Ended::Dismissed => End::Dismissed,
-                    Ended::Scrapped | Ended::Failed => End::Scrapped,
+                    Outcome::Succeeded(result) => succeeded(result),
+                    Outcome::Rejected => End::Dismissed,
+                    Outcome::Failed | Outcome::NoResponse => End::Scrapped,
                 }
             }
         }
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -4,10 +4,11 @@
 use std::rc::Rc;
 
 use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
-use plovershelf_testkit::backend::{Backend, Fleet, Plan};
-use plovershelf_testkit::plain::Plain;
-use plovershelf_testkit::tap::{Reading, Seen, Tap};
-use plovershelf_testkit::{cores, ledger, Clock, Executor};
+use plovershelf_testkit::backend::Backend;
+use plovershelf_testkit::basic_client::BasicClient;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::tap::{ReadCost, Tap, Traffic};
+use plovershelf_testkit::{cores, dependency, Clock, Executor};
 
 use super::{Aim, Figures, Ground};
 use crate::load::{self, Asker, Planned, Sum};
@@ -18,17 +19,22 @@
 const CORES: f64 = 4.0;
 const CROWD: f64 = 8.0;
 
-pub fn plan(ground: &Ground, backends: usize, callers: usize) -> Plan {
+pub fn plan(ground: &Ground, backends: usize, callers: usize) -> FleetConfig {
     let share = 40.0;
-    Plan {
+    FleetConfig {
         program: ground.program.clone(),
         backends,
-        cores: cores::Shape { cores: CORES, crowd: CROWD, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape {
+        cores: cores::CoresConfig {
+            cores: CORES,
+            overload_factor: CROWD,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
             call_ms: 12.0,
             slots: 24 * backends,
-            survives: share as usize * backends,
-            down_ms: 2000.0,
+            max_in_flight: share as usize * backends,
+            outage_ms: 2000.0,
         },
         settings: load::settings(CORES, backends, callers, share, CROWD),
         memory_mb: 192.0,
@@ -36,7 +42,7 @@
         stop_ms: 2500.0,
         logs: ground.logs.clone(),
         pools: None,
-        group: None,
+        cluster: None,
     }
 }
 
@@ -57,7 +63,7 @@
     }
     let cost_ms = load::READING * load::mean_work_ms();
     let tap = |backend: &Backend| {
-        let reading = Reading { agent: backend.agent.clone(), cost_ms };
+        let reading = ReadCost { agent: backend.agent.clone(), cost_ms };
         Tap::start(executor, clock, backend.address, Some(reading))
     };
     let taps: std::io::Result<Vec<Tap>> = fleet.backends.iter().map(tap).collect();
@@ -70,7 +76,7 @@
     sum: Sum,
     /// Of what the cores do, by the work that was done on them.
     used: f64,
-    seen: Vec<Rc<std::cell::RefCell<Seen>>>,
+    seen: Vec<Rc<std::cell::RefCell<Traffic>>>,
     rules_broken: u64,
 }
 
@@ -85,7 +91,7 @@
         let mut askers = Vec::new();
         for number in 0..CLIENTS {
             if !library {
-                askers.push(Asker::Plain(Plain::new(executor, &members, number as u32)));
+                askers.push(Asker::Basic(BasicClient::new(executor, &members, number as u32)));
                 continue;
             }
             let config = ClientConfig {
@@ -104,23 +110,26 @@
         load::play(executor, clock, planned, &askers, &results, 3000.0).await;
         let results = results.borrow();
         let sum = load::sum(planned, &results);
-        let account = fleet.account.borrow();
+        let effects = fleet.effects.borrow();
         let span_ms = planned.last().map_or(1.0, |last| last.at_ms);
-        let used = account.work_done_ms / (BACKENDS as f64 * CORES * span_ms);
+        let used = effects.work_done_ms / (BACKENDS as f64 * CORES * span_ms);
         let unmade = planned.iter().zip(results.iter()).filter(|(one, ends)| {
-            ends.iter().any(|end| end.end == load::End::Succeeded) && !account.made(one.work.number)
+            ends.iter().any(|end| end.end == load::End::Succeeded) && !effects.succeeded(one.work.number)
         });
-        let mut rules_broken = account.ran_twice().len() as u64 + unmade.count() as u64 + sum.wrong as u64;
-        rules_broken += account.launched_late + account.ledger_fell + u64::from(account.crowd_most > 1.0);
-        drop(account);
+        let mut rules_broken =
+            effects.repeated_executions().len() as u64 + unmade.count() as u64 + sum.wrong as u64;
+        rules_broken += effects.launched_after_drain
+            + effects.dependency_outages
+            + u64::from(effects.peak_overload > 1.0);
+        drop(effects);
         for backend in &mut fleet.backends {
-            rules_broken += u64::from(backend.ended().is_some());
+            rules_broken += u64::from(backend.poll_exit().is_some());
         }
-        let seen: Vec<_> = taps.iter().map(|tap| tap.seen.clone()).collect();
+        let seen: Vec<_> = taps.iter().map(|tap| tap.traffic.clone()).collect();
         for seen in &seen {
             let seen = seen.borrow();
             rules_broken +=
-                seen.answered_twice + seen.unanswered + if library { seen.answered_late } else { 0 };
+                seen.duplicate_responses + seen.unanswered + if library { seen.late_responses } else { 0 };
         }
         Ok(Played { sum, used, seen, rules_broken })
     };
@@ -128,12 +137,16 @@
 }
 
 /// The share of marked tries in the worst whole second, of those with enough to tell.
-fn worst_second(seen: &[Rc<std::cell::RefCell<Seen>>]) -> f64 {
+fn worst_second(seen: &[Rc<std::cell::RefCell<Traffic>>]) -> f64 {
     let mut seconds: std::collections::BTreeMap<u64, (u64, u64)> = Default::default();
     for seen in seen {
         let seen = seen.borrow();
-        seen.firsts.iter().for_each(|(tenth, count)| seconds.entry(tenth / 10).or_default().0 += count);
-        seen.marked.iter().for_each(|(tenth, count)| seconds.entry(tenth / 10).or_default().1 += count);
+        seen.first_attempts
+            .iter()
+            .for_each(|(tenth, count)| seconds.entry(tenth / 10).or_default().0 += count);
+        seen.marked_retries
+            .iter()
+            .for_each(|(tenth, count)| seconds.entry(tenth / 10).or_default().1 += count);
     }
     let told = seconds.values().filter(|(firsts, _)| *firsts >= 100);
     told.map(|(firsts, marked)| *marked as f64 / *firsts as f64).fold(0.0, f64::max)
@@ -145,9 +158,9 @@
     let planned = Rc::new(load::schedule(ground.seed, CLIENTS, span_ms, |_| demand));
     let baseline = play(ground, &planned, false)?;
     let own = play(ground, &planned, true)?;
-    let total = |of: fn(&Seen) -> u64| own.seen.iter().map(|seen| of(&seen.borrow())).sum::<u64>() as f64;
-    let firsts = total(|seen| seen.firsts.values().sum());
-    let marked = total(|seen| seen.marked.values().sum());
+    let total = |of: fn(&Traffic) -> u64| own.seen.iter().map(|seen| of(&seen.borrow())).sum::<u64>() as f64;
+    let firsts = total(|seen| seen.first_attempts.values().sum());
+    let marked = total(|seen| seen.marked_retries.values().sum());
     let share = own.sum.revenue_in_time / own.sum.revenue;
     let baseline_share = baseline.sum.revenue_in_time / baseline.sum.revenue;
     let work: f64 = planned.iter().map(|one| one.work.work_ms).sum();
@@ -168,7 +181,8 @@
     figures.put("rules_broken", own.rules_broken as f64, Aim::AtMost(0.0));
     figures.told("cores_used", own.used);
     figures.told("baseline_cores_used", baseline.used);
-    figures.told("baseline_tries", baseline.seen.iter().map(|seen| seen.borrow().asked).sum::<u64>() as f64);
+    figures
+        .told("baseline_tries", baseline.seen.iter().map(|seen| seen.borrow().requests).sum::<u64>() as f64);
     for (place, offering) in load::OFFERINGS.iter().enumerate() {
         tracing::info!(event = "offering", name = offering.name, own = ?own.sum.by_offering[place], baseline = ?baseline.sum.by_offering[place]);
     }
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use plovershelf_client::{BackpressureSignal, Client, ClientBuilder, ClientConfig};
-use plovershelf_testkit::backend::Fleet;
+use plovershelf_testkit::fleet::Fleet;
 use plovershelf_testkit::Clock;
 
 use super::client_overload::{capacity, plan, taps};
@@ -63,10 +63,11 @@
             for backend in &mut fleet.backends {
                 let _ = backend.start();
             }
-            let lives: Vec<u32> = fleet.backends.iter().map(|backend| backend.agent.lives()).collect();
+            let lives: Vec<u32> = fleet.backends.iter().map(|backend| backend.agent.processes()).collect();
             let until = clock.now() + 10_000.0;
-            let back =
-                |lives: &[u32]| fleet.backends.iter().zip(lives).all(|(b, before)| b.agent.lives() > *before);
+            let back = |lives: &[u32]| {
+                fleet.backends.iter().zip(lives).all(|(b, before)| b.agent.processes() > *before)
+            };
             while !(back(&lives) && fleet.up(clock, 1.0).await) && clock.now() < until {
                 Timer::after(Duration::from_millis(5)).await;
             }
@@ -84,7 +85,7 @@
         // The first connection of each caller after the kill.
         let mut first: BTreeMap<u32, f64> = BTreeMap::new();
         for tap in &taps {
-            for (made, caller) in &tap.seen.borrow().connections {
+            for (made, caller) in &tap.traffic.borrow().connections {
                 if let Some(caller) = caller.filter(|_| *made > killed) {
                     let at = first.entry(caller).or_insert(*made);
                     *at = at.min(*made);
@@ -130,7 +131,7 @@
             tracing::info!(event = "second", second, ready = (ready - from) as i64, ?ends);
         }
         let (before, after) = *attempts.borrow();
-        let account = fleet.account.borrow();
+        let effects = fleet.effects.borrow();
         let mut figures = Figures::default();
         figures.told("clients", CLIENTS as f64);
         figures.told("clients_back", made.len() as f64);
@@ -148,7 +149,7 @@
         figures.told("seconds_to_full_service", (full - ready) / 1000.0);
         let beyond = spread.map(|spread| ((full - ready - spread) / 1000.0).max(0.0));
         figures.put("seconds_beyond_the_spread", beyond, Aim::AtMost(3.0));
-        figures.put("ran_twice", account.ran_twice().len() as f64, Aim::AtMost(0.0));
+        figures.put("ran_twice", effects.repeated_executions().len() as f64, Aim::AtMost(0.0));
         Ok(figures)
     };
     async_io::block_on(executor.run(run))
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -11,10 +11,10 @@
 use plovershelf_simulation::copies::schedule as drawn;
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
 use plovershelf_simulation::statistics::Spread;
-use plovershelf_testkit::backend::Fleet;
-use plovershelf_testkit::plain::{Asked, Ended, Plain};
-use plovershelf_testkit::work::{Effect, Work};
-use plovershelf_testkit::{cores, rig, Clock};
+use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
+use plovershelf_testkit::fleet::Fleet;
+use plovershelf_testkit::work::{Idempotency, WorkSpec};
+use plovershelf_testkit::{cluster, cores, fault_injection, Clock};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -98,7 +98,7 @@
 
 /// One caller's tries of a ticket.
 struct Caller {
-    plain: Plain,
+    plain: BasicClient,
     members: Vec<std::net::SocketAddr>,
     seed: u64,
     tries: u32,
@@ -108,19 +108,19 @@
 }
 
 /// One after the other, at members drawn anew.
-async fn tries(caller: Caller, work: Work) {
+async fn tries(caller: Caller, work: WorkSpec) {
     let Caller { plain, members, seed, tries, told, story, clock } = caller;
     let mut chance = Pcg64::seed_from_u64(seed);
     let ticket = format!("ticket-{}", work.number);
     let body = work.body();
-    let asked = Asked {
-        offering: "book",
+    let asked = Call {
+        class: "book",
         tenant: load::TENANTS[0],
         rank: 0.5,
-        ticket: Some(&ticket),
-        rerunnable: false,
+        idempotency_key: Some(&ticket),
+        idempotent: false,
         body: &body,
-        within: Duration::from_millis(1500),
+        timeout: Duration::from_millis(1500),
     };
     for place in 0..tries {
         if place > 0 {
@@ -131,10 +131,10 @@
         let patience = Duration::from_millis(1200 + chance.random_range(0..600));
         let late = async {
             Timer::after(patience).await;
-            Ended::Failed
+            Outcome::NoResponse
         };
-        match futures_lite::future::or(plain.once(member, &asked), late).await {
-            Ended::Succeeded(result) => {
+        match futures_lite::future::or(plain.attempt(member, &asked), late).await {
+            Outcome::Succeeded(result) => {
                 told.answered(clock.now(), work.number, Some(&result));
                 if result != work.result() {
                     count(&told.wrong);
@@ -149,14 +149,14 @@
                 story.succeeded = true;
                 return;
             }
-            Ended::Scrapped => {
+            Outcome::Failed => {
                 told.answered(clock.now(), work.number, None);
                 let mut story = story.borrow_mut();
                 story.scrapped += 1;
                 story.after_success += u32::from(story.succeeded);
                 return;
             }
-            Ended::Dismissed => {
+            Outcome::Rejected => {
                 count(&told.dismissed);
                 {
                     let mut story = story.borrow_mut();
@@ -164,7 +164,7 @@
                 }
                 Timer::after(Duration::from_millis(300)).await;
             }
-            Ended::Failed => {
+            Outcome::NoResponse => {
                 Timer::after(Duration::from_millis(50)).await;
             }
         }
@@ -188,7 +188,7 @@
     let executor = &ground.executor;
     let clock = Clock::start();
     let mut plan = plan(ground, MEMBERS, 20);
-    plan.cores = cores::Shape { cores: CORES, ..plan.cores };
+    plan.cores = cores::CoresConfig { cores: CORES, ..plan.cores };
     plan.memory_mb = MEMORY_MB;
     plan.settings = load::settings(CORES, MEMBERS, 20, 40.0, 8.0);
     let more = if with_copies {
@@ -196,7 +196,8 @@
     } else {
         "replace_ms = 1500\n"
     };
-    plan.group = Some(rig::Plan { zones: ZONES, founders: VOTERS, folders: true, more: more.into() });
+    plan.cluster =
+        Some(cluster::ClusterConfig { zones: ZONES, founders: VOTERS, folders: true, more: more.into() });
     let fleet =
         Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -209,7 +210,8 @@
         let done = RefCell::new(Vec::new());
         let told: Rc<Told> = Rc::default();
         let stories: Rc<RefCell<Vec<Rc<RefCell<Story>>>>> = Rc::default();
-        let plains: Vec<Plain> = (0..8).map(|number| Plain::new(executor, &members, number)).collect();
+        let plains: Vec<BasicClient> =
+            (0..8).map(|number| BasicClient::new(executor, &members, number)).collect();
         let mut chance = Pcg64::seed_from_u64(ground.seed);
         let ends = clock.now() + schedule.ends_ms();
         let ask = async {
@@ -217,11 +219,11 @@
             while clock.now() < ends {
                 number += 1;
                 count(&told.tickets);
-                let work = Work {
+                let work = WorkSpec {
                     number,
                     work_ms: WORK_MS * (0.4 + 1.2 * chance.random::<f64>()),
-                    calls: 1,
-                    effect: Effect::Ticketed,
+                    outbound_calls: 1,
+                    idempotency: Idempotency::Keyed,
                 };
                 let story: Rc<RefCell<Story>> = Rc::default();
                 stories.borrow_mut().push(story.clone());
@@ -258,13 +260,17 @@
                 Timer::after(Duration::from_secs_f64(gap / 1000.0)).await;
             }
         };
-        let faults = rig::play(&fleet, clock, schedule, &done);
+        let faults = fault_injection::play(&fleet, clock, schedule, &done);
         // How long any member had tickets with too few copies, asked of all a few times a second.
         let (low_most, trips) = (Cell::new(0.0f64), RefCell::new(Spread::default()));
         let watch = async {
             let mut since: Vec<Option<f64>> = vec![None; MEMBERS];
-            let at: Vec<_> =
-                fleet.borrow().rig.iter().flat_map(|rig| rig.members.iter().map(|m| m.address)).collect();
+            let at: Vec<_> = fleet
+                .borrow()
+                .cluster
+                .iter()
+                .flat_map(|cluster| cluster.members.iter().map(|m| m.address))
+                .collect();
             while with_copies && clock.now() < ends {
                 for (member, at) in at.iter().enumerate() {
                     match low(*at).await {
@@ -288,21 +294,21 @@
         }
         let round_trip_ms = trips.borrow().at(0.5);
         let mut fleet = fleet.into_inner();
-        let peak_kb = fleet.backends.iter().filter_map(|backend| backend.peak_kb()).max();
-        let mut rules_broken = told.wrong.get() + fleet.account.borrow().ledger_fell;
+        let peak_kb = fleet.backends.iter().filter_map(|backend| backend.peak_memory_kb()).max();
+        let mut rules_broken = told.wrong.get() + fleet.effects.borrow().dependency_outages;
         for backend in &mut fleet.backends {
-            backend.ended();
+            backend.poll_exit();
             rules_broken += u64::from(backend.crashes);
         }
-        let effects_twice = fleet.account.borrow().launched_twice().len() as u64;
+        let effects_twice = fleet.effects.borrow().repeated_keyed_launches().len() as u64;
         let mut history = told.history.take();
         let steps = done.borrow();
         history.extend(steps.iter().map(|done| Event {
-            at: done.at,
+            at: done.at_ms,
             seen: Seen::Fault {
                 text: format!(
                     "{} {}",
-                    if done.begins { "begins" } else { "ends" },
+                    if done.begins() { "begins" } else { "ends" },
                     schedule.steps[done.step]
                 ),
             },
@@ -314,7 +320,7 @@
             at,
             seen: Seen::Launched { ticket, process: format!("n{}, start {life}", place + 1) },
         };
-        history.extend(fleet.account.borrow().ticketed_launches().map(launched));
+        history.extend(fleet.effects.borrow().keyed_launches().map(launched));
         let stories = stories.borrow();
         let all = || stories.iter().map(|story| story.borrow());
         Ok(Came {
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -10,9 +10,9 @@
 use plovershelf_cluster::status::{Answer, Question, Status};
 use plovershelf_simulation::audit::{self, Event, Seen};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step, CALM_MS};
-use plovershelf_testkit::backend::Fleet;
-use plovershelf_testkit::rig::{self, Done};
-use plovershelf_testkit::{cores, Clock};
+use plovershelf_testkit::fault_injection::{self, AppliedFault};
+use plovershelf_testkit::fleet::Fleet;
+use plovershelf_testkit::{cluster, cores, Clock};
 
 use super::client_overload::{plan, taps};
 use super::{Aim, Figures, Ground};
@@ -44,7 +44,7 @@
     service: f64,
     rules_broken: u64,
     looks: Vec<Look>,
-    done: Vec<Done>,
+    done: Vec<AppliedFault>,
     began: f64,
 }
 
@@ -65,10 +65,14 @@
     let executor = &ground.executor;
     let clock = Clock::start();
     let mut plan = plan(ground, MEMBERS, CLIENTS);
-    plan.cores = cores::Shape { cores: CORES, ..plan.cores };
+    plan.cores = cores::CoresConfig { cores: CORES, ..plan.cores };
     plan.settings = load::settings(CORES, MEMBERS, CLIENTS, 40.0, 8.0);
-    plan.group =
-        with_group.then(|| rig::Plan { zones: ZONES, founders: 3, folders: true, more: String::new() });
+    plan.cluster = with_group.then(|| cluster::ClusterConfig {
+        zones: ZONES,
+        founders: 3,
+        folders: true,
+        more: String::new(),
+    });
     let demand = DEMAND * MEMBERS as f64 * CORES * 1000.0 / load::mean_work_ms();
     let planned = Rc::new(load::schedule(ground.seed, CLIENTS, schedule.ends_ms(), |_| demand));
     let fleet =
@@ -90,8 +94,8 @@
             askers.push(Asker::Library(client));
         }
         let looks: Rc<RefCell<Vec<Look>>> = Rc::default();
-        if let Some(rig) = &fleet.rig {
-            for (member, place) in rig.members.iter().enumerate() {
+        if let Some(cluster) = &fleet.cluster {
+            for (member, place) in cluster.members.iter().enumerate() {
                 let (at, looks) = (place.address, looks.clone());
                 let look = async move {
                     loop {
@@ -111,7 +115,7 @@
         let done = RefCell::new(Vec::new());
         let results = load::Results::default();
         let began = clock.now();
-        let faults = rig::play(&fleet, clock, schedule, &done);
+        let faults = fault_injection::play(&fleet, clock, schedule, &done);
         let load = load::play(executor, clock, &planned, &askers, &results, 4000.0);
         futures_lite::future::zip(faults, load).await;
         // What was agreed by the end is looked at once more.
@@ -119,12 +123,13 @@
         let sum = load::sum(&planned, &results.borrow());
         let mut fleet = fleet.into_inner();
         let mut rules_broken = sum.wrong as u64 + sum.with_two as u64;
-        rules_broken += fleet.account.borrow().ran_twice().len() as u64 + fleet.account.borrow().ledger_fell;
+        rules_broken += fleet.effects.borrow().repeated_executions().len() as u64
+            + fleet.effects.borrow().dependency_outages;
         for backend in &mut fleet.backends {
-            rules_broken += u64::from(backend.ended().is_some());
+            rules_broken += u64::from(backend.poll_exit().is_some());
         }
         for tap in &taps {
-            rules_broken += tap.seen.borrow().answered_twice;
+            rules_broken += tap.traffic.borrow().duplicate_responses;
         }
         let looks = looks.borrow().clone();
         let service = sum.revenue_in_time / sum.revenue.max(1e-9);
@@ -137,14 +142,14 @@
 fn history(came: &Came, schedule: &Schedule) -> Vec<Event> {
     let mut events = Vec::new();
     for done in &came.done {
-        let text = format!("{} {}", if done.begins { "begins" } else { "ends" }, schedule.steps[done.step]);
-        events.push(Event { at: done.at, seen: Seen::Fault { text } });
+        let text = format!("{} {}", if done.begins() { "begins" } else { "ends" }, schedule.steps[done.step]);
+        events.push(Event { at: done.at_ms, seen: Seen::Fault { text } });
         if let (true, Fault::Kill { member, folder: Folder::Wiped }) =
-            (done.begins, &schedule.steps[done.step].fault)
+            (done.begins(), &schedule.steps[done.step].fault)
         {
-            let before = came.looks.iter().rfind(|look| look.member == *member && look.answered < done.at);
+            let before = came.looks.iter().rfind(|look| look.member == *member && look.answered < done.at_ms);
             events.extend(
-                before.map(|look| Event { at: done.at, seen: Seen::Lost { memory: look.status.memory } }),
+                before.map(|look| Event { at: done.at_ms, seen: Seen::Lost { memory: look.status.memory } }),
             );
         }
     }
@@ -170,7 +175,10 @@
 fn touched(came: &Came, schedule: &Schedule, member: usize, from: f64, to: f64) -> bool {
     schedule.steps.iter().enumerate().any(|(place, step)| {
         let at = |begins: bool| {
-            came.done.iter().find(|d| d.step == place && d.begins == begins).map_or(f64::INFINITY, |d| d.at)
+            came.done
+                .iter()
+                .find(|d| d.step == place && d.begins() == begins)
+                .map_or(f64::INFINITY, |d| d.at_ms)
         };
         let wide = matches!(step.fault, Fault::Cut { .. } | Fault::Loss { .. } | Fault::KillThird { .. });
         let concerns = wide || step.fault.touches(MEMBERS).contains(&member);
@@ -228,35 +236,36 @@
     }
     // Single deaths without any other fault beside them: how long until a view without them.
     let mut lost_put_out_s = None;
-    for done in came.done.iter().filter(|done| done.begins) {
+    for done in came.done.iter().filter(|done| done.begins()) {
         let step = &schedule.steps[done.step];
         let Fault::Kill { member, .. } = step.fault else { continue };
         if !alone(schedule, done.step) {
             continue;
         }
-        let Some(look) = came.looks.iter().rfind(|look| look.member == member && look.answered < done.at)
+        let Some(look) = came.looks.iter().rfind(|look| look.member == member && look.answered < done.at_ms)
         else {
             continue;
         };
-        let out = views.iter().find(|(at, members)| *at > done.at && !members.contains(&look.status.memory));
-        let took = out.map_or(f64::INFINITY, |(at, _)| at - done.at);
+        let out =
+            views.iter().find(|(at, members)| *at > done.at_ms && !members.contains(&look.status.memory));
+        let took = out.map_or(f64::INFINITY, |(at, _)| at - done.at_ms);
         lost_put_out_s = worse(lost_put_out_s, took / 1000.0);
     }
     // After the last fault of a stretch is over: until all answer with one view that has them all, and may act.
     let mut agreed_s = None;
     let mut active = 0i32;
     for (place, done) in came.done.iter().enumerate() {
-        active += if done.begins { 1 } else { -1 };
-        if active > 0 || done.begins {
+        active += if done.begins() { 1 } else { -1 };
+        if active > 0 || done.begins() {
             continue;
         }
-        let next = came.done.get(place + 1).map_or(f64::INFINITY, |next| next.at);
-        if next - done.at < 3000.0 {
+        let next = came.done.get(place + 1).map_or(f64::INFINITY, |next| next.at_ms);
+        if next - done.at_ms < 3000.0 {
             continue;
         }
         let mut last: BTreeMap<usize, &Look> = BTreeMap::new();
         let mut when = f64::INFINITY;
-        for look in came.looks.iter().filter(|look| look.asked > done.at && look.answered < next) {
+        for look in came.looks.iter().filter(|look| look.asked > done.at_ms && look.answered < next) {
             last.insert(look.member, look);
             let numbers: BTreeSet<Option<u64>> = last.values().map(|look| look.status.may_act).collect();
             let all = last.len() == MEMBERS && numbers.len() == 1 && !numbers.contains(&None);
@@ -265,7 +274,7 @@
                 break;
             }
         }
-        agreed_s = worse(agreed_s, (when - done.at) / 1000.0);
+        agreed_s = worse(agreed_s, (when - done.at_ms) / 1000.0);
     }
     Judged { healthy_put_out, lost_put_out_s, agreed_s, views: first.len() }
 }
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -22,7 +22,7 @@
 
 use clap::Args;
 use comfy_table::{presets, Table};
-use plovershelf_testkit::{backend, Executor};
+use plovershelf_testkit::{backend::server_program, Executor};
 use serde_json::{Map, Value};
 
 #[derive(Args)]
@@ -294,7 +294,7 @@
     }
     let ground = Ground {
         executor: Rc::new(async_executor::LocalExecutor::new()),
-        program: backend::program()?,
+        program: server_program().map_err(|error| error.to_string())?,
         seed: options.seed,
         seconds: options.seconds.map(f64::from),
         logs: options.logs.clone(),
--- a/crates/plovershelf-cli/src/trial/pools.rs
+++ b/crates/plovershelf-cli/src/trial/pools.rs
@@ -4,8 +4,8 @@
 
 use async_io::Timer;
 use plovershelf_client::{ClientBuilder, ClientConfig};
-use plovershelf_testkit::backend::{Fleet, Plan};
-use plovershelf_testkit::{cores, ledger, Clock};
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::{cores, dependency, Clock};
 
 use super::client_overload::taps;
 use super::{Aim, Figures, Ground};
@@ -83,18 +83,28 @@
     let share = SURVIVES as f64 / BACKENDS as f64;
     let file = std::env::temp_dir().join(format!("plovershelf-pools-{}.ini", std::process::id()));
     std::fs::write(&file, FILE).map_err(|error| format!("{}: {error}", file.display()))?;
-    let plan = Plan {
+    let plan = FleetConfig {
         program: ground.program.clone(),
         backends: BACKENDS,
-        cores: cores::Shape { cores: CORES, crowd: CROWD, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape { call_ms: CALL_MS, slots: SLOTS, survives: SURVIVES, down_ms: 2000.0 },
+        cores: cores::CoresConfig {
+            cores: CORES,
+            overload_factor: CROWD,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
+            call_ms: CALL_MS,
+            slots: SLOTS,
+            max_in_flight: SURVIVES,
+            outage_ms: 2000.0,
+        },
         settings: load::settings(CORES, BACKENDS, CLIENTS, share, CROWD),
         memory_mb: 192.0,
         sockets: 1024,
         stop_ms: 2500.0,
         logs: ground.logs.clone(),
         pools: pools.then(|| file.clone()),
-        group: None,
+        cluster: None,
     };
     let planned = Rc::new(planned(ground, phase_ms, cheap));
     let mut fleet =
@@ -116,8 +126,8 @@
         let results = load::Results::default();
         let slow = async {
             Timer::at(clock.at(began + 2.0 * phase_ms)).await;
-            fleet.backends.iter().for_each(|backend| backend.agent.pace(1.0 / SLOW));
-            fleet.ledger.slow(SLOW);
+            fleet.backends.iter().for_each(|backend| backend.agent.set_speed_factor(1.0 / SLOW));
+            fleet.dependency.set_latency_factor(SLOW);
         };
         let play = load::play(executor, clock, &planned, &askers, &results, 3000.0);
         futures_lite::future::zip(play, slow).await;
@@ -131,15 +141,18 @@
             came.in_time[phase(one, phase_ms)][which] += f64::from(u8::from(ends.iter().any(in_time)));
             came.rules_broken += u64::from(ends.len() != 1);
         }
-        let account = fleet.account.borrow();
-        came.ledger_peak = account.ledger_most as f64 / SURVIVES as f64;
-        came.crowd_peak = account.crowd_most;
-        came.rules_broken += account.ran_twice().len() as u64 + account.launched_late + account.ledger_fell;
-        drop(account);
-        came.rules_broken += fleet.backends.iter_mut().filter_map(|backend| backend.ended()).count() as u64;
+        let effects = fleet.effects.borrow();
+        came.ledger_peak = effects.peak_dependency_calls as f64 / SURVIVES as f64;
+        came.crowd_peak = effects.peak_overload;
+        came.rules_broken += effects.repeated_executions().len() as u64
+            + effects.launched_after_drain
+            + effects.dependency_outages;
+        drop(effects);
+        came.rules_broken +=
+            fleet.backends.iter_mut().filter_map(|backend| backend.poll_exit()).count() as u64;
         for tap in &taps {
-            let seen = tap.seen.borrow();
-            came.rules_broken += seen.answered_twice + seen.unanswered + seen.answered_late;
+            let seen = tap.traffic.borrow();
+            came.rules_broken += seen.duplicate_responses + seen.unanswered + seen.late_responses;
         }
         Ok(came)
     };
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -6,9 +6,9 @@
 
 use async_io::Timer;
 use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
-use plovershelf_testkit::backend::{Fleet, Plan};
-use plovershelf_testkit::plain::Plain;
-use plovershelf_testkit::{cores, ledger, Clock};
+use plovershelf_testkit::basic_client::BasicClient;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::{cores, dependency, Clock};
 use serde_json::json;
 
 use super::client_overload::taps;
@@ -33,7 +33,7 @@
 enum Senders {
     /// Callers of the library, that share out what they are told.
     Heed,
-    /// Plain ones, that know of nothing.
+    /// BasicClient ones, that know of nothing.
     Untold,
 }
 
@@ -72,15 +72,20 @@
         settings["rules"]["cold_from"] = json!(COLD);
         settings["rules"]["warm_within_ms"] = json!(span_ms);
     }
-    let plan = Plan {
+    let plan = FleetConfig {
         program: ground.program.clone(),
         backends,
-        cores: cores::Shape { cores: CORES, crowd: CROWD, cold_speed: COLD, warm_ms: span_ms },
-        ledger: ledger::Shape {
+        cores: cores::CoresConfig {
+            cores: CORES,
+            overload_factor: CROWD,
+            initial_speed: COLD,
+            slow_start_ms: span_ms,
+        },
+        dependency: dependency::DependencyConfig {
             call_ms: CALL_MS,
             slots: budget as usize + 1,
-            survives: usize::MAX,
-            down_ms: 1.0,
+            max_in_flight: usize::MAX,
+            outage_ms: 1.0,
         },
         settings,
         memory_mb: 64.0,
@@ -88,7 +93,7 @@
         stop_ms: 1500.0,
         logs: ground.logs.clone(),
         pools: None,
-        group: None,
+        cluster: None,
     };
     let rate = DEMAND * backends as f64 * CORES * 1000.0 / load::mean_work_ms();
     let planned = Rc::new(load::schedule(ground.seed, CALLERS, span_ms, |_| rate));
@@ -99,7 +104,7 @@
         let mut askers = Vec::new();
         for number in 0..CALLERS {
             let Senders::Heed = senders else {
-                askers.push(Asker::Plain(Plain::new(executor, &members, number as u32)));
+                askers.push(Asker::Basic(BasicClient::new(executor, &members, number as u32)));
                 continue;
             };
             let seed = ground.seed * 1000 + number as u64 + 1;
@@ -126,11 +131,11 @@
         let look = async {
             loop {
                 for (backend, looks) in fleet.backends.iter().zip(&mut crowds) {
-                    let (runs, survives) = backend.agent.on_cores();
+                    let (runs, survives) = backend.agent.concurrency();
                     looks.push(runs as f64 / survives);
                     came.peak = came.peak.max(runs as f64 / with_chance(survives));
                 }
-                held.push(fleet.ledger.held() as f64 / budget);
+                held.push(fleet.dependency.in_flight() as f64 / budget);
                 Timer::after(Duration::from_millis(LOOK_MS)).await;
             }
         };
@@ -138,15 +143,16 @@
         futures_lite::future::or(play, look).await;
         came.mean = crowds.iter().map(|looks| mean_over(looks)).fold(0.0, f64::max);
         came.ledger_mean = mean_over(&held);
-        let account = fleet.account.borrow();
-        came.ledger_peak = account.ledger_most as f64 / with_chance(budget);
-        came.runs = account.runs();
-        came.rules_broken = account.ran_twice().len() as u64 + account.launched_late;
-        drop(account);
-        came.rules_broken += fleet.backends.iter_mut().filter_map(|backend| backend.ended()).count() as u64;
+        let effects = fleet.effects.borrow();
+        came.ledger_peak = effects.peak_dependency_calls as f64 / with_chance(budget);
+        came.runs = effects.executions();
+        came.rules_broken = effects.repeated_executions().len() as u64 + effects.launched_after_drain;
+        drop(effects);
+        came.rules_broken +=
+            fleet.backends.iter_mut().filter_map(|backend| backend.poll_exit()).count() as u64;
         for tap in &taps {
-            let seen = tap.seen.borrow();
-            came.rules_broken += seen.answered_twice + seen.answered_late;
+            let seen = tap.traffic.borrow();
+            came.rules_broken += seen.duplicate_responses + seen.late_responses;
         }
         Ok(came)
     };
--- a/crates/plovershelf-cli/src/trial/scale/calls.rs
+++ b/crates/plovershelf-cli/src/trial/scale/calls.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use plovershelf_simulation::statistics::Spread;
-use plovershelf_testkit::backend::{Fleet, Plan};
-use plovershelf_testkit::plain::Plain;
-use plovershelf_testkit::{cores, ledger, Clock, Executor};
+use plovershelf_testkit::basic_client::BasicClient;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::{cores, dependency, Clock, Executor};
 use serde_json::json;
 
 use super::super::Ground;
@@ -61,24 +61,34 @@
         let quota = |name: String| json!({"name": name, "quota_per_s": 1.0e6, "share": 0.5});
         settings["tenants"] = self::tenants(tenants).into_iter().map(quota).collect();
         let each = callers.div_ceil(REAL);
-        let plan = Plan {
+        let plan = FleetConfig {
             program: ground.program.clone(),
             backends: REAL,
-            cores: cores::Shape { cores: CORES, crowd: 8.0, cold_speed: 1.0, warm_ms: 1.0 },
-            ledger: ledger::Shape { call_ms: 12.0, slots: 96, survives: usize::MAX, down_ms: 1.0 },
+            cores: cores::CoresConfig {
+                cores: CORES,
+                overload_factor: 8.0,
+                initial_speed: 1.0,
+                slow_start_ms: 1.0,
+            },
+            dependency: dependency::DependencyConfig {
+                call_ms: 12.0,
+                slots: 96,
+                max_in_flight: usize::MAX,
+                outage_ms: 1.0,
+            },
             settings,
             memory_mb: 192.0 + each as f64 / 8.0,
             sockets: (each * 3 / 2 + 1024).min(19_000) as u32,
             stop_ms: 2500.0,
             logs: ground.logs.clone(),
             pools: None,
-            group: None,
+            cluster: None,
         };
         let executor = &ground.executor;
         let fleet =
             Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
         let addresses = fleet.addresses();
-        let asker = |n: usize| Asker::Plain(Plain::new(executor, &[addresses[n % REAL]], n as u32));
+        let asker = |n: usize| Asker::Basic(BasicClient::new(executor, &[addresses[n % REAL]], n as u32));
         let mut real = Real { askers: (0..callers.max(REAL)).map(asker).collect(), fleet, numbered: 0 };
         real.open(executor, clock).await?;
         Ok(real)
@@ -96,8 +106,8 @@
             let again = |error: std::io::Error| format!("starting a backend again: {error}");
             backend.kill().map_err(again)?;
             match mode {
-                Mode::Group => backend.in_group(Some(file)),
-                Mode::Changes => backend.hears_changes(Some(file)),
+                Mode::Group => backend.set_cluster_file(Some(file)),
+                Mode::Changes => backend.set_config_distribution_file(Some(file)),
             }
             backend.start().map_err(again)?;
         }
@@ -125,11 +135,11 @@
         let mut planned = load::schedule(seed, self.askers.len(), span_ms, |at| rate(at).max(0.01));
         if firsts > 0 {
             let step_ms = OPENING.as_secs_f64() * 1000.0;
-            let work = |work_ms| plovershelf_testkit::work::Work {
+            let work = |work_ms| plovershelf_testkit::work::WorkSpec {
                 number: 0,
                 work_ms,
-                calls: 0,
-                effect: load::OFFERINGS[0].effect,
+                outbound_calls: 0,
+                idempotency: load::OFFERINGS[0].effect,
             };
             let first = |client: usize| load::Planned {
                 at_ms: client as f64 * step_ms,
@@ -143,7 +153,7 @@
         }
         for one in &mut planned {
             self.numbered += 1;
-            (one.work.number, one.work.calls) = (self.numbered, 0);
+            (one.work.number, one.work.outbound_calls) = (self.numbered, 0);
         }
         Rc::new(planned)
     }
@@ -154,9 +164,9 @@
         let results = results.borrow();
         let sum = load::sum(&planned, &results);
         let mut added = Added { rules_broken: (sum.wrong + sum.with_two) as u64, ..Added::default() };
-        let account = self.fleet.account.borrow();
+        let effects = self.fleet.effects.borrow();
         for (one, ends) in planned.iter().zip(results.iter()) {
-            let Some(took) = account.took_ms.get(&one.work.number) else { continue };
+            let Some(took) = effects.execution_ms.get(&one.work.number) else { continue };
             let well = ends.iter().find(|end| end.end == End::Succeeded);
             well.into_iter().for_each(|end| added.ms.put(end.took_ms - took));
         }
@@ -170,14 +180,16 @@
     }
 
     pub fn ids(&self) -> Vec<u32> {
-        self.fleet.backends.iter().filter_map(|backend| backend.id()).collect()
+        self.fleet.backends.iter().filter_map(|backend| backend.process_id()).collect()
     }
 
     /// What broke one of the rules so far, besides what the loads told.
     pub fn rules_broken(&mut self) -> u64 {
-        let account = self.fleet.account.borrow();
-        let broken = account.ran_twice().len() as u64 + account.launched_late + account.odd_commands;
-        drop(account);
-        broken + self.fleet.backends.iter_mut().filter_map(|backend| backend.ended()).count() as u64
+        let effects = self.fleet.effects.borrow();
+        let broken = effects.repeated_executions().len() as u64
+            + effects.launched_after_drain
+            + effects.unexpected_commands;
+        drop(effects);
+        broken + self.fleet.backends.iter_mut().filter_map(|backend| backend.poll_exit()).count() as u64
     }
 }
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -13,10 +13,10 @@
 use plovershelf_failover::plan::{Topology, Zone, BANDS};
 use plovershelf_failover::planner::{shares, Terms};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
-use plovershelf_testkit::backend::Fleet;
-use plovershelf_testkit::plain::{Asked, Ended, Plain};
-use plovershelf_testkit::work::{Effect, Work};
-use plovershelf_testkit::{cores, rig, Clock};
+use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
+use plovershelf_testkit::fleet::Fleet;
+use plovershelf_testkit::work::{Idempotency, WorkSpec};
+use plovershelf_testkit::{cluster, cores, fault_injection, Clock};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -120,12 +120,12 @@
     let executor = &ground.executor;
     let clock = Clock::start();
     let mut plan = plan(ground, MEMBERS, 24);
-    plan.cores = cores::Shape { cores: CORES, ..plan.cores };
+    plan.cores = cores::CoresConfig { cores: CORES, ..plan.cores };
     plan.settings = load::settings(CORES, MEMBERS, 24, 40.0, 8.0);
     let zones: String =
         topology().zones.iter().map(|z| format!("[zone {}]\nregion = {}\n", z.name, z.region)).collect();
     let more = format!("replace_ms = 1500\n\n{zones}[zones]\nwell_ms = 4000\n");
-    plan.group = Some(rig::Plan { zones: ZONES, founders: 5, folders: true, more });
+    plan.cluster = Some(cluster::ClusterConfig { zones: ZONES, founders: 5, folders: true, more });
     let fleet =
         Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -134,8 +134,11 @@
         }
         Timer::after(Duration::from_millis(4000)).await;
         let members = fleet.addresses();
-        let asked_at: Vec<SocketAddr> =
-            fleet.rig.iter().flat_map(|rig| rig.members.iter().map(|member| member.address)).collect();
+        let asked_at: Vec<SocketAddr> = fleet
+            .cluster
+            .iter()
+            .flat_map(|cluster| cluster.members.iter().map(|member| member.address))
+            .collect();
         let fleet = RefCell::new(fleet);
         let done = RefCell::new(Vec::new());
         let told: Rc<Tally> = Rc::default();
@@ -148,8 +151,8 @@
             })
         };
         let origins: Vec<Rc<Origin>> = (0..ZONES).map(origin).collect();
-        let plains: Vec<Plain> =
-            (0..ZONES as u32).map(|number| Plain::new(executor, &members, number)).collect();
+        let plains: Vec<BasicClient> =
+            (0..ZONES as u32).map(|number| BasicClient::new(executor, &members, number)).collect();
         let open = Rc::new(Cell::new(0u64));
         // Callers ask members for the plan, near ones first, and tell what they see.
         let ask_plan = async {
@@ -217,11 +220,11 @@
                 let from = chance.random_range(0..ZONES);
                 let draw: f64 = chance.random();
                 let (name, _, worth) = if draw < OFFERINGS[0].1 { OFFERINGS[0] } else { OFFERINGS[1] };
-                let work = Work {
+                let work = WorkSpec {
                     number,
                     work_ms: WORK_MS * (0.4 + 1.2 * chance.random::<f64>()),
-                    calls: 0,
-                    effect: Effect::Rerunnable,
+                    outbound_calls: 0,
+                    idempotency: Idempotency::Idempotent,
                 };
                 let (origin, plain, told) = (origins[from].clone(), plains[from].clone(), told.clone());
                 let (open, members) = (open.clone(), members.clone());
@@ -233,14 +236,14 @@
                     told.asked.set(told.asked.get() + worth);
                     let body = work.body();
                     let rank = worth / 10.0;
-                    let asked = Asked {
-                        offering: name,
+                    let asked = Call {
+                        class: name,
                         tenant: load::TENANTS[0],
                         rank,
-                        ticket: None,
-                        rerunnable: true,
+                        idempotency_key: None,
+                        idempotent: true,
                         body: &body,
-                        within: Duration::from_millis(600),
+                        timeout: Duration::from_millis(600),
                     };
                     let mut tried = Vec::new();
                     let due = clock.now() + 1400.0;
@@ -272,11 +275,11 @@
                         let member = members[at[(pick + turn) % at.len()]];
                         let late = async {
                             Timer::after(Duration::from_millis(600)).await;
-                            Ended::Failed
+                            Outcome::NoResponse
                         };
-                        let ended = futures_lite::future::or(plain.once(member, &asked), late).await;
-                        let well = matches!(ended, Ended::Succeeded(_));
-                        origin.guide.borrow_mut().saw(clock.now(), to, ended != Ended::Failed);
+                        let ended = futures_lite::future::or(plain.attempt(member, &asked), late).await;
+                        let well = matches!(ended, Outcome::Succeeded(_));
+                        origin.guide.borrow_mut().saw(clock.now(), to, ended != Outcome::NoResponse);
                         let mut felt = origin.felt.borrow_mut();
                         felt[to] = [felt[to][0] * 0.9 + 1.0, felt[to][1] * 0.9 + f64::from(u8::from(!well))];
                         drop(felt);
@@ -297,7 +300,7 @@
                 Timer::after(Duration::from_secs_f64(gap)).await;
             }
         };
-        let faults = rig::play(&fleet, clock, schedule, &done);
+        let faults = fault_injection::play(&fleet, clock, schedule, &done);
         let both = futures_lite::future::zip(faults, ask);
         futures_lite::future::zip(both, futures_lite::future::zip(ask_plan, watch)).await;
         let until = clock.now() + 5000.0;
@@ -305,11 +308,11 @@
             Timer::after(Duration::from_millis(50)).await;
         }
         let mut fleet = fleet.into_inner();
-        let mut rules_broken = fleet.account.borrow().ledger_fell;
+        let mut rules_broken = fleet.effects.borrow().dependency_outages;
         for backend in &mut fleet.backends {
-            rules_broken += u64::from(backend.ended().is_some());
+            rules_broken += u64::from(backend.poll_exit().is_some());
         }
-        let effects_twice = fleet.account.borrow().launched_twice().len() as u64;
+        let effects_twice = fleet.effects.borrow().repeated_keyed_launches().len() as u64;
         Ok(Came {
             told,
             shift_s_worst: shift_worst.get() / 1000.0,
--- a/crates/plovershelf-cli/tests/config.rs
+++ b/crates/plovershelf-cli/tests/config.rs
@@ -7,7 +7,7 @@
 
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber};
 use plovershelf_testkit::free_address;
-use plovershelf_testkit::sources::Sources;
+use plovershelf_testkit::origin_servers::OriginServers;
 
 struct Controls {
     folder: PathBuf,
@@ -18,7 +18,8 @@
 impl Controls {
     fn start() -> Self {
         let folder = std::env::temp_dir().join(format!("plovershelf-config-{}", std::process::id()));
-        let Sources { files, at } = Sources::write(&folder, "fleet", "acme = 1000\n").expect("files");
+        let OriginServers { files, addresses: at } =
+            OriginServers::write(&folder, "fleet", "acme = 1000\n").expect("files");
         let start = |file: &PathBuf| {
             let name = file.file_stem().and_then(|name| name.to_str()).expect("a name");
             let mut command = command(&["control", "--name", name, "--file", path(file)]);
--- a/crates/plovershelf-server/src/agent_link/tests.rs
+++ b/crates/plovershelf-server/src/agent_link/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use plovershelf_testkit::scripted::Lines;
+use plovershelf_testkit::scripted::LineLink;
 use std::net::TcpListener;
 
 #[test]
@@ -28,17 +28,17 @@
     let (tell_left, left) = async_channel::bounded::<()>(1);
     let (tell_done, done) = async_channel::bounded::<()>(1);
     let far = std::thread::spawn(move || {
-        let mut link = Lines::accept(&listeners[0]);
+        let mut link = LineLink::accept(&listeners[0]);
         link.expect("subscribe 0");
-        link.say("greeting steady 0", None);
-        link.sampled();
+        link.send("greeting steady 0", None);
+        link.answer_sample();
         let _ = full.recv_blocking();
-        link.say("outcome 1 00000000000000aa success 3", Some(b"end"));
+        link.send("outcome 1 00000000000000aa success 3", Some(b"end"));
         // Its word that all was read never comes through, as the owner takes nothing.
         while link.next_line().is_some() {}
         tell_left.send_blocking(()).expect("it waits");
         // The connection that was made for the hand-over goes with the link that it was to follow.
-        let lines = std::iter::repeat_with(|| Lines::accept(&listeners[1]).next_line());
+        let lines = std::iter::repeat_with(|| LineLink::accept(&listeners[1]).next_line());
         let subscribed = lines.take(9).find_map(|line| line).expect("a line").0;
         tell_done.send_blocking(()).expect("it waits");
         subscribed
@@ -68,13 +68,13 @@
     let (_moves, moved) = async_channel::bounded(1);
     let (events, inbox) = async_channel::bounded(16);
     let far = std::thread::spawn(move || {
-        let mut link = Lines::accept(&listener);
+        let mut link = LineLink::accept(&listener);
         link.expect("subscribe 0");
-        link.say("greeting steady 0", None);
-        link.sampled();
-        link.say("greeting steady 5", None);
+        link.send("greeting steady 0", None);
+        link.answer_sample();
+        link.send("greeting steady 5", None);
         assert_eq!(link.next_line(), None);
-        Lines::accept(&listener).next_line().expect("a line").0
+        LineLink::accept(&listener).next_line().expect("a line").0
     });
     let keep = AgentLinks { address, moved, events, limits: Rc::new(Limits::new(64.0, 64)) }.run();
     let drain = async {
--- a/crates/plovershelf-server/src/driver/tests.rs
+++ b/crates/plovershelf-server/src/driver/tests.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{Outbox, UnwrittenBytes};
 use plovershelf::api::CallOutcome;
 use plovershelf_codec::agent::RunResult;
-use plovershelf_testkit::scripted::{alive, cancel, dispatch, heard, Heard, SETTINGS};
+use plovershelf_testkit::scripted::{alive, cancel, decode_response, dispatch, Response, SETTINGS};
 
 /// An driver with the far ends of its queues, whose agent is up.
 struct Stage {
@@ -68,9 +68,9 @@
         self.driver.finish_turn();
     }
 
-    fn heard(&mut self, connection: u64) -> Vec<Heard> {
+    fn heard(&mut self, connection: u64) -> Vec<Response> {
         let frames = &self.peers[connection as usize];
-        std::iter::from_fn(|| frames.try_recv().ok()).map(|frame| heard(&frame[4..])).collect()
+        std::iter::from_fn(|| frames.try_recv().ok()).map(|frame| decode_response(&frame[4..])).collect()
     }
 
     fn commands(&mut self) -> Vec<String> {
@@ -122,7 +122,7 @@
     assert_eq!(stage.commands(), ["launch 0000000000000005 plain 4"]);
     stage.run_over(5, RunResult::Succeeded, b"\0result");
     stage.run_over(5, RunResult::Succeeded, b"again");
-    assert_eq!(stage.heard(peer), [Heard::Succeeded(1, b"\0result".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Succeeded(1, b"\0result".to_vec())]);
     assert!(
         stage.driver.requests.is_empty()
             && stage.driver.request_by_attempt.is_empty()
@@ -137,7 +137,7 @@
     for (seqid, over) in [(1, RunResult::Failed), (2, RunResult::Interrupted), (3, RunResult::NotFound)] {
         stage.send(peer, dispatch(seqid, seqid as u64, "plain", &[], b""));
         stage.run_over(seqid as u64, over, b"");
-        assert_eq!(stage.heard(peer), [Heard::Scrapped(seqid)]);
+        assert_eq!(stage.heard(peer), [Response::Failed(seqid)]);
     }
     assert!(stage.driver.requests.is_empty());
 }
@@ -167,7 +167,7 @@
     stage.driver.handle_event(Event::Disconnected { connection: peer, error: None });
     assert_eq!(stage.commands()[3..], ["freeze 0000000000000005", "freeze 0000000000000006"]);
     stage.run_over(7, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(other), [Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(other), [Response::Succeeded(1, b"x".to_vec())]);
 }
 
 #[test]
@@ -176,9 +176,9 @@
     let peer = stage.connect();
     stage.send(peer, dispatch(1, 5, "plain", &[], b""));
     stage.send(peer, dispatch(1, 6, "plain", &[], b""));
-    assert_eq!(stage.heard(peer), [Heard::Closing]);
+    assert_eq!(stage.heard(peer), [Response::Closing]);
     stage.run_over(5, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(peer), [Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Succeeded(1, b"x".to_vec())]);
     assert!(stage.driver.connections.is_empty() && stage.peers[peer as usize].is_closed());
     assert_eq!(stage.commands().len(), 1);
 }
@@ -197,12 +197,12 @@
         stage.send(other, frame);
         stage.send(other, dispatch(2, 2, "plain", &[], b""));
         // What no sidecar sends is the last that is read of its connection.
-        assert_eq!(stage.heard(other), [Heard::Complaint(1), Heard::Closing]);
+        assert_eq!(stage.heard(other), [Response::Exception(1), Response::Closing]);
         assert!(!stage.driver.connections.contains_key(&other));
     }
     stage.send(peer, dispatch(5, 5, "plain", &[], b""));
     stage.send(peer, dispatch(6, 5, "plain", &[], b""));
-    assert_eq!(stage.heard(peer), [Heard::Complaint(6)]);
+    assert_eq!(stage.heard(peer), [Response::Exception(6)]);
     assert_eq!(stage.commands(), ["launch 0000000000000005 plain 0"]);
 }
 
@@ -213,7 +213,7 @@
     let long_ago = (stage.driver.now_ms - 50_000.0).to_string();
     stage.send(peer, dispatch(1, 1, "single", &[("d", "1e300")], b""));
     stage.send(peer, dispatch(2, 2, "plain", &[("d", "0"), ("s", &long_ago)], b""));
-    assert_eq!(stage.heard(peer), [Heard::Dismissed(2)]);
+    assert_eq!(stage.heard(peer), [Response::Rejected(2)]);
     let last = stage.driver.timeouts.last().expect("a due time").0;
     assert!(f64::from_bits(last) <= stage.driver.now_ms + stage.driver.limits.max_timeout_ms);
     assert!(stage.driver.wait_ms() <= 1000.0);
@@ -224,9 +224,9 @@
     let mut stage = Stage::with(Limits { max_requests_per_connection: 2, ..Limits::new(64.0, 256) });
     let peer = stage.connect();
     (1..=3).for_each(|seqid| stage.send(peer, dispatch(seqid, seqid as u64, "plain", &[], b"")));
-    assert_eq!(stage.heard(peer), [Heard::Complaint(3), Heard::Closing]);
+    assert_eq!(stage.heard(peer), [Response::Exception(3), Response::Closing]);
     stage.run_over(1, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(peer), [Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Succeeded(1, b"x".to_vec())]);
 }
 
 #[test]
@@ -234,7 +234,7 @@
     let mut stage = Stage::with(Limits { max_open_bytes: 3000, ..Limits::new(64.0, 256) });
     let peer = stage.connect();
     (1..=3).for_each(|seqid| stage.send(peer, dispatch(seqid, seqid as u64, "plain", &[], b"")));
-    assert_eq!(stage.heard(peer), [Heard::Dismissed(3)]);
+    assert_eq!(stage.heard(peer), [Response::Rejected(3)]);
     assert_eq!(stage.commands().len(), 2);
 }
 
@@ -246,12 +246,12 @@
     stage.send(peer, dispatch(1, 1, "marked", &ticket, b""));
     stage.send(peer, dispatch(2, 2, "marked", &ticket, b""));
     stage.run_over(1, RunResult::Succeeded, b"made");
-    let both = [1, 2].map(|seqid| Heard::Succeeded(seqid, b"made".to_vec()));
+    let both = [1, 2].map(|seqid| Response::Succeeded(seqid, b"made".to_vec()));
     let mut heard = stage.heard(peer);
-    heard.sort_by_key(|h| matches!(h, Heard::Succeeded(2, _)));
+    heard.sort_by_key(|h| matches!(h, Response::Succeeded(2, _)));
     assert_eq!(heard, both);
     stage.send(peer, dispatch(3, 3, "marked", &ticket, b""));
-    assert_eq!(stage.heard(peer), [Heard::Succeeded(3, b"made".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Succeeded(3, b"made".to_vec())]);
     assert_eq!(stage.commands(), ["launch 0000000000000001 marked 0"]);
     stage.send(peer, dispatch(4, 4, "marked", &[("k", "ticket-2")], b""));
     assert_eq!(stage.commands().len(), 1);
@@ -264,7 +264,7 @@
     stage.send(peer, dispatch(1, 1, "marked", &[("k", "t")], b""));
     stage.run_over(1, RunResult::Failed, b"");
     stage.send(peer, dispatch(2, 2, "marked", &[("k", "t")], b""));
-    assert_eq!(stage.heard(peer), [Heard::Scrapped(1), Heard::Scrapped(2)]);
+    assert_eq!(stage.heard(peer), [Response::Failed(1), Response::Failed(2)]);
     assert_eq!(stage.commands().len(), 1);
     stage.pass(60_000.0);
     let peer = stage.connect();
@@ -301,7 +301,7 @@
     stage.call_over(1, CallOutcome::Unknown);
     stage.pass(1000.0);
     assert!(stage.calls.try_recv().is_err());
-    assert_eq!(stage.heard(peer), [Heard::Scrapped(1)]);
+    assert_eq!(stage.heard(peer), [Response::Failed(1)]);
 }
 
 #[test]
@@ -361,7 +361,7 @@
     stage.send(peer, dispatch(2, 2, "single", &[("d", "500")], b""));
     stage.pass(600.0);
     let heard = stage.heard(peer);
-    assert!(heard.len() == 1 && heard != [Heard::Dismissed(1)], "{heard:?}");
+    assert!(heard.len() == 1 && heard != [Response::Rejected(1)], "{heard:?}");
     stage.link_up();
     assert_eq!(stage.commands(), ["launch 0000000000000001 plain 0"]);
     assert_eq!(stage.driver.requests.len(), 1);
@@ -419,10 +419,10 @@
     stage.send(other, dispatch(2, 1, "plain", &[], b"other"));
     let about = name(1).to_vec();
     stage.agent(AgentEvent::CommandRejected { command: "launch".into(), about });
-    assert_eq!(stage.heard(peer), [Heard::Scrapped(1), Heard::Closing]);
+    assert_eq!(stage.heard(peer), [Response::Failed(1), Response::Closing]);
     assert!(!stage.driver.connections.contains_key(&peer));
     stage.run_over(2, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(other), [Heard::Complaint(2), Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(other), [Response::Exception(2), Response::Succeeded(1, b"x".to_vec())]);
 }
 
 #[test]
@@ -477,7 +477,7 @@
         stage.send(peer, dispatch(1, id, "plain", &[], b""));
         stage.run_over(id, RunResult::Succeeded, &[7; 2000]);
     }
-    assert_eq!(stage.heard(other), [Heard::Succeeded(1, vec![7; 2000])]);
+    assert_eq!(stage.heard(other), [Response::Succeeded(1, vec![7; 2000])]);
     assert!(!stage.driver.connections.contains_key(&slow));
 }
 
@@ -505,7 +505,7 @@
     assert!(!stage.driver.connections.contains_key(&second) && stage.peers[second as usize].is_closed());
     stage.driver.now_ms += stage.driver.idle_timeout_ms;
     stage.driver.close_idle();
-    assert_eq!((stage.heard(first), stage.heard(busy)), (vec![Heard::Closing], vec![]));
+    assert_eq!((stage.heard(first), stage.heard(busy)), (vec![Response::Closing], vec![]));
     stage.driver.now_ms += stage.driver.limits.closing_timeout_ms;
     stage.driver.close_idle();
     assert_eq!(stage.driver.connections.len(), 1);
@@ -519,7 +519,7 @@
     stage.send(peer, b"GET / HTTP/1.1".to_vec());
     stage.send(peer, dispatch(2, 2, "plain", &[], b""));
     stage.run_over(1, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(peer), [Heard::Closing, Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Closing, Response::Succeeded(1, b"x".to_vec())]);
     assert!(stage.driver.connections.is_empty());
 }
 
@@ -535,7 +535,7 @@
     assert!(stage.driver.draining.get());
     assert_eq!(stage.heard(peer), []);
     stage.pass(200.0);
-    assert_eq!(stage.heard(peer), [Heard::Closing]);
+    assert_eq!(stage.heard(peer), [Response::Closing]);
     stage.pass(200.0);
     assert!(accepts.is_closed());
     stage.driver.handle_event(Event::ListenerClosed);
@@ -545,11 +545,11 @@
         connection: peer,
         frame: dispatch(2, 2, "plain", &[("s", &came)], b""),
     });
-    assert_eq!(stage.heard(peer), [Heard::Dismissed(2)]);
+    assert_eq!(stage.heard(peer), [Response::Rejected(2)]);
     assert!(!stage.commands().iter().any(|line| line.starts_with("launch")));
     assert!(!stage.driver.is_over);
     stage.pass(2570.0);
-    assert_eq!(stage.heard(peer), [Heard::Dismissed(1)]);
+    assert_eq!(stage.heard(peer), [Response::Rejected(1)]);
     stage.driver.handle_event(Event::Disconnected { connection: peer, error: None });
     stage.driver.finish_turn();
     assert!(stage.driver.is_over);
@@ -563,7 +563,7 @@
     stage.link_up();
     let peer = stage.connect();
     stage.send(peer, dispatch(1, 1, "plain", &[], b""));
-    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Heard::Complaint(1)], 0));
+    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Response::Exception(1)], 0));
     stage.driver.handle_event(Event::Disconnected { connection: peer, error: None });
     stage.pass(400.0);
     assert!(stage.driver.is_over);
@@ -594,12 +594,12 @@
     let key = [("k", "t")];
     stage.send(peer, dispatch(1, 1, "marked", &key, b"pay 5"));
     stage.send(other, dispatch(1, 2, "marked", &key, b"pay 500"));
-    assert_eq!(stage.heard(other), [Heard::Complaint(1)]);
+    assert_eq!(stage.heard(other), [Response::Exception(1)]);
     stage.run_over(1, RunResult::Succeeded, b"paid 5");
     stage.send(other, dispatch(2, 3, "marked", &key, b"pay 500"));
     stage.send(other, dispatch(3, 4, "marked", &key, b"pay 5"));
-    assert_eq!(stage.heard(other), [Heard::Complaint(2), Heard::Succeeded(3, b"paid 5".to_vec())]);
-    assert_eq!(stage.heard(peer), [Heard::Succeeded(1, b"paid 5".to_vec())]);
+    assert_eq!(stage.heard(other), [Response::Exception(2), Response::Succeeded(3, b"paid 5".to_vec())]);
+    assert_eq!(stage.heard(peer), [Response::Succeeded(1, b"paid 5".to_vec())]);
     assert_eq!(stage.commands().len(), 1);
 }
 
@@ -611,7 +611,7 @@
     let mark = DeduplicationKey::Idempotency(2, "t".into());
     stage.driver.deduplication.insert(mark, 77, body_hash(b"one"), f64::MAX);
     stage.send(peer, dispatch(1, 1, "marked", &[("k", "t")], b"two"));
-    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Heard::Dismissed(1)], 0));
+    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Response::Rejected(1)], 0));
 }
 
 #[test]
@@ -633,7 +633,7 @@
     stage.send(peer, dispatch(1, 1, "marked", &[("k", "a")], b""));
     stage.send(peer, dispatch(2, 2, "marked", &[("k", "b")], b""));
     stage.send(peer, dispatch(3, 3, "plain", &[], b""));
-    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Heard::Dismissed(2)], 2));
+    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Response::Rejected(2)], 2));
 }
 
 /// The notice is read late, behind a full queue: its grace and its stop count from when it came.
@@ -654,10 +654,10 @@
         connection: peer,
         frame: dispatch(2, 2, "plain", &[("s", &came)], b""),
     });
-    assert_eq!(stage.heard(peer), [Heard::Closing, Heard::Dismissed(2)]);
+    assert_eq!(stage.heard(peer), [Response::Closing, Response::Rejected(2)]);
     // All is answered 40 ms before the stop, which is 3000 ms after the notice.
     stage.pass(2960.0 - 310.0 + 10.0);
-    assert_eq!(stage.heard(peer), [Heard::Dismissed(1)]);
+    assert_eq!(stage.heard(peer), [Response::Rejected(1)]);
 }
 
 /// The notice overtakes what waits in the queue.
@@ -691,7 +691,7 @@
     assert!(stage.driver.connections.contains_key(&first));
     stage.send(first, dispatch(1, 1, "plain", &[], b""));
     stage.run_over(1, RunResult::Succeeded, b"x");
-    assert_eq!(stage.heard(first), [Heard::Closing, Heard::Succeeded(1, b"x".to_vec())]);
+    assert_eq!(stage.heard(first), [Response::Closing, Response::Succeeded(1, b"x".to_vec())]);
 }
 
 /// A frame that is taken from the queue after its connection was ended is not sent on: it could not be answered.
@@ -732,11 +732,11 @@
     stage.agent(AgentEvent::Down { all_commands_read: true });
     stage.link_up_after(true);
     assert_eq!(stage.commands(), ["launch 0000000000000001 plain 0"]);
-    assert_eq!(stage.heard(peer), [Heard::Scrapped(2), Heard::Scrapped(3)]);
+    assert_eq!(stage.heard(peer), [Response::Failed(2), Response::Failed(3)]);
     assert_eq!(stage.driver.requests.len(), 1);
     // The one that failed is not run for its repeat.
     stage.send(peer, dispatch(5, 5, "marked", &[("k", "t")], b""));
-    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Heard::Scrapped(5)], 0));
+    assert_eq!((stage.heard(peer), stage.commands().len()), (vec![Response::Failed(5)], 0));
 }
 
 /// The writer has given its peer up, which the driver has not heard yet: a frame before that word is not sent on.
--- a/crates/plovershelf-server/tests/clients.rs
+++ b/crates/plovershelf-server/tests/clients.rs
@@ -8,21 +8,31 @@
 use async_io::Timer;
 use futures_lite::future;
 use plovershelf_client::{Client, ClientBuilder, ClientConfig, Request, Response};
-use plovershelf_testkit::backend::{Fleet, Plan};
-use plovershelf_testkit::work::{Effect, Work};
-use plovershelf_testkit::{cores, ledger, Clock, Executor};
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::work::{Idempotency, WorkSpec};
+use plovershelf_testkit::{cores, dependency, Clock, Executor};
 use serde_json::json;
 
-fn plan(backends: usize) -> Plan {
+fn plan(backends: usize) -> FleetConfig {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim_ms": 4000.0, "deadline_ms": 6000.0, "effect": effect, "gain": 1.0,
                "dedup_window_ms": 20_000.0})
     };
-    Plan {
+    FleetConfig {
         program: PathBuf::from(env!("CARGO_BIN_EXE_plovershelf-server")),
         backends,
-        cores: cores::Shape { cores: 4.0, crowd: 8.0, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape { call_ms: 5.0, slots: 30, survives: 60, down_ms: 500.0 },
+        cores: cores::CoresConfig {
+            cores: 4.0,
+            overload_factor: 8.0,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
+            call_ms: 5.0,
+            slots: 30,
+            max_in_flight: 60,
+            outage_ms: 500.0,
+        },
         settings: json!({
             "classes": [class("plain", "repeatable"), class("marked", "by_key"), class("single", "once")],
             "tenants": [{"name": "north", "quota_per_s": 1.0e6}], "group_size": backends,
@@ -37,7 +47,7 @@
         stop_ms: 1200.0,
         logs: None,
         pools: None,
-        group: None,
+        cluster: None,
     }
 }
 
@@ -50,26 +60,32 @@
     }
 }
 
-fn request(work: &Work) -> Request {
+fn request(work: &WorkSpec) -> Request {
     let within = Duration::from_millis(5000);
-    match work.effect {
-        Effect::Rerunnable => Request::new("plain", work.body(), within).tenant("north"),
-        Effect::Ticketed => Request::new("marked", work.body(), within)
+    match work.idempotency {
+        Idempotency::Idempotent => Request::new("plain", work.body(), within).tenant("north"),
+        Idempotency::Keyed => Request::new("marked", work.body(), within)
             .tenant("north")
             .idempotency_key(format!("t{}", work.number)),
-        Effect::Exclusive => Request::new("single", work.body(), within).tenant("north").non_idempotent(),
+        Idempotency::NonIdempotent => {
+            Request::new("single", work.body(), within).tenant("north").non_idempotent()
+        }
     }
 }
 
 /// Asks for work of all three effects in turn, a few at a time, until told to stop; hands back each one's end.
-async fn ask(client: Client, first: u64, stop: Rc<std::cell::Cell<bool>>) -> BTreeMap<u64, (Work, Response)> {
+async fn ask(
+    client: Client,
+    first: u64,
+    stop: Rc<std::cell::Cell<bool>>,
+) -> BTreeMap<u64, (WorkSpec, Response)> {
     let mut ends = BTreeMap::new();
     let mut number = first;
     while !stop.get() {
-        let works: Vec<Work> = (0..6)
+        let works: Vec<WorkSpec> = (0..6)
             .map(|n| {
-                let effect = [Effect::Rerunnable, Effect::Ticketed, Effect::Exclusive][n % 3];
-                Work { number: number + n as u64, work_ms: 4.0, calls: 1, effect }
+                let effect = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent][n % 3];
+                WorkSpec { number: number + n as u64, work_ms: 4.0, outbound_calls: 1, idempotency: effect }
             })
             .collect();
         number += 6;
@@ -115,13 +131,13 @@
                 if let Response::Succeeded(result) = response {
                     succeeded += 1;
                     assert_eq!(result, work.result());
-                    assert!(fleet.account.borrow().made(number), "{number} was made by no run");
+                    assert!(fleet.effects.borrow().succeeded(number), "{number} was made by no run");
                 }
             }
         }
-        let account = fleet.account.borrow();
-        assert_eq!(account.ran_twice(), Vec::<u64>::new());
-        assert_eq!((account.launched_late, account.ledger_fell), (0, 0));
+        let effects = fleet.effects.borrow();
+        assert_eq!(effects.repeated_executions(), Vec::<u64>::new());
+        assert_eq!((effects.launched_after_drain, effects.dependency_outages), (0, 0));
         f64::from(succeeded) / f64::from(all.max(1))
     };
     async_io::block_on(future::or(executor.run(run), async {
@@ -154,11 +170,11 @@
 #[test]
 fn one_that_is_told_to_leave_hands_its_callers_over() {
     let share = under(2, async |fleet, _| {
-        fleet.backends[0].leave(300.0);
+        fleet.backends[0].start_drain(300.0);
         let mut status = None;
         while status.is_none() {
             Timer::after(Duration::from_millis(10)).await;
-            status = fleet.backends[0].ended();
+            status = fleet.backends[0].poll_exit();
         }
         assert!(status.is_some_and(|status| status.success()));
     });
--- a/crates/plovershelf-server/tests/common/mod.rs
+++ b/crates/plovershelf-server/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-use plovershelf_testkit::scripted::{Lines, Sidecar, SETTINGS};
+use plovershelf_testkit::scripted::{LineLink, ScriptedClient, SETTINGS};
 
 /// A running backend with the listeners of those it talks to.
 pub struct Backend {
@@ -58,37 +58,37 @@
     }
 
     /// A backend whose agent is up, and the agent's side of the link.
-    pub fn up(limits: &str) -> (Self, Lines) {
+    pub fn up(limits: &str) -> (Self, LineLink) {
         let backend = Self::start(limits);
         let agent = backend.agent_up();
         (backend, agent)
     }
 
-    pub fn agent_up(&self) -> Lines {
+    pub fn agent_up(&self) -> LineLink {
         let mut agent = self.link("subscribe 0", |_| ());
         // The first sample after that of the link itself comes from a backend that has started.
-        agent.sampled();
+        agent.answer_sample();
         agent
     }
 
-    pub fn usual() -> (Self, Lines) {
+    pub fn usual() -> (Self, LineLink) {
         Self::up(r#"{"cores": 1.0, "memory_mb": 192, "sockets": 1024}"#)
     }
 
     /// Takes the backend's next link, tells it what it missed, and lets it through.
-    pub fn link(&self, subscribes: &str, missed: impl Fn(&mut Lines)) -> Lines {
-        let mut link = Lines::accept(&self.agent);
+    pub fn link(&self, subscribes: &str, missed: impl Fn(&mut LineLink)) -> LineLink {
+        let mut link = LineLink::accept(&self.agent);
         link.expect(subscribes);
-        link.say("greeting steady 1000", None);
+        link.send("greeting steady 1000", None);
         missed(&mut link);
-        link.sampled();
+        link.answer_sample();
         link
     }
 
-    pub fn sidecar(&self) -> Sidecar {
+    pub fn sidecar(&self) -> ScriptedClient {
         for _ in 0..2000 {
             if let Ok(stream) = TcpStream::connect(&self.address) {
-                return Sidecar::over(stream);
+                return ScriptedClient::over(stream);
             }
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -18,8 +18,8 @@
 use plovershelf_server::config_distribution::{self, DistributionSetup, Subscriber, VersionInForce};
 use plovershelf_server::group::{self, DriverHeartbeat};
 use plovershelf_testkit::free_address;
+use plovershelf_testkit::origin_servers::{self, OriginServers, ORIGIN_SERVERS};
 use plovershelf_testkit::scripted::SETTINGS;
-use plovershelf_testkit::sources::{self, Sources, SOURCES};
 
 const SOURCE_FILE: &str = "PLOVERSHELF_TEST_SOURCE";
 
@@ -73,10 +73,10 @@
     /// Three sources that begin from two tenants.
     fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("plovershelf-changes-{}-{name}", std::process::id()));
-        let Sources { files, at } =
-            Sources::write(&folder, "trial", "acme = 1000\nzeta = 5\n").expect("files");
-        let mut stage = Stage { folder, files, at, sources: (0..SOURCES).map(|_| None).collect() };
-        (0..SOURCES).for_each(|place| stage.start(place));
+        let OriginServers { files, addresses: at } =
+            OriginServers::write(&folder, "trial", "acme = 1000\nzeta = 5\n").expect("files");
+        let mut stage = Stage { folder, files, at, sources: (0..ORIGIN_SERVERS).map(|_| None).collect() };
+        (0..ORIGIN_SERVERS).for_each(|place| stage.start(place));
         stage
     }
 
@@ -110,7 +110,7 @@
         );
         std::fs::write(&configuration, text).expect("a file");
         let file = self.folder.join(format!("{name}-changes.ini"));
-        let sources = sources::list(&self.at);
+        let sources = origin_servers::address_list(&self.at);
         let text = format!("[changes]\nname = trial\nlisten = {at}\nzone = a\nsources = {sources}\n");
         std::fs::write(&file, text).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_plovershelf-server"));
@@ -167,7 +167,7 @@
 /// The first frame that comes back, or none where the link is closed.
 fn say(at: SocketAddr, bytes: &[u8]) -> Option<Wire> {
     let first = |bytes: &[u8]| unframed(bytes).ok()?.and_then(|(content, _)| decode(content).ok());
-    sources::say(at, bytes, first)
+    origin_servers::exchange(at, bytes, first)
 }
 
 fn ask(at: SocketAddr, what: &AdminRequest) -> Option<AdminResponse> {
@@ -253,7 +253,8 @@
     backend.signal("TERM");
     until("nobody is heard of, and nobody missing", || {
         let all = stage.reports(&[]).unwrap_or_default();
-        all.len() == SOURCES && all.iter().all(|one| one.node.nodes == 0 && one.node.missing.is_empty())
+        all.len() == ORIGIN_SERVERS
+            && all.iter().all(|one| one.node.nodes == 0 && one.node.missing.is_empty())
     });
 }
 
@@ -313,10 +314,10 @@
         report(backend.at).and_then(|one| one.node.parent).is_some_and(|at| at != stage.at[parent])
     });
     stage.all_have(2, &[backend.at]);
-    agreed(stage.at[(parent + 1) % SOURCES], &[set("zeta", 6.0)], 2);
+    agreed(stage.at[(parent + 1) % ORIGIN_SERVERS], &[set("zeta", 6.0)], 2);
     let digest = stage.all_have(3, &[backend.at])[0].node.digest;
     // All are lost: it goes by the last number, and its age grows.
-    (0..SOURCES).for_each(|place| stage.kill(place));
+    (0..ORIGIN_SERVERS).for_each(|place| stage.kill(place));
     until("it says how old it is", || {
         report(backend.at).is_some_and(|one| {
             let node = one.node;
@@ -324,7 +325,7 @@
         })
     });
     // All begin anew, from their folders, and go on where they were.
-    (0..SOURCES).for_each(|place| stage.start(place));
+    (0..ORIGIN_SERVERS).for_each(|place| stage.start(place));
     stage.all_have(3, &[backend.at]);
     agreed(stage.at[0], &[set("zeta", 8.0)], 3);
     stage.all_have(4, &[backend.at]);
--- a/crates/plovershelf-server/tests/crossings.rs
+++ b/crates/plovershelf-server/tests/crossings.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 
 use common::{started_with, Backend};
-use plovershelf_testkit::scripted::{alive, dispatch, Heard, Lines, Sidecar};
+use plovershelf_testkit::scripted::{alive, dispatch, LineLink, Response, ScriptedClient};
 
 const SMALL: &str = r#"{"cores": 1.0, "memory_mb": 64, "sockets": 64}"#;
 
@@ -61,9 +61,9 @@
     drop(std::mem::replace(&mut held.predecessor, elsewhere));
     let line = held.line();
     assert!(line.contains("listens on"), "{line}");
-    let mut sidecar = Sidecar::to(&held.address);
+    let mut sidecar = ScriptedClient::connect(&held.address);
     sidecar.send(&alive(1));
-    assert_eq!(sidecar.hear(), Some(Heard::Fit(1, true)));
+    assert_eq!(sidecar.read_response(), Some(Response::Ready(1, true)));
 }
 
 /// Told to leave while the address is still held: it ends well.
@@ -89,22 +89,22 @@
 #[test]
 fn a_resting_connection_ends_in_order_after_the_notice_whatever_it_still_sends() {
     let (backend, mut agent) = Backend::up(SMALL);
-    let (mut resting, mut busy) = (backend.sidecar(), Sidecar::to(&backend.address));
+    let (mut resting, mut busy) = (backend.sidecar(), ScriptedClient::connect(&backend.address));
     busy.send(&dispatch(1, 1, "plain", &[], b""));
     agent.expect("launch");
     resting.send(&alive(1));
-    assert_eq!(resting.hear(), Some(Heard::Fit(1, true)));
+    assert_eq!(resting.read_response(), Some(Response::Ready(1, true)));
     backend.signal("TERM");
-    assert_eq!(resting.hear(), Some(Heard::Closing));
+    assert_eq!(resting.read_response(), Some(Response::Closing));
     // Half a frame crosses the end.
     resting.0.write_all(&[0, 0, 0, 90, 0x80]).expect("a connection that takes bytes");
     let mut rest = Vec::new();
     // An end, not a reset, though this side writes on and never closes.
     resting.0.read_to_end(&mut rest).expect("an end in order");
     assert!(rest.is_empty(), "{rest:?}");
-    assert_eq!(busy.hear(), Some(Heard::Closing));
-    agent.say("outcome 2 0000000000000001 success 1", Some(b"x"));
-    assert_eq!(busy.hear(), Some(Heard::Succeeded(1, b"x".to_vec())));
+    assert_eq!(busy.read_response(), Some(Response::Closing));
+    agent.send("outcome 2 0000000000000001 success 1", Some(b"x"));
+    assert_eq!(busy.read_response(), Some(Response::Succeeded(1, b"x".to_vec())));
     assert_eq!(busy.0.read(&mut [0]).expect("an end in order"), 0);
     assert_eq!(backend.end().status.code(), Some(0));
 }
@@ -117,10 +117,10 @@
     sidecar.send(&dispatch(1, 1, "plain", &[], b""));
     agent.expect("launch");
     sidecar.send(&dispatch(1, 2, "plain", &[], b"under a number in use"));
-    assert_eq!(sidecar.hear(), Some(Heard::Closing));
+    assert_eq!(sidecar.read_response(), Some(Response::Closing));
     sidecar.0.write_all(&[7; 20_000]).expect("a connection that takes bytes");
-    agent.say("outcome 2 0000000000000001 success 1", Some(b"x"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(1, b"x".to_vec())));
+    agent.send("outcome 2 0000000000000001 success 1", Some(b"x"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(1, b"x".to_vec())));
     assert_eq!(sidecar.0.read(&mut [0]).expect("an end in order"), 0);
     sidecar.0.shutdown(Shutdown::Both).expect("its own end");
 }
@@ -134,15 +134,15 @@
     for seqid in 1..=60 {
         let mut idle = backend.sidecar();
         idle.send(&alive(seqid));
-        assert_eq!(idle.hear(), Some(Heard::Fit(seqid, true)));
+        assert_eq!(idle.read_response(), Some(Response::Ready(seqid, true)));
         kept.push(idle);
     }
     for id in 1..=20u64 {
         let mut sidecar = backend.sidecar();
         sidecar.send(&dispatch(1, id, "plain", &[], b""));
         agent.expect("launch");
-        agent.say(&format!("outcome {} {id:016x} success 1", id + 1), Some(b"x"));
-        assert_eq!(sidecar.hear(), Some(Heard::Succeeded(1, b"x".to_vec())));
+        agent.send(&format!("outcome {} {id:016x} success 1", id + 1), Some(b"x"));
+        assert_eq!(sidecar.read_response(), Some(Response::Succeeded(1, b"x".to_vec())));
         kept.push(sidecar);
     }
     let mut beat = [0; 64];
@@ -151,7 +151,7 @@
         assert_eq!(&beat[..length], b"BEAT n1 ready");
     }
     // Those that gave way were told so, and ended in order.
-    assert_eq!(kept[0].hear(), Some(Heard::Closing));
+    assert_eq!(kept[0].read_response(), Some(Response::Closing));
     assert_eq!(kept[0].0.read(&mut [0]).expect("an end in order"), 0);
     let id = backend.child.as_ref().expect("it runs").id();
     let open = std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count();
@@ -171,15 +171,15 @@
     backend.signal("TERM");
     let _old = backend.peers_move();
     backend.signal("TERM");
-    let mut moved = Lines::accept(&backend.agent);
+    let mut moved = LineLink::accept(&backend.agent);
     assert_eq!(agent.next_line(), None);
     moved.expect("subscribe 0");
-    moved.say("greeting steady 1000", None);
-    moved.sampled();
-    moved.say("outcome 2 0000000000000001 success 1", Some(b"x"));
-    let heard: Vec<Heard> = std::iter::from_fn(|| sidecar.hear()).collect();
+    moved.send("greeting steady 1000", None);
+    moved.answer_sample();
+    moved.send("outcome 2 0000000000000001 success 1", Some(b"x"));
+    let heard: Vec<Response> = std::iter::from_fn(|| sidecar.read_response()).collect();
     assert_eq!(heard.len(), 2, "{heard:?}");
-    assert!(heard.contains(&Heard::Closing) && heard.contains(&Heard::Succeeded(1, b"x".to_vec())));
+    assert!(heard.contains(&Response::Closing) && heard.contains(&Response::Succeeded(1, b"x".to_vec())));
     assert_eq!(backend.end().status.code(), Some(0));
 }
 
@@ -203,8 +203,8 @@
         sidecar.0.write_all(&bytes[at..]).expect("a connection that takes bytes");
         let (line, launched) = agent.expect("launch");
         assert_eq!((line, &launched), (format!("launch {id:016x} better 256"), &body));
-        agent.say(&format!("outcome {at} {id:016x} success 1"), Some(b"x"));
-        assert_eq!(sidecar.hear(), Some(Heard::Succeeded(at as i32, b"x".to_vec())));
+        agent.send(&format!("outcome {at} {id:016x} success 1"), Some(b"x"));
+        assert_eq!(sidecar.read_response(), Some(Response::Succeeded(at as i32, b"x".to_vec())));
     }
 }
 
@@ -214,15 +214,15 @@
     for accepts in [true, false] {
         let mut backend = Backend::start(SMALL);
         let mut sidecar = backend.sidecar();
-        let link = accepts.then(|| Lines::accept(&backend.agent));
+        let link = accepts.then(|| LineLink::accept(&backend.agent));
         if !accepts {
             // Nobody listens there any more.
             backend.agent = common::local();
         }
         sidecar.send(&alive(1));
-        assert_eq!(sidecar.hear(), Some(Heard::Fit(1, true)));
+        assert_eq!(sidecar.read_response(), Some(Response::Ready(1, true)));
         backend.signal("TERM");
-        assert_eq!(sidecar.hear(), Some(Heard::Closing));
+        assert_eq!(sidecar.read_response(), Some(Response::Closing));
         assert_eq!(sidecar.0.read(&mut [0]).expect("an end in order"), 0);
         assert_eq!(backend.end().status.code(), Some(0));
         drop(link);
@@ -240,7 +240,7 @@
         .map(|place| {
             let (address, body) = (address.clone(), body.clone());
             std::thread::spawn(move || {
-                let mut deaf = Sidecar::to(&address);
+                let mut deaf = ScriptedClient::connect(&address);
                 deaf.0.set_write_timeout(Some(std::time::Duration::from_millis(500))).expect("a timeout");
                 for n in 0..3000 {
                     let frame = dispatch(n as i32 + 1, place * 10_000 + n + 1, "plain", &[], &body);
@@ -254,13 +254,13 @@
         })
         .collect();
     for seqid in 1..=50 {
-        let mut check = Sidecar::to(&address);
+        let mut check = ScriptedClient::connect(&address);
         check.send(&alive(seqid));
-        assert!(matches!(check.hear(), Some(Heard::Fit(of, _)) if of == seqid));
+        assert!(matches!(check.read_response(), Some(Response::Ready(of, _)) if of == seqid));
     }
-    let kept: Vec<Sidecar> = floods.into_iter().map(|flood| flood.join().expect("it ends")).collect();
-    let mut check = Sidecar::to(&address);
+    let kept: Vec<ScriptedClient> = floods.into_iter().map(|flood| flood.join().expect("it ends")).collect();
+    let mut check = ScriptedClient::connect(&address);
     check.send(&alive(1));
-    assert!(matches!(check.hear(), Some(Heard::Fit(1, _))));
+    assert!(matches!(check.read_response(), Some(Response::Ready(1, _))));
     drop((kept, agent));
 }
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -16,25 +16,41 @@
 use plovershelf_failover::plan::Plan as ZonesPlan;
 use plovershelf_failover::planner::Wish;
 use plovershelf_simulation::schedule::{Fault, Folder};
-use plovershelf_testkit::backend::{Fleet, Plan};
-use plovershelf_testkit::plain::{Asked, Ended, Plain};
+use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
+use plovershelf_testkit::fault_injection::FaultPhase;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::scripted::SETTINGS;
-use plovershelf_testkit::work::{Effect, Work};
-use plovershelf_testkit::{cores, ledger, rig, Clock, Executor};
+use plovershelf_testkit::work::{Idempotency, WorkSpec};
+use plovershelf_testkit::{cluster, cores, dependency, Clock, Executor};
 
-fn plan(group: bool) -> Plan {
-    Plan {
+fn plan(group: bool) -> FleetConfig {
+    FleetConfig {
         program: PathBuf::from(env!("CARGO_BIN_EXE_plovershelf-server")),
         backends: 3,
-        cores: cores::Shape { cores: 2.0, crowd: 8.0, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape { call_ms: 1.0, slots: 10, survives: 50, down_ms: 100.0 },
+        cores: cores::CoresConfig {
+            cores: 2.0,
+            overload_factor: 8.0,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
+            call_ms: 1.0,
+            slots: 10,
+            max_in_flight: 50,
+            outage_ms: 100.0,
+        },
         settings: serde_json::from_str(SETTINGS).expect("settings"),
         memory_mb: 64.0,
         sockets: 256,
         stop_ms: 1000.0,
         logs: None,
         pools: None,
-        group: group.then(|| rig::Plan { zones: 3, founders: 3, folders: true, more: String::new() }),
+        cluster: group.then(|| cluster::ClusterConfig {
+            zones: 3,
+            founders: 3,
+            folders: true,
+            more: String::new(),
+        }),
     }
 }
 
@@ -68,9 +84,9 @@
     holds: impl Fn(&[Status]) -> bool,
 ) -> Vec<Status> {
     let began = Instant::now();
-    let rig = fleet.rig.as_ref().expect("a group");
+    let cluster = fleet.cluster.as_ref().expect("a group");
     loop {
-        let addresses: Vec<SocketAddr> = members.iter().map(|m| rig.members[*m].address).collect();
+        let addresses: Vec<SocketAddr> = members.iter().map(|m| cluster.members[*m].address).collect();
         let asked = off_thread(move || addresses.into_iter().map(status).collect::<Option<Vec<Status>>>());
         if let Some(all) = asked.await {
             if holds(&all) {
@@ -102,10 +118,10 @@
         let first = until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
         let memory = first[1].memory;
         assert_eq!(first.iter().filter(|s| s.leads).count(), 1);
-        fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, true, 3);
+        fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Begins, 3);
         let out = until("out", &fleet, &[0, 2], agreed(2)).await;
         assert!(!out[0].view_members.contains(&memory));
-        fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, false, 3);
+        fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Ends, 3);
         // Until its old memory is no voter any more, there are four of whom one is lost: the next loss would be one too many.
         let voters = |all: &[Status]| {
             let voters: Vec<bool> = all[0].members.iter().filter(|m| m.voter).map(|m| m.in_view).collect();
@@ -115,14 +131,14 @@
         assert_ne!(back[1].memory, memory);
         assert!(back[0].view > out[0].view);
         // A member that stood still may not act when it wakes, until it has asked again; all agree again.
-        fleet.fault(&Fault::Stop { member: 2 }, true, 3);
+        fleet.apply_fault(&Fault::Stop { member: 2 }, FaultPhase::Begins, 3);
         until("stopped one out", &fleet, &[0, 1], agreed(2)).await;
-        fleet.fault(&Fault::Stop { member: 2 }, false, 3);
+        fleet.apply_fault(&Fault::Stop { member: 2 }, FaultPhase::Ends, 3);
         until("stopped one back", &fleet, &[0, 1, 2], agreed(3)).await;
         // One that does no work is put out, though it answers.
-        fleet.fault(&Fault::Unfit { member: 0 }, true, 3);
+        fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Begins, 3);
         until("unfit one out", &fleet, &[1, 2], agreed(2)).await;
-        fleet.fault(&Fault::Unfit { member: 0 }, false, 3);
+        fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Ends, 3);
         until("unfit one back", &fleet, &[0, 1, 2], agreed(3)).await;
     };
     async_io::block_on(executor.run(run));
@@ -137,7 +153,7 @@
     let mut fleet = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
     let run = async {
         until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
-        let at = fleet.rig.as_ref().expect("a group").members[2].address;
+        let at = fleet.cluster.as_ref().expect("a group").members[2].address;
         let recover = move |lost: &[&str]| {
             let lost = lost.iter().map(|name| name.to_string()).collect();
             off_thread(move || ask(at, Question::Recover { lost }))
@@ -145,7 +161,7 @@
         let early = recover(&["n1"]).await;
         assert!(matches!(early, Some(Answer::Refused(why)) if why.contains("can decide by themselves")));
         for member in [0, 1] {
-            fleet.fault(&Fault::Kill { member, folder: Folder::Wiped }, true, 3);
+            fleet.apply_fault(&Fault::Kill { member, folder: Folder::Wiped }, FaultPhase::Begins, 3);
         }
         until("undecided", &fleet, &[2], |all| all[0].undecided_ms.is_some() && all[0].may_act.is_none())
             .await;
@@ -155,7 +171,7 @@
         assert!(matches!(&done, Some(Answer::Done(what)) if what.contains("council 2")), "{done:?}");
         until("alone", &fleet, &[2], agreed(1)).await;
         for member in [0, 1] {
-            fleet.fault(&Fault::Kill { member, folder: Folder::Wiped }, false, 3);
+            fleet.apply_fault(&Fault::Kill { member, folder: Folder::Wiped }, FaultPhase::Ends, 3);
         }
         let all = until("whole", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(all.iter().all(|s| s.council == 2));
@@ -164,15 +180,15 @@
 }
 
 /// One ticket's try.
-fn ticketed(body: &[u8]) -> Asked<'_> {
-    Asked {
-        offering: "marked",
+fn ticketed(body: &[u8]) -> Call<'_> {
+    Call {
+        class: "marked",
         tenant: "acme",
         rank: 0.5,
-        ticket: Some("00000000000000a1"),
-        rerunnable: false,
+        idempotency_key: Some("00000000000000a1"),
+        idempotent: false,
         body,
-        within: Duration::from_secs(20),
+        timeout: Duration::from_secs(20),
     }
 }
 
@@ -182,27 +198,28 @@
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
     let mut plan = plan(true);
-    plan.group =
-        plan.group.map(|group| rig::Plan { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
+    plan.cluster = plan
+        .cluster
+        .map(|group| cluster::ClusterConfig { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
     let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
     let run = async {
         until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
-        let caller = Plain::new(&executor, &addresses, 1);
-        let work = Work { number: 1, work_ms: 5.0, calls: 0, effect: Effect::Ticketed };
+        let caller = BasicClient::new(&executor, &addresses, 1);
+        let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
         let body = work.body();
         let asked = ticketed(&body);
-        let well = Ended::Succeeded(work.result());
-        assert_eq!(caller.once(addresses[0], &asked).await, well);
-        assert_eq!(caller.once(addresses[1], &asked).await, well);
-        assert_eq!(fleet.account.borrow().runs(), 1);
-        fleet.fault(&Fault::Kill { member: 0, folder: Folder::Wiped }, true, 3);
+        let well = Outcome::Succeeded(work.result());
+        assert_eq!(caller.attempt(addresses[0], &asked).await, well);
+        assert_eq!(caller.attempt(addresses[1], &asked).await, well);
+        assert_eq!(fleet.effects.borrow().executions(), 1);
+        fleet.apply_fault(&Fault::Kill { member: 0, folder: Folder::Wiped }, FaultPhase::Begins, 3);
         until("out", &fleet, &[1, 2], agreed(2)).await;
-        assert_eq!(caller.once(addresses[2], &asked).await, well);
-        assert_eq!(caller.once(addresses[1], &asked).await, well);
-        let account = fleet.account.borrow();
-        assert!(account.runs() == 1 && account.launched_twice().is_empty());
+        assert_eq!(caller.attempt(addresses[2], &asked).await, well);
+        assert_eq!(caller.attempt(addresses[1], &asked).await, well);
+        let effects = fleet.effects.borrow();
+        assert!(effects.executions() == 1 && effects.repeated_keyed_launches().is_empty());
     };
     async_io::block_on(executor.run(run));
 }
@@ -215,37 +232,38 @@
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
     let mut plan = plan(true);
-    plan.group =
-        plan.group.map(|group| rig::Plan { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
+    plan.cluster = plan
+        .cluster
+        .map(|group| cluster::ClusterConfig { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
     let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
     let run = async {
         until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
-        let work = Work { number: 1, work_ms: 5.0, calls: 0, effect: Effect::Ticketed };
+        let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
         let body = work.body();
         let asked = ticketed(&body);
-        let well = Ended::Succeeded(work.result());
-        let caller = Plain::new(&executor, &addresses, 1);
-        assert_eq!(caller.once(addresses[0], &asked).await, well);
+        let well = Outcome::Succeeded(work.result());
+        let caller = BasicClient::new(&executor, &addresses, 1);
+        assert_eq!(caller.attempt(addresses[0], &asked).await, well);
         for member in [0, 1] {
             let before = until("one view", &fleet, &[0, 1, 2], agreed(3)).await[0].view;
-            fleet.fault(&Fault::Kill { member, folder: Folder::Kept }, true, 3);
-            fleet.fault(&Fault::Kill { member, folder: Folder::Kept }, false, 3);
+            fleet.apply_fault(&Fault::Kill { member, folder: Folder::Kept }, FaultPhase::Begins, 3);
+            fleet.apply_fault(&Fault::Kill { member, folder: Folder::Kept }, FaultPhase::Ends, 3);
             // Its new start is a change of view, though it was never put out.
             until("back", &fleet, &[0, 1, 2], |all| agreed(3)(all) && all[0].view > before).await;
         }
-        let caller = Plain::new(&executor, &addresses, 2);
+        let caller = BasicClient::new(&executor, &addresses, 2);
         let began = Instant::now();
-        let mut ended = caller.once(addresses[2], &asked).await;
+        let mut ended = caller.attempt(addresses[2], &asked).await;
         // Views may still be on their way to it; then it is told to come back.
         while ended != well && began.elapsed() < Duration::from_secs(20) {
-            assert!(matches!(ended, Ended::Dismissed), "{ended:?}");
+            assert!(matches!(ended, Outcome::Rejected), "{ended:?}");
             Timer::after(Duration::from_millis(200)).await;
-            ended = caller.once(addresses[2], &asked).await;
+            ended = caller.attempt(addresses[2], &asked).await;
         }
         assert_eq!(ended, well);
-        assert_eq!(fleet.account.borrow().runs(), 1);
+        assert_eq!(fleet.effects.borrow().executions(), 1);
     };
     async_io::block_on(executor.run(run));
 }
@@ -263,7 +281,7 @@
     let began = Instant::now();
     loop {
         let at: Vec<SocketAddr> =
-            members.iter().map(|m| fleet.rig.as_ref().expect("a group").members[*m].address).collect();
+            members.iter().map(|m| fleet.cluster.as_ref().expect("a group").members[*m].address).collect();
         let all = off_thread(move || {
             at.into_iter().map(|at| zones(at, &Ask::Status)).collect::<Option<Vec<Told>>>()
         })
@@ -296,7 +314,7 @@
     let mut plan = plan(true);
     let more =
         "\n[zone z1]\nregion = r1\n[zone z2]\nregion = r1\n[zone z3]\nregion = r1\n[zones]\nwell_ms = 500\n";
-    plan.group = plan.group.map(|group| rig::Plan { more: more.into(), ..group });
+    plan.cluster = plan.cluster.map(|group| cluster::ClusterConfig { more: more.into(), ..group });
     let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
     let run = async {
         until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
@@ -305,9 +323,9 @@
             !status.plan.off.contains(&true) && status.plan.near_differs(&ZonesPlan::near(3)) < 1e-6
         };
         until_planned("all near", &fleet, &[0, 1, 2], near).await;
-        fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, true, 3);
+        fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Begins, 3);
         until_planned("z2 is off", &fleet, &[0, 2], |status| status.plan.off == [false, true, false]).await;
-        fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, false, 3);
+        fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Ends, 3);
         until_planned("z2 is back", &fleet, &[0, 1, 2], near).await;
         let wish = |by: &str| {
             Ask::Shift(Wish {
@@ -320,7 +338,7 @@
         };
         // Whoever does not lead says who does; the one that leads takes it.
         let at: Vec<SocketAddr> =
-            fleet.rig.as_ref().expect("a group").members.iter().map(|m| m.address).collect();
+            fleet.cluster.as_ref().expect("a group").members.iter().map(|m| m.address).collect();
         let mut taken = None;
         let began = Instant::now();
         while taken.is_none() && began.elapsed() < Duration::from_secs(60) {
@@ -356,7 +374,7 @@
 
 /// Threads, or descriptors but for files and pipes, which a process may be given by the one that starts it.
 fn counted(fleet: &Fleet, what: &str) -> usize {
-    let id = fleet.backends[0].id().expect("it runs");
+    let id = fleet.backends[0].process_id().expect("it runs");
     let entries = std::fs::read_dir(format!("/proc/{id}/{what}")).expect("a process");
     let own = |entry: std::fs::DirEntry| {
         std::fs::read_link(entry.path()).map_or(what == "task", |to| {
--- a/crates/plovershelf-server/tests/process.rs
+++ b/crates/plovershelf-server/tests/process.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{local, started_with, Backend};
-use plovershelf_testkit::scripted::{alive, cancel, dispatch, Heard, Lines, Sidecar};
+use plovershelf_testkit::scripted::{alive, cancel, dispatch, LineLink, Response, ScriptedClient};
 
 #[test]
 fn an_invocation_goes_through_run_call_and_answer_with_its_bytes_unchanged() {
@@ -18,16 +18,16 @@
     sidecar.send(&dispatch(2, 5, "single", &[], &body));
     let (line, launched) = agent.expect("launch");
     assert_eq!((&line[..], &launched), ("launch 0000000000000005 single 2048", &body));
-    agent.say("request 2 0000000000000005", Some(b"a\r\ncall"));
-    let mut ledger = Lines::accept(&backend.ledger);
+    agent.send("request 2 0000000000000005", Some(b"a\r\ncall"));
+    let mut ledger = LineLink::accept(&backend.ledger);
     let (line, call) = ledger.expect("OP 0000000000000005");
     assert!(line.ends_with(" 7") && call == b"a\r\ncall");
-    ledger.say("0000000000000005 DONE", Some(b"\r\n\0reply"));
+    ledger.send("0000000000000005 DONE", Some(b"\r\n\0reply"));
     assert_eq!(agent.expect("deliver 0000000000000005").1, b"\r\n\0reply");
-    agent.say("outcome 3 0000000000000005 success 12", Some(&body));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, body)));
+    agent.send("outcome 3 0000000000000005 success 12", Some(&body));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, body)));
     sidecar.send(&alive(3));
-    assert_eq!(sidecar.hear(), Some(Heard::Fit(3, true)));
+    assert_eq!(sidecar.read_response(), Some(Response::Ready(3, true)));
     let mut beat = [0; 64];
     let length = backend.roster.recv(&mut beat).expect("a beat");
     assert_eq!(&beat[..length], b"BEAT n1 ready");
@@ -41,45 +41,45 @@
     sidecar.send(&dispatch(3, 3, "plain", &[], b""));
     sidecar.send(&dispatch(4, 4, "single", &[], b""));
     (0..3).for_each(|_| drop(agent.expect("launch")));
-    agent.say("request 2 0000000000000003", Some(b"ask"));
-    let mut ledger = Lines::accept(&backend.ledger);
+    agent.send("request 2 0000000000000003", Some(b"ask"));
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000003");
     drop(agent);
     let mut agent = backend.link("subscribe 2", |link| {
-        link.say("request 2 0000000000000003", Some(b"ask"));
-        link.say("outcome 3 0000000000000002 success 9", Some(b"two"));
-        link.say("aside 4 nothing of note", None);
+        link.send("request 2 0000000000000003", Some(b"ask"));
+        link.send("outcome 3 0000000000000002 success 9", Some(b"two"));
+        link.send("aside 4 nothing of note", None);
     });
-    ledger.say("0000000000000003 DONE", Some(b"told"));
+    ledger.send("0000000000000003 DONE", Some(b"told"));
     // Neither the ended run nor the one that may run once only is launched anew.
     agent.expect("deliver 0000000000000003");
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, b"two".to_vec())));
-    agent.say("outcome 5 0000000000000004 success 9", Some(b"four"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(4, b"four".to_vec())));
-    agent.say("not a notice", None);
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, b"two".to_vec())));
+    agent.send("outcome 5 0000000000000004 success 9", Some(b"four"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(4, b"four".to_vec())));
+    agent.send("not a notice", None);
     let mut agent = backend.link("subscribe 5", |_| ());
-    agent.say("outcome 6 0000000000000003 success 9", Some(b"three"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(3, b"three".to_vec())));
+    agent.send("outcome 6 0000000000000003 success 9", Some(b"three"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(3, b"three".to_vec())));
 }
 
 #[test]
 fn an_agent_that_comes_up_late_is_asked_nothing_before() {
     let backend = Backend::start(r#"{"cores": 1.0, "memory_mb": 192, "sockets": 1024}"#);
-    let mut link = Lines::accept(&backend.agent);
+    let mut link = LineLink::accept(&backend.agent);
     link.expect("subscribe 0");
     let mut sidecar = backend.sidecar();
     sidecar.send(&alive(1));
-    assert_eq!(sidecar.hear(), Some(Heard::Fit(1, true)));
+    assert_eq!(sidecar.read_response(), Some(Response::Ready(1, true)));
     sidecar.send(&dispatch(2, 2, "plain", &[], b""));
-    assert_eq!(sidecar.hear(), Some(Heard::Complaint(2)));
+    assert_eq!(sidecar.read_response(), Some(Response::Exception(2)));
     assert!(!link.has_more(Duration::from_millis(200)));
-    link.say("greeting booting 0", None);
-    link.sampled();
-    link.sampled();
+    link.send("greeting booting 0", None);
+    link.answer_sample();
+    link.answer_sample();
     sidecar.send(&dispatch(3, 3, "plain", &[], b""));
     link.expect("launch");
-    link.say("refusal launch 0000000000000003", None);
-    assert_eq!(sidecar.hear(), Some(Heard::Scrapped(3)));
+    link.send("refusal launch 0000000000000003", None);
+    assert_eq!(sidecar.read_response(), Some(Response::Failed(3)));
 }
 
 #[test]
@@ -93,32 +93,32 @@
     // A refused connection and a call that was turned away prove that nothing ran.
     let address = backend.ledger.local_addr().expect("an address");
     backend.ledger = local();
-    agent.say("request 2 0000000000000002", Some(b"ask"));
+    agent.send("request 2 0000000000000002", Some(b"ask"));
     std::thread::sleep(Duration::from_millis(100));
     backend.ledger = TcpListener::bind(address).expect("the same port");
-    let mut ledger = Lines::accept(&backend.ledger);
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000002");
-    ledger.say("0000000000000002 WAIT", None);
+    ledger.send("0000000000000002 WAIT", None);
     // A run's next call never goes where a second copy of its last answer might come.
-    let mut ledger = Lines::accept(&backend.ledger);
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000002");
-    ledger.say("0000000000000002 DONE", Some(b"told"));
+    ledger.send("0000000000000002 DONE", Some(b"told"));
     agent.expect("deliver 0000000000000002");
     // A connection that breaks and one that speaks nonsense prove nothing, so only what may run again does.
-    agent.say("request 3 0000000000000003", Some(b"ask"));
+    agent.send("request 3 0000000000000003", Some(b"ask"));
     ledger.expect("OP 0000000000000003");
     drop(ledger);
-    let mut ledger = Lines::accept(&backend.ledger);
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000003");
-    ledger.say("what is this", None);
-    let mut ledger = Lines::accept(&backend.ledger);
+    ledger.send("what is this", None);
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000003");
-    ledger.say("0000000000000003 DONE", Some(b"told"));
+    ledger.send("0000000000000003 DONE", Some(b"told"));
     agent.expect("deliver 0000000000000003");
-    agent.say("request 4 0000000000000004", Some(b"ask"));
+    agent.send("request 4 0000000000000004", Some(b"ask"));
     ledger.expect("OP 0000000000000004");
     drop(ledger);
-    assert_eq!(sidecar.hear(), Some(Heard::Scrapped(4)));
+    assert_eq!(sidecar.read_response(), Some(Response::Failed(4)));
 }
 
 #[test]
@@ -134,16 +134,16 @@
         b"\0\0",
     ];
     for bytes in frames {
-        let mut other = Sidecar::to(&backend.address);
+        let mut other = ScriptedClient::connect(&backend.address);
         other.0.write_all(bytes).expect("a connection that takes bytes");
         other.0.shutdown(std::net::Shutdown::Write).expect("an end");
-        while other.hear().is_some() {}
+        while other.read_response().is_some() {}
     }
     sidecar.send(&cancel(77));
     sidecar.send(&dispatch(2, 2, "plain", &[], b""));
     agent.expect("launch");
-    agent.say("outcome 2 0000000000000002 success 1", Some(b"x"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, b"x".to_vec())));
+    agent.send("outcome 2 0000000000000002 success 1", Some(b"x"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, b"x".to_vec())));
 }
 
 #[test]
@@ -151,21 +151,21 @@
     let (backend, mut agent) = Backend::usual();
     let mut sidecar = backend.sidecar();
     sidecar.send(&alive(1));
-    assert_eq!(sidecar.hear(), Some(Heard::Fit(1, true)));
+    assert_eq!(sidecar.read_response(), Some(Response::Ready(1, true)));
     // None at all, half a frame, and more than a frame may have.
-    let mut silent = Sidecar::to(&backend.address);
-    let mut half = Sidecar::to(&backend.address);
+    let mut silent = ScriptedClient::connect(&backend.address);
+    let mut half = ScriptedClient::connect(&backend.address);
     half.0.write_all(&[0, 0, 0, 90, 0x80, 1]).expect("a connection that takes bytes");
-    let mut huge = Sidecar::to(&backend.address);
+    let mut huge = ScriptedClient::connect(&backend.address);
     let mut writes = huge.0.try_clone().expect("the same connection");
     let writing = std::thread::spawn(move || {
         let _ = writes.write_all(&(60u32 << 20).to_be_bytes());
         while writes.write_all(&[0; 4096]).is_ok() {}
     });
-    assert_eq!(huge.hear(), Some(Heard::Closing));
+    assert_eq!(huge.read_response(), Some(Response::Closing));
     writing.join().expect("it is cut off");
     for late in [&mut silent, &mut half] {
-        assert_eq!(late.hear(), Some(Heard::Closing));
+        assert_eq!(late.read_response(), Some(Response::Closing));
         assert_eq!(late.0.read(&mut [0]).expect("an end, not silence"), 0);
     }
     sidecar.send(&dispatch(2, 2, "plain", &[], b""));
@@ -180,11 +180,11 @@
     sidecar.send(&dispatch(3, 3, "plain", &[], b""));
     (0..2).for_each(|_| drop(agent.expect("launch")));
     backend.signal("TERM");
-    assert_eq!(sidecar.hear(), Some(Heard::Closing));
-    agent.say("outcome 2 0000000000000002 success 1", Some(b"x"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, b"x".to_vec())));
+    assert_eq!(sidecar.read_response(), Some(Response::Closing));
+    agent.send("outcome 2 0000000000000002 success 1", Some(b"x"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, b"x".to_vec())));
     // The other run never ends; its caller is answered all the same.
-    assert_eq!(sidecar.hear(), Some(Heard::Dismissed(3)));
+    assert_eq!(sidecar.read_response(), Some(Response::Rejected(3)));
     let mut beat = [0; 64];
     while !beat.starts_with(b"BEAT n1 draining") {
         backend.roster.recv(&mut beat).expect("a beat");
@@ -200,27 +200,27 @@
     sidecar.send(&dispatch(2, 2, "single", &[], b""));
     sidecar.send(&dispatch(3, 3, "single", &[], b""));
     (0..2).for_each(|_| drop(agent.expect("launch")));
-    agent.say("request 2 0000000000000002", Some(b"ask"));
-    let mut ledger = Lines::accept(&backend.ledger);
+    agent.send("request 2 0000000000000002", Some(b"ask"));
+    let mut ledger = LineLink::accept(&backend.ledger);
     ledger.expect("OP 0000000000000002");
     // What can't be read changes nothing, as often as it comes.
     std::fs::write(&backend.configuration, "{").expect("a file of its own");
     (0..3).for_each(|_| backend.signal("HUP"));
     let _old = backend.peers_move();
     // The old link is asked whether it has read all, and the new one begins where it ended.
-    let mut next = Lines::accept(&backend.agent);
+    let mut next = LineLink::accept(&backend.agent);
     assert_eq!(agent.next_line(), None);
     next.expect("subscribe 2");
-    next.say("greeting steady 1000", None);
-    next.sampled();
+    next.send("greeting steady 1000", None);
+    next.answer_sample();
     // A call that is out is answered where it was placed; the next goes to the new address.
-    ledger.say("0000000000000002 DONE", Some(b"told"));
+    ledger.send("0000000000000002 DONE", Some(b"told"));
     assert_eq!(next.expect("deliver 0000000000000002").1, b"told");
-    next.say("request 3 0000000000000003", Some(b"ask"));
-    let mut moved = Lines::accept(&backend.ledger);
+    next.send("request 3 0000000000000003", Some(b"ask"));
+    let mut moved = LineLink::accept(&backend.ledger);
     moved.expect("OP 0000000000000003");
-    next.say("outcome 4 0000000000000002 success 9", Some(b"two"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, b"two".to_vec())));
+    next.send("outcome 4 0000000000000002 success 9", Some(b"two"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, b"two".to_vec())));
     let mut beat = [0; 64];
     let length = backend.roster.recv(&mut beat).expect("a beat");
     assert_eq!(&beat[..length], b"BEAT n1 ready");
@@ -249,13 +249,13 @@
     backend.sidecar();
     let mut kept = Vec::new();
     for seqid in 1..=150 {
-        let mut sidecar = Sidecar::to(&backend.address);
+        let mut sidecar = ScriptedClient::connect(&backend.address);
         sidecar.send(&alive(seqid));
-        assert_eq!(sidecar.hear(), Some(Heard::Fit(seqid, true)));
+        assert_eq!(sidecar.read_response(), Some(Response::Ready(seqid, true)));
         kept.push(sidecar);
     }
-    assert_eq!(kept[0].hear(), Some(Heard::Closing));
-    assert_eq!(kept[0].hear(), None);
+    assert_eq!(kept[0].read_response(), Some(Response::Closing));
+    assert_eq!(kept[0].read_response(), None);
     let id = backend.child.as_ref().expect("it runs").id();
     let open = std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count();
     assert!(open <= 48, "{open}");
@@ -268,16 +268,16 @@
     let body = vec![7; 2048];
     let mut kept = Vec::new();
     for number in 0..200u64 {
-        let mut sidecar = Sidecar::to(&backend.address);
+        let mut sidecar = ScriptedClient::connect(&backend.address);
         for seqid in 1..=32 {
             sidecar.send(&dispatch(seqid, 1000 * (number + 1) + seqid as u64, "better", &[], &body));
         }
         kept.push(sidecar);
     }
-    let mut last = Sidecar::to(&backend.address);
+    let mut last = ScriptedClient::connect(&backend.address);
     last.send(&alive(1));
     // Fit or not is the module's to say under such a crowd; what counts is that it still answers.
-    assert!(matches!(last.hear(), Some(Heard::Fit(1, _))));
+    assert!(matches!(last.read_response(), Some(Response::Ready(1, _))));
     let id = backend.child.as_ref().expect("it runs").id();
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("its status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
@@ -321,13 +321,13 @@
     let mut sidecar = backend.sidecar();
     sidecar.send(&dispatch(2, 2, "plain", &[], b""));
     agent.expect("launch");
-    agent.say("outcome 2 0000000000000002 success 1", Some(b"x"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(2, b"x".to_vec())));
+    agent.send("outcome 2 0000000000000002 success 1", Some(b"x"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(2, b"x".to_vec())));
     // The same file read again changes nothing, and a call that no page allows never runs.
     backend.signal("HUP");
     sidecar.send(&dispatch(3, 3, "single", &[], b""));
     agent.expect("launch");
-    agent.say("request 3 0000000000000003", Some(b"ask"));
-    agent.say("outcome 4 0000000000000003 success 1", Some(b"y"));
-    assert_eq!(sidecar.hear(), Some(Heard::Succeeded(3, b"y".to_vec())));
+    agent.send("request 3 0000000000000003", Some(b"ask"));
+    agent.send("outcome 4 0000000000000003 success 1", Some(b"y"));
+    assert_eq!(sidecar.read_response(), Some(Response::Succeeded(3, b"y".to_vec())));
 }
--- a/crates/plovershelf-testkit/examples/tenants.rs
+++ b/crates/plovershelf-testkit/examples/tenants.rs
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_testkit::backend::{program, Fleet, Plan};
-use plovershelf_testkit::{cores, ledger, scripted, Clock, Executor};
+use plovershelf_testkit::backend::server_program;
+use plovershelf_testkit::fleet::{Fleet, FleetConfig};
+use plovershelf_testkit::{cores, dependency, scripted, Clock, Executor};
 
 const STARTS: usize = 3;
 
@@ -27,18 +28,28 @@
     settings["tenants"] = (0..tenants)
         .map(|n| serde_json::json!({"name": format!("tenant-{n:05}"), "quota_per_s": 10.0, "share": 1.0 / tenants as f64}))
         .collect();
-    let plan = Plan {
-        program: program()?,
+    let plan = FleetConfig {
+        program: server_program().map_err(|error| error.to_string())?,
         backends: 1,
-        cores: cores::Shape { cores: 4.0, crowd: 8.0, cold_speed: 1.0, warm_ms: 1.0 },
-        ledger: ledger::Shape { call_ms: 10.0, slots: 20, survives: 100, down_ms: 100.0 },
+        cores: cores::CoresConfig {
+            cores: 4.0,
+            overload_factor: 8.0,
+            initial_speed: 1.0,
+            slow_start_ms: 1.0,
+        },
+        dependency: dependency::DependencyConfig {
+            call_ms: 10.0,
+            slots: 20,
+            max_in_flight: 100,
+            outage_ms: 100.0,
+        },
         settings,
         memory_mb: 192.0,
         sockets: 512,
         stop_ms: 1500.0,
         logs: None,
         pools: None,
-        group: None,
+        cluster: None,
     };
     let executor: Executor = Rc::default();
     let clock = Clock::start();
@@ -51,7 +62,7 @@
         up.then_some(up_ms)
     };
     let up_ms = async_io::block_on(executor.run(run)).ok_or(format!("not up with {tenants} tenants"))?;
-    let pid = fleet.backends[0].id().ok_or("it has ended")?;
+    let pid = fleet.backends[0].process_id().ok_or("it has ended")?;
     let memory = |key| kb(pid, key).ok_or(format!("no {key}"));
     Ok([up_ms, memory("VmRSS")?, memory("VmHWM")?])
 }
--- a/crates/plovershelf-testkit/src/cores.rs
+++ b/crates/plovershelf-testkit/src/cores.rs
@@ -1,96 +1,118 @@
-//! Cores that running work shares evenly: slow when just started, and beyond a crowd less gets done the more there is.
+//! A model of processor cores that running tasks share evenly: slower in the slow start of a new process, and with
+//! a throughput that falls once concurrency exceeds what the cores sustain.
 
 use std::collections::BTreeMap;
 
+/// Longest step in which neither concurrency nor the slow start is taken to change.
+const MAX_STEP_MS: f64 = 50.0;
+/// Shortest step and shortest task.
+const MIN_STEP_MS: f64 = 0.001;
+/// Remaining work that counts as none.
+const DONE_MS: f64 = 1e-6;
+
+/// Capacity of a set of cores.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct CoresConfig {
+    /// Number of cores.
     pub cores: f64,
-    /// Running work, a core, beyond which less gets done.
-    pub crowd: f64,
-    /// Speed at the start, and how long until it is whole.
-    pub cold_speed: f64,
-    pub warm_ms: f64,
+    /// Running tasks per core beyond which throughput falls.
+    pub overload_factor: f64,
+    /// Speed of a new process, as a fraction of full speed.
+    pub initial_speed: f64,
+    /// How long a new process takes to reach full speed.
+    pub slow_start_ms: f64,
 }
 
+/// The cores of one process, with the tasks that run on them by key.
 #[derive(Debug)]
 pub struct Cores<K> {
-    shape: Shape,
-    started: f64,
-    now: f64,
-    /// Multiplies speed, for slow spells.
-    pub pace: f64,
-    left: BTreeMap<K, f64>,
+    config: CoresConfig,
+    started_ms: f64,
+    now_ms: f64,
+    /// Multiplies the speed of all tasks, for a slow spell.
+    pub speed_factor: f64,
+    remaining_ms: BTreeMap<K, f64>,
     busy_ms: f64,
 }
 
 impl<K: Copy + Ord> Cores<K> {
-    pub fn new(shape: Shape, now: f64) -> Self {
-        Cores { shape, started: now, now, pace: 1.0, left: BTreeMap::new(), busy_ms: 0.0 }
+    /// Idle cores of a process that starts now.
+    pub fn new(config: CoresConfig, now_ms: f64) -> Self {
+        let remaining_ms = BTreeMap::new();
+        Cores { config, started_ms: now_ms, now_ms, speed_factor: 1.0, remaining_ms, busy_ms: 0.0 }
     }
 
-    fn speed(&self, now: f64) -> f64 {
-        let Shape { cold_speed, warm_ms, .. } = self.shape;
-        let warm = ((now - self.started) / warm_ms.max(1.0)).clamp(0.0, 1.0);
-        cold_speed + (1.0 - cold_speed) * warm
+    /// Starts a task of so much work.
+    pub fn start(&mut self, key: K, work_ms: f64) {
+        self.remaining_ms.insert(key, work_ms.max(MIN_STEP_MS));
     }
 
-    /// How much running work they survive now, by what settings say of it.
-    pub fn survives(&self, now: f64) -> f64 {
-        self.shape.cores * (1.0 + (self.shape.crowd - 1.0) * self.speed(now))
+    /// Cancels a task; false where there is none.
+    pub fn cancel(&mut self, key: &K) -> bool {
+        self.remaining_ms.remove(key).is_some()
     }
 
-    /// How fast each piece of work goes on, in milliseconds of work a millisecond.
-    fn rate(&self, now: f64) -> f64 {
-        let count = self.left.len() as f64;
-        if count == 0.0 {
-            return 0.0;
+    /// Lets time pass until now; returns the tasks that have completed.
+    pub fn advance(&mut self, now_ms: f64) -> Vec<K> {
+        let mut completed = Vec::new();
+        while self.now_ms < now_ms {
+            let rate = self.rate(self.now_ms);
+            let least_ms = self.least_remaining_ms();
+            let step_ms =
+                if rate > 0.0 { (least_ms / rate).clamp(MIN_STEP_MS, MAX_STEP_MS) } else { MAX_STEP_MS };
+            let step_ms = step_ms.min(now_ms - self.now_ms);
+            self.busy_ms += (self.remaining_ms.len() as f64 / self.config.cores).min(1.0) * step_ms;
+            self.remaining_ms.values_mut().for_each(|remaining| *remaining -= rate * step_ms);
+            self.now_ms += step_ms;
+            let done = self.remaining_ms.iter().filter(|(_, remaining)| **remaining <= DONE_MS);
+            completed.extend(done.map(|(key, _)| *key));
+            self.remaining_ms.retain(|_, remaining| *remaining > DONE_MS);
         }
-        let Shape { cores, crowd, .. } = self.shape;
-        let speed = self.speed(now);
-        let share = (cores / count).min(1.0);
-        self.pace * speed * share * (crowd * cores / count).min(1.0)
+        completed
     }
 
-    /// Lets time pass; hands back what has ended.
-    pub fn advance(&mut self, now: f64) -> Vec<K> {
-        let mut ended = Vec::new();
-        while self.now < now {
-            // In steps in which neither the crowd nor the warmth changes much.
-            let rate = self.rate(self.now);
-            let least = self.left.values().copied().fold(f64::INFINITY, f64::min);
-            let step = if rate > 0.0 { (least / rate).clamp(0.001, 50.0) } else { 50.0 };
-            let step = step.min(now - self.now);
-            self.busy_ms += (self.left.len() as f64 / self.shape.cores).min(1.0) * step;
-            self.left.values_mut().for_each(|left| *left -= rate * step);
-            self.now += step;
-            ended.extend(self.left.iter().filter(|(_, left)| **left <= 1e-6).map(|(key, _)| *key));
-            self.left.retain(|_, left| *left > 1e-6);
-        }
-        ended
+    /// When the next task is likely to complete, if nothing changes.
+    pub fn next_completion_ms(&self) -> Option<f64> {
+        let least_ms = self.least_remaining_ms();
+        let rate = self.rate(self.now_ms);
+        (rate > 0.0).then(|| self.now_ms + (least_ms / rate).min(MAX_STEP_MS))
     }
 
-    pub fn begin(&mut self, key: K, work_ms: f64) {
-        self.left.insert(key, work_ms.max(0.001));
+    /// Running tasks.
+    pub fn running(&self) -> usize {
+        self.remaining_ms.len()
     }
 
-    pub fn stop(&mut self, key: &K) -> bool {
-        self.left.remove(key).is_some()
+    /// Running tasks beyond which throughput falls, in the slow start too.
+    pub fn sustained_concurrency(&self, now_ms: f64) -> f64 {
+        self.config.cores * (1.0 + (self.config.overload_factor - 1.0) * self.speed(now_ms))
     }
 
-    /// When the next is likely to end, if nothing changes.
-    pub fn next_end(&self) -> Option<f64> {
-        let least = self.left.values().copied().fold(f64::INFINITY, f64::min);
-        let rate = self.rate(self.now);
-        (rate > 0.0).then(|| self.now + (least / rate).min(50.0))
+    /// Busy time so far, of all cores as one.
+    pub fn busy_ms(&self) -> f64 {
+        self.busy_ms
     }
 
-    pub fn running(&self) -> usize {
-        self.left.len()
+    fn least_remaining_ms(&self) -> f64 {
+        self.remaining_ms.values().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// How long the cores were busy so far, all of them as one.
-    pub fn busy_ms(&self) -> f64 {
-        self.busy_ms
+    fn speed(&self, now_ms: f64) -> f64 {
+        let CoresConfig { initial_speed, slow_start_ms, .. } = self.config;
+        let progress = ((now_ms - self.started_ms) / slow_start_ms.max(1.0)).clamp(0.0, 1.0);
+        initial_speed + (1.0 - initial_speed) * progress
+    }
+
+    /// Progress of each task, in milliseconds of work a millisecond.
+    fn rate(&self, now_ms: f64) -> f64 {
+        let running = self.remaining_ms.len() as f64;
+        if running == 0.0 {
+            return 0.0;
+        }
+        let CoresConfig { cores, overload_factor, .. } = self.config;
+        let speed = self.speed(now_ms);
+        let core_share = (cores / running).min(1.0);
+        self.speed_factor * speed * core_share * (overload_factor * cores / running).min(1.0)
     }
 }
 
--- a/crates/plovershelf-testkit/src/cores/tests.rs
+++ b/crates/plovershelf-testkit/src/cores/tests.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-const WARM: Shape = Shape { cores: 2.0, crowd: 4.0, cold_speed: 1.0, warm_ms: 1.0 };
+const WARM: CoresConfig =
+    CoresConfig { cores: 2.0, overload_factor: 4.0, initial_speed: 1.0, slow_start_ms: 1.0 };
 
 #[test]
-fn work_shares_the_cores_and_a_crowd_gets_less_done() {
-    let done = |count: u32, shape: Shape| {
-        let mut cores = Cores::new(shape, 0.0);
-        (0..count).for_each(|key| cores.begin(key, 10.0));
+fn overload_lowers_throughput_and_slow_start_lowers_speed() {
+    let done = |count: u32, config: CoresConfig| {
+        let mut cores = Cores::new(config, 0.0);
+        (0..count).for_each(|key| cores.start(key, 10.0));
         let mut now = 0.0;
         while cores.running() > 0 {
             now += 0.5;
@@ -17,15 +18,15 @@
     assert!((done(2, WARM) - 10.0).abs() < 1.0);
     assert!((done(8, WARM) - 40.0).abs() < 1.0);
     assert!((done(16, WARM) - 160.0).abs() < 1.0);
-    let cold = Shape { cold_speed: 0.5, warm_ms: 1e9, ..WARM };
+    let cold = CoresConfig { initial_speed: 0.5, slow_start_ms: 1e9, ..WARM };
     assert!((done(2, cold) - 20.0).abs() < 1.0);
 }
 
 #[test]
-fn what_is_stopped_never_ends() {
+fn cancelled_work_never_completes() {
     let mut cores = Cores::new(WARM, 0.0);
-    cores.begin(1, 5.0);
-    cores.begin(2, 5.0);
-    assert!(cores.stop(&1) && !cores.stop(&1));
+    cores.start(1, 5.0);
+    cores.start(2, 5.0);
+    assert!(cores.cancel(&1) && !cores.cancel(&1));
     assert_eq!(cores.advance(20.0), [2]);
 }
--- a/crates/plovershelf-testkit/src/dependency.rs
+++ b/crates/plovershelf-testkit/src/dependency.rs
@@ -1,4 +1,5 @@
-//! The ledger that all backends share: some slots, slower the more it holds, down for a while past what it survives.
+//! The dependency that all backends share: a number of slots, slower the more calls it has in flight, and down
+//! for a while once they exceed what it sustains.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,148 +11,166 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-use crate::account::Shared;
+use crate::effects::SharedLedger;
+use crate::framing::decode_command;
 use crate::{Clock, Executor};
 
+/// Bytes read at once.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// Capacity of the dependency.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// How long one call takes while it holds no more than its slots.
+pub struct DependencyConfig {
+    /// Duration of a call while no more calls than slots are in flight.
     pub call_ms: f64,
+    /// Calls that it serves without slowing down.
     pub slots: usize,
-    /// It falls when it holds more than this, and is down for so long.
-    pub survives: usize,
-    pub down_ms: f64,
+    /// Calls in flight beyond which it goes down.
+    pub max_in_flight: usize,
+    /// How long an outage lasts.
+    pub outage_ms: f64,
 }
 
 struct State {
-    held: usize,
-    down_until: f64,
-    /// Multiplies the time of calls, for slow spells.
-    slow: f64,
+    in_flight: usize,
+    down_until_ms: f64,
+    /// Multiplies the duration of calls.
+    latency_factor: f64,
 }
 
+/// A running dependency; clones are handles on the same one.
 #[derive(Clone)]
-pub struct Ledger {
+pub struct Dependency {
+    /// Where it listens.
     pub address: SocketAddr,
     state: Rc<RefCell<State>>,
 }
 
-impl Ledger {
-    pub fn start(executor: &Executor, clock: Clock, shape: Shape, account: Shared) -> std::io::Result<Self> {
+impl Dependency {
+    /// Starts a dependency.
+    ///
+    /// Errors: as of binding a listener.
+    pub fn start(
+        executor: &Executor,
+        clock: Clock,
+        config: DependencyConfig,
+        effects: SharedLedger,
+    ) -> std::io::Result<Self> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         let address = listener.get_ref().local_addr()?;
-        let state = Rc::new(RefCell::new(State { held: 0, down_until: 0.0, slow: 1.0 }));
-        let (own, spawn) = (state.clone(), executor.clone());
-        let accept = async move {
-            while let Ok((stream, _)) = listener.accept().await {
-                // While it is down a connection ends at once.
-                if clock.now() < own.borrow().down_until {
-                    continue;
-                }
-                let _ = stream.get_ref().set_nodelay(true);
-                let line =
-                    Line { clock, shape, state: own.clone(), account: account.clone(), spawn: spawn.clone() };
-                spawn.spawn(line.serve(stream)).detach();
-            }
-        };
-        executor.spawn(accept).detach();
-        Ok(Ledger { address, state })
+        let state = Rc::new(RefCell::new(State { in_flight: 0, down_until_ms: 0.0, latency_factor: 1.0 }));
+        let connection =
+            Connection { clock, config, state: state.clone(), effects, executor: executor.clone() };
+        executor.spawn(accept(listener, connection)).detach();
+        Ok(Dependency { address, state })
     }
 
-    /// Calls that it holds now.
-    pub fn held(&self) -> usize {
-        self.state.borrow().held
+    /// Calls in flight now.
+    pub fn in_flight(&self) -> usize {
+        self.state.borrow().in_flight
     }
 
-    /// Calls take so many times as long from now on.
-    pub fn slow(&self, times: f64) {
-        self.state.borrow_mut().slow = times;
+    /// Multiplies the duration of calls that begin from now on.
+    pub fn set_latency_factor(&self, factor: f64) {
+        self.state.borrow_mut().latency_factor = factor;
+    }
+}
+
+async fn accept(listener: Async<TcpListener>, connection: Connection) {
+    while let Ok((stream, _)) = listener.accept().await {
+        // During an outage a connection is closed at once.
+        if connection.clock.now() < connection.state.borrow().down_until_ms {
+            continue;
+        }
+        let _ = stream.get_ref().set_nodelay(true);
+        connection.executor.spawn(connection.clone().serve(stream)).detach();
     }
 }
 
-/// One connection's side.
+/// What a connection's tasks share.
 #[derive(Clone)]
-struct Line {
+struct Connection {
     clock: Clock,
-    shape: Shape,
+    config: DependencyConfig,
     state: Rc<RefCell<State>>,
-    account: Shared,
-    spawn: Executor,
+    effects: SharedLedger,
+    executor: Executor,
 }
 
-/// A call that is held; dropping it lets go of its place.
-struct Held(Rc<RefCell<State>>);
+/// A call's slot; dropping it frees the slot, also where the call is cancelled.
+struct Slot(Rc<RefCell<State>>);
 
-impl Drop for Held {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.borrow_mut().held -= 1;
+        self.0.borrow_mut().in_flight -= 1;
     }
 }
 
-impl Line {
+impl Connection {
     async fn serve(self, stream: Async<TcpStream>) {
-        let (answers, written) = async_channel::unbounded::<Vec<u8>>();
+        let (answers, to_write) = async_channel::unbounded::<Vec<u8>>();
         let write = async {
-            while let Ok(answer) = written.recv().await {
+            while let Ok(answer) = to_write.recv().await {
                 if (&stream).write_all(&answer).await.is_err() {
                     break;
                 }
             }
         };
-        let read = async {
-            let mut calls: BTreeMap<String, Task<()>> = BTreeMap::new();
-            let (mut bytes, mut chunk) = (Vec::new(), vec![0; 16 << 10]);
-            while let Ok(count) = (&mut &stream).read(&mut chunk).await {
-                if count == 0 {
-                    break;
-                }
-                bytes.extend_from_slice(&chunk[..count]);
-                let mut used = 0;
-                while let Some((line, body, length)) = crate::agent::take(&bytes[used..]) {
-                    used += length;
-                    let words: Vec<&str> = line.split(' ').collect();
-                    match words[..] {
-                        ["OP", id, ..] => {
-                            let call = self.spawn.spawn(self.clone().call(id.into(), body, answers.clone()));
-                            calls.insert(id.into(), call);
-                        }
-                        ["UNOP", id] => drop(calls.remove(id)),
-                        _ => self.account.borrow_mut().odd_commands += 1,
+        future::or(self.read_commands(&stream, answers), write).await;
+    }
+
+    async fn read_commands(&self, stream: &Async<TcpStream>, answers: Sender<Vec<u8>>) {
+        let mut calls: BTreeMap<String, Task<()>> = BTreeMap::new();
+        let (mut bytes, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
+        while let Ok(count) = (&mut &*stream).read(&mut chunk).await {
+            if count == 0 {
+                break;
+            }
+            bytes.extend_from_slice(&chunk[..count]);
+            let mut used = 0;
+            while let Some((line, body, length)) = decode_command(&bytes[used..]) {
+                used += length;
+                let words: Vec<&str> = line.split(' ').collect();
+                match words[..] {
+                    ["OP", id, ..] => {
+                        let call = self.clone().call(id.into(), body, answers.clone());
+                        calls.insert(id.into(), self.executor.spawn(call));
                     }
-                    calls.retain(|_, call| !call.is_finished());
+                    ["UNOP", id] => drop(calls.remove(id)),
+                    _ => self.effects.borrow_mut().unexpected_commands += 1,
                 }
-                bytes.drain(..used);
+                calls.retain(|_, call| !call.is_finished());
             }
-        };
-        future::or(read, write).await;
+            bytes.drain(..used);
+        }
     }
 
-    /// Takes one more call; tells how long it takes, or `None` while the ledger is down.
-    fn begin(&self, now: f64) -> Option<f64> {
-        let (mut state, mut account) = (self.state.borrow_mut(), self.account.borrow_mut());
-        account.calls += 1;
-        if now < state.down_until {
+    /// Admits a call; returns how long it takes, or `None` during an outage.
+    fn admit(&self, now_ms: f64) -> Option<f64> {
+        let (mut state, mut effects) = (self.state.borrow_mut(), self.effects.borrow_mut());
+        effects.calls += 1;
+        if now_ms < state.down_until_ms {
             return None;
         }
-        state.held += 1;
-        account.ledger_most = account.ledger_most.max(state.held);
-        if state.held > self.shape.survives {
-            account.ledger_fell += 1;
-            state.down_until = now + self.shape.down_ms;
+        state.in_flight += 1;
+        effects.peak_dependency_calls = effects.peak_dependency_calls.max(state.in_flight);
+        if state.in_flight > self.config.max_in_flight {
+            effects.dependency_outages += 1;
+            state.down_until_ms = now_ms + self.config.outage_ms;
         }
-        let crowd = (state.held as f64 / self.shape.slots as f64).max(1.0);
-        Some(self.shape.call_ms * crowd * state.slow)
+        let slowdown = (state.in_flight as f64 / self.config.slots as f64).max(1.0);
+        Some(self.config.call_ms * slowdown * state.latency_factor)
     }
 
     async fn call(self, id: String, body: Vec<u8>, answers: Sender<Vec<u8>>) {
-        let now = self.clock.now();
-        let Some(took_ms) = self.begin(now) else {
+        let now_ms = self.clock.now();
+        let Some(duration_ms) = self.admit(now_ms) else {
             let _ = answers.send(format!("{id} WAIT\r\n").into_bytes()).await;
             return;
         };
-        let held = Held(self.state.clone());
-        Timer::at(self.clock.at(now + took_ms)).await;
-        drop(held);
+        let slot = Slot(self.state.clone());
+        Timer::at(self.clock.at(now_ms + duration_ms)).await;
+        drop(slot);
         let mut answer = format!("{id} DONE {}\r\n", body.len()).into_bytes();
         answer.extend_from_slice(&body);
         answer.extend_from_slice(b"\r\n");
--- a/crates/plovershelf-testkit/src/effects.rs
+++ b/crates/plovershelf-testkit/src/effects.rs
@@ -1,97 +1,111 @@
-//! What the stand-ins saw, by which a trial judges.
+//! The ledger of effects: what the test peers observed, by which a trial judges.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::work::{Effect, Work};
+use crate::work::{Idempotency, WorkSpec};
 
-/// One process of one backend: its place and how often it was started.
-pub type Life = (usize, u32);
+/// One process: its backend's index, and how often that backend was started.
+pub type ProcessId = (usize, u32);
 
+/// Executions of one request in one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    pub begun: u32,
-    pub ended_well: u32,
+struct Executions {
+    started: u32,
+    succeeded: u32,
 }
 
+/// Observations of all peers of a trial.
 #[derive(Debug, Default)]
-pub struct Account {
-    /// Runs of each invocation, by the process that had them.
-    runs: BTreeMap<(u64, Life), Seen>,
-    effects: BTreeMap<u64, Effect>,
-    /// Launches after a backend's grace was over.
-    pub launched_late: u64,
+pub struct EffectLedger {
+    /// Executions of each request, by the process that had them.
+    executions: BTreeMap<(u64, ProcessId), Executions>,
+    idempotency: BTreeMap<u64, Idempotency>,
+    /// Launches after a backend's drain deadline.
+    pub launched_after_drain: u64,
     /// Commands that no backend should send.
-    pub odd_commands: u64,
-    /// The most that ran at once on one backend, by the crowd that it survives.
-    pub crowd_most: f64,
+    pub unexpected_commands: u64,
+    /// Highest concurrency of a backend, as a fraction of the concurrency that it sustains.
+    pub peak_overload: f64,
+    /// Processor time spent, in milliseconds.
     pub work_done_ms: f64,
-    /// How long the last run of each took, from its launch to its end by the agent's clock.
-    pub took_ms: BTreeMap<u64, f64>,
-    pub ledger_fell: u64,
-    pub ledger_most: usize,
+    /// Duration of each request's last execution by the agent's clock.
+    pub execution_ms: BTreeMap<u64, f64>,
+    /// Times that the dependency went down.
+    pub dependency_outages: u64,
+    /// Most calls in flight at the dependency.
+    pub peak_dependency_calls: usize,
+    /// Calls that reached the dependency.
     pub calls: u64,
 }
 
-pub type Shared = Rc<RefCell<Account>>;
+/// The ledger as all peers hold it.
+pub type SharedLedger = Rc<RefCell<EffectLedger>>;
 
-impl Account {
-    pub fn shared() -> Shared {
+impl EffectLedger {
+    /// An empty ledger to hand to the peers.
+    pub fn shared() -> SharedLedger {
         Rc::default()
     }
 
-    pub fn begun(&mut self, work: &Work, life: Life) {
-        self.runs.entry((work.number, life)).or_default().begun += 1;
-        self.effects.insert(work.number, work.effect);
+    /// Records that a process launched a request.
+    pub fn record_start(&mut self, work: &WorkSpec, process: ProcessId) {
+        self.executions.entry((work.number, process)).or_default().started += 1;
+        self.idempotency.insert(work.number, work.idempotency);
     }
 
-    pub fn ended_well(&mut self, number: u64, life: Life) {
-        self.runs.entry((number, life)).or_default().ended_well += 1;
+    /// Records that an execution succeeded.
+    pub fn record_success(&mut self, number: u64, process: ProcessId) {
+        self.executions.entry((number, process)).or_default().succeeded += 1;
     }
 
-    /// Invocations that may take effect once and ran more often: ticketed ones within one process, exclusive ones
-    /// anywhere.
-    pub fn ran_twice(&self) -> Vec<u64> {
-        let mut exclusive: BTreeMap<u64, u32> = BTreeMap::new();
-        let mut twice = Vec::new();
-        for ((number, _), seen) in &self.runs {
-            match self.effects.get(number) {
-                Some(Effect::Ticketed) if seen.begun > 1 => twice.push(*number),
-                Some(Effect::Exclusive) => *exclusive.entry(*number).or_default() += seen.begun,
+    /// Requests that may take effect once and were executed more often: keyed ones within one process,
+    /// non-idempotent ones anywhere.
+    pub fn repeated_executions(&self) -> Vec<u64> {
+        let mut non_idempotent: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut repeated = Vec::new();
+        for ((number, _), executions) in &self.executions {
+            match self.idempotency.get(number) {
+                Some(Idempotency::Keyed) if executions.started > 1 => repeated.push(*number),
+                Some(Idempotency::NonIdempotent) => {
+                    *non_idempotent.entry(*number).or_default() += executions.started;
+                }
                 _ => {}
             }
         }
-        twice.extend(exclusive.into_iter().filter(|(_, begun)| *begun > 1).map(|(number, _)| number));
-        twice
+        repeated
+            .extend(non_idempotent.into_iter().filter(|(_, started)| *started > 1).map(|(number, _)| number));
+        repeated
     }
 
-    /// Ticketed invocations that were launched more than once, wherever that was.
-    pub fn launched_twice(&self) -> Vec<u64> {
+    /// Keyed requests that were launched more than once, in whichever process.
+    pub fn repeated_keyed_launches(&self) -> Vec<u64> {
         let mut launches: BTreeMap<u64, u32> = BTreeMap::new();
-        for ((number, _), seen) in &self.runs {
-            if self.effects.get(number) == Some(&Effect::Ticketed) {
-                *launches.entry(*number).or_default() += seen.begun;
+        for ((number, _), executions) in &self.executions {
+            if self.idempotency.get(number) == Some(&Idempotency::Keyed) {
+                *launches.entry(*number).or_default() += executions.started;
             }
         }
-        launches.into_iter().filter(|(_, begun)| *begun > 1).map(|(number, _)| number).collect()
+        launches.into_iter().filter(|(_, started)| *started > 1).map(|(number, _)| number).collect()
     }
 
-    /// All launches of ticketed invocations, with the process that had them.
-    pub fn ticketed_launches(&self) -> impl Iterator<Item = (u64, Life)> + '_ {
-        let ticketed = |number: &u64| self.effects.get(number) == Some(&Effect::Ticketed);
-        let runs = self.runs.iter().filter(move |((number, _), _)| ticketed(number));
-        runs.flat_map(|(key, seen)| std::iter::repeat_n(*key, seen.begun as usize))
+    /// All launches of keyed requests, with the process that had them.
+    pub fn keyed_launches(&self) -> impl Iterator<Item = (u64, ProcessId)> + '_ {
+        let keyed = |number: &u64| self.idempotency.get(number) == Some(&Idempotency::Keyed);
+        let executions = self.executions.iter().filter(move |((number, _), _)| keyed(number));
+        executions.flat_map(|(key, executions)| std::iter::repeat_n(*key, executions.started as usize))
     }
 
-    /// Has any run of it ended well?
-    pub fn made(&self, number: u64) -> bool {
-        let lives = (number, (0, 0))..=(number, (usize::MAX, u32::MAX));
-        self.runs.range(lives).any(|(_, seen)| seen.ended_well > 0)
+    /// Has any execution of the request succeeded?
+    pub fn succeeded(&self, number: u64) -> bool {
+        let processes = (number, (0, 0))..=(number, (usize::MAX, u32::MAX));
+        self.executions.range(processes).any(|(_, executions)| executions.succeeded > 0)
     }
 
-    pub fn runs(&self) -> u64 {
-        self.runs.values().map(|seen| u64::from(seen.begun)).sum()
+    /// Executions started in all.
+    pub fn executions(&self) -> u64 {
+        self.executions.values().map(|executions| u64::from(executions.started)).sum()
     }
 }
 
--- a/crates/plovershelf-testkit/src/effects/tests.rs
+++ b/crates/plovershelf-testkit/src/effects/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn second_runs_are_told_by_what_may_run_twice() {
-    let mut account = Account::default();
-    let run = |account: &mut Account, number, effect, life| {
-        account.begun(&Work { number, work_ms: 1.0, calls: 0, effect }, life);
+fn repeated_executions_are_judged_by_idempotency() {
+    let mut effects = EffectLedger::default();
+    let run = |effects: &mut EffectLedger, number, idempotency, process| {
+        effects.record_start(&WorkSpec { number, work_ms: 1.0, outbound_calls: 0, idempotency }, process);
     };
-    for life in [(0, 1), (0, 1)] {
-        run(&mut account, 1, Effect::Rerunnable, life);
-        run(&mut account, 2, Effect::Ticketed, life);
+    for process in [(0, 1), (0, 1)] {
+        run(&mut effects, 1, Idempotency::Idempotent, process);
+        run(&mut effects, 2, Idempotency::Keyed, process);
     }
-    for life in [(0, 1), (1, 1)] {
-        run(&mut account, 3, Effect::Ticketed, life);
-        run(&mut account, 4, Effect::Exclusive, life);
+    for process in [(0, 1), (1, 1)] {
+        run(&mut effects, 3, Idempotency::Keyed, process);
+        run(&mut effects, 4, Idempotency::NonIdempotent, process);
     }
-    assert_eq!(account.ran_twice(), [2, 4]);
-    assert_eq!(account.launched_twice(), [2, 3]);
+    assert_eq!(effects.repeated_executions(), [2, 4]);
+    assert_eq!(effects.repeated_keyed_launches(), [2, 3]);
 }
--- /dev/null
+++ b/crates/plovershelf-testkit/src/fleet.rs
@@ -0,0 +1,173 @@
+//! A set of real backends, with an agent each, and a dependency and a registry for all of them.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use async_io::Timer;
+use serde_json::{json, Value};
+
+use crate::agent::Agent;
+use crate::backend::{Backend, ClusterFiles, ProcessConfig};
+use crate::cluster::{Cluster, ClusterConfig};
+use crate::cores::CoresConfig;
+use crate::dependency::{Dependency, DependencyConfig};
+use crate::effects::{EffectLedger, SharedLedger};
+use crate::path::NetworkPath;
+use crate::registry::Registry;
+use crate::{free_address, Clock, Executor};
+
+/// Seed of the first backend; each next one's is one more.
+const FIRST_SEED: u64 = 0x8c1f_30d2_7a5b_e964;
+/// How often [`Fleet::up`] looks.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// What a fleet consists of.
+#[derive(Clone, Debug)]
+pub struct FleetConfig {
+    /// The server program.
+    pub program: PathBuf,
+    /// Number of backends.
+    pub backends: usize,
+    /// Cores of each agent.
+    pub cores: CoresConfig,
+    /// Capacity of the dependency.
+    pub dependency: DependencyConfig,
+    /// The object under `settings` of the start-up configuration.
+    pub settings: Value,
+    /// Memory limit of each backend.
+    pub memory_mb: f64,
+    /// Limit of sockets of each backend.
+    pub sockets: u32,
+    /// Time from the drain notice to the end of the process.
+    pub stop_ms: f64,
+    /// Folder of the logs, one a backend by its name; none without.
+    pub logs: Option<PathBuf>,
+    /// The operator's file of bulkheads.
+    pub pools: Option<PathBuf>,
+    /// A cluster of all backends, with a path between each two and one before each agent.
+    pub cluster: Option<ClusterConfig>,
+}
+
+/// A running fleet; its processes and files go with it.
+pub struct Fleet {
+    /// All backends.
+    pub backends: Vec<Backend>,
+    /// The dependency of all.
+    pub dependency: Dependency,
+    /// What agents and dependency observed.
+    pub effects: SharedLedger,
+    /// The registry of all.
+    pub registry: Registry,
+    /// The cluster's paths and files, where there is one.
+    pub cluster: Option<Cluster>,
+    pub(crate) stop_ms: f64,
+    folder: PathBuf,
+}
+
+impl Fleet {
+    /// Starts the peers and all backends.
+    ///
+    /// Errors: as of binding listeners, writing files and starting processes.
+    pub fn start(executor: &Executor, clock: Clock, config: &FleetConfig) -> io::Result<Self> {
+        let effects = EffectLedger::shared();
+        let dependency = Dependency::start(executor, clock, config.dependency, effects.clone())?;
+        let registry = Registry::start(executor)?;
+        let folder = create_folder()?;
+        let cluster = config.cluster.as_ref();
+        let cluster = cluster.map(|cluster| Cluster::start(executor, &folder, config.backends, cluster));
+        let cluster = cluster.transpose()?;
+        let backends = Vec::new();
+        let stop_ms = config.stop_ms;
+        let mut fleet = Fleet { backends, dependency, effects, registry, cluster, stop_ms, folder };
+        for index in 0..config.backends {
+            let mut backend = fleet.create_backend(executor, clock, config, index)?;
+            backend.start()?;
+            fleet.backends.push(backend);
+        }
+        Ok(fleet)
+    }
+
+    /// Where clients reach the backends.
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.backends.iter().map(|backend| backend.address).collect()
+    }
+
+    /// Waits until all backends accept connections and have subscribed at their agents; false on a timeout.
+    pub async fn up(&self, clock: Clock, timeout_ms: f64) -> bool {
+        let deadline_ms = clock.now() + timeout_ms;
+        while clock.now() < deadline_ms {
+            let listens = |backend: &Backend| std::net::TcpStream::connect(backend.address).is_ok();
+            if self.backends.iter().all(|backend| backend.agent.processes() > 0 && listens(backend)) {
+                return true;
+            }
+            Timer::after(POLL_INTERVAL).await;
+        }
+        false
+    }
+
+    fn create_backend(
+        &self,
+        executor: &Executor,
+        clock: Clock,
+        config: &FleetConfig,
+        index: usize,
+    ) -> io::Result<Backend> {
+        let agent = Agent::start(executor, clock, index, config.cores, self.effects.clone())?;
+        let (name, address) = (format!("n{}", index + 1), free_address()?);
+        let agent_path = self.cluster.as_ref();
+        let agent_path = agent_path.map(|_| NetworkPath::start(executor, agent.address, index as u64));
+        let agent_path = agent_path.transpose()?;
+        let agent_address = agent_path.as_ref().map_or(agent.address, |path| path.address);
+        let cluster = self.cluster.as_ref().map(|cluster| {
+            let member = &cluster.members[index];
+            ClusterFiles { config: member.config_file.clone(), storage_full: member.storage_full.clone() }
+        });
+        let config_file = self.folder.join(format!("{name}.json"));
+        let text = self.startup_config(config, index, address, agent_address);
+        std::fs::write(&config_file, text.to_string())?;
+        let process = ProcessConfig {
+            program: config.program.clone(),
+            config_file,
+            log: config.logs.as_ref().map(|logs| logs.join(format!("{name}.log"))),
+            bulkheads: config.pools.clone(),
+            cluster,
+            config_distribution: None,
+            clock_offset_ms: 0.0,
+        };
+        Ok(Backend::new(name, address, agent, agent_path, process))
+    }
+
+    fn startup_config(
+        &self,
+        config: &FleetConfig,
+        index: usize,
+        address: SocketAddr,
+        agent: SocketAddr,
+    ) -> Value {
+        json!({
+            "name": format!("n{}", index + 1), "listen": address.to_string(), "agent": agent.to_string(),
+            "records": self.dependency.address.to_string(), "registry": self.registry.address.to_string(),
+            "seed": format!("{:016x}", FIRST_SEED + index as u64), "stop_ms": config.stop_ms,
+            "limits": {"cores": 1.0, "memory_mb": config.memory_mb, "sockets": config.sockets},
+            "settings": config.settings,
+        })
+    }
+}
+
+/// A folder of this fleet's own.
+fn create_folder() -> io::Result<PathBuf> {
+    let nanos = std::time::SystemTime::UNIX_EPOCH.elapsed().map_or(0, |since| since.as_nanos());
+    let name = format!("plovershelf-trial-{}-{nanos}", std::process::id());
+    let folder = Path::join(&std::env::temp_dir(), name);
+    std::fs::create_dir_all(&folder)?;
+    Ok(folder)
+}
+
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        self.backends.iter_mut().for_each(|backend| drop(backend.kill()));
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
--- a/crates/plovershelf-testkit/src/path.rs
+++ b/crates/plovershelf-testkit/src/path.rs
@@ -1,4 +1,5 @@
-//! A way between two processes that can be cut, slowed, made lossy or broken off in the middle of something.
+//! A network path between two processes: a relay on loopback that can be partitioned, slowed, made lossy, or made
+//! to reset connections in the middle of a message.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,104 +14,137 @@
 
 use crate::{free_address, Executor};
 
-/// What goes wrong on it. Cuts are counted, as several faults may hold one.
+/// How long a TCP stream takes to retransmit what was lost.
+const RETRANSMIT_MS: f64 = 200.0;
+/// How often a partitioned or refusing path looks whether that has changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bytes read at once.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// Faults in effect on a path.
 #[derive(Clone, Debug, Default)]
-pub struct Trouble {
-    pub cuts: u32,
-    /// Connections are refused and those that there are end: the other side is gone, as a process is.
-    pub refused: bool,
+pub struct PathFaults {
+    /// Partitions in effect, as several faults may overlap; nothing passes while there is one.
+    pub partitions: u32,
+    /// Connections are refused and open ones end, as if the other process were gone.
+    pub refuses: bool,
+    /// Added latency.
     pub delay_ms: f64,
-    /// So much of what passes is lost and comes again after the span in which a stream makes that good.
+    /// Fraction of reads that are lost and arrive after the retransmission time.
     pub loss: f64,
-    /// Bytes a millisecond; 0 for as many as pass.
+    /// Bytes a millisecond; 0 for no bound.
     pub throttle: f64,
-    /// Connections are broken off in the middle of what passes next, each as this number changes.
-    pub breaks: u64,
+    /// Each change of this number resets open connections in the middle of what passes next.
+    pub resets: u64,
 }
 
-/// How long a stream takes to make good what was lost.
-const AGAIN_MS: f64 = 200.0;
-const LOOK: Duration = Duration::from_millis(5);
-
-pub struct Way {
+/// A path to one listener.
+pub struct NetworkPath {
+    /// Where the path listens.
     pub address: SocketAddr,
-    pub trouble: Rc<RefCell<Trouble>>,
+    /// Faults in effect; a change applies to what passes next.
+    pub faults: Rc<RefCell<PathFaults>>,
     _accepting: Task<()>,
 }
 
-impl Way {
-    /// A way to a listener, also to one that is not there yet.
+impl NetworkPath {
+    /// A path to a listener, also to one that is not there yet. The seed decides which reads are lost.
     ///
     /// Errors: as of binding a listener.
     pub fn start(executor: &Executor, to: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let address = free_address()?;
         let listener = Async::<TcpListener>::bind(address)?;
-        let trouble: Rc<RefCell<Trouble>> = Rc::default();
-        let (own, spawn) = (trouble.clone(), executor.clone());
-        let accept = async move {
-            let mut lines: Vec<Task<()>> = Vec::new();
-            let mut number = seed;
-            while let Ok((stream, _)) = listener.accept().await {
-                lines.retain(|line| !line.is_finished());
-                if own.borrow().refused {
-                    continue;
-                }
-                number = number.wrapping_add(1);
-                lines.push(spawn.spawn(pass(stream, to, own.clone(), number)));
-            }
-        };
+        let faults: Rc<RefCell<PathFaults>> = Rc::default();
+        let accept = accept(listener, executor.clone(), to, faults.clone(), seed);
         let _accepting = executor.spawn(accept);
-        Ok(Way { address, trouble, _accepting })
+        Ok(NetworkPath { address, faults, _accepting })
+    }
+
+    /// Adds a partition.
+    pub fn partition(&self) {
+        self.faults.borrow_mut().partitions += 1;
     }
 
-    pub fn cut(&self, cut: bool) {
-        let mut trouble = self.trouble.borrow_mut();
-        trouble.cuts = if cut { trouble.cuts + 1 } else { trouble.cuts.saturating_sub(1) };
+    /// Takes one partition away.
+    pub fn heal(&self) {
+        let mut faults = self.faults.borrow_mut();
+        faults.partitions = faults.partitions.saturating_sub(1);
     }
 }
 
-async fn pass(near: Async<TcpStream>, to: SocketAddr, trouble: Rc<RefCell<Trouble>>, seed: u64) {
-    // While it is cut nothing reaches the other side, not even that somebody wants to.
-    while trouble.borrow().cuts > 0 {
-        Timer::after(LOOK).await;
+async fn accept(
+    listener: Async<TcpListener>,
+    executor: Executor,
+    to: SocketAddr,
+    faults: Rc<RefCell<PathFaults>>,
+    seed: u64,
+) {
+    let mut connections: Vec<Task<()>> = Vec::new();
+    let mut connection_seed = seed;
+    while let Ok((stream, _)) = listener.accept().await {
+        connections.retain(|connection| !connection.is_finished());
+        if faults.borrow().refuses {
+            continue;
+        }
+        connection_seed = connection_seed.wrapping_add(1);
+        connections.push(executor.spawn(relay(stream, to, faults.clone(), connection_seed)));
     }
+}
+
+async fn relay(near: Async<TcpStream>, to: SocketAddr, faults: Rc<RefCell<PathFaults>>, seed: u64) {
+    // A partition also hides the attempt to connect from the other side.
+    until_healed(&faults).await;
     let Ok(far) = Async::<TcpStream>::connect(to).await else { return };
     let _ = near.get_ref().set_nodelay(true);
     let _ = far.get_ref().set_nodelay(true);
-    let there = forward(&near, &far, &trouble, seed);
-    let back = forward(&far, &near, &trouble, !seed);
+    let there = forward(&near, &far, &faults, seed);
+    let back = forward(&far, &near, &faults, !seed);
     future::or(there, back).await;
 }
 
-async fn forward(from: &Async<TcpStream>, to: &Async<TcpStream>, trouble: &RefCell<Trouble>, seed: u64) {
-    let mut chance = Pcg32::seed_from_u64(seed);
-    let mut bytes = vec![0; 16 << 10];
-    let breaks = trouble.borrow().breaks;
+async fn until_healed(faults: &RefCell<PathFaults>) {
+    while faults.borrow().partitions > 0 {
+        Timer::after(POLL_INTERVAL).await;
+    }
+}
+
+/// Reads what comes next; 0 at the stream's end or once the path refuses connections.
+async fn read_unless_refused(
+    from: &Async<TcpStream>,
+    bytes: &mut [u8],
+    faults: &RefCell<PathFaults>,
+) -> std::io::Result<usize> {
+    let refused = async {
+        while !faults.borrow().refuses {
+            Timer::after(POLL_INTERVAL).await;
+        }
+        Ok(0)
+    };
+    future::or((&mut &*from).read(bytes), refused).await
+}
+
+async fn forward(from: &Async<TcpStream>, to: &Async<TcpStream>, faults: &RefCell<PathFaults>, seed: u64) {
+    let mut random = Pcg32::seed_from_u64(seed);
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
+    let resets_at_start = faults.borrow().resets;
     loop {
-        let refused = async {
-            while !trouble.borrow().refused {
-                Timer::after(LOOK).await;
-            }
-            Ok(0)
-        };
-        let Ok(count) = future::or((&mut &*from).read(&mut bytes), refused).await else { return };
+        let Ok(count) = read_unless_refused(from, &mut bytes, faults).await else { return };
         if count == 0 {
             return;
         }
-        while trouble.borrow().cuts > 0 {
-            Timer::after(LOOK).await;
-        }
-        let (delay_ms, broken) = {
-            let trouble = trouble.borrow();
-            let lost = trouble.loss > 0.0 && chance.random::<f64>() < trouble.loss;
-            let slow = if trouble.throttle > 0.0 { count as f64 / trouble.throttle } else { 0.0 };
-            (trouble.delay_ms + slow + if lost { AGAIN_MS } else { 0.0 }, trouble.breaks != breaks)
+        until_healed(faults).await;
+        let (delay_ms, reset) = {
+            let faults = faults.borrow();
+            let lost = faults.loss > 0.0 && random.random::<f64>() < faults.loss;
+            let transfer_ms = if faults.throttle > 0.0 { count as f64 / faults.throttle } else { 0.0 };
+            let retransmit_ms = if lost { RETRANSMIT_MS } else { 0.0 };
+            (faults.delay_ms + transfer_ms + retransmit_ms, faults.resets != resets_at_start)
         };
         if delay_ms > 0.0 {
             Timer::after(Duration::from_secs_f64(delay_ms / 1000.0)).await;
         }
-        let whole = if broken { count.div_ceil(2) } else { count };
-        if (&mut &*to).write_all(&bytes[..whole]).await.is_err() || broken {
+        let passed = if reset { count.div_ceil(2) } else { count };
+        if (&mut &*to).write_all(&bytes[..passed]).await.is_err() || reset {
             return;
         }
     }
--- a/crates/plovershelf-testkit/src/tap.rs
+++ b/crates/plovershelf-testkit/src/tap.rs
@@ -1,5 +1,5 @@
-//! Stands between callers and one backend, passes every byte on, and keeps the account of what was asked and answered:
-//! so tries, marks, answers and connections are counted by neither side's own word.
+//! A tap between clients and one backend: passes every byte on, and counts requests, retries, responses and
+//! connections, so that neither side is judged by its own word.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,72 +15,98 @@
 use crate::agent::Agent;
 use crate::{free_address, Clock, Executor};
 
-/// What was seen, by tenths of a second where that matters.
+/// Longest frame that it looks into.
+const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Bytes read at once.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// Frames up to this length are no requests, and reading them costs nothing.
+const MAX_FREE_FRAME_BYTES: usize = 60;
+/// How much later than the client's deadline a response counts as late.
+const LATE_TOLERANCE_MS: f64 = 50.0;
+/// Width of the intervals that requests are counted by.
+const INTERVAL_MS: f64 = 100.0;
+
+/// What passed.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub firsts: BTreeMap<u64, u64>,
-    pub marked: BTreeMap<u64, u64>,
-    /// When each connection was made, and the number of the caller that spoke on it.
+pub struct Traffic {
+    /// First attempts, by tenth of a second.
+    pub first_attempts: BTreeMap<u64, u64>,
+    /// Attempts that are marked as retries, by tenth of a second.
+    pub marked_retries: BTreeMap<u64, u64>,
+    /// When each connection was made, and the number of the client that used it.
     pub connections: Vec<(f64, Option<u32>)>,
-    pub asked: u64,
-    pub answered: u64,
-    pub dismissed: u64,
-    /// Answers beyond the first, or to nothing.
-    pub answered_twice: u64,
-    /// Later than the caller's told wait by more than 50 ms.
-    pub answered_late: u64,
-    /// The backend ended a connection with these open, not having said `closing` before they were written.
+    /// Requests in all.
+    pub requests: u64,
+    /// Responses in all.
+    pub responses: u64,
+    /// Responses that reject.
+    pub rejected: u64,
+    /// Responses beyond the first, or to nothing.
+    pub duplicate_responses: u64,
+    /// Responses after the client's deadline.
+    pub late_responses: u64,
+    /// Requests open when the backend ended a connection, not having sent `closing` before they were written.
     pub unanswered: u64,
 }
 
-/// What reading costs the cores that a backend shares with its runs.
+/// What reading a request costs the cores that a backend shares with its executions.
 #[derive(Clone)]
-pub struct Reading {
+pub struct ReadCost {
+    /// The agent that has the cores.
     pub agent: Agent,
+    /// Work a request, in milliseconds.
     pub cost_ms: f64,
 }
 
+/// A tap before one backend.
 pub struct Tap {
+    /// Where it listens.
     pub address: SocketAddr,
-    pub seen: Rc<RefCell<Seen>>,
-    to: SocketAddr,
-    reading: Option<Reading>,
+    /// What passed so far.
+    pub traffic: Rc<RefCell<Traffic>>,
+    backend: SocketAddr,
+    read_cost: Option<ReadCost>,
     clock: Clock,
     executor: Executor,
     accepting: Option<Task<()>>,
 }
 
 impl Tap {
-    /// A tap that passes connections on to a backend. Where reading costs something, an invocation is passed on when
-    /// that work is done.
+    /// Starts a tap before a backend. Where reading has a cost, a request is passed on when that work is done.
+    ///
+    /// Errors: as of binding a listener.
     pub fn start(
         executor: &Executor,
         clock: Clock,
-        to: SocketAddr,
-        reading: Option<Reading>,
+        backend: SocketAddr,
+        read_cost: Option<ReadCost>,
     ) -> std::io::Result<Self> {
         let address = free_address()?;
-        let (seen, executor) = (Rc::default(), executor.clone());
-        let mut tap = Tap { address, seen, to, reading, clock, executor, accepting: None };
+        let (traffic, executor) = (Rc::default(), executor.clone());
+        let mut tap = Tap { address, traffic, backend, read_cost, clock, executor, accepting: None };
         tap.up()?;
         Ok(tap)
     }
 
-    /// Connections are refused from now on, and those that there are end.
+    /// Refuses connections from now on and ends the open ones.
     pub fn down(&mut self) {
         self.accepting = None;
     }
 
+    /// Accepts connections again.
+    ///
+    /// Errors: as of binding a listener.
     pub fn up(&mut self) -> std::io::Result<()> {
         let listener = Async::<TcpListener>::bind(self.address)?;
-        let (seen, to, clock) = (self.seen.clone(), self.to, self.clock);
-        let reading = self.reading.clone();
+        let (traffic, backend, clock) = (self.traffic.clone(), self.backend, self.clock);
+        let read_cost = self.read_cost.clone();
         let executor = self.executor.clone();
         let accept = async move {
-            let mut lines: Vec<Task<()>> = Vec::new();
+            let mut connections: Vec<Task<()>> = Vec::new();
             while let Ok((stream, _)) = listener.accept().await {
-                lines.retain(|line| !line.is_finished());
-                lines.push(executor.spawn(pass(stream, to, clock, seen.clone(), reading.clone())));
+                connections.retain(|connection| !connection.is_finished());
+                let monitor = Monitor::new(clock, traffic.clone());
+                connections.push(executor.spawn(relay(stream, backend, monitor, read_cost.clone())));
             }
         };
         self.accepting = Some(self.executor.spawn(accept));
@@ -88,52 +114,64 @@
     }
 }
 
-/// What is open on one connection: when it is due at the latest, and whether it was given up.
-#[derive(Default)]
-struct Open {
-    due: BTreeMap<i32, (f64, bool)>,
-    closing: bool,
+/// A request that has no response yet.
+struct OpenRequest {
+    deadline_ms: f64,
+    /// Cancelled, or sent after the backend's `closing`: no response is owed.
+    abandoned: bool,
 }
 
-async fn pass(
-    near: Async<TcpStream>,
-    to: SocketAddr,
+/// Counts what passes on one connection.
+struct Monitor {
     clock: Clock,
-    seen: Rc<RefCell<Seen>>,
-    reading: Option<Reading>,
-) {
-    let place = {
-        let mut seen = seen.borrow_mut();
-        seen.connections.push((clock.now(), None));
-        seen.connections.len() - 1
-    };
-    let Ok(far) = Async::<TcpStream>::connect(to).await else { return };
-    let _ = near.get_ref().set_nodelay(true);
-    let _ = far.get_ref().set_nodelay(true);
-    let open = RefCell::new(Open::default());
-    let asked = |frame: &[u8]| {
-        let (now, mut seen, mut open) = (clock.now(), seen.borrow_mut(), open.borrow_mut());
+    traffic: Rc<RefCell<Traffic>>,
+    /// Index of this connection in the traffic.
+    index: usize,
+    open: BTreeMap<i32, OpenRequest>,
+    closing: bool,
+}
+
+impl Monitor {
+    fn new(clock: Clock, traffic: Rc<RefCell<Traffic>>) -> Self {
+        Monitor { clock, traffic, index: 0, open: BTreeMap::new(), closing: false }
+    }
+
+    fn handle_connect(&mut self) {
+        let mut traffic = self.traffic.borrow_mut();
+        traffic.connections.push((self.clock.now(), None));
+        self.index = traffic.connections.len() - 1;
+    }
+
+    fn handle_request(&mut self, frame: &[u8]) {
+        let (now_ms, mut traffic) = (self.clock.now(), self.traffic.borrow_mut());
         match decode(frame) {
             Ok(Message::Dispatch { seqid, request }) => {
-                let tenth = (now / 100.0) as u64;
-                seen.asked += 1;
-                let times = if request.marked_retry { &mut seen.marked } else { &mut seen.firsts };
-                *times.entry(tenth).or_default() += 1;
-                seen.connections[place].1 = seen.connections[place].1.or(caller_number(frame));
-                let crossed = open.closing;
-                open.due.insert(seqid, (now + request.timeout_ms.unwrap_or(f64::INFINITY), crossed));
+                let interval = (now_ms / INTERVAL_MS) as u64;
+                traffic.requests += 1;
+                let traffic = &mut *traffic;
+                let counts = if request.marked_retry {
+                    &mut traffic.marked_retries
+                } else {
+                    &mut traffic.first_attempts
+                };
+                *counts.entry(interval).or_default() += 1;
+                let client = &mut traffic.connections[self.index].1;
+                *client = client.or(client_number(frame));
+                let deadline_ms = now_ms + request.timeout_ms.unwrap_or(f64::INFINITY);
+                self.open.insert(seqid, OpenRequest { deadline_ms, abandoned: self.closing });
             }
             Ok(Message::Cancel { seqid }) => {
-                open.due.entry(seqid).and_modify(|(_, given_up)| *given_up = true);
+                self.open.entry(seqid).and_modify(|request| request.abandoned = true);
             }
             _ => {}
         }
-    };
-    let answered = |frame: &[u8]| {
-        let (now, mut seen, mut open) = (clock.now(), seen.borrow_mut(), open.borrow_mut());
+    }
+
+    fn handle_response(&mut self, frame: &[u8]) {
+        let (now_ms, mut traffic) = (self.clock.now(), self.traffic.borrow_mut());
         let seqid = match decode_response(frame) {
             Ok(Response::Rejected { seqid, .. }) => {
-                seen.dismissed += 1;
+                traffic.rejected += 1;
                 seqid
             }
             Ok(
@@ -142,66 +180,97 @@
                 | Response::Exception { seqid, .. },
             ) => seqid,
             Ok(Response::Closing) => {
-                open.closing = true;
+                self.closing = true;
                 return;
             }
             _ => return,
         };
-        seen.answered += 1;
-        match open.due.remove(&seqid) {
-            Some((due, given_up)) => seen.answered_late += u64::from(!given_up && now > due + 50.0),
-            None => seen.answered_twice += 1,
+        traffic.responses += 1;
+        match self.open.remove(&seqid) {
+            Some(request) => {
+                let late = !request.abandoned && now_ms > request.deadline_ms + LATE_TOLERANCE_MS;
+                traffic.late_responses += u64::from(late);
+            }
+            None => traffic.duplicate_responses += 1,
         }
-    };
-    // Tells whether the side that was read from has ended.
-    let there = async { forward(&near, &far, asked, reading).await };
-    let back = async { forward(&far, &near, answered, None).await };
-    let by_backend = future::or(async { !there.await }, back).await;
-    if by_backend {
-        let left = open.borrow().due.values().filter(|(_, given_up)| !given_up).count();
-        seen.borrow_mut().unanswered += left as u64;
     }
+
+    /// The backend has ended the connection.
+    fn handle_backend_close(&mut self) {
+        let unanswered = self.open.values().filter(|request| !request.abandoned).count();
+        self.traffic.borrow_mut().unanswered += unanswered as u64;
+    }
+}
+
+async fn relay(
+    near: Async<TcpStream>,
+    backend: SocketAddr,
+    mut monitor: Monitor,
+    read_cost: Option<ReadCost>,
+) {
+    monitor.handle_connect();
+    let Ok(far) = Async::<TcpStream>::connect(backend).await else { return };
+    let _ = near.get_ref().set_nodelay(true);
+    let _ = far.get_ref().set_nodelay(true);
+    let monitor = RefCell::new(monitor);
+    let on_request = |frame: &[u8]| monitor.borrow_mut().handle_request(frame);
+    let on_response = |frame: &[u8]| monitor.borrow_mut().handle_response(frame);
+    let there = async { forward(&near, &far, on_request, read_cost).await == End::Writer };
+    let back = async { forward(&far, &near, on_response, None).await == End::Reader };
+    let ended_by_backend = future::or(there, back).await;
+    if ended_by_backend {
+        monitor.borrow_mut().handle_backend_close();
+    }
+}
+
+/// Which side ended a direction of a connection.
+#[derive(PartialEq, Eq)]
+enum End {
+    /// The side that is read from.
+    Reader,
+    /// The side that is written to.
+    Writer,
 }
 
-/// Passes frames on and shows each; true when the side that is read from has ended.
+/// Passes frames on and shows each; returns which side has ended.
 async fn forward(
     from: &Async<TcpStream>,
     to: &Async<TcpStream>,
     mut show: impl FnMut(&[u8]),
-    reading: Option<Reading>,
-) -> bool {
-    let (mut bytes, mut chunk) = (Vec::new(), vec![0; 16 << 10]);
+    read_cost: Option<ReadCost>,
+) -> End {
+    let (mut bytes, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     while let Ok(count) = (&mut &*from).read(&mut chunk).await {
         if count == 0 {
             break;
         }
         bytes.extend_from_slice(&chunk[..count]);
         let mut used = 0;
-        while let Ok(Some((frame, length))) = decode_first(&bytes[used..], 1 << 20) {
+        while let Ok(Some((frame, length))) = decode_first(&bytes[used..], MAX_FRAME_BYTES) {
             show(frame);
-            if let Some(reading) = reading.as_ref().filter(|_| frame.len() > 60) {
-                reading.agent.read(reading.cost_ms).await;
+            if let Some(read_cost) = read_cost.as_ref().filter(|_| frame.len() > MAX_FREE_FRAME_BYTES) {
+                read_cost.agent.read(read_cost.cost_ms).await;
             }
             if (&mut &*to).write_all(&bytes[used..used + length]).await.is_err() {
-                return false;
+                return End::Writer;
             }
             used += length;
         }
         bytes.drain(..used);
-        // What is no frame goes on as it is.
-        if bytes.len() > 1 << 20 || decode_first(&bytes, 1 << 20).is_err() {
+        // Bytes that are no frame are passed on as they are.
+        if bytes.len() > MAX_FRAME_BYTES || decode_first(&bytes, MAX_FRAME_BYTES).is_err() {
             let rest = std::mem::take(&mut bytes);
             if (&mut &*to).write_all(&rest).await.is_err() {
-                return false;
+                return End::Writer;
             }
         }
     }
-    true
+    End::Reader
 }
 
-/// The field `f` of a dispatch, which backends have no use for.
-fn caller_number(frame: &[u8]) -> Option<u32> {
-    let place = frame.windows(5).position(|bytes| bytes == b"\0\0\0\x01f")? + 5;
-    let length = u32::from_be_bytes(frame.get(place..place + 4)?.try_into().ok()?) as usize;
-    std::str::from_utf8(frame.get(place + 4..place + 4 + length)?).ok()?.parse().ok()
+/// The client's number in a request's frame: field `f`, which backends have no use for.
+fn client_number(frame: &[u8]) -> Option<u32> {
+    let start = frame.windows(5).position(|bytes| bytes == b"\0\0\0\x01f")? + 5;
+    let length = u32::from_be_bytes(frame.get(start..start + 4)?.try_into().ok()?) as usize;
+    std::str::from_utf8(frame.get(start + 4..start + 4 + length)?).ok()?.parse().ok()
 }
--- a/crates/plovershelf-testkit/src/work.rs
+++ b/crates/plovershelf-testkit/src/work.rs
@@ -1,48 +1,56 @@
-//! What an invocation asks of the stand-ins, written into its body: which one it is, how much work, how many calls, and
-//! whether it may run twice.
+//! The work that a request asks of the test peers, as its body carries it.
 
+/// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Rerunnable,
-    Ticketed,
-    Exclusive,
+pub enum Idempotency {
+    /// May run any number of times.
+    Idempotent,
+    /// Takes effect once per idempotency key and process.
+    Keyed,
+    /// Takes effect once at most.
+    NonIdempotent,
 }
 
+/// What one request asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
-    /// The same for all tries of one invocation.
+pub struct WorkSpec {
+    /// Identifies the request; the same for all its attempts.
     pub number: u64,
+    /// Processor time in all, in milliseconds.
     pub work_ms: f64,
-    pub calls: u32,
-    pub effect: Effect,
+    /// Outbound calls, spread evenly over the work.
+    pub outbound_calls: u32,
+    /// Whether it may take effect more than once.
+    pub idempotency: Idempotency,
 }
 
-impl Work {
+impl WorkSpec {
+    /// The request's body.
     pub fn body(&self) -> Vec<u8> {
-        let effect = match self.effect {
-            Effect::Rerunnable => 'r',
-            Effect::Ticketed => 't',
-            Effect::Exclusive => 'x',
+        let idempotency = match self.idempotency {
+            Idempotency::Idempotent => 'r',
+            Idempotency::Keyed => 't',
+            Idempotency::NonIdempotent => 'x',
         };
-        format!("{} {:.3} {} {effect}", self.number, self.work_ms, self.calls).into_bytes()
+        format!("{} {:.3} {} {idempotency}", self.number, self.work_ms, self.outbound_calls).into_bytes()
     }
 
-    /// `None` for a body that no stand-in caller wrote.
+    /// Reads a request's body; `None` for one that [`WorkSpec::body`] did not make.
     pub fn parse(body: &[u8]) -> Option<Self> {
         let mut words = std::str::from_utf8(body).ok()?.split(' ');
         let number = words.next()?.parse().ok()?;
         let work_ms = words.next()?.parse().ok().filter(|work: &f64| work.is_finite() && *work >= 0.0)?;
-        let calls = words.next()?.parse().ok()?;
-        let effect = match words.next()? {
-            "r" => Effect::Rerunnable,
-            "t" => Effect::Ticketed,
-            "x" => Effect::Exclusive,
+        let outbound_calls = words.next()?.parse().ok()?;
+        let idempotency = match words.next()? {
+            "r" => Idempotency::Idempotent,
+            "t" => Idempotency::Keyed,
+            "x" => Idempotency::NonIdempotent,
             _ => return None,
         };
-        Some(Work { number, work_ms, calls, effect })
+        Some(WorkSpec { number, work_ms, outbound_calls, idempotency })
     }
 
-    /// What a run of it makes, and nothing else does.
+    /// The result that an execution of this work yields, and no other.
     pub fn result(&self) -> Vec<u8> {
         format!("made {} of {:.3}", self.number, self.work_ms).into_bytes()
     }
--- a/crates/plovershelf-testkit/src/work/tests.rs
+++ b/crates/plovershelf-testkit/src/work/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_body_tells_the_work_and_others_are_no_work() {
-    let work = Work { number: 7, work_ms: 12.5, calls: 2, effect: Effect::Ticketed };
-    assert_eq!(Work::parse(&work.body()), Some(work));
+fn body_round_trips_and_malformed_bodies_are_refused() {
+    let work = WorkSpec { number: 7, work_ms: 12.5, outbound_calls: 2, idempotency: Idempotency::Keyed };
+    assert_eq!(WorkSpec::parse(&work.body()), Some(work));
     for body in [&b"7 NaN 2 t"[..], b"7 1 2", b"\xff", b"7 1 2 q"] {
-        assert_eq!(Work::parse(body), None);
+        assert_eq!(WorkSpec::parse(body), None);
     }
 }
