--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -50,9 +50,9 @@
     /// An outbound call ended.
     CallEnded { id: AttemptId, result: CallResult },
     /// Replication of a keyed request.
-    Replication(crate::group::Told),
+    Replication(crate::group::ReplicationEvent),
     /// The operator's file of bulkheads was read again.
-    Bulkheads(plovershelf_bulkhead::Plan),
+    Bulkheads(plovershelf_bulkhead::BulkheadPlan),
     /// Tenants' quotas that are in force from now on.
     Quotas(crate::config_distribution::QuotaUpdate),
 }
