--- a/crates/plovershelf-cli/src/copies.rs
+++ b/crates/plovershelf-cli/src/copies.rs
@@ -5,17 +5,16 @@
 use clap::{Args, Subcommand};
 use plovershelf_cluster::status::{Answer, CopiesStatus, Question, TicketStatus};
 
-use crate::group::{ask, Whom};
+use crate::group::ask;
+use crate::member_options::{Member, MemberOptions};
 
 #[derive(Args)]
+#[command(mut_arg("json", |json| json.help("One JSON object instead of lines")))]
 pub struct Options {
     #[command(subcommand)]
     command: Command,
     #[command(flatten)]
-    whom: Whom,
-    /// One JSON object instead of lines.
-    #[arg(long, global = true)]
-    json: bool,
+    member: MemberOptions,
 }
 
 #[derive(Subcommand)]
@@ -28,7 +27,7 @@
 
 /// Exit statuses: 0 told, 1 refused, or a ticket that is not held there; an error is a member that could not be asked.
 pub fn run(options: &Options) -> Result<u8, String> {
-    let (at, name) = options.whom.at()?;
+    let Member { address: at, cluster: name } = options.member.member()?;
     let question = match &options.command {
         Command::Status => Question::Copies,
         Command::Show { offering, ticket } => {
@@ -38,11 +37,17 @@
     let json = |value: serde_json::Result<String>| value.map_err(|error| error.to_string());
     match async_io::block_on(ask(at, &name, question, Duration::from_secs(10)))? {
         Answer::Copies(status) => {
-            println!("{}", if options.json { json(serde_json::to_string(&status))? } else { told(&status) });
+            println!(
+                "{}",
+                if options.member.json { json(serde_json::to_string(&status))? } else { told(&status) }
+            );
             Ok(0)
         }
         Answer::Ticket(ticket) => {
-            println!("{}", if options.json { json(serde_json::to_string(&ticket))? } else { shown(&ticket) });
+            println!(
+                "{}",
+                if options.member.json { json(serde_json::to_string(&ticket))? } else { shown(&ticket) }
+            );
             Ok(u8::from(ticket.held.is_none()))
         }
         Answer::Refused(why) => {
--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -1,7 +1,6 @@
 //! `plovershelf group`: who is in a cluster, what its consensus group committed, and the two commands that change it by hand.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::time::Duration;
 
 use async_io::{Async, Timer};
@@ -11,48 +10,14 @@
 use plovershelf_cluster::status::{Answer, Question, Status};
 use plovershelf_cluster::wire::{decode, encode_frame, read_frame, Hello, Wire};
 
-/// Which member is asked.
-#[derive(Args)]
-pub struct Whom {
-    /// A member's address, as `listen` in its group.ini.
-    #[arg(long, global = true, value_name = "ADDRESS:PORT", conflicts_with = "file")]
-    at: Option<SocketAddr>,
-    /// The group's name, with --at.
-    #[arg(long, global = true, value_name = "NAME", default_value = "fleet")]
-    name: String,
-    /// A member's group.ini: its address and the group's name are taken from there.
-    #[arg(long, global = true, value_name = "FILE")]
-    file: Option<PathBuf>,
-}
-
-impl Whom {
-    /// The member's address and the group's name.
-    ///
-    /// Errors: neither file nor address was given, or the file is wrong.
-    pub fn at(&self) -> Result<(SocketAddr, String), String> {
-        match (&self.file, self.at) {
-            (Some(file), _) => {
-                let text =
-                    std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-                let group = plovershelf_config::group::read(&file.to_string_lossy(), &text)
-                    .map_err(|w| w.to_string())?;
-                Ok((group.listen, group.name))
-            }
-            (None, Some(at)) => Ok((at, self.name.clone())),
-            (None, None) => Err("--file group.ini or --at ADDRESS:PORT says which member to ask".into()),
-        }
-    }
-}
+use crate::member_options::{Member, MemberOptions};
 
 #[derive(Args)]
 pub struct Options {
     #[command(subcommand)]
     command: Command,
     #[command(flatten)]
-    whom: Whom,
-    /// One JSON object instead of tables.
-    #[arg(long, global = true)]
-    json: bool,
+    member: MemberOptions,
 }
 
 #[derive(Subcommand)]
@@ -113,7 +78,7 @@
 
 /// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
 pub fn run(options: &Options) -> Result<u8, String> {
-    let (at, name) = options.whom.at()?;
+    let Member { address: at, cluster: name } = options.member.member()?;
     let question = match &options.command {
         Command::Status | Command::Members | Command::History => Question::Status,
         Command::Replace { voter } => Question::Replace { voter: voter.clone() },
@@ -121,7 +86,7 @@
     };
     match async_io::block_on(ask(at, &name, question, Duration::from_secs(10)))? {
         Answer::Status(status) => {
-            if options.json {
+            if options.member.json {
                 println!("{}", serde_json::to_string(&*status).map_err(|error| error.to_string())?);
             } else {
                 match options.command {
--- a/crates/plovershelf-cli/src/main.rs
+++ b/crates/plovershelf-cli/src/main.rs
@@ -9,6 +9,7 @@
 mod group;
 mod hollow;
 mod load;
+mod member_options;
 mod trial;
 mod zones;
 
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -11,17 +11,15 @@
 use plovershelf_failover::plan::{Plan, Zone, BANDS};
 use plovershelf_failover::planner::{Forecast, Wish};
 
-use crate::group::{ask, Whom};
+use crate::group::ask;
+use crate::member_options::{Member, MemberOptions};
 
 #[derive(Args)]
 pub struct Options {
     #[command(subcommand)]
     command: Command,
     #[command(flatten)]
-    whom: Whom,
-    /// One JSON object instead of tables.
-    #[arg(long, global = true)]
-    json: bool,
+    member: MemberOptions,
 }
 
 #[derive(Subcommand)]
@@ -86,7 +84,7 @@
 
 /// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
 pub fn run(options: &Options) -> Result<u8, String> {
-    let (at, name) = options.whom.at()?;
+    let Member { address: at, cluster: name } = options.member.member()?;
     let by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
     let what = match &options.command {
         Command::Status => Ask::Status,
@@ -99,7 +97,7 @@
     };
     let within = Duration::from_secs(10);
     let told = async_io::block_on(ask_zones(at, &name, &what, within))?;
-    if options.json {
+    if options.member.json {
         println!("{}", serde_json::to_string(&told).map_err(|error| error.to_string())?);
         return Ok(u8::from(matches!(told, Told::Refused(_))));
     }
