--- a/crates/plovershelf-failover/tests/pins.rs
+++ b/crates/plovershelf-failover/tests/pins.rs
@@ -13,6 +13,7 @@
 use serde::Serialize;
 
 const FIXTURE: &str = include_str!("fixtures/failover.txt");
+const JSON_FIXTURE: &str = include_str!("fixtures/failover-json.txt");
 
 fn report() -> Report {
     Report { plan: 11, asked: [1.5, 2.5, 3.5], could: 4.5, in_time: 0.75, ledger_slow: true }
@@ -101,9 +102,32 @@
     assert_eq!(lines(), recorded);
 }
 
+/// What operators' scripts read of `plovershelf zones --json`: names and order of keys are theirs.
+fn json_lines() -> Vec<String> {
+    let told = [
+        Told::Status(Box::new(status())),
+        Told::Forecast(Box::new(forecast())),
+        Told::Done("done".into()),
+        Told::Refused("not here".into()),
+    ];
+    told.iter().map(|told| serde_json::to_string(told).expect("JSON")).collect()
+}
+
 #[test]
-#[ignore = "writes the fixture; done once"]
+fn every_answer_has_the_recorded_json_and_is_read_from_it() {
+    let recorded: Vec<&str> = JSON_FIXTURE.lines().collect();
+    assert_eq!(json_lines(), recorded);
+    for line in recorded {
+        let told: Told = serde_json::from_str(line).expect("an answer");
+        assert_eq!(serde_json::to_string(&told).expect("JSON"), line);
+    }
+}
+
+#[test]
+#[ignore = "writes the fixtures; done once"]
 fn write_fixture() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/failover.txt");
-    std::fs::write(path, lines().join("\n") + "\n").expect("the fixture is written");
+    for (name, lines) in [("failover.txt", lines()), ("failover-json.txt", json_lines())] {
+        let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
+        std::fs::write(path, lines.join("\n") + "\n").expect("the fixture is written");
+    }
 }
