--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_failover::asks::{Ask, Told};
-use plovershelf_failover::guide::Guide;
-use plovershelf_failover::plan::{Topology, Zone, BANDS};
+use plovershelf_failover::messages::{Ask, Told};
 use plovershelf_failover::planner::{shares, Terms};
+use plovershelf_failover::routing_advice::Guide;
+use plovershelf_failover::traffic_plan::{Topology, Zone, BANDS};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
 use plovershelf_testkit::backend::Fleet;
 use plovershelf_testkit::plain::{Asked, Ended, Plain};
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -7,9 +7,9 @@
 use comfy_table::{presets, Table};
 use plovershelf_cluster::status::{Answer, Question};
 use plovershelf_cluster::wire::{decode, encode_payload as plain};
-use plovershelf_failover::asks::{Ask, Status, Told};
-use plovershelf_failover::plan::{Plan, Zone, BANDS};
+use plovershelf_failover::messages::{Ask, Status, Told};
 use plovershelf_failover::planner::{Forecast, Wish};
+use plovershelf_failover::traffic_plan::{Plan, Zone, BANDS};
 
 use crate::group::{ask, Whom};
 
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -5,8 +5,8 @@
 use std::path::PathBuf;
 
 use plovershelf_cluster::NodeConfig;
-use plovershelf_failover::plan::{Topology, Zone, ZONES_MOST};
-use plovershelf_failover::{planner, seen};
+use plovershelf_failover::traffic_plan::{Topology, Zone, ZONES_MOST};
+use plovershelf_failover::{load_reports as seen, planner};
 
 use crate::{Reading, Wrong};
 
@@ -139,7 +139,7 @@
             _ if section.starts_with("way ") => {
                 reading.check_keys(section, told, &["ms"]);
                 let ms =
-                    reading.number(section, told, "ms", [0.0, 60_000.0], plovershelf_failover::plan::FAR_MS);
+                    reading.number(section, told, "ms", [0.0, 60_000.0], plovershelf_failover::traffic_plan::FAR_MS);
                 let ends: Vec<String> =
                     section["way ".len()..].split_whitespace().map(str::to_string).collect();
                 ways.push((section.to_string(), ends, ms));
--- a/crates/plovershelf-failover/benches/plan.rs
+++ b/crates/plovershelf-failover/benches/plan.rs
@@ -1,8 +1,8 @@
 //! A plan for 3 and 30 zones of which a third carries half of what it is asked.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use plovershelf_failover::plan::{Topology, Zone};
 use plovershelf_failover::planner::{shares, Terms};
+use plovershelf_failover::traffic_plan::{Topology, Zone};
 
 fn plan(c: &mut Criterion) {
     for count in [3usize, 30] {
--- a/crates/plovershelf-failover/src/follow.rs
+++ b/crates/plovershelf-failover/src/follower.rs
@@ -9,7 +9,7 @@
 //! | by plan N | a sound plan under a newer number; nothing confirmed for its span: near |
 
 use crate::broken::{self, Broken};
-use crate::plan::{band, Plan};
+use crate::traffic_plan::{band, Plan};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Follower {
--- a/crates/plovershelf-failover/src/seen.rs
+++ b/crates/plovershelf-failover/src/load_reports.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::plan::BANDS;
+use crate::traffic_plan::BANDS;
 
 /// What a member tells of itself once a period. Work is told in cores: core-seconds a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/plovershelf-failover/src/asks.rs
+++ b/crates/plovershelf-failover/src/messages.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::plan::{Plan, Zone};
+use crate::load_reports::{Outside, Report};
 use crate::planner::{Forecast, Wish};
-use crate::seen::{Outside, Report};
+use crate::traffic_plan::{Plan, Zone};
 
 /// A member to the leader, once a period: its own, and what callers told it since.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/plovershelf-failover/src/planner.rs
+++ b/crates/plovershelf-failover/src/planner.rs
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::broken::{self, Broken};
-use crate::flow::{least_cost, NO_WAY};
-use crate::plan::{Plan, Shift, Topology, BANDS};
-use crate::seen::{Seen, Sum};
+use crate::load_reports::{Seen, Sum};
+use crate::min_cost_flow::{least_cost, NO_WAY};
+use crate::traffic_plan::{Plan, Shift, Topology, BANDS};
 
 /// Spans in milliseconds, and shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/plovershelf-failover/src/guide.rs
+++ b/crates/plovershelf-failover/src/routing_advice.rs
@@ -1,12 +1,12 @@
 //! A caller's side: where each call goes, what was seen of zones, and what is told to members that it asks for the plan.
 //!
-//! It opens nothing: whoever uses it asks a member ([`crate::asks::Ask::Outside`] with [`Guide::outside`]), hands the answer to
+//! It opens nothing: whoever uses it asks a member ([`crate::messages::Ask::Outside`] with [`Guide::outside`]), hands the answer to
 //! [`Guide::hear`], and asks again after [`ASK_MS`], near members first and any other when these say nothing.
 
-use crate::asks::Status;
-use crate::follow::Follower;
-use crate::plan::{band, Plan, BANDS};
-use crate::seen::Outside;
+use crate::follower::Follower;
+use crate::load_reports::Outside;
+use crate::messages::Status;
+use crate::traffic_plan::{band, Plan, BANDS};
 
 /// Between two askings, in milliseconds.
 pub const ASK_MS: f64 = 300.0;
--- a/crates/plovershelf-failover/src/guide/tests.rs
+++ b/crates/plovershelf-failover/src/routing_advice/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::plan::Zone;
+use crate::traffic_plan::Zone;
 
 fn status(number: u64, acts: bool, left_ms: f64) -> Status {
     let mut plan = Plan { change: number, ..Plan::near(2) };
--- a/crates/plovershelf-failover/src/plan.rs
+++ b/crates/plovershelf-failover/src/traffic_plan.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::flow::NO_WAY;
+use crate::min_cost_flow::NO_WAY;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Zone {
--- a/crates/plovershelf-failover/tests/checker.rs
+++ b/crates/plovershelf-failover/tests/checker.rs
@@ -5,8 +5,8 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use plovershelf_failover::broken::{set, Broken};
-use plovershelf_failover::follow::Follower;
-use plovershelf_failover::plan::{Plan, BANDS};
+use plovershelf_failover::follower::Follower;
+use plovershelf_failover::traffic_plan::{Plan, BANDS};
 use stateright::{Checker, Model, Property};
 
 const TICK_MS: f64 = 1000.0;
--- a/crates/plovershelf-failover/tests/pins.rs
+++ b/crates/plovershelf-failover/tests/pins.rs
@@ -5,10 +5,10 @@
 
 use std::fmt::Debug;
 
-use plovershelf_failover::asks::{Ask, Say, Status, Told};
-use plovershelf_failover::plan::{Plan, Shift, Zone};
+use plovershelf_failover::load_reports::{Outside, Report};
+use plovershelf_failover::messages::{Ask, Say, Status, Told};
 use plovershelf_failover::planner::{Forecast, Wish};
-use plovershelf_failover::seen::{Outside, Report};
+use plovershelf_failover::traffic_plan::{Plan, Shift, Zone};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/plovershelf-failover/tests/plans.rs
+++ b/crates/plovershelf-failover/tests/plans.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 
 use plovershelf_failover::broken::{set, Broken};
-use plovershelf_failover::flow::{greedy, least_cost, worth, NO_WAY};
-use plovershelf_failover::follow::Follower;
-use plovershelf_failover::plan::{Plan, Topology, Zone};
+use plovershelf_failover::follower::Follower;
+use plovershelf_failover::load_reports::{self as seen, Outside, Report, Seen};
+use plovershelf_failover::min_cost_flow::{greedy, least_cost, worth, NO_WAY};
 use plovershelf_failover::planner::{Planner, Terms, Wish};
-use plovershelf_failover::seen::{self, Outside, Report, Seen};
+use plovershelf_failover::traffic_plan::{Plan, Topology, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/plovershelf-server/src/group/driver_heartbeat.rs
+++ b/crates/plovershelf-server/src/group/driver_heartbeat.rs
@@ -4,7 +4,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use plovershelf_failover::plan::BANDS;
+use plovershelf_failover::traffic_plan::BANDS;
 
 use super::{now_ms, Counted};
 
--- a/crates/plovershelf-server/src/group/zoned.rs
+++ b/crates/plovershelf-server/src/group/zoned.rs
@@ -5,11 +5,11 @@
 use plovershelf_cluster::wire::{decode, encode_payload as plain};
 use plovershelf_cluster::{ClusterNode, NodeId as Id};
 use plovershelf_config::group::Zones as Setup;
-use plovershelf_failover::asks::{Ask, Say, Status, Told, OUTSIDE_MOST};
-use plovershelf_failover::follow::Follower;
-use plovershelf_failover::plan::{Plan, BANDS};
+use plovershelf_failover::follower::Follower;
+use plovershelf_failover::load_reports::{Outside, Report, Seen};
+use plovershelf_failover::messages::{Ask, Say, Status, Told, OUTSIDE_MOST};
 use plovershelf_failover::planner::Planner;
-use plovershelf_failover::seen::{Outside, Report, Seen};
+use plovershelf_failover::traffic_plan::{Plan, BANDS};
 
 use super::DriverHeartbeat;
 
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -12,9 +12,9 @@
 use plovershelf_cluster::wire::{
     decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
 };
-use plovershelf_failover::asks::{Ask, Status as ZonesStatus, Told};
-use plovershelf_failover::plan::Plan as ZonesPlan;
+use plovershelf_failover::messages::{Ask, Status as ZonesStatus, Told};
 use plovershelf_failover::planner::Wish;
+use plovershelf_failover::traffic_plan::Plan as ZonesPlan;
 use plovershelf_simulation::schedule::{Fault, Folder};
 use plovershelf_testkit::backend::{Fleet, Plan};
 use plovershelf_testkit::plain::{Asked, Ended, Plain};
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -12,9 +12,9 @@
 };
 use plovershelf_cluster::wire::{encode_frame, encode_payload, Envelope, NodeMessage, StateDigest, Wire};
 use plovershelf_cluster::{ClusterState, Epoch, NodeConfig, NodeId, View, ViewMember};
-use plovershelf_failover::asks::Say as Report;
+use plovershelf_failover::load_reports::Report as Seen;
+use plovershelf_failover::messages::Say as Report;
 use plovershelf_failover::planner;
-use plovershelf_failover::seen::Report as Seen;
 use plovershelf_replication::copies::{Copies, Message as Copied, Terms as CopiesTerms};
 use plovershelf_replication::placement::Holder;
 use plovershelf_simulation::statistics::Fit;
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -6,10 +6,10 @@
 
 use std::collections::VecDeque;
 
-use plovershelf_failover::follow::Follower;
-use plovershelf_failover::plan::{Plan, Topology, Zone, BANDS};
+use plovershelf_failover::follower::Follower;
+use plovershelf_failover::load_reports::{self as seen, Outside, Report, Seen};
 use plovershelf_failover::planner::{Planner, Terms};
-use plovershelf_failover::seen::{self, Outside, Report, Seen};
+use plovershelf_failover::traffic_plan::{Plan, Topology, Zone, BANDS};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg32;
