--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -8,10 +8,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_failover::messages::{Ask, Told};
-use plovershelf_failover::planner::{shares, Terms};
-use plovershelf_failover::routing_advice::Guide;
-use plovershelf_failover::traffic_plan::{Topology, Zone, BANDS};
+use plovershelf_failover::{
+    locality_weighted_plan, PlannerConfig, Request, Response, RoutingAdvisor, Topology, Zone, ZoneState,
+};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
 use plovershelf_testkit::backend::Fleet;
 use plovershelf_testkit::plain::{Asked, Ended, Plain};
@@ -87,14 +86,14 @@
 
 /// One origin zone's callers: by the plan, and what those that judge alone felt of each zone of late.
 struct Origin {
-    guide: RefCell<Guide>,
+    advisor: RefCell<RoutingAdvisor>,
     felt: RefCell<Vec<[f64; 2]>>,
 }
 
 fn topology() -> Topology {
     let zone =
         |n: usize| Zone { name: format!("z{}", n + 1), region: if n < 3 { "r1" } else { "r2" }.into() };
-    Topology::of((0..ZONES).map(zone).collect())
+    Topology::new((0..ZONES).map(zone).collect())
 }
 
 fn away_at(away: &[(f64, f64, usize)], at: f64, after_ms: f64) -> Vec<usize> {
@@ -123,7 +122,7 @@
     plan.cores = cores::Shape { cores: CORES, ..plan.cores };
     plan.settings = load::settings(CORES, MEMBERS, 24, 40.0, 8.0);
     let zones: String =
-        topology().zones.iter().map(|z| format!("[zone {}]\nregion = {}\n", z.name, z.region)).collect();
+        topology().zones().iter().map(|z| format!("[zone {}]\nregion = {}\n", z.name, z.region)).collect();
     let more = format!("replace_ms = 1500\n\n{zones}[zones]\nwell_ms = 4000\n");
     plan.group = Some(rig::Plan { zones: ZONES, founders: 5, folders: true, more });
     let fleet =
@@ -143,7 +142,7 @@
         let ends = began + schedule.ends_ms() + 6000.0;
         let origin = |zone: usize| {
             Rc::new(Origin {
-                guide: RefCell::new(Guide::new(zone, ZONES, began)),
+                advisor: RefCell::new(RoutingAdvisor::new(zone, ZONES, began)),
                 felt: RefCell::new(vec![[0.0; 2]; ZONES]),
             })
         };
@@ -156,16 +155,17 @@
             let mut chance = Pcg64::seed_from_u64(ground.seed ^ 0x91a);
             while clock.now() < ends && led {
                 for (zone, origin) in origins.iter().enumerate() {
-                    let outside = origin.guide.borrow_mut().outside(clock.now());
+                    let report = origin.advisor.borrow_mut().poll_report(clock.now());
                     let near: Vec<usize> = members_of(zone).collect();
                     let member = match chance.random::<f64>() < 0.5 {
                         true => near[chance.random_range(0..near.len())],
                         false => chance.random_range(0..MEMBERS),
                     };
-                    let what = Ask::Outside { caller: zone as u64 + 1, outside };
-                    let told = ask_zones(asked_at[member], "trial", &what, Duration::from_millis(60)).await;
-                    if let Ok(Told::Status(status)) = told {
-                        origin.guide.borrow_mut().hear(clock.now(), &status);
+                    let request = Request::Advice { caller: zone as u64 + 1, report };
+                    let response =
+                        ask_zones(asked_at[member], "trial", &request, Duration::from_millis(60)).await;
+                    if let Ok(Response::Status(status)) = response {
+                        origin.advisor.borrow_mut().handle_status(clock.now(), &status);
                     }
                 }
                 Timer::after(Duration::from_millis(150)).await;
@@ -180,11 +180,11 @@
                 let at = clock.now() - began;
                 let gone = away_at(away, at, 0.0);
                 for zone in 0..ZONES {
-                    let guide = origins[zone].guide.borrow();
-                    let follower = guide.follower();
+                    let advisor = origins[zone].advisor.borrow();
+                    let follower = advisor.follower();
                     let near = follower
-                        .plan(clock.now())
-                        .map_or(1.0, |plan| plan.part(zone, zone, &[0.6, 0.0, 0.4]));
+                        .active_plan(clock.now())
+                        .map_or(1.0, |plan| plan.share_of_demand(zone, zone, &[0.6, 0.0, 0.4]));
                     if (near - near_was[zone]).abs() > 0.1 {
                         let rises = near > near_was[zone];
                         turns.set(turns.get() + u64::from(was[zone] != Some(rises)));
@@ -199,7 +199,7 @@
                 }
                 let newest = origins
                     .iter()
-                    .map(|o| o.guide.borrow().follower().change(clock.now()))
+                    .map(|o| o.advisor.borrow().follower().revision(clock.now()))
                     .max()
                     .unwrap_or(0);
                 if newest > change && away_at(away, at, 16_000.0).is_empty() && change > 0 {
@@ -248,11 +248,14 @@
                         let now = clock.now();
                         let to = match (turn, led) {
                             (0, true) => {
-                                origin.guide.borrow_mut().first(now, rank, work.work_ms, draw, |_| true)
+                                origin
+                                    .advisor
+                                    .borrow_mut()
+                                    .choose_zone(now, rank, work.work_ms, draw, |_| true)
                             }
                             // Another member of the zone once, then where else the plan sends some.
                             (1, _) => tried.last().copied(),
-                            (_, true) => origin.guide.borrow().again(now, rank, &tried),
+                            (_, true) => origin.advisor.borrow().choose_retry_zone(now, rank, &tried),
                             (_, false) => alone(&origin, from, draw),
                         };
                         let Some(to) = to.filter(|_| clock.now() < due) else { break };
@@ -276,7 +279,7 @@
                         };
                         let ended = futures_lite::future::or(plain.once(member, &asked), late).await;
                         let well = matches!(ended, Ended::Succeeded(_));
-                        origin.guide.borrow_mut().saw(clock.now(), to, ended != Ended::Failed);
+                        origin.advisor.borrow_mut().record_attempt(clock.now(), to, ended != Ended::Failed);
                         let mut felt = origin.felt.borrow_mut();
                         felt[to] = [felt[to][0] * 0.9 + 1.0, felt[to][1] * 0.9 + f64::from(u8::from(!well))];
                         drop(felt);
@@ -327,7 +330,7 @@
     let topology = topology();
     let cores = CORES * MEMBERS as f64 / ZONES as f64;
     let asked = [0.6 * DEMAND * cores, 0.0, 0.4 * DEMAND * cores];
-    let terms = Terms { fill: 1.0, near_fill: 1.0, ..Terms::default() };
+    let config = PlannerConfig { fill_fraction: 1.0, near_fill_fraction: 1.0, ..PlannerConfig::default() };
     let mut kinds: BTreeMap<Vec<usize>, f64> = BTreeMap::new();
     let mut at = 0.0;
     while at < ends {
@@ -335,11 +338,16 @@
         at += 50.0;
     }
     let worth = |gone: &Vec<usize>| {
-        let of: Vec<(f64, [f64; BANDS])> =
-            (0..ZONES).map(|zone| (if gone.contains(&zone) { 0.0 } else { cores }, asked)).collect();
-        let plan = shares(&topology, &terms, &of, &[0.0; ZONES], &[]);
-        let kept =
-            |band: usize| 1.0 - (0..ZONES).map(|zone| plan.cut(zone, band)).sum::<f64>() / ZONES as f64;
+        let state = |zone: usize| ZoneState {
+            capacity: if gone.contains(&zone) { 0.0 } else { cores },
+            demand: asked,
+            largest_member: 0.0,
+        };
+        let zones: Vec<ZoneState> = (0..ZONES).map(state).collect();
+        let plan = locality_weighted_plan(&topology, &config, &zones, &[]);
+        let kept = |band: usize| {
+            1.0 - (0..ZONES).map(|zone| plan.rejected_share(zone, band)).sum::<f64>() / ZONES as f64
+        };
         (0.6 * kept(0) + 4.0 * kept(2)) / 4.6
     };
     kinds.iter().map(|(gone, ms)| worth(gone) * ms).sum::<f64>() / kinds.values().sum::<f64>().max(1.0)
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -7,9 +7,9 @@
 use comfy_table::{presets, Table};
 use plovershelf_cluster::status::{Answer, Question};
 use plovershelf_cluster::wire::{decode, encode_payload as plain};
-use plovershelf_failover::messages::{Ask, Status, Told};
-use plovershelf_failover::planner::{Forecast, Wish};
-use plovershelf_failover::traffic_plan::{Plan, Zone, BANDS};
+use plovershelf_failover::{
+    Forecast, Request, Response, ShiftRequest, Status, TrafficPlan, Zone, ZoneForecast, PRIORITY_BANDS,
+};
 
 use crate::group::{ask, Whom};
 
@@ -75,11 +75,16 @@
 /// Asks one member something of its zones.
 ///
 /// Errors: it can't be asked, or it knows of no zones, in one line.
-pub async fn ask_zones(at: SocketAddr, group: &str, what: &Ask, within: Duration) -> Result<Told, String> {
-    let question = Question::Part { part: "zones".into(), bytes: plain(what) };
+pub async fn ask_zones(
+    at: SocketAddr,
+    group: &str,
+    request: &Request,
+    within: Duration,
+) -> Result<Response, String> {
+    let question = Question::Part { part: "zones".into(), bytes: plain(request) };
     match ask(at, group, question, within).await? {
         Answer::Part(bytes) => decode(&bytes).map_err(|spoilt| format!("{at}: {spoilt}")),
-        Answer::Refused(why) => Ok(Told::Refused(why)),
+        Answer::Refused(why) => Ok(Response::Refused(why)),
         _ => Err(format!("{at}: answered something else")),
     }
 }
@@ -87,32 +92,38 @@
 /// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
 pub fn run(options: &Options) -> Result<u8, String> {
     let (at, name) = options.whom.at()?;
-    let by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
-    let what = match &options.command {
-        Command::Status => Ask::Status,
-        Command::Plan { without } => Ask::Forecast { zones: without.clone() },
-        Command::Shift { zone, for_ms, why, force } => {
-            Ask::Shift(Wish { zone: zone.clone(), for_ms: *for_ms, why: why.clone(), by, forced: *force })
-        }
-        Command::Return { zone } => Ask::Return { zone: zone.clone() },
-        Command::Hold { for_ms } => Ask::Hold { for_ms: *for_ms },
+    let operator = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
+    let request = match &options.command {
+        Command::Status => Request::Status,
+        Command::Plan { without } => Request::Forecast { zones: without.clone() },
+        Command::Shift { zone, for_ms, why, force } => Request::Shift(ShiftRequest {
+            zone: zone.clone(),
+            duration_ms: *for_ms,
+            reason: why.clone(),
+            operator,
+            is_forced: *force,
+        }),
+        Command::Return { zone } => Request::EndShift { zone: zone.clone() },
+        Command::Hold { for_ms } => Request::Hold { duration_ms: *for_ms },
     };
     let within = Duration::from_secs(10);
-    let told = async_io::block_on(ask_zones(at, &name, &what, within))?;
+    let response = async_io::block_on(ask_zones(at, &name, &request, within))?;
     if options.json {
-        println!("{}", serde_json::to_string(&told).map_err(|error| error.to_string())?);
-        return Ok(u8::from(matches!(told, Told::Refused(_))));
+        println!("{}", serde_json::to_string(&response).map_err(|error| error.to_string())?);
+        return Ok(u8::from(matches!(response, Response::Refused(_))));
     }
-    match told {
-        Told::Status(status) => println!("{}", shown(&status)),
-        Told::Forecast(forecast) => {
-            let Told::Status(status) = async_io::block_on(ask_zones(at, &name, &Ask::Status, within))? else {
+    match response {
+        Response::Status(status) => println!("{}", shown(&status)),
+        Response::Forecast(forecast) => {
+            let Response::Status(status) =
+                async_io::block_on(ask_zones(at, &name, &Request::Status, within))?
+            else {
                 return Err(format!("{at}: answered something else"));
             };
             println!("{}\n{}", table(&status.zones, &forecast.plan), full(&status.zones, &forecast));
         }
-        Told::Done(what) => println!("{what}"),
-        Told::Refused(why) => {
+        Response::Done(what) => println!("{what}"),
+        Response::Refused(why) => {
             eprintln!("plovershelf: refused: {why}");
             return Ok(1);
         }
@@ -121,7 +132,7 @@
 }
 
 /// A row a zone and band: what goes where.
-fn table(zones: &[Zone], plan: &Plan) -> Table {
+fn table(zones: &[Zone], plan: &TrafficPlan) -> Table {
     let mut table = Table::new();
     let bands = ["low", "ordinary", "high"];
     let head = ["of", "rank"].map(str::to_string).into_iter();
@@ -130,7 +141,7 @@
         head.chain(zones.iter().map(|zone| format!("to {}", zone.name))).chain(["cut".to_string()]),
     );
     for (from, zone) in zones.iter().enumerate() {
-        for band in (0..BANDS).rev() {
+        for band in (0..PRIORITY_BANDS).rev() {
             let share = |to: usize| match plan.share(from, band, to) {
                 share if share < 0.0005 => String::new(),
                 share => format!("{:.1} %", share * 100.0),
@@ -143,14 +154,15 @@
 }
 
 fn full(zones: &[Zone], forecast: &Forecast) -> String {
-    let line = |(zone, [asked, carried, carries]): (&Zone, &[f64; 3])| {
+    let line = |(zone, forecast): (&Zone, &ZoneForecast)| {
+        let ZoneForecast { demand, carried, capacity } = forecast;
         format!(
-            "{} ({}): asked {asked:.1}, would carry {carried:.1} of {carries:.1} cores",
+            "{} ({}): asked {demand:.1}, would carry {carried:.1} of {capacity:.1} cores",
             zone.name, zone.region
         )
     };
     let mut lines: Vec<String> = zones.iter().zip(&forecast.zones).map(line).collect();
-    lines.push(format!("{:.1} % of all would be cut", forecast.cut * 100.0));
+    lines.push(format!("{:.1} % of all would be cut", forecast.rejected_fraction * 100.0));
     lines.join("\n")
 }
 
@@ -162,12 +174,12 @@
             status.zone,
             status.leader.as_deref().unwrap_or("nobody that is known")
         ),
-        if status.acts {
+        if status.is_active {
             format!(
                 "acts by plan {} ({}), for {:.1} s more",
-                status.plan.change,
-                status.plan.why,
-                status.left_ms / 1000.0
+                status.plan.revision,
+                status.plan.reason,
+                status.remaining_ms / 1000.0
             )
         } else {
             "ACTS BY NO PLAN: all near, what is too much is cut".into()
@@ -178,13 +190,13 @@
         let zone = status.zones.get(shift.zone).map_or("?", |zone| zone.name.as_str());
         lines.push(format!(
             "{zone} is shifted by {} for {:.0} s more: {}",
-            shift.by,
-            shift.left_ms / 1000.0,
-            shift.why
+            shift.operator,
+            shift.remaining_ms / 1000.0,
+            shift.reason
         ));
     }
-    if status.plan.hold_left_ms > 0.0 {
-        lines.push(format!("held as it is for {:.0} s more", status.plan.hold_left_ms / 1000.0));
+    if status.plan.hold_remaining_ms > 0.0 {
+        lines.push(format!("held as it is for {:.0} s more", status.plan.hold_remaining_ms / 1000.0));
     }
     lines.extend(status.forecast.iter().map(|forecast| full(&status.zones, forecast)));
     lines.extend(
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -5,8 +5,9 @@
 use std::path::PathBuf;
 
 use plovershelf_cluster::NodeConfig;
-use plovershelf_failover::traffic_plan::{Topology, Zone, ZONES_MOST};
-use plovershelf_failover::{load_reports as seen, planner};
+use plovershelf_failover::{
+    PlannerConfig, ReportLimits, Topology, Zone, DEFAULT_BETWEEN_REGIONS_MS, MAX_ZONES,
+};
 
 use crate::{Reading, Wrong};
 
@@ -37,8 +38,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zones {
     pub topology: Topology,
-    pub terms: planner::Terms,
-    pub seen: seen::Terms,
+    pub planner: PlannerConfig,
+    pub report_limits: ReportLimits,
 }
 
 const KEYS: [&str; 16] = [
@@ -94,7 +95,7 @@
         zones: None,
         changes: None,
     };
-    let (mut zones, mut ways, mut zone_terms) = (Vec::new(), Vec::new(), planner::Terms::default());
+    let (mut zones, mut ways, mut planner_config) = (Vec::new(), Vec::new(), PlannerConfig::default());
     let mut seen: Vec<&str> = Vec::new();
     for (section, told) in ini.iter() {
         let Some(section) = section else {
@@ -128,7 +129,7 @@
             }
             "zones" => {
                 reading.check_keys(section, told, &ZONES_KEYS);
-                planned(&mut reading, told, &mut zone_terms);
+                read_planner(&mut reading, told, &mut planner_config);
             }
             _ if section.starts_with("zone ") => {
                 reading.check_keys(section, told, &["region"]);
@@ -139,7 +140,7 @@
             _ if section.starts_with("way ") => {
                 reading.check_keys(section, told, &["ms"]);
                 let ms =
-                    reading.number(section, told, "ms", [0.0, 60_000.0], plovershelf_failover::traffic_plan::FAR_MS);
+                    reading.number(section, told, "ms", [0.0, 60_000.0], DEFAULT_BETWEEN_REGIONS_MS);
                 let ends: Vec<String> =
                     section["way ".len()..].split_whitespace().map(str::to_string).collect();
                 ways.push((section.to_string(), ends, ms));
@@ -167,8 +168,8 @@
     }
     group.zones = topology(&mut reading, zones, &ways, &group.zone).map(|topology| Zones {
         topology,
-        terms: zone_terms,
-        seen: seen::Terms::default(),
+        planner: planner_config,
+        report_limits: ReportLimits::default(),
     });
     reading.done(group)
 }
@@ -184,39 +185,41 @@
         ways.iter().for_each(|(section, ..)| reading.say(section, "is told, but no [zone NAME]"));
         return None;
     }
-    if zones.len() > ZONES_MOST {
-        reading.say("zones", &format!("{} zones: {ZONES_MOST} at most", zones.len()));
+    if zones.len() > MAX_ZONES {
+        reading.say("zones", &format!("{} zones: {MAX_ZONES} at most", zones.len()));
         return None;
     }
-    let mut topology = Topology::of(zones);
-    if topology.place(own).is_none() {
+    let mut topology = Topology::new(zones);
+    if topology.index_of(own).is_none() {
         reading.say("group", &format!("zone = {own:?} has no section [zone {own}]"));
     }
     for (section, ends, ms) in ways {
-        match ends.iter().map(|name| topology.place(name)).collect::<Option<Vec<usize>>>().as_deref() {
-            Some([one, other]) if one != other => topology.way(*one, *other, *ms),
+        match ends.iter().map(|name| topology.index_of(name)).collect::<Option<Vec<usize>>>().as_deref() {
+            Some([one, other]) if one != other => topology.set_latency(*one, *other, *ms),
             _ => reading.say(section, "names two zones that have sections of their own"),
         }
     }
     Some(topology)
 }
 
-fn planned(reading: &mut Reading<'_>, told: &ini::Properties, terms: &mut planner::Terms) {
+fn read_planner(reading: &mut Reading<'_>, told: &ini::Properties, config: &mut PlannerConfig) {
     let section = "zones";
     let mut number =
         |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
-    terms.period_ms = number("period_ms", [50.0, 10_000.0], terms.period_ms);
-    terms.valid_ms = number("valid_ms", [500.0, 600_000.0], terms.valid_ms);
-    terms.renew_ms = number("renew_ms", [100.0, 60_000.0], terms.renew_ms.min(terms.valid_ms / 3.0));
-    terms.step_ms = number("step_ms", [50.0, 600_000.0], terms.step_ms);
-    terms.fill = number("fill_percent", [10.0, 100.0], terms.fill * 100.0) / 100.0;
-    terms.near_fill = number("near_fill_percent", [10.0, 100.0], terms.near_fill * 100.0) / 100.0;
-    terms.leave_step = number("leave_percent", [1.0, 100.0], terms.leave_step * 100.0) / 100.0;
-    terms.return_step = number("return_percent", [1.0, 100.0], terms.return_step * 100.0) / 100.0;
-    terms.well_ms = number("well_ms", [0.0, 3_600_000.0], terms.well_ms);
-    terms.well_most_ms = terms.well_most_ms.max(terms.well_ms);
-    terms.way_most_ms = number("way_most_ms", [0.0, 60_000.0], terms.way_most_ms);
-    if terms.renew_ms * 2.0 > terms.valid_ms {
+    config.period_ms = number("period_ms", [50.0, 10_000.0], config.period_ms);
+    config.valid_ms = number("valid_ms", [500.0, 600_000.0], config.valid_ms);
+    config.renew_interval_ms =
+        number("renew_ms", [100.0, 60_000.0], config.renew_interval_ms.min(config.valid_ms / 3.0));
+    config.step_interval_ms = number("step_ms", [50.0, 600_000.0], config.step_interval_ms);
+    config.fill_fraction = number("fill_percent", [10.0, 100.0], config.fill_fraction * 100.0) / 100.0;
+    config.near_fill_fraction =
+        number("near_fill_percent", [10.0, 100.0], config.near_fill_fraction * 100.0) / 100.0;
+    config.leave_step = number("leave_percent", [1.0, 100.0], config.leave_step * 100.0) / 100.0;
+    config.return_step = number("return_percent", [1.0, 100.0], config.return_step * 100.0) / 100.0;
+    config.recovery_wait_ms = number("well_ms", [0.0, 3_600_000.0], config.recovery_wait_ms);
+    config.max_recovery_wait_ms = config.max_recovery_wait_ms.max(config.recovery_wait_ms);
+    config.max_latency_ms = number("way_most_ms", [0.0, 60_000.0], config.max_latency_ms);
+    if config.renew_interval_ms * 2.0 > config.valid_ms {
         reading.say(section, "renew_ms is more than half of valid_ms: one word lost would end the plan");
     }
 }
--- a/crates/plovershelf-config/src/group/tests.rs
+++ b/crates/plovershelf-config/src/group/tests.rs
@@ -18,7 +18,10 @@
         "[zone a]\nregion = north\n[zone b]\nregion = south\n[way a b]\nms = 12\n[zones]\nvalid_ms = 3000\n";
     let group = read("group.ini", &format!("{WELL}{zones}")).expect("a good file");
     let told = group.zones.expect("zones");
-    assert_eq!((told.topology.len(), told.topology.way_ms(1, 0), told.terms.valid_ms), (2, 12.0, 3000.0));
+    assert_eq!(
+        (told.topology.len(), told.topology.latency_ms(1, 0), told.planner.valid_ms),
+        (2, 12.0, 3000.0)
+    );
     let wrong = "[zone b]\n[way b q]\nms = many\n[zones]\nfil = 3\nrenew_ms = 5000\n";
     let wrong = read("g.ini", &format!("{WELL}{wrong}")).expect_err("much").0;
     for what in
--- a/crates/plovershelf-failover/src/broken.rs
+++ b/crates/plovershelf-failover/src/broken.rs
@@ -1,41 +1,37 @@
-//! Variants that break a promise, to show that tests catch them. Built with the feature `broken` alone.
+//! Rules that are broken on purpose, so that tests can show that breaking them is caught. Only with the feature `broken`, which
+//! nothing that serves is built with; set for one thread, so that other tests are not touched.
 
+/// Which rule is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// What a zone receives may fill it to the brim.
+pub enum BrokenRule {
+    /// What a zone receives may fill it completely.
     NoHeadroom,
     /// A zone that is back gets its traffic back at once.
     NoHysteresis,
-    /// An older plan is taken over after a newer one, and none ends by itself.
+    /// An older plan is taken over after a newer one, and none expires.
     PlanWithoutFence,
 }
 
 #[cfg(feature = "broken")]
-mod told {
-    use super::Broken;
-    use std::cell::Cell;
-
-    thread_local! {
-        static NOW: Cell<Option<Broken>> = const { Cell::new(None) };
-    }
+thread_local! {
+    static RULE: std::cell::Cell<Option<BrokenRule>> = const { std::cell::Cell::new(None) };
+}
 
-    /// For this thread alone, so that other tests are not touched.
-    pub fn set(broken: Option<Broken>) {
-        NOW.set(broken);
-    }
+/// Breaks a rule from now on in this thread, or none.
+#[cfg(feature = "broken")]
+pub fn set(rule: Option<BrokenRule>) {
+    RULE.set(rule);
+}
 
-    pub fn is(broken: Broken) -> bool {
-        NOW.get() == Some(broken)
-    }
+/// Whether a rule is broken.
+#[cfg(feature = "broken")]
+pub(crate) fn is(rule: BrokenRule) -> bool {
+    RULE.get() == Some(rule)
 }
 
+/// Whether a rule is broken: never, in what serves.
 #[cfg(not(feature = "broken"))]
-mod told {
-    /// Nothing is broken where it serves.
-    #[inline(always)]
-    pub fn is(_: super::Broken) -> bool {
-        false
-    }
+#[inline(always)]
+pub(crate) fn is(_: BrokenRule) -> bool {
+    false
 }
-
-pub use told::*;
--- a/crates/plovershelf-failover/src/messages.rs
+++ b/crates/plovershelf-failover/src/messages.rs
@@ -1,67 +1,98 @@
-//! What members say to each other of zones, and what callers and operators ask of them.
+//! Messages about zones between members, and of callers and operators to members.
+//!
+//! Variants and fields keep their order on the wire. Names of fields that differ from their serialized form are those that
+//! scripts read of the command's JSON.
 
 use serde::{Deserialize, Serialize};
 
-use crate::load_reports::{Outside, Report};
-use crate::planner::{Forecast, Wish};
-use crate::traffic_plan::{Plan, Zone};
+use crate::caller_reports::CallerReport;
+use crate::load_reports::LoadReport;
+use crate::planner::{Forecast, ShiftRequest};
+use crate::topology::Zone;
+use crate::traffic_plan::TrafficPlan;
 
-/// A member to the leader, once a period: its own, and what callers told it since.
+/// A member to the leader, once a period: its own report, and what callers reported to it since.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Say {
+pub struct MemberReport {
+    /// The name of the member's zone.
     pub zone: String,
-    pub report: Report,
-    pub outside: Vec<(u64, Outside)>,
+    /// Its load.
+    pub load: LoadReport,
+    /// Callers and their reports.
+    pub callers: Vec<(u64, CallerReport)>,
 }
 
-/// Callers a member tells on of; more wait for the next period.
-pub const OUTSIDE_MOST: usize = 64;
+/// Callers whose reports a member passes on in one period; more wait for the next.
+pub const MAX_CALLER_REPORTS: usize = 64;
 
+/// What callers and operators ask of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// By callers and operators alike.
+pub enum Request {
+    /// The status; by callers and operators alike.
     Status,
-    /// A caller tells what it sees, and hears the status.
-    Outside {
+    /// A caller's report, answered by the status.
+    Advice {
+        /// The caller's number.
         caller: u64,
-        outside: Outside,
+        /// What it sees.
+        report: CallerReport,
     },
     /// What a shift of these zones would come to; nothing is done.
     Forecast {
+        /// Names of the zones.
         zones: Vec<String>,
     },
-    /// By operators, on the leader's own machine.
-    Shift(Wish),
-    Return {
+    /// Shifts a zone's traffic elsewhere. This and the next are for operators on the leader's own machine.
+    Shift(ShiftRequest),
+    /// Ends a shift before it expires.
+    EndShift {
+        /// The name of the zone.
         zone: String,
     },
+    /// Keeps the plan as it is for a while.
     Hold {
-        for_ms: f64,
+        /// For how long, in milliseconds.
+        duration_ms: f64,
     },
 }
 
+/// How zones look from one member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
+    /// The member's name.
     pub name: String,
+    /// The name of its zone.
     pub zone: String,
+    /// All zones.
     pub zones: Vec<Zone>,
-    /// The newest plan that this member took over, and whether it acts by it; near otherwise.
-    pub number: u64,
-    pub acts: bool,
-    pub plan: Plan,
-    /// For so long still it holds without being confirmed.
-    pub left_ms: f64,
+    /// The version of the newest plan that it took over.
+    #[serde(rename = "number")]
+    pub version: u64,
+    /// Whether it acts by that plan; all near otherwise.
+    #[serde(rename = "acts")]
+    pub is_active: bool,
+    /// The plan that it acts by.
+    pub plan: TrafficPlan,
+    /// For how long the plan is valid without being confirmed, in milliseconds.
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: f64,
+    /// The leader's name, where it is known.
     pub leader: Option<String>,
     /// Of the leader alone: what the plan comes to.
     pub forecast: Option<Forecast>,
-    /// The last changes, newest last: how long ago, and what it came to.
+    /// The last revisions, newest last: how long ago in milliseconds, and what each came to.
     pub history: Vec<(f64, String)>,
 }
 
+/// A member's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Response {
+    /// To [`Request::Status`] and [`Request::Advice`].
     Status(Box<Status>),
+    /// To [`Request::Forecast`].
     Forecast(Box<Forecast>),
+    /// What was done.
     Done(String),
+    /// Why nothing was done.
     Refused(String),
 }
--- a/crates/plovershelf-failover/src/routing_advice.rs
+++ b/crates/plovershelf-failover/src/routing_advice.rs
@@ -1,98 +1,102 @@
-//! A caller's side: where each call goes, what was seen of zones, and what is told to members that it asks for the plan.
+//! A caller's side: the zone of each call, and what the caller reports to the members that it asks for the plan.
 //!
-//! It opens nothing: whoever uses it asks a member ([`crate::messages::Ask::Outside`] with [`Guide::outside`]), hands the answer to
-//! [`Guide::hear`], and asks again after [`ASK_MS`], near members first and any other when these say nothing.
+//! Nothing is opened here: the caller asks a member ([`Request::Advice`](crate::Request::Advice) with
+//! [`RoutingAdvisor::poll_report`]), passes the answer to [`RoutingAdvisor::handle_status`], and asks again after
+//! [`ADVICE_INTERVAL_MS`], near members first and any other when these do not answer.
 
-use crate::follower::Follower;
-use crate::load_reports::Outside;
+use crate::caller_reports::{AttemptCounts, CallerReport};
+use crate::follower::PlanFollower;
 use crate::messages::Status;
-use crate::traffic_plan::{band, Plan, BANDS};
+use crate::traffic_plan::{priority_band, TrafficPlan, PRIORITY_BANDS};
 
-/// Between two askings, in milliseconds.
-pub const ASK_MS: f64 = 300.0;
-/// What was seen counts for half after so long.
-const HALF_MS: f64 = 1000.0;
+/// Between two requests for advice, in milliseconds.
+pub const ADVICE_INTERVAL_MS: f64 = 300.0;
+/// Half-life of the counts of attempts, in milliseconds.
+const ATTEMPTS_HALF_LIFE_MS: f64 = 1000.0;
 
+/// Routes one origin's calls by the plan, and counts what it sees.
 #[derive(Clone, Debug)]
-pub struct Guide {
-    from: usize,
-    follower: Follower,
-    tried: Vec<[f64; 2]>,
-    away: [f64; BANDS],
-    /// Since when what went away was counted, and when what was seen last faded.
-    away_since: f64,
-    faded_at: f64,
+pub struct RoutingAdvisor {
+    origin: usize,
+    follower: PlanFollower,
+    attempts: Vec<AttemptCounts>,
+    /// Work sent elsewhere or rejected since the last report, in core-milliseconds by band.
+    work_elsewhere_ms: [f64; PRIORITY_BANDS],
+    last_report_ms: f64,
+    last_decay_ms: f64,
 }
 
-impl Guide {
-    /// Of a caller in the zone of that place.
-    pub fn new(from: usize, zones: usize, now: f64) -> Self {
-        Guide {
-            from,
-            follower: Follower::new(zones),
-            tried: vec![[0.0; 2]; zones],
-            away: [0.0; BANDS],
-            away_since: now,
-            faded_at: now,
+impl RoutingAdvisor {
+    /// For callers in the zone of that index.
+    pub fn new(origin: usize, zones: usize, now_ms: f64) -> Self {
+        RoutingAdvisor {
+            origin,
+            follower: PlanFollower::new(zones),
+            attempts: vec![AttemptCounts::default(); zones],
+            work_elsewhere_ms: [0.0; PRIORITY_BANDS],
+            last_report_ms: now_ms,
+            last_decay_ms: now_ms,
         }
     }
 
-    pub fn follower(&self) -> &Follower {
+    /// The plan that is acted by.
+    pub fn follower(&self) -> &PlanFollower {
         &self.follower
     }
 
-    /// Where a call of a rank goes first, by a draw from 0 to 1: a zone, or nothing where it is not worth sending. `bears` says
-    /// whether its due time bears the way to a zone; `work_ms` is what it asks of a core.
-    pub fn first(
+    /// The zone of a call's first attempt, by a draw from 0 to 1; `None` where it is rejected at the origin. `work_ms` is what
+    /// it takes of a core; `is_in_time` says whether its deadline allows the path to a zone.
+    pub fn choose_zone(
         &mut self,
-        now: f64,
-        rank: f64,
+        now_ms: f64,
+        priority: f64,
         work_ms: f64,
         draw: f64,
-        bears: impl Fn(usize) -> bool,
+        is_in_time: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let to = self.follower.choose(now, self.from, rank, draw, bears);
-        if to != Some(self.from) {
-            self.away[band(rank)] += work_ms.max(0.0);
+        let zone = self.follower.choose_zone(now_ms, self.origin, priority, draw, is_in_time);
+        if zone != Some(self.origin) {
+            self.work_elsewhere_ms[priority_band(priority)] += work_ms.max(0.0);
         }
-        to
+        zone
     }
 
-    /// Where it goes after tries at these zones; nothing where the plan sends nothing of it any further.
-    pub fn again(&self, now: f64, rank: f64, tried: &[usize]) -> Option<usize> {
-        self.follower.again(now, self.from, rank, tried)
+    /// The zone of a retry after attempts at these zones; `None` where the plan sends nothing of it any further.
+    pub fn choose_retry_zone(&self, now_ms: f64, priority: f64, tried: &[usize]) -> Option<usize> {
+        self.follower.choose_retry_zone(now_ms, self.origin, priority, tried)
     }
 
-    /// A try came to its end: whether the zone answered at all, be it with a dismissal.
-    pub fn saw(&mut self, now: f64, zone: usize, answered: bool) {
-        self.fade(now);
-        if let Some(tried) = self.tried.get_mut(zone) {
-            *tried = [tried[0] + 1.0, tried[1] + f64::from(u8::from(answered))];
+    /// An attempt ended: whether the zone answered at all, also where it rejected.
+    pub fn record_attempt(&mut self, now_ms: f64, zone: usize, is_answered: bool) {
+        self.decay(now_ms);
+        if let Some(counts) = self.attempts.get_mut(zone) {
+            counts.attempts += 1.0;
+            counts.answered += f64::from(u8::from(is_answered));
         }
     }
 
-    fn fade(&mut self, now: f64) {
-        let part = 0.5f64.powf((now - self.faded_at).max(0.0) / HALF_MS);
-        self.tried.iter_mut().flatten().for_each(|count| *count *= part);
-        self.faded_at = self.faded_at.max(now);
+    /// The report for the member that is asked next. Work sent elsewhere is counted anew from here.
+    pub fn poll_report(&mut self, now_ms: f64) -> CallerReport {
+        self.decay(now_ms);
+        let period_ms = (now_ms - std::mem::replace(&mut self.last_report_ms, now_ms)).max(1.0);
+        let demand_elsewhere = std::mem::take(&mut self.work_elsewhere_ms).map(|ms| ms / period_ms);
+        CallerReport { origin: self.origin, demand_elsewhere, attempts: self.attempts.clone() }
     }
 
-    /// What is told to the member that is asked next; what went away is counted anew from here.
-    pub fn outside(&mut self, now: f64) -> Outside {
-        self.fade(now);
-        let span = (now - std::mem::replace(&mut self.away_since, now)).max(1.0);
-        let away = std::mem::take(&mut self.away).map(|ms| ms / span);
-        Outside { origin: self.from, away, tried: self.tried.clone() }
+    /// A member's answer; returns whether its plan is acted by from now on. It holds no longer than it does at the member, so
+    /// that nobody acts by a plan that the member itself has dropped.
+    pub fn handle_status(&mut self, now_ms: f64, status: &Status) -> bool {
+        let plan = || TrafficPlan { valid_ms: status.remaining_ms, ..status.plan.clone() };
+        status.is_active && self.follower.handle_plan(now_ms, status.version, plan())
     }
 
-    /// A member's answer. It holds no longer than it does there, so nobody acts by a plan that the member itself has let go.
-    pub fn hear(&mut self, now: f64, status: &Status) -> bool {
-        status.acts
-            && self.follower.take(
-                now,
-                status.number,
-                Plan { valid_ms: status.left_ms, ..status.plan.clone() },
-            )
+    fn decay(&mut self, now_ms: f64) {
+        let part = 0.5f64.powf((now_ms - self.last_decay_ms).max(0.0) / ATTEMPTS_HALF_LIFE_MS);
+        for counts in &mut self.attempts {
+            counts.attempts *= part;
+            counts.answered *= part;
+        }
+        self.last_decay_ms = self.last_decay_ms.max(now_ms);
     }
 }
 
--- a/crates/plovershelf-failover/src/routing_advice/tests.rs
+++ b/crates/plovershelf-failover/src/routing_advice/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::traffic_plan::Zone;
+use crate::topology::Zone;
 
-fn status(number: u64, acts: bool, left_ms: f64) -> Status {
-    let mut plan = Plan { change: number, ..Plan::near(2) };
-    (0..BANDS).for_each(|band| plan.shares[band] = vec![0.0, 0.5, 0.5]);
+fn status(version: u64, is_active: bool, remaining_ms: f64) -> Status {
+    let mut plan = TrafficPlan { revision: version, ..TrafficPlan::all_near(2) };
+    (0..PRIORITY_BANDS).for_each(|band| plan.shares[band] = vec![0.0, 0.5, 0.5]);
     let zone = |name: &str| Zone { name: name.into(), region: "r".into() };
     Status {
         name: "n1".into(),
         zone: "a".into(),
         zones: vec![zone("a"), zone("b")],
-        number,
-        acts,
+        version,
+        is_active,
         plan,
-        left_ms,
+        remaining_ms,
         leader: None,
         forecast: None,
         history: Vec::new(),
@@ -20,22 +20,25 @@
 }
 
 #[test]
-fn a_caller_goes_by_what_it_heard_and_tells_what_it_saw() {
-    let mut guide = Guide::new(0, 2, 0.0);
-    assert_eq!(guide.first(0.0, 0.9, 20.0, 0.7, |_| true), Some(0));
-    assert!(!guide.hear(0.0, &status(3, false, 0.0)), "a member that acts by none tells of none");
-    assert!(guide.hear(0.0, &status(3, true, 800.0)));
-    assert_eq!(guide.first(100.0, 0.9, 20.0, 0.2, |_| true), Some(1));
-    assert_eq!(guide.first(100.0, 0.1, 10.0, 0.7, |_| true), None, "cut at its origin");
-    assert_eq!(guide.again(100.0, 0.9, &[1]), None);
-    (0..4).for_each(|n| guide.saw(100.0, 1, n > 0));
-    let told = guide.outside(200.0);
-    assert_eq!((told.origin, told.away), (0, [10.0 / 200.0, 0.0, 20.0 / 200.0]));
-    assert!((told.tried[1][0] - 4.0 * 0.5f64.powf(0.1)).abs() < 1e-9 && told.tried[1][1] < told.tried[1][0]);
-    // What went away was told; what was seen fades.
-    let later = guide.outside(1200.0);
-    assert_eq!(later.away, [0.0; BANDS]);
-    assert!(later.tried[1][0] < 0.6 * told.tried[1][0]);
+fn caller_routes_by_the_plan_that_members_act_by_and_reports_what_it_saw() {
+    let mut advisor = RoutingAdvisor::new(0, 2, 0.0);
+    assert_eq!(advisor.choose_zone(0.0, 0.9, 20.0, 0.7, |_| true), Some(0));
+    assert!(!advisor.handle_status(0.0, &status(3, false, 0.0)), "a member that acts by no plan gives none");
+    assert!(advisor.handle_status(0.0, &status(3, true, 800.0)));
+    assert_eq!(advisor.choose_zone(100.0, 0.9, 20.0, 0.2, |_| true), Some(1));
+    assert_eq!(advisor.choose_zone(100.0, 0.1, 10.0, 0.7, |_| true), None, "rejected at its origin");
+    assert_eq!(advisor.choose_retry_zone(100.0, 0.9, &[1]), None);
+    (0..4).for_each(|n| advisor.record_attempt(100.0, 1, n > 0));
+    let report = advisor.poll_report(200.0);
+    assert_eq!((report.origin, report.demand_elsewhere), (0, [10.0 / 200.0, 0.0, 20.0 / 200.0]));
+    assert!(
+        (report.attempts[1].attempts - 4.0 * 0.5f64.powf(0.1)).abs() < 1e-9
+            && report.attempts[1].answered < report.attempts[1].attempts
+    );
+    // Work sent elsewhere was reported; counts of attempts decay.
+    let later = advisor.poll_report(1200.0);
+    assert_eq!(later.demand_elsewhere, [0.0; PRIORITY_BANDS]);
+    assert!(later.attempts[1].attempts < 0.6 * report.attempts[1].attempts);
     // The member's plan had 800 ms left, so has this one.
-    assert_eq!(guide.first(801.0, 0.9, 1.0, 0.2, |_| true), Some(0));
+    assert_eq!(advisor.choose_zone(801.0, 0.9, 1.0, 0.2, |_| true), Some(0));
 }
--- a/crates/plovershelf-failover/src/traffic_plan.rs
+++ b/crates/plovershelf-failover/src/traffic_plan.rs
@@ -1,219 +1,245 @@
-//! What is agreed on: of each zone's traffic, the shares that stay near, go elsewhere, or are not worth sending anywhere.
+//! The plan that is committed: of each zone's traffic, the shares that stay near, go elsewhere, or are rejected at the origin.
+//!
+//! On the wire rows that are all near are left out, and shares are 16-bit fractions; what rounding leaves goes to the near share.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::min_cost_flow::NO_WAY;
+use crate::topology::MAX_ZONES;
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Zone {
-    pub name: String,
-    pub region: String,
+/// Bands of priority, the lowest first.
+pub const PRIORITY_BANDS: usize = 3;
+
+/// The band of a priority from 0 to 1.
+pub fn priority_band(priority: f64) -> usize {
+    ((priority * PRIORITY_BANDS as f64) as usize).min(PRIORITY_BANDS - 1)
 }
 
-/// The zones and how far they are from each other, in milliseconds one way.
+/// An operator's zonal shift: a zone's traffic goes elsewhere until it expires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Topology {
-    pub zones: Vec<Zone>,
-    way_ms: Vec<Vec<f64>>,
+pub struct ZonalShift {
+    /// The index of the zone.
+    pub zone: usize,
+    /// How long it still lasts, in milliseconds.
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: f64,
+    /// Why, in the operator's words.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// Who set it.
+    #[serde(rename = "by")]
+    pub operator: String,
 }
 
-/// Between zones of one region, and between regions, where no way is told.
-pub const WAY_MS: f64 = 1.0;
-pub const FAR_MS: f64 = 30.0;
-pub const ZONES_MOST: usize = 512;
-
-impl Topology {
-    pub fn of(zones: Vec<Zone>) -> Self {
-        let far = |a: &Zone, b: &Zone| match (a.name == b.name, a.region == b.region) {
-            (true, _) => 0.0,
-            (false, true) => WAY_MS,
-            (false, false) => FAR_MS,
-        };
-        let way_ms = zones.iter().map(|a| zones.iter().map(|b| far(a, b)).collect()).collect();
-        Topology { zones, way_ms }
+/// The shares. A row an origin zone and a band; a column a target zone, then one for what is rejected. Each row sums to 1.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(into = "PackedPlan", try_from = "PackedPlan")]
+pub struct TrafficPlan {
+    /// Goes up by one when anything but the times changes; a plan that is only confirmed keeps it.
+    pub revision: u64,
+    /// The rows, by origin, then by band.
+    pub shares: Vec<Vec<f64>>,
+    /// Zones that nothing is sent to: they carry nothing, or an operator shifted them.
+    pub is_excluded: Vec<bool>,
+    /// Operators' shifts.
+    pub shifts: Vec<ZonalShift>,
+    /// An operator holds the plan as it is for so long still, in milliseconds.
+    pub hold_remaining_ms: f64,
+    /// Who has not had it confirmed for so long, in milliseconds, acts by the safe default.
+    pub valid_ms: f64,
+    /// What it comes to, for people.
+    pub reason: String,
+}
+
+/// Shares that differ from 1, or are below 0, by less are sound.
+const SHARE_TOLERANCE: f64 = 1e-9;
+const ROW_SUM_TOLERANCE: f64 = 1e-6;
+/// Demand below this is none.
+const MIN_DEMAND: f64 = 1e-9;
+
+fn near_row(zones: usize, zone: usize) -> Vec<f64> {
+    (0..=zones).map(|to| if to == zone { 1.0 } else { 0.0 }).collect()
+}
+
+impl TrafficPlan {
+    /// All near: the safe default of who has no plan that is valid.
+    pub fn all_near(zones: usize) -> Self {
+        TrafficPlan {
+            revision: 0,
+            shares: (0..zones * PRIORITY_BANDS).map(|row| near_row(zones, row / PRIORITY_BANDS)).collect(),
+            is_excluded: vec![false; zones],
+            shifts: Vec::new(),
+            hold_remaining_ms: 0.0,
+            valid_ms: f64::INFINITY,
+            reason: "all near".into(),
+        }
     }
 
-    /// A way told for two zones, in both directions.
-    pub fn way(&mut self, one: usize, other: usize, ms: f64) {
-        (self.way_ms[one][other], self.way_ms[other][one]) = (ms, ms);
+    /// How many zones it is for.
+    pub fn zones(&self) -> usize {
+        self.is_excluded.len()
     }
 
-    pub fn way_ms(&self, from: usize, to: usize) -> f64 {
-        self.way_ms.get(from).and_then(|row| row.get(to)).copied().unwrap_or(NO_WAY)
+    /// The share of an origin's band that goes to a zone.
+    pub fn share(&self, origin: usize, band: usize, to: usize) -> f64 {
+        self.shares.get(origin * PRIORITY_BANDS + band).and_then(|row| row.get(to)).copied().unwrap_or(0.0)
     }
 
-    pub fn place(&self, name: &str) -> Option<usize> {
-        self.zones.iter().position(|zone| zone.name == name)
+    /// The share of an origin's band that no zone is asked to carry.
+    pub fn rejected_share(&self, origin: usize, band: usize) -> f64 {
+        self.share(origin, band, self.zones())
     }
 
-    pub fn len(&self) -> usize {
-        self.zones.len()
+    /// The share of all that an origin wants, by bands, that goes to a zone; where it wants nothing, the mean of the bands.
+    pub fn share_of_demand(&self, origin: usize, to: usize, demand: &[f64; PRIORITY_BANDS]) -> f64 {
+        let total: f64 = demand.iter().sum();
+        let weight = |band: usize| {
+            if total > MIN_DEMAND {
+                demand[band] / total
+            } else {
+                1.0 / PRIORITY_BANDS as f64
+            }
+        };
+        (0..PRIORITY_BANDS).map(|band| weight(band) * self.share(origin, band, to)).sum()
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.zones.is_empty()
+    /// The largest difference of one share.
+    pub fn max_difference(&self, other: &TrafficPlan) -> f64 {
+        let pairs = self.shares.iter().flatten().zip(other.shares.iter().flatten());
+        pairs.map(|(a, b)| (a - b).abs()).fold(0.0, f64::max)
     }
-}
 
-/// An operator's word: this zone's traffic goes elsewhere for so long still.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shift {
-    pub zone: usize,
-    pub left_ms: f64,
-    pub why: String,
-    pub by: String,
+    /// Whether it may be acted by at all: rows that sum to 1, and nothing below 0.
+    pub fn is_valid(&self, zones: usize) -> bool {
+        let is_valid_row = |row: &Vec<f64>| {
+            row.len() == zones + 1
+                && row.iter().all(|share| (0.0..=1.0 + SHARE_TOLERANCE).contains(share))
+                && (row.iter().sum::<f64>() - 1.0).abs() < ROW_SUM_TOLERANCE
+        };
+        self.shares.len() == zones * PRIORITY_BANDS
+            && self.is_excluded.len() == zones
+            && self.shares.iter().all(is_valid_row)
+    }
 }
 
-fn near_row(zones: usize, zone: usize) -> Vec<f64> {
-    (0..=zones).map(|to| if to == zone { 1.0 } else { 0.0 }).collect()
+/// Why a plan from the wire was refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum PlanDecodeError {
+    /// More zones than there may be.
+    #[error("{zones} zones: {max} at most", max = MAX_ZONES)]
+    TooManyZones {
+        /// How many it has.
+        zones: usize,
+    },
+    /// A share beyond the zones.
+    #[error("row {row}, column {column} of {zones} zones")]
+    UnknownShare {
+        /// Its row.
+        row: usize,
+        /// Its column.
+        column: usize,
+        /// How many zones there are.
+        zones: usize,
+    },
+    /// Shares of one row beyond all of it.
+    #[error("row {row} has shares beyond all of it")]
+    RowAboveOne {
+        /// The row.
+        row: usize,
+    },
+    /// An excluded zone that does not exist.
+    #[error("no zone {zone} of {zones}")]
+    UnknownZone {
+        /// Its index.
+        zone: u16,
+        /// How many zones there are.
+        zones: usize,
+    },
 }
 
-/// As it travels: rows that are all near are left out, shares stand in parts of 65,535 with near taking what is left of the rounding.
+/// The plan on the wire. Names of fields are what scripts read of the command's JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Packed {
-    change: u64,
+struct PackedPlan {
+    #[serde(rename = "change")]
+    revision: u64,
     zones: u16,
-    /// Row, column, share.
+    /// Row, column, share in parts of [`WHOLE_SHARE`].
     shares: Vec<(u16, u16, u16)>,
-    off: Vec<u16>,
-    shifts: Vec<Shift>,
-    hold_left_ms: f64,
+    #[serde(rename = "off")]
+    excluded: Vec<u16>,
+    shifts: Vec<ZonalShift>,
+    #[serde(rename = "hold_left_ms")]
+    hold_remaining_ms: f64,
     valid_ms: f64,
-    why: String,
+    #[serde(rename = "why")]
+    reason: String,
 }
 
-const WHOLE: f64 = 65_535.0;
+/// A share of 1 on the wire.
+const WHOLE_SHARE: f64 = 65_535.0;
 
-impl From<Plan> for Packed {
-    fn from(plan: Plan) -> Self {
+impl From<TrafficPlan> for PackedPlan {
+    fn from(plan: TrafficPlan) -> Self {
         let zones = plan.zones();
         let mut shares = Vec::new();
-        for (place, row) in plan.shares.iter().enumerate() {
-            if *row != near_row(zones, place / BANDS) {
-                let told = row.iter().enumerate().filter(|(to, share)| **share > 0.0 && *to != place / BANDS);
+        for (index, row) in plan.shares.iter().enumerate() {
+            let near = index / PRIORITY_BANDS;
+            if *row != near_row(zones, near) {
+                let elsewhere = row.iter().enumerate().filter(|(to, share)| **share > 0.0 && *to != near);
                 shares.extend(
-                    told.map(|(to, share)| (place as u16, to as u16, (share * WHOLE).floor() as u16)),
+                    elsewhere
+                        .map(|(to, share)| (index as u16, to as u16, (share * WHOLE_SHARE).floor() as u16)),
                 );
             }
         }
-        let off = (0..zones).filter(|zone| plan.off[*zone]).map(|zone| zone as u16).collect();
-        let Plan { change, shifts, hold_left_ms, valid_ms, why, .. } = plan;
-        Packed { change, zones: zones as u16, shares, off, shifts, hold_left_ms, valid_ms, why }
+        let excluded = (0..zones).filter(|zone| plan.is_excluded[*zone]).map(|zone| zone as u16).collect();
+        let TrafficPlan { revision, shifts, hold_remaining_ms, valid_ms, reason, .. } = plan;
+        let zones = zones as u16;
+        PackedPlan { revision, zones, shares, excluded, shifts, hold_remaining_ms, valid_ms, reason }
     }
 }
 
-impl TryFrom<Packed> for Plan {
-    type Error = String;
+impl TryFrom<PackedPlan> for TrafficPlan {
+    type Error = PlanDecodeError;
 
-    /// Errors: places beyond the zones, shares beyond all of a row.
-    fn try_from(packed: Packed) -> Result<Self, String> {
+    fn try_from(packed: PackedPlan) -> Result<Self, PlanDecodeError> {
         let zones = usize::from(packed.zones);
-        if zones > ZONES_MOST {
-            return Err(format!("{zones} zones: {ZONES_MOST} at most"));
+        if zones > MAX_ZONES {
+            return Err(PlanDecodeError::TooManyZones { zones });
         }
-        let mut plan = Plan::near(zones);
-        for (row, to, share) in packed.shares {
-            let (row, to, share) = (usize::from(row), usize::from(to), f64::from(share) / WHOLE);
-            let near = row / BANDS;
-            let told = plan.shares.get_mut(row).filter(|told| to < told.len() && to != near);
-            let told = told.ok_or_else(|| format!("row {row}, column {to} of {zones} zones"))?;
-            told[to] = share;
-            told[near] -= share;
-            // What rounding left is no share: a zone that is off gets nothing of it.
-            if told[near] < 2.0 * (zones as f64 + 1.0) / WHOLE {
-                told[to] += told[near];
-                told[near] = 0.0;
-            }
-            if told[to] < -1e-9 {
-                return Err(format!("row {row} has shares beyond all of it"));
-            }
+        let mut plan = TrafficPlan::all_near(zones);
+        for (row, column, share) in packed.shares {
+            plan.move_share(usize::from(row), usize::from(column), f64::from(share) / WHOLE_SHARE)?;
         }
-        for zone in packed.off {
-            *plan.off.get_mut(usize::from(zone)).ok_or_else(|| format!("no zone {zone} of {zones}"))? = true;
+        for zone in packed.excluded {
+            let is_excluded = plan.is_excluded.get_mut(usize::from(zone));
+            *is_excluded.ok_or(PlanDecodeError::UnknownZone { zone, zones })? = true;
         }
-        (plan.change, plan.shifts, plan.why) = (packed.change, packed.shifts, packed.why);
-        (plan.hold_left_ms, plan.valid_ms) = (packed.hold_left_ms, packed.valid_ms);
+        (plan.revision, plan.shifts, plan.reason) = (packed.revision, packed.shifts, packed.reason);
+        (plan.hold_remaining_ms, plan.valid_ms) = (packed.hold_remaining_ms, packed.valid_ms);
         Ok(plan)
     }
 }
 
-/// Bands of rank, the lowest first.
-pub const BANDS: usize = 3;
-
-pub fn band(rank: f64) -> usize {
-    ((rank * BANDS as f64) as usize).min(BANDS - 1)
-}
-
-/// The shares. A row an origin zone and a band of rank: a column a target zone, then one for what is cut; each row sums to 1.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(into = "Packed", try_from = "Packed")]
-pub struct Plan {
-    /// Goes up by one when anything but the spans changes; a plan that is only confirmed keeps it.
-    pub change: u64,
-    pub shares: Vec<Vec<f64>>,
-    /// Zones that nothing is sent to, be it that they carry nothing or that an operator shifted them.
-    pub off: Vec<bool>,
-    pub shifts: Vec<Shift>,
-    /// An operator holds it as it is, for so long still.
-    pub hold_left_ms: f64,
-    /// Whoever has not heard of it, or of it confirmed under a newer number, for so long acts by the safe default.
-    pub valid_ms: f64,
-    pub why: String,
-}
-
-impl Plan {
-    /// All near: what each works out alone when it knows of no plan that holds.
-    pub fn near(zones: usize) -> Self {
-        Plan {
-            change: 0,
-            shares: (0..zones * BANDS).map(|row| near_row(zones, row / BANDS)).collect(),
-            off: vec![false; zones],
-            shifts: Vec::new(),
-            hold_left_ms: 0.0,
-            valid_ms: f64::INFINITY,
-            why: "all near".into(),
+impl TrafficPlan {
+    /// Moves a share of a row from near to another column.
+    fn move_share(&mut self, row: usize, column: usize, share: f64) -> Result<(), PlanDecodeError> {
+        let (zones, near) = (self.zones(), row / PRIORITY_BANDS);
+        let shares = self.shares.get_mut(row).filter(|shares| column < shares.len() && column != near);
+        let shares = shares.ok_or(PlanDecodeError::UnknownShare { row, column, zones })?;
+        shares[column] = share;
+        shares[near] -= share;
+        // What rounding left is no share: an excluded zone gets nothing of it.
+        if shares[near] < 2.0 * (zones as f64 + 1.0) / WHOLE_SHARE {
+            shares[column] += shares[near];
+            shares[near] = 0.0;
         }
-    }
-
-    pub fn zones(&self) -> usize {
-        self.off.len()
-    }
-
-    pub fn share(&self, from: usize, band: usize, to: usize) -> f64 {
-        self.shares.get(from * BANDS + band).and_then(|row| row.get(to)).copied().unwrap_or(0.0)
-    }
-
-    /// Of a band of an origin's traffic, what no zone is asked to carry.
-    pub fn cut(&self, from: usize, band: usize) -> f64 {
-        self.share(from, band, self.zones())
-    }
-
-    /// Of all that an origin asks, by bands, the share that goes to a zone; of nothing, the mean of the bands.
-    pub fn part(&self, from: usize, to: usize, asked: &[f64; BANDS]) -> f64 {
-        let all: f64 = asked.iter().sum();
-        let of = |band: usize| if all > 1e-9 { asked[band] / all } else { 1.0 / BANDS as f64 };
-        (0..BANDS).map(|band| of(band) * self.share(from, band, to)).sum()
-    }
-
-    /// The largest difference of one share.
-    pub fn differs(&self, other: &Plan) -> f64 {
-        let pairs = self.shares.iter().flatten().zip(other.shares.iter().flatten());
-        pairs.map(|(a, b)| (a - b).abs()).fold(0.0, f64::max)
-    }
-
-    /// The largest difference of what stays near.
-    pub fn near_differs(&self, other: &Plan) -> f64 {
-        let near = |plan: &Plan, row: usize| plan.share(row / BANDS, row % BANDS, row / BANDS);
-        (0..self.shares.len()).map(|row| (near(self, row) - near(other, row)).abs()).fold(0.0, f64::max)
-    }
-
-    /// Whether it may be acted by at all: rows that sum to 1, nothing below 0, nothing sent where it is off.
-    pub fn is_sound(&self, zones: usize) -> bool {
-        let row = |row: &Vec<f64>| {
-            row.len() == zones + 1
-                && row.iter().all(|share| (0.0..=1.0 + 1e-9).contains(share))
-                && (row.iter().sum::<f64>() - 1.0).abs() < 1e-6
-        };
-        self.shares.len() == zones * BANDS && self.off.len() == zones && self.shares.iter().all(row)
+        if shares[column] < -SHARE_TOLERANCE {
+            return Err(PlanDecodeError::RowAboveOne { row });
+        }
+        Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/plovershelf-failover/tests/checker.rs
+++ b/crates/plovershelf-failover/tests/checker.rs
@@ -4,9 +4,8 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use plovershelf_failover::broken::{set, Broken};
-use plovershelf_failover::follower::Follower;
-use plovershelf_failover::traffic_plan::{Plan, BANDS};
+use plovershelf_failover::broken::{set, BrokenRule};
+use plovershelf_failover::{PlanFollower, TrafficPlan, PRIORITY_BANDS};
 use stateright::{Checker, Model, Property};
 
 const TICK_MS: f64 = 1000.0;
@@ -26,7 +25,7 @@
     tick: u8,
     /// When each number was decided.
     decided: Vec<u8>,
-    followers: Vec<Follower>,
+    followers: Vec<PlanFollower>,
     /// The newest number that each process of a follower took over.
     newest: Vec<u64>,
     news: Vec<(u8, usize)>,
@@ -42,7 +41,7 @@
     }
 
     fn acts(&self, who: usize) -> u64 {
-        self.followers[who].change(self.now())
+        self.followers[who].revision(self.now())
     }
 
     fn now(&self) -> f64 {
@@ -75,12 +74,13 @@
 }
 
 /// Each plan cuts another of two zones off, in turn.
-fn plan(number: u8) -> Plan {
+fn plan(number: u8) -> TrafficPlan {
     let off = usize::from(number) % 2;
-    let mut plan = Plan { change: u64::from(number), valid_ms: VALID_MS, ..Plan::near(2) };
-    plan.off[off] = true;
-    for band in 0..BANDS {
-        let row = &mut plan.shares[off * BANDS + band];
+    let mut plan =
+        TrafficPlan { revision: u64::from(number), valid_ms: VALID_MS, ..TrafficPlan::all_near(2) };
+    plan.is_excluded[off] = true;
+    for band in 0..PRIORITY_BANDS {
+        let row = &mut plan.shares[off * PRIORITY_BANDS + band];
         *row = vec![0.0, 0.0, 0.2];
         row[1 - off] = 0.8;
     }
@@ -95,7 +95,7 @@
         vec![World {
             tick: 0,
             decided: Vec::new(),
-            followers: vec![Follower::new(2); FOLLOWERS],
+            followers: vec![PlanFollower::new(2); FOLLOWERS],
             newest: vec![0; FOLLOWERS],
             news: Vec::new(),
             restarts: self.restarts,
@@ -131,7 +131,7 @@
                     world.news.remove(place);
                 }
                 let now = world.now();
-                if world.followers[to].take(now, u64::from(number), plan(number)) {
+                if world.followers[to].handle_plan(now, u64::from(number), plan(number)) {
                     world.newest[to] = world.newest[to].max(u64::from(number));
                 }
             }
@@ -143,7 +143,7 @@
             }
             Step::Restart(who) => {
                 world.restarts -= 1;
-                world.followers[who] = Follower::new(2);
+                world.followers[who] = PlanFollower::new(2);
                 world.newest[who] = 0;
             }
         }
@@ -165,9 +165,9 @@
             }),
             Property::always("nothing is sent where it is cut off", |_, world: &World| {
                 world.followers.iter().all(|follower| {
-                    let off = follower.plan(world.now()).map(|plan| plan.off.clone());
+                    let off = follower.active_plan(world.now()).map(|plan| plan.is_excluded.clone());
                     let sent =
-                        |from: usize, draw: f64| follower.choose(world.now(), from, 0.5, draw, |_| true);
+                        |from: usize, draw: f64| follower.choose_zone(world.now(), from, 0.5, draw, |_| true);
                     let draws = [0.0, 0.3, 0.7, 0.9, 0.999];
                     off.is_none_or(|off| {
                         (0..2).all(|from| draws.iter().all(|d| sent(from, *d).is_none_or(|to| !off[to])))
@@ -193,7 +193,7 @@
 /// Without numbers as a fence and without an end each of the first two is broken; on this thread alone, so by one step each.
 #[test]
 fn without_its_fence_both_are_broken() {
-    set(Some(Broken::PlanWithoutFence));
+    set(Some(BrokenRule::PlanWithoutFence));
     let model = Plans { decisions: 2, restarts: 0 };
     let steps = [Step::Decide, Step::Decide, Step::Tell(2, false), Step::Tell(0, false)];
     let mut world = model.init_states().remove(0);
--- a/crates/plovershelf-failover/tests/pins.rs
+++ b/crates/plovershelf-failover/tests/pins.rs
@@ -5,40 +5,53 @@
 
 use std::fmt::Debug;
 
-use plovershelf_failover::load_reports::{Outside, Report};
-use plovershelf_failover::messages::{Ask, Say, Status, Told};
-use plovershelf_failover::planner::{Forecast, Wish};
-use plovershelf_failover::traffic_plan::{Plan, Shift, Zone};
+use plovershelf_failover::{
+    AttemptCounts, CallerReport, Forecast, LoadReport, MemberReport, Request, Response, ShiftRequest, Status,
+    TrafficPlan, ZonalShift, Zone, ZoneForecast,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 const FIXTURE: &str = include_str!("fixtures/failover.txt");
 const JSON_FIXTURE: &str = include_str!("fixtures/failover-json.txt");
 
-fn report() -> Report {
-    Report { plan: 11, asked: [1.5, 2.5, 3.5], could: 4.5, in_time: 0.75, ledger_slow: true }
+fn report() -> LoadReport {
+    LoadReport {
+        plan_revision: 11,
+        demand: [1.5, 2.5, 3.5],
+        capacity: 4.5,
+        in_time_fraction: 0.75,
+        is_dependency_slow: true,
+    }
 }
 
-fn outside() -> Outside {
-    Outside { origin: 1, away: [5.5, 6.5, 7.5], tried: vec![[8.0, 7.0], [6.0, 5.0]] }
+fn caller_report() -> CallerReport {
+    let counts = |attempts: f64, answered: f64| AttemptCounts { attempts, answered };
+    let attempts = vec![counts(8.0, 7.0), counts(6.0, 5.0)];
+    CallerReport { origin: 1, demand_elsewhere: [5.5, 6.5, 7.5], attempts }
 }
 
 /// Two zones: a fifth of the lowest band of the first goes to the second, which sends nothing and is off.
-fn plan() -> Plan {
-    let mut plan = Plan::near(2);
+fn plan() -> TrafficPlan {
+    let mut plan = TrafficPlan::all_near(2);
     let part = 13_107.0 / 65_535.0;
     plan.shares[0] = vec![1.0 - part, part, 0.0];
-    plan.off = vec![false, true];
-    plan.change = 21;
-    plan.shifts = vec![Shift { zone: 1, left_ms: 22.5, why: "power".into(), by: "ana".into() }];
-    plan.hold_left_ms = 23.5;
+    plan.is_excluded = vec![false, true];
+    plan.revision = 21;
+    plan.shifts =
+        vec![ZonalShift { zone: 1, remaining_ms: 22.5, reason: "power".into(), operator: "ana".into() }];
+    plan.hold_remaining_ms = 23.5;
     plan.valid_ms = 24.5;
-    plan.why = "east carries less".into();
+    plan.reason = "east carries less".into();
     plan
 }
 
 fn forecast() -> Forecast {
-    Forecast { plan: plan(), zones: vec![[31.0, 32.0, 33.0], [34.0, 35.0, 36.0]], cut: 37.0 }
+    let zones = vec![
+        ZoneForecast { demand: 31.0, carried: 32.0, capacity: 33.0 },
+        ZoneForecast { demand: 34.0, carried: 35.0, capacity: 36.0 },
+    ];
+    Forecast { plan: plan(), zones, rejected_fraction: 37.0 }
 }
 
 fn status() -> Status {
@@ -47,18 +60,24 @@
         name: "n1".into(),
         zone: "east".into(),
         zones: vec![zone("east", "north"), zone("west", "south")],
-        number: 41,
-        acts: true,
+        version: 41,
+        is_active: true,
         plan: plan(),
-        left_ms: 42.5,
+        remaining_ms: 42.5,
         leader: Some("n2".into()),
         forecast: Some(forecast()),
         history: vec![(43.5, "all near".into())],
     }
 }
 
-fn wish() -> Wish {
-    Wish { zone: "west".into(), for_ms: 51.5, why: "cable".into(), by: "ben".into(), forced: true }
+fn shift_request() -> ShiftRequest {
+    ShiftRequest {
+        zone: "west".into(),
+        duration_ms: 51.5,
+        reason: "cable".into(),
+        operator: "ben".into(),
+        is_forced: true,
+    }
 }
 
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> String {
@@ -81,18 +100,22 @@
 fn lines() -> Vec<String> {
     let mut lines = Vec::new();
     let all = &mut lines;
-    pin(all, "load_report", Say { zone: "east".into(), report: report(), outside: vec![(12, outside())] });
+    pin(
+        all,
+        "load_report",
+        MemberReport { zone: "east".into(), load: report(), callers: vec![(12, caller_report())] },
+    );
     pin(all, "plan", plan());
-    pin(all, "ask_status", Ask::Status);
-    pin(all, "ask_outside", Ask::Outside { caller: 61, outside: outside() });
-    pin(all, "ask_forecast", Ask::Forecast { zones: vec!["east".into(), "west".into()] });
-    pin(all, "ask_shift", Ask::Shift(wish()));
-    pin(all, "ask_return", Ask::Return { zone: "west".into() });
-    pin(all, "ask_hold", Ask::Hold { for_ms: 62.5 });
-    pin(all, "told_status", Told::Status(Box::new(status())));
-    pin(all, "told_forecast", Told::Forecast(Box::new(forecast())));
-    pin(all, "told_done", Told::Done("done".into()));
-    pin(all, "told_refused", Told::Refused("not here".into()));
+    pin(all, "ask_status", Request::Status);
+    pin(all, "ask_outside", Request::Advice { caller: 61, report: caller_report() });
+    pin(all, "ask_forecast", Request::Forecast { zones: vec!["east".into(), "west".into()] });
+    pin(all, "ask_shift", Request::Shift(shift_request()));
+    pin(all, "ask_return", Request::EndShift { zone: "west".into() });
+    pin(all, "ask_hold", Request::Hold { duration_ms: 62.5 });
+    pin(all, "told_status", Response::Status(Box::new(status())));
+    pin(all, "told_forecast", Response::Forecast(Box::new(forecast())));
+    pin(all, "told_done", Response::Done("done".into()));
+    pin(all, "told_refused", Response::Refused("not here".into()));
     lines
 }
 
@@ -104,13 +127,13 @@
 
 /// What operators' scripts read of `plovershelf zones --json`: names and order of keys are theirs.
 fn json_lines() -> Vec<String> {
-    let told = [
-        Told::Status(Box::new(status())),
-        Told::Forecast(Box::new(forecast())),
-        Told::Done("done".into()),
-        Told::Refused("not here".into()),
+    let responses = [
+        Response::Status(Box::new(status())),
+        Response::Forecast(Box::new(forecast())),
+        Response::Done("done".into()),
+        Response::Refused("not here".into()),
     ];
-    told.iter().map(|told| serde_json::to_string(told).expect("JSON")).collect()
+    responses.iter().map(|response| serde_json::to_string(response).expect("JSON")).collect()
 }
 
 #[test]
@@ -118,8 +141,8 @@
     let recorded: Vec<&str> = JSON_FIXTURE.lines().collect();
     assert_eq!(json_lines(), recorded);
     for line in recorded {
-        let told: Told = serde_json::from_str(line).expect("an answer");
-        assert_eq!(serde_json::to_string(&told).expect("JSON"), line);
+        let response: Response = serde_json::from_str(line).expect("an answer");
+        assert_eq!(serde_json::to_string(&response).expect("JSON"), line);
     }
 }
 
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -146,8 +146,8 @@
 
     bulkheads: Option<BulkheadState>,
     bulkheads_logged_ms: f64,
-    /// Counted for the cluster's traffic plan.
-    counters: group::Counted,
+    /// Counts for the cluster's traffic plan.
+    counters: group::TrafficCounts,
     runs_since_sample: f64,
     work_ms: f64,
     sampled_ms: f64,
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -219,7 +219,7 @@
         let classes = &self.startup.config.classes;
         let max_value = classes.iter().map(|class| class.value).fold(0.0, f64::max);
         let rank = if max_value > 0.0 { classes[class].value / max_value } else { 0.0 };
-        self.counters.asked[plovershelf_failover::traffic_plan::band(rank)] +=
+        self.counters.demand_ms[plovershelf_failover::priority_band(rank)] +=
             work_hint_ms.unwrap_or(self.work_ms);
     }
 }
--- a/crates/plovershelf-server/src/group.rs
+++ b/crates/plovershelf-server/src/group.rs
@@ -6,15 +6,15 @@
 
 mod copied;
 mod driver_heartbeat;
+mod failover;
 mod notices;
 mod replication_status;
 mod storage;
-mod zoned;
 
 pub use crate::links::now_ms;
 pub use copied::{Asked, Ending, Told};
 pub use driver_heartbeat::DriverHeartbeat;
-pub use zoned::Counted;
+pub use failover::TrafficCounts;
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -119,9 +119,11 @@
         persistent: opened.persistent,
         seed: random_id(),
     };
-    let zoned =
-        setup.zones.clone().map(|zones| zoned::Zoned::new(zones, &setup.zone, now_ms()).map(Box::new));
-    let zoned = zoned.transpose()?;
+    let failover = setup
+        .zones
+        .clone()
+        .map(|zones| failover::FailoverDriver::new(zones, &setup.zone, now_ms()).map(Box::new));
+    let failover = failover.transpose().map_err(|error| error.to_string())?;
     let (inbox, incoming) = async_channel::bounded(INBOX);
     let propose_to = inbox.clone();
     let propose = move |number, bytes| drop(propose_to.try_send(Incoming::Propose { number, bytes }));
@@ -151,7 +153,7 @@
             carrier,
             word: ConsensusState::default(),
             copies,
-            zoned: zoned.map(|zoned| *zoned),
+            failover: failover.map(|failover| *failover),
             node,
             cluster: setup.name.clone(),
             storage,
@@ -177,7 +179,7 @@
     carrier: Option<Sender<config_distribution::Input>>,
     word: ConsensusState,
     copies: Option<copied::Copied>,
-    zoned: Option<zoned::Zoned>,
+    failover: Option<failover::FailoverDriver>,
     /// The cluster's name.
     cluster: String,
     storage: Option<Storage>,
@@ -211,9 +213,9 @@
 
     fn poll_timeout(&self) -> f64 {
         let copies = self.copies.as_ref().map_or(f64::INFINITY, copied::Copied::next_at);
-        let zoned = self.zoned.as_ref().map_or(f64::INFINITY, zoned::Zoned::next_at);
+        let failover = self.failover.as_ref().map_or(f64::INFINITY, failover::FailoverDriver::poll_timeout);
         let own = self.readiness_at_ms.min(self.storage_retry_at_ms.unwrap_or(f64::INFINITY));
-        self.node.poll_timeout().min(copies).min(zoned).min(own)
+        self.node.poll_timeout().min(copies).min(failover).min(own)
     }
 
     fn handle_timeout(&mut self) {
@@ -237,14 +239,14 @@
     }
 
     fn plan_traffic(&mut self, now_ms: f64) {
-        let Some(zoned) = self.zoned.as_mut() else { return };
-        let zoned::Due { say, propose } = zoned.tick(now_ms, &self.heartbeat, &self.node);
-        if let Some((leader, bytes)) = say {
+        let Some(failover) = self.failover.as_mut() else { return };
+        let failover::Due { report, proposal } = failover.handle_timeout(now_ms, &self.heartbeat, &self.node);
+        if let Some((leader, bytes)) = report {
             let from = self.node.node().id;
             self.send_subsystem(leader, Wire::Subsystem { from, to: leader, bytes });
         }
-        if let Some((version, bytes)) = propose {
-            self.node.propose(now_ms, zoned::KEY, version, bytes);
+        if let Some((version, bytes)) = proposal {
+            self.node.propose(now_ms, failover::PLAN_KEY, version, bytes);
         }
     }
 
@@ -293,8 +295,8 @@
             Wire::Answer(_) | Wire::ConfigDistribution { .. } => {}
             Wire::Subsystem { from, to, bytes } => {
                 let own = self.node.node().id;
-                if let Some(zoned) = self.zoned.as_mut().filter(|_| to == own) {
-                    zoned.hear(now_ms, from, &bytes);
+                if let Some(failover) = self.failover.as_mut().filter(|_| to == own) {
+                    failover.handle_report(now_ms, from, &bytes);
                 } else if let Some(copies) = self.copies.as_mut() {
                     copies.hear(now_ms, from, to, &bytes);
                 }
@@ -322,10 +324,10 @@
             Question::Copies | Question::Ticket { .. } => {
                 replication_status::answer(self.copies.as_ref(), &self.node, question)
             }
-            Question::Part { part, bytes } => match (self.zoned.as_mut(), wire::decode(&bytes)) {
-                (Some(zoned), Ok(ask)) if part == zoned::KEY => {
-                    Answer::Part(wire::encode_payload(&zoned.asked(now_ms, ask, is_local, &self.node)))
-                }
+            Question::Part { part, bytes } => match (self.failover.as_mut(), wire::decode(&bytes)) {
+                (Some(failover), Ok(request)) if part == failover::PLAN_KEY => Answer::Part(
+                    wire::encode_payload(&failover.handle_request(now_ms, request, is_local, &self.node)),
+                ),
                 _ => Answer::Refused(format!("nothing here is asked of {part:?}")),
             },
             Question::Brief { names } => Answer::Brief(Box::new(Brief::of(&self.node, &names, now_ms))),
@@ -430,8 +432,8 @@
     }
 
     fn apply_traffic_plan(&mut self) {
-        if let (Some(zoned), Some(value)) = (self.zoned.as_mut(), self.node.value(zoned::KEY)) {
-            zoned.agreed(now_ms(), value.version, &value.bytes);
+        if let (Some(failover), Some(value)) = (self.failover.as_mut(), self.node.value(failover::PLAN_KEY)) {
+            failover.handle_committed(now_ms(), value.version, &value.bytes);
         }
     }
 
--- a/crates/plovershelf-server/src/group/driver_heartbeat.rs
+++ b/crates/plovershelf-server/src/group/driver_heartbeat.rs
@@ -4,9 +4,9 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use plovershelf_failover::traffic_plan::BANDS;
+use plovershelf_failover::PRIORITY_BANDS;
 
-use super::{now_ms, Counted};
+use super::{now_ms, TrafficCounts};
 
 /// The event loop turns at least once a second, so one that has not for longer is stuck.
 const STUCK_MS: f64 = 2000.0;
@@ -19,7 +19,7 @@
     at_ms: AtomicU64,
     ready: AtomicU64,
     /// Bits of f64 figures: cores; answers, and those in time; work asked by bands.
-    figures: [AtomicU64; FIRST_BAND + BANDS],
+    figures: [AtomicU64; FIRST_BAND + PRIORITY_BANDS],
 }
 
 impl DriverHeartbeat {
@@ -30,8 +30,8 @@
     }
 
     /// What the event loop has counted since its start.
-    pub fn record_counts(&self, cores: f64, counted: &Counted) {
-        let figures = [cores, counted.answered, counted.in_time].into_iter().chain(counted.asked);
+    pub fn record_counts(&self, cores: f64, counts: &TrafficCounts) {
+        let figures = [cores, counts.answered, counts.in_time].into_iter().chain(counts.demand_ms);
         for (place, figure) in self.figures.iter().zip(figures) {
             place.store(figure.to_bits(), Ordering::Relaxed);
         }
@@ -45,9 +45,9 @@
         self.figure(0)
     }
 
-    pub(super) fn counted(&self) -> Counted {
-        Counted {
-            asked: std::array::from_fn(|band| self.figure(FIRST_BAND + band)),
+    pub(super) fn traffic_counts(&self) -> TrafficCounts {
+        TrafficCounts {
+            demand_ms: std::array::from_fn(|band| self.figure(FIRST_BAND + band)),
             answered: self.figure(1),
             in_time: self.figure(2),
         }
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -12,9 +12,7 @@
 use plovershelf_cluster::wire::{
     decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
 };
-use plovershelf_failover::messages::{Ask, Status as ZonesStatus, Told};
-use plovershelf_failover::planner::Wish;
-use plovershelf_failover::traffic_plan::Plan as ZonesPlan;
+use plovershelf_failover::{Request, Response, ShiftRequest, Status as ZonesStatus, TrafficPlan};
 use plovershelf_simulation::schedule::{Fault, Folder};
 use plovershelf_testkit::backend::{Fleet, Plan};
 use plovershelf_testkit::plain::{Asked, Ended, Plain};
@@ -250,8 +248,8 @@
     async_io::block_on(executor.run(run));
 }
 
-fn zones(at: SocketAddr, ask_of: &Ask) -> Option<Told> {
-    let question = Question::Part { part: "zones".into(), bytes: plain(ask_of) };
+fn zones(at: SocketAddr, request: &Request) -> Option<Response> {
+    let question = Question::Part { part: "zones".into(), bytes: plain(request) };
     match ask(at, question)? {
         Answer::Part(bytes) => decode(&bytes).ok(),
         _ => None,
@@ -265,11 +263,11 @@
         let at: Vec<SocketAddr> =
             members.iter().map(|m| fleet.rig.as_ref().expect("a group").members[*m].address).collect();
         let all = off_thread(move || {
-            at.into_iter().map(|at| zones(at, &Ask::Status)).collect::<Option<Vec<Told>>>()
+            at.into_iter().map(|at| zones(at, &Request::Status)).collect::<Option<Vec<Response>>>()
         })
         .await;
         let statuses = all.iter().flatten().map(|told| match told {
-            Told::Status(status) => status.acts && holds(status),
+            Response::Status(status) => status.is_active && holds(status),
             _ => false,
         });
         if all.is_some() && statuses.into_iter().all(|holds| holds) {
@@ -302,20 +300,22 @@
         until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
         let near = |status: &ZonesStatus| {
-            !status.plan.off.contains(&true) && status.plan.near_differs(&ZonesPlan::near(3)) < 1e-6
+            !status.plan.is_excluded.contains(&true)
+                && status.plan.max_difference(&TrafficPlan::all_near(3)) < 1e-6
         };
         until_planned("all near", &fleet, &[0, 1, 2], near).await;
         fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, true, 3);
-        until_planned("z2 is off", &fleet, &[0, 2], |status| status.plan.off == [false, true, false]).await;
+        until_planned("z2 is off", &fleet, &[0, 2], |status| status.plan.is_excluded == [false, true, false])
+            .await;
         fleet.fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, false, 3);
         until_planned("z2 is back", &fleet, &[0, 1, 2], near).await;
         let wish = |by: &str| {
-            Ask::Shift(Wish {
+            Request::Shift(ShiftRequest {
                 zone: "z3".into(),
-                for_ms: 60_000.0,
-                why: "work".into(),
-                by: by.into(),
-                forced: false,
+                duration_ms: 60_000.0,
+                reason: "work".into(),
+                operator: by.into(),
+                is_forced: false,
             })
         };
         // Whoever does not lead says who does; the one that leads takes it.
@@ -327,8 +327,8 @@
             for at in at.clone() {
                 let shift = wish("ann");
                 match off_thread(move || zones(at, &shift)).await {
-                    Some(Told::Done(_)) => taken = Some(at),
-                    Some(Told::Refused(why)) => assert!(why.contains("leads"), "{why}"),
+                    Some(Response::Done(_)) => taken = Some(at),
+                    Some(Response::Refused(why)) => assert!(why.contains("leads"), "{why}"),
                     other => assert!(other.is_none(), "{other:?}"),
                 }
                 if taken.is_some() {
@@ -338,14 +338,17 @@
         }
         let leader = taken.expect("one leads");
         until_planned("z3 is shifted", &fleet, &[0, 1, 2], |status| {
-            status.plan.off == [false, false, true] && status.plan.shifts.len() == 1
+            status.plan.is_excluded == [false, false, true] && status.plan.shifts.len() == 1
         })
         .await;
         let second = wish("bob");
         let second = off_thread(move || zones(leader, &second)).await;
-        assert!(matches!(&second, Some(Told::Refused(why)) if why.contains("by ann already")), "{second:?}");
-        let back = off_thread(move || zones(leader, &Ask::Return { zone: "z3".into() })).await;
-        assert!(matches!(back, Some(Told::Done(_))), "{back:?}");
+        assert!(
+            matches!(&second, Some(Response::Refused(why)) if why.contains("by ann already")),
+            "{second:?}"
+        );
+        let back = off_thread(move || zones(leader, &Request::EndShift { zone: "z3".into() })).await;
+        assert!(matches!(back, Some(Response::Done(_))), "{back:?}");
         until_planned("z3 is returned to", &fleet, &[0, 1, 2], |status| {
             near(status) && status.plan.shifts.is_empty()
         })
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -12,9 +12,7 @@
 };
 use plovershelf_cluster::wire::{encode_frame, encode_payload, Envelope, NodeMessage, StateDigest, Wire};
 use plovershelf_cluster::{ClusterState, Epoch, NodeConfig, NodeId, View, ViewMember};
-use plovershelf_failover::load_reports::Report as Seen;
-use plovershelf_failover::messages::Say as Report;
-use plovershelf_failover::planner;
+use plovershelf_failover::{LoadReport, MemberReport, PlannerConfig};
 use plovershelf_replication::copies::{Copies, Message as Copied, Terms as CopiesTerms};
 use plovershelf_replication::placement::Holder;
 use plovershelf_simulation::statistics::Fit;
@@ -194,11 +192,11 @@
     told("leases at the leader", "bytes a second", &over(&|size| (size - 1) as f64 * lease * a_second), at);
     told("leases at the leader", "messages in a second", &over(&|size| (size - 1) as f64 * a_second), at);
 
-    let report = Report { zone: "zone-1".into(), report: Seen::default(), outside: Vec::new() };
+    let report = MemberReport { zone: "zone-1".into(), load: LoadReport::default(), callers: Vec::new() };
     let report =
         encode_frame(&Wire::Subsystem { from: node(1).id, to: node(2).id, bytes: encode_payload(&report) })
             .len() as f64;
-    let a_second = 1000.0 / planner::Terms::default().period_ms;
+    let a_second = 1000.0 / PlannerConfig::default().period_ms;
     println!("zones: a report to the leader | bytes | {report} | {a_second:.2} a second a member");
     told(
         "zones: reports at the leader",
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -6,17 +6,17 @@
 
 use std::collections::VecDeque;
 
-use plovershelf_failover::follower::Follower;
-use plovershelf_failover::load_reports::{self as seen, Outside, Report, Seen};
-use plovershelf_failover::planner::{Planner, Terms};
-use plovershelf_failover::traffic_plan::{Plan, Topology, Zone, BANDS};
+use plovershelf_failover::{
+    locality_weighted_plan, AttemptCounts, CallerReport, LoadReport, LoadReports, PlanFollower, Planner,
+    PlannerConfig, ReportLimits, Topology, TrafficPlan, Zone, ZoneState, PRIORITY_BANDS,
+};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg32;
 
 pub const STEP_MS: f64 = 50.0;
 /// Worth of a core-second by bands of rank, the lowest first, and its part of the demand.
-const RANKS: [(f64, f64); BANDS] = [(1.0, 0.5), (3.0, 0.3), (10.0, 0.2)];
+const RANKS: [(f64, f64); PRIORITY_BANDS] = [(1.0, 0.5), (3.0, 0.3), (10.0, 0.2)];
 /// A refused try costs its zone so much of its work, and comes again so often.
 const READING: f64 = 0.15;
 const AGAIN: f64 = 0.5;
@@ -157,7 +157,7 @@
     pub plan_bytes: u64,
 }
 
-fn banded(cores: f64) -> [f64; BANDS] {
+fn banded(cores: f64) -> [f64; PRIORITY_BANDS] {
     RANKS.map(|(_, part)| part * cores)
 }
 
@@ -182,20 +182,20 @@
     topology: Topology,
     chance: Pcg32,
     now: f64,
-    seen: Seen,
+    reports: LoadReports,
     planner: Planner,
     number: u64,
     /// Plans under way to each crowd, with when they arrive; each crowd's follower.
-    news: Vec<VecDeque<(f64, u64, Plan)>>,
-    followers: Vec<Follower>,
+    news: Vec<VecDeque<(f64, u64, TrafficPlan)>>,
+    followers: Vec<PlanFollower>,
     since_back: Vec<f64>,
     was_there: Vec<bool>,
     /// Work that comes again: when, from where.
-    again: VecDeque<(f64, usize, [f64; BANDS])>,
+    again: VecDeque<(f64, usize, [f64; PRIORITY_BANDS])>,
     /// Of each origin by target: asked of late, refused or unanswered of late.
     felt: Vec<Vec<[f64; 2]>>,
     /// What each origin asks, with what comes again, in cores over a quarter of a second.
-    asked: Vec<[f64; BANDS]>,
+    asked: Vec<[f64; PRIORITY_BANDS]>,
     /// The same, asked and answered at all.
     heard: Vec<Vec<[f64; 2]>>,
     report_at: f64,
@@ -217,17 +217,17 @@
             name: format!("z{}", n + 1),
             region: format!("r{}", n * shape.regions / shape.zones + 1),
         };
-        let topology = Topology::of((0..shape.zones).map(zone).collect());
+        let topology = Topology::new((0..shape.zones).map(zone).collect());
         let count = shape.zones;
         let mut world = World {
             led,
             chance: Pcg32::seed_from_u64(seed),
             now: 0.0,
-            seen: Seen::new(count, seen::Terms::default()),
-            planner: Planner::new(topology.clone(), Terms::default()),
+            reports: LoadReports::new(count, ReportLimits::default()),
+            planner: Planner::new(topology.clone(), PlannerConfig::default()),
             number: 0,
             news: vec![VecDeque::new(); count * CROWDS],
-            followers: vec![Follower::new(count); count * CROWDS],
+            followers: vec![PlanFollower::new(count); count * CROWDS],
             since_back: vec![f64::NEG_INFINITY; count],
             was_there: vec![true; count],
             again: VecDeque::new(),
@@ -329,12 +329,12 @@
         let count = self.count();
         match self.led {
             Led::Plan => (0..count)
-                .flat_map(|from| (0..BANDS).map(move |band| (from, band)))
+                .flat_map(|from| (0..PRIORITY_BANDS).map(move |band| (from, band)))
                 .map(|(from, band)| {
                     let mut row = vec![0.0; count + 1];
                     for crowd in 0..CROWDS {
-                        let plan = self.followers[from * CROWDS + crowd].plan(self.now);
-                        let near = Plan::near(count);
+                        let plan = self.followers[from * CROWDS + crowd].active_plan(self.now);
+                        let near = TrafficPlan::all_near(count);
                         let of = plan.unwrap_or(&near);
                         (0..=count).for_each(|to| row[to] += of.share(from, band, to) / CROWDS as f64);
                     }
@@ -342,15 +342,20 @@
                 })
                 .collect(),
             Led::Best => {
-                let of: Vec<(f64, [f64; BANDS])> =
-                    (0..count).map(|zone| (truth.can[zone], banded(truth.asked[zone]))).collect();
-                let terms = Terms { fill: 1.0, near_fill: 1.0, ..Terms::default() };
-                let mut ways = self.topology.clone();
-                truth.cut.iter().for_each(|(one, other)| ways.way(*one, *other, 1e9));
-                plovershelf_failover::planner::shares(&ways, &terms, &of, &vec![0.0; count], &[]).shares
+                let state = |zone: usize| ZoneState {
+                    capacity: truth.can[zone],
+                    demand: banded(truth.asked[zone]),
+                    largest_member: 0.0,
+                };
+                let zones: Vec<ZoneState> = (0..count).map(state).collect();
+                let config =
+                    PlannerConfig { fill_fraction: 1.0, near_fill_fraction: 1.0, ..PlannerConfig::default() };
+                let mut topology = self.topology.clone();
+                truth.cut.iter().for_each(|(one, other)| topology.set_latency(*one, *other, 1e9));
+                locality_weighted_plan(&topology, &config, &zones, &[]).shares
             }
             Led::Alone | Led::Fixed => {
-                (0..count).flat_map(|from| std::iter::repeat_n(self.alone(from), BANDS)).collect()
+                (0..count).flat_map(|from| std::iter::repeat_n(self.alone(from), PRIORITY_BANDS)).collect()
             }
         }
     }
@@ -368,7 +373,9 @@
         };
         let mut row = vec![0.0; count + 1];
         let mut others: Vec<usize> = (0..count).filter(|to| *to != from).collect();
-        others.sort_by(|a, b| self.topology.way_ms(from, *a).total_cmp(&self.topology.way_ms(from, *b)));
+        others.sort_by(|a, b| {
+            self.topology.latency_ms(from, *a).total_cmp(&self.topology.latency_ms(from, *b))
+        });
         if self.led == Led::Fixed {
             if bad(from) > 0.9 {
                 others.iter().for_each(|to| row[*to] = 0.99 / others.len() as f64);
@@ -399,7 +406,7 @@
         let noise = Normal::new(1.0, 0.05).unwrap_or_else(|_| unreachable!("a spread above 0"));
         // What is asked, by origin and rank: first tries and what comes again.
         let seconds = STEP_MS / 1000.0;
-        let mut work: Vec<[f64; BANDS]> = (0..count)
+        let mut work: Vec<[f64; PRIORITY_BANDS]> = (0..count)
             .map(|from| {
                 let cores = (truth.asked[from] * noise.sample(&mut self.chance)).max(0.0) * seconds;
                 RANKS.map(|(_, part)| cores * part)
@@ -416,16 +423,16 @@
         for (asked, work) in self.asked.iter_mut().zip(&work) {
             asked.iter_mut().zip(work).for_each(|(asked, work)| *asked += (work / seconds - *asked) * 0.2);
         }
-        let mut comes = vec![[0.0; BANDS]; count];
+        let mut comes = vec![[0.0; PRIORITY_BANDS]; count];
         let mut foreign = vec![0.0; count];
         let reaches = |from: usize, to: usize| truth.there[to] && !truth.cut.contains(&(from, to));
         let mut sent = vec![vec![0.0; count]; count];
         for from in 0..count {
             let all: f64 = work[from].iter().sum();
-            let mut lost = [0.0; BANDS];
-            for band in 0..BANDS {
+            let mut lost = [0.0; PRIORITY_BANDS];
+            for band in 0..PRIORITY_BANDS {
                 for to in 0..count {
-                    let part = work[from][band] * shares[from * BANDS + band][to];
+                    let part = work[from][band] * shares[from * PRIORITY_BANDS + band][to];
                     sent[from][to] += part;
                     if reaches(from, to) {
                         comes[to][band] += part;
@@ -466,7 +473,7 @@
             }
         }
         for from in 0..count {
-            let mut back = [0.0; BANDS];
+            let mut back = [0.0; PRIORITY_BANDS];
             for to in 0..count {
                 let failed = if reaches(from, to) { refused[to] } else { 1.0 };
                 let sent = sent[from][to];
@@ -504,43 +511,48 @@
             self.report_at = now + 300.0;
             let per = (self.shape.members / count).max(1);
             for zone in 0..count {
-                let acted = self.followers[zone * CROWDS].plan(now).cloned();
-                let change = acted.as_ref().map_or(0, |plan| plan.change);
+                let acted = self.followers[zone * CROWDS].active_plan(now).cloned();
+                let change = acted.as_ref().map_or(0, |plan| plan.revision);
                 let asked = self.asked[zone];
-                let near: [f64; BANDS] = std::array::from_fn(|band| {
+                let near: [f64; PRIORITY_BANDS] = std::array::from_fn(|band| {
                     acted.as_ref().map_or(1.0, |plan| plan.share(zone, band, zone)) * asked[band]
                 });
-                let away = std::array::from_fn(|band| asked[band] - near[band]);
+                let demand_elsewhere = std::array::from_fn(|band| asked[band] - near[band]);
                 // Tries are counted; here a core-second is ten of them.
-                let tried = self.heard[zone].iter().map(|tries| tries.map(|t| t * 10.0)).collect();
-                self.seen.hear_outside(now, zone as u64, Outside { origin: zone, away, tried });
+                let counts = |[attempts, answered]: &[f64; 2]| AttemptCounts {
+                    attempts: attempts * 10.0,
+                    answered: answered * 10.0,
+                };
+                let attempts = self.heard[zone].iter().map(counts).collect();
+                let report = CallerReport { origin: zone, demand_elsewhere, attempts };
+                self.reports.handle_caller_report(now, zone as u64, report);
                 if !truth.there[zone] {
                     continue;
                 }
                 for member in 0..per {
                     let wobble = 0.9 + 0.2 * self.chance.random::<f64>();
                     let lies = if truth.liar == Some(zone) && member == 0 { 10.0 } else { 1.0 };
-                    let report = Report {
-                        plan: change,
-                        asked: near.map(|near| near / per as f64 * wobble),
-                        could: truth.says[zone] / per as f64 * lies,
-                        in_time: truth.in_time[zone],
-                        ledger_slow: truth.ledger_slow,
+                    let report = LoadReport {
+                        plan_revision: change,
+                        demand: near.map(|near| near / per as f64 * wobble),
+                        capacity: truth.says[zone] / per as f64 * lies,
+                        in_time_fraction: truth.in_time[zone],
+                        is_dependency_slow: truth.ledger_slow,
                     };
-                    self.seen.hear(now, (zone * 10_000 + member) as u64, zone, report);
+                    self.reports.handle_report(now, (zone * 10_000 + member) as u64, zone, report);
                 }
             }
         }
         if now >= self.leader_away_until {
-            if let Some(plan) = self.planner.tick(now, &self.seen) {
+            if let Some(plan) = self.planner.poll_plan(now, &self.reports) {
                 self.number += 1;
-                if plan.change != self.planner.agreed().change {
+                if plan.revision != self.planner.committed().revision {
                     self.came.changes += 1;
-                    self.issued.resize(plan.change as usize + 1, now);
+                    self.issued.resize(plan.revision as usize + 1, now);
                     self.came.needless += u64::from(truth.calm);
                 }
                 self.came.plan_bytes = serde_json::to_string(&plan).map_or(0, |text| text.len() as u64);
-                self.planner.agreed_on(now, &plan);
+                self.planner.handle_committed(now, &plan);
                 for crowd in 0..count * CROWDS {
                     let late = if truth.late_news[crowd / CROWDS] { 6000.0 } else { 0.0 };
                     let way = 20.0 + 400.0 * self.chance.random::<f64>() + late;
@@ -552,7 +564,7 @@
             self.news[crowd].make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
             while self.news[crowd].front().is_some_and(|(at, ..)| *at <= now) {
                 if let Some((_, number, plan)) = self.news[crowd].pop_front() {
-                    self.followers[crowd].take(now, number, plan);
+                    self.followers[crowd].handle_plan(now, number, plan);
                 }
             }
         }
@@ -563,9 +575,9 @@
         let first = self.shape.steps.iter().any(|step| (self.now - step.at_ms).abs() < STEP_MS / 2.0);
         let led_from = !truth.there[0];
         if first && led_from {
-            let agreed = self.planner.agreed().clone();
-            self.planner = Planner::new(self.topology.clone(), Terms::default());
-            self.planner.agreed_on(self.now, &agreed);
+            let committed = self.planner.committed().clone();
+            self.planner = Planner::new(self.topology.clone(), PlannerConfig::default());
+            self.planner.handle_committed(self.now, &committed);
         }
         first && led_from
     }
@@ -573,7 +585,9 @@
     fn judge(&mut self, truth: &Truth, shares: &[Vec<f64>]) {
         let now = self.now;
         for zone in 0..self.count() {
-            let near: f64 = (0..BANDS).map(|band| RANKS[band].1 * shares[zone * BANDS + band][zone]).sum();
+            let near: f64 = (0..PRIORITY_BANDS)
+                .map(|band| RANKS[band].1 * shares[zone * PRIORITY_BANDS + band][zone])
+                .sum();
             if (near - self.near_was[zone]).abs() > 0.05 {
                 let rises = near > self.near_was[zone];
                 if self.rises[zone] != Some(rises) {
@@ -610,7 +624,7 @@
         let late = if self.shape.steps.iter().any(late) { 6000.0 } else { 0.0 };
         let followed_at =
             |change: u64| self.issued.get(change as usize + 1).copied().unwrap_or(f64::INFINITY);
-        let acts = self.followers.iter().map(|follower| follower.change(now)).filter(|change| *change > 0);
+        let acts = self.followers.iter().map(|follower| follower.revision(now)).filter(|change| *change > 0);
         let past = acts.filter(|change| now - followed_at(*change) > BOUND_MS + late).count();
         self.came.two_plans_past_bound += past as u64;
     }
