--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -4,9 +4,9 @@
 pub mod audit;
 pub mod changes;
 pub mod cluster;
-pub mod copies;
 pub mod net;
 pub mod plot;
+pub mod replication;
 pub mod schedule;
 pub mod statistics;
 pub mod zones;
