--- a/crates/plovershelf-failover/tests/plans.rs
+++ b/crates/plovershelf-failover/tests/plans.rs
@@ -1,5 +1,5 @@
-//! Plans: the most is carried by the shortest ways, nobody beyond its room; zones fall, mend and flap; operators shift; older
-//! plans are refused and all end. Each variant that is broken on purpose is caught.
+//! Plans: the most is carried at the least cost, nobody beyond its capacity; zones fall, recover and flap; operators shift; older
+//! plans are refused and all expire. Each rule that is broken on purpose is caught.
 
 use std::collections::BTreeMap;
 
@@ -17,25 +17,25 @@
     Topology::new([("a", "n"), ("b", "n"), ("c", "n"), ("d", "s"), ("e", "s"), ("f", "s")].map(zone).to_vec())
 }
 
-/// Of what is asked a fifth is of high rank, half of low.
+/// By band: a fifth of the demand is of high priority, half of low.
 fn split(cores: f64) -> [f64; 3] {
     [0.5, 0.3, 0.2].map(|part| part * cores)
 }
 
-/// Six zones of four members each, of five cores in all; what is asked and what each could, as told by every member alike.
+/// Six zones of four members each, with five cores a zone; all members of a zone report alike.
 struct Fleet {
     reports: LoadReports,
     planner: Planner,
-    now: f64,
-    asked: [f64; 6],
-    could: [f64; 6],
-    in_time: [f64; 6],
-    ledger_slow: bool,
-    silent: [bool; 6],
+    now_ms: f64,
+    demand: [f64; 6],
+    capacity: [f64; 6],
+    in_time_fraction: [f64; 6],
+    is_dependency_slow: bool,
+    is_silent: [bool; 6],
     number: u64,
     /// Each change of the near share of a zone, with its time.
     moves: Vec<(f64, usize, f64)>,
-    worst_fill: f64,
+    max_fill_fraction: f64,
 }
 
 impl Fleet {
@@ -43,65 +43,66 @@
         Fleet {
             reports: LoadReports::new(6, ReportLimits::default()),
             planner: Planner::new(topology(), PlannerConfig::default()),
-            now: 0.0,
-            asked: [3.0; 6],
-            could: [5.0; 6],
-            in_time: [1.0; 6],
-            ledger_slow: false,
-            silent: [false; 6],
+            now_ms: 0.0,
+            demand: [3.0; 6],
+            capacity: [5.0; 6],
+            in_time_fraction: [1.0; 6],
+            is_dependency_slow: false,
+            is_silent: [false; 6],
             number: 0,
             moves: Vec::new(),
-            worst_fill: 0.0,
+            max_fill_fraction: 0.0,
         }
     }
 
     fn pass(&mut self, ms: f64) {
-        let until = self.now + ms;
-        while self.now < until {
-            self.now += 100.0;
+        let until = self.now_ms + ms;
+        while self.now_ms < until {
+            self.now_ms += 100.0;
             let plan = self.planner.committed().clone();
-            for zone in (0..6).filter(|zone| !self.silent[*zone]) {
+            for zone in (0..6).filter(|zone| !self.is_silent[*zone]) {
                 for member in 0..4u64 {
                     let near = plan.share_of_demand(zone, zone, &split(1.0));
                     let report = LoadReport {
                         plan_revision: plan.revision,
-                        demand: split(self.asked[zone] * near / 4.0),
-                        capacity: self.could[zone] / 4.0,
-                        in_time_fraction: self.in_time[zone],
-                        is_dependency_slow: self.ledger_slow,
+                        demand: split(self.demand[zone] * near / 4.0),
+                        capacity: self.capacity[zone] / 4.0,
+                        in_time_fraction: self.in_time_fraction[zone],
+                        is_dependency_slow: self.is_dependency_slow,
                     };
-                    self.reports.handle_report(self.now, zone as u64 * 4 + member, zone, report);
+                    self.reports.handle_report(self.now_ms, zone as u64 * 4 + member, zone, report);
                 }
             }
             for origin in 0..6 {
                 let demand_elsewhere = std::array::from_fn(|band| {
-                    split(self.asked[origin])[band] * (1.0 - plan.share(origin, band, origin))
+                    split(self.demand[origin])[band] * (1.0 - plan.share(origin, band, origin))
                 });
                 self.reports.handle_caller_report(
-                    self.now,
+                    self.now_ms,
                     origin as u64,
                     CallerReport { origin, demand_elsewhere, attempts: vec![] },
                 );
             }
-            if let Some(next) = self.planner.poll_plan(self.now, &self.reports) {
+            if let Some(next) = self.planner.poll_plan(self.now_ms, &self.reports) {
                 assert!(next.is_valid(6), "{next:?}");
                 self.number += 1;
                 for zone in 0..6 {
                     let near = |plan: &TrafficPlan| plan.share_of_demand(zone, zone, &split(1.0));
                     if (near(&next) - near(&plan)).abs() > 1e-9 {
-                        self.moves.push((self.now, zone, near(&next)));
+                        self.moves.push((self.now_ms, zone, near(&next)));
                     }
                 }
-                self.planner.handle_committed(self.now, &next);
-                // What comes from elsewhere, against what the receiving zone could in truth.
-                for to in (0..6).filter(|to| !self.silent[*to]) {
+                self.planner.handle_committed(self.now_ms, &next);
+                // What comes from elsewhere, against the receiving zone's true capacity.
+                for to in (0..6).filter(|to| !self.is_silent[*to]) {
                     let foreign: f64 = (0..6)
                         .filter(|from| *from != to)
-                        .map(|from| self.asked[from] * next.share_of_demand(from, to, &split(1.0)))
+                        .map(|from| self.demand[from] * next.share_of_demand(from, to, &split(1.0)))
                         .sum();
-                    let near = self.asked[to] * next.share_of_demand(to, to, &split(1.0));
+                    let near = self.demand[to] * next.share_of_demand(to, to, &split(1.0));
                     if foreign > 0.01 {
-                        self.worst_fill = self.worst_fill.max((foreign + near) / self.could[to]);
+                        self.max_fill_fraction =
+                            self.max_fill_fraction.max((foreign + near) / self.capacity[to]);
                     }
                 }
             }
@@ -121,12 +122,14 @@
     assert_eq!(fleet.planner.committed().revision, 0);
 }
 
+/// All members of a zone go silent, and come back. It must be left within a step, its neighbours must keep headroom, and it must
+/// be returned to in steps without turning.
 #[test]
 fn lost_zone_is_left_at_once_for_the_nearest_and_returned_to_in_steps() {
     let mut fleet = Fleet::new();
-    fleet.asked = [2.0; 6];
+    fleet.demand = [2.0; 6];
     fleet.pass(5000.0);
-    fleet.silent[0] = true;
+    fleet.is_silent[0] = true;
     fleet.pass(3000.0);
     let plan = fleet.planner.committed();
     assert!((0..3).all(|band| plan.share(0, band, 0) == 0.0));
@@ -134,9 +137,9 @@
     // Each neighbour has room for more than half of it; they share it, and nothing goes far.
     let part = |to: usize| plan.share_of_demand(0, to, &split(1.0));
     assert!((part(1) - 0.5).abs() < 0.13 && (part(1) + part(2) - 1.0).abs() < 1e-6, "{plan:?}");
-    assert!(fleet.worst_fill <= 0.86, "{}", fleet.worst_fill);
-    let lost_at = fleet.now;
-    fleet.silent[0] = false;
+    assert!(fleet.max_fill_fraction <= 0.86, "{}", fleet.max_fill_fraction);
+    let lost_at = fleet.now_ms;
+    fleet.is_silent[0] = false;
     fleet.pass(30_000.0);
     assert!((fleet.near(0) - 1.0).abs() < 1e-9, "{}", fleet.near(0));
     let back: Vec<f64> =
@@ -145,14 +148,15 @@
     assert!(back.windows(2).all(|pair| pair[1] >= pair[0]), "never forth and back: {back:?}");
 }
 
+/// A zone is lost and back every four seconds. It must not take its traffic back and forth.
 #[test]
 fn flapping_zone_is_left_once_and_returned_to_when_it_is_stable() {
     let mut fleet = Fleet::new();
     fleet.pass(3000.0);
     for _ in 0..8 {
-        fleet.silent[1] = true;
+        fleet.is_silent[1] = true;
         fleet.pass(4000.0);
-        fleet.silent[1] = false;
+        fleet.is_silent[1] = false;
         fleet.pass(4000.0);
     }
     let turns = turns(&fleet.moves, 1);
@@ -174,17 +178,17 @@
 #[test]
 fn late_zone_counts_by_what_it_carries_and_dependency_slow_for_all_moves_nothing() {
     let mut fleet = Fleet::new();
-    fleet.asked = [4.0, 2.0, 2.0, 2.0, 2.0, 2.0];
+    fleet.demand = [4.0, 2.0, 2.0, 2.0, 2.0, 2.0];
     fleet.pass(5000.0);
     assert_eq!(fleet.moves, []);
-    fleet.in_time[0] = 0.6;
+    fleet.in_time_fraction[0] = 0.6;
     fleet.pass(5000.0);
     // It carries 3 of the 4 that it is asked.
     assert!((0.6..0.85).contains(&fleet.near(0)), "{}", fleet.near(0));
     let mut slow = Fleet::new();
-    slow.asked = [4.0; 6];
+    slow.demand = [4.0; 6];
     slow.pass(5000.0);
-    (slow.in_time, slow.ledger_slow) = ([0.5, 0.4, 0.5, 0.6, 0.5, 0.3], true);
+    (slow.in_time_fraction, slow.is_dependency_slow) = ([0.5, 0.4, 0.5, 0.6, 0.5, 0.3], true);
     slow.pass(20_000.0);
     assert_eq!(slow.moves, []);
 }
@@ -215,6 +219,7 @@
     assert!(reports.zone_loads(5000.0).iter().all(|load| load.capacity == 0.0));
 }
 
+/// Callers of a healthy origin get no answer from a zone whose members report that all is well. It must be left.
 #[test]
 fn zone_that_callers_do_not_reach_is_left_though_its_members_report_well() {
     let mut fleet = Fleet::new();
@@ -223,7 +228,7 @@
         let counts = [[0.0, 0.0], [40.0, 0.0], [40.0, 40.0], [40.0, 39.0], [40.0, 40.0], [40.0, 40.0]];
         let attempts = counts.map(|[attempts, answered]| AttemptCounts { attempts, answered }).to_vec();
         let report = CallerReport { origin: 0, demand_elsewhere: [0.0; 3], attempts };
-        fleet.reports.handle_caller_report(fleet.now, 99, report);
+        fleet.reports.handle_caller_report(fleet.now_ms, 99, report);
         fleet.pass(100.0);
     }
     assert!(
@@ -246,23 +251,23 @@
 #[test]
 fn shift_that_the_others_cannot_carry_is_refused_and_an_accepted_one_expires() {
     let mut fleet = Fleet::new();
-    fleet.asked = [4.4; 6];
+    fleet.demand = [4.4; 6];
     fleet.pass(3000.0);
-    let refused = fleet.planner.shift(fleet.now, &fleet.reports, &request("a", 10_000.0, "ann"));
+    let refused = fleet.planner.shift(fleet.now_ms, &fleet.reports, &request("a", 10_000.0, "ann"));
     let refused = refused.expect_err("too full").to_string();
     assert!(refused.contains("can't carry a") && refused.contains("of 5.0 cores"), "{refused}");
     let unknown = fleet
         .planner
-        .shift(fleet.now, &fleet.reports, &request("q", 1.0, "ann"))
+        .shift(fleet.now_ms, &fleet.reports, &request("q", 1.0, "ann"))
         .expect_err("no such zone")
         .to_string();
     assert!(unknown.contains("a, b, c, d, e, f"), "{unknown}");
-    fleet.asked = [2.0; 6];
+    fleet.demand = [2.0; 6];
     fleet.pass(3000.0);
-    fleet.planner.shift(fleet.now, &fleet.reports, &request("a", 10_000.0, "ann")).expect("room");
+    fleet.planner.shift(fleet.now_ms, &fleet.reports, &request("a", 10_000.0, "ann")).expect("room");
     let twice = fleet
         .planner
-        .shift(fleet.now, &fleet.reports, &request("a", 1.0, "bob"))
+        .shift(fleet.now_ms, &fleet.reports, &request("a", 1.0, "bob"))
         .expect_err("ann has it")
         .to_string();
     assert!(twice.contains("shifted by ann already"), "{twice}");
@@ -277,19 +282,20 @@
 fn held_plan_stays_until_the_hold_expires() {
     let mut fleet = Fleet::new();
     fleet.pass(3000.0);
-    fleet.planner.hold(fleet.now, 10_000.0);
-    fleet.silent[0] = true;
+    fleet.planner.hold(fleet.now_ms, 10_000.0);
+    fleet.is_silent[0] = true;
     fleet.pass(8000.0);
     assert_eq!(fleet.near(0), 1.0);
     fleet.pass(6000.0);
     assert_eq!(fleet.near(0), 0.0);
 }
 
+/// One member still acts by an older plan. No further change may be proposed for as long as that plan may be valid.
 #[test]
 fn change_waits_until_the_last_has_reached_all() {
     let mut fleet = Fleet::new();
     fleet.pass(3000.0);
-    fleet.silent[0] = true;
+    fleet.is_silent[0] = true;
     fleet.pass(2000.0);
     let change = fleet.planner.committed().revision;
     assert!(change > 0);
@@ -301,18 +307,19 @@
         in_time_fraction: 1.0,
         is_dependency_slow: false,
     };
-    fleet.silent[1] = true;
-    let before = fleet.now;
-    while fleet.now - before < 4000.0 {
-        fleet.reports.handle_report(fleet.now, 23, 5, late);
-        let next = fleet.planner.poll_plan(fleet.now, &fleet.reports);
+    fleet.is_silent[1] = true;
+    let before = fleet.now_ms;
+    while fleet.now_ms - before < 4000.0 {
+        fleet.reports.handle_report(fleet.now_ms, 23, 5, late);
+        let next = fleet.planner.poll_plan(fleet.now_ms, &fleet.reports);
         assert!(next.is_none_or(|next| next.revision == change));
-        fleet.now += 100.0;
+        fleet.now_ms += 100.0;
     }
     fleet.pass(4000.0);
     assert!(fleet.planner.committed().revision > change);
 }
 
+/// Plans come out of order, malformed, or not at all. Only a newer valid one may be followed, and none beyond its validity.
 #[test]
 fn follower_takes_only_newer_plans_and_falls_back_to_near_without_confirmation() {
     let mut follower = PlanFollower::new(2);
@@ -338,30 +345,30 @@
     assert!(!follower.handle_plan(2000.0, 6, TrafficPlan::all_near(2)), "an older one, also after its end");
 }
 
-/// Half of what can be carried is left: the highest ranks of the lost zone go where the others' lowest would, and what is not worth
-/// sending is cut where it comes from.
+/// Two of three zones of a region are lost. High priorities of the lost zones must go before low ones of the others, and what
+/// fits nowhere must be rejected at its origin.
 #[test]
 fn high_priorities_are_carried_before_low_ones_from_any_origin() {
     let mut fleet = Fleet::new();
-    fleet.asked = [3.6; 6];
+    fleet.demand = [3.6; 6];
     fleet.pass(3000.0);
-    (fleet.silent[0], fleet.silent[1]) = (true, true);
+    (fleet.is_silent[0], fleet.is_silent[1]) = (true, true);
     fleet.pass(8000.0);
     let plan = fleet.planner.committed();
     for zone in [0, 1] {
         assert!(plan.rejected_share(zone, 2) < 0.01, "the highest are carried: {plan:?}");
         assert!(plan.rejected_share(zone, 0) > plan.rejected_share(zone, 1) - 1e-9, "{plan:?}");
     }
-    assert!(fleet.worst_fill <= 0.96, "{}", fleet.worst_fill);
+    assert!(fleet.max_fill_fraction <= 0.96, "{}", fleet.max_fill_fraction);
 }
 
 /// What travels is what was agreed, near to a part in ten thousand, sound, and small where little moves.
 #[test]
 fn plan_is_packed_on_the_wire_and_a_wrong_one_refused() {
     let mut fleet = Fleet::new();
-    fleet.asked = [2.0; 6];
+    fleet.demand = [2.0; 6];
     fleet.pass(3000.0);
-    fleet.silent[0] = true;
+    fleet.is_silent[0] = true;
     fleet.pass(3000.0);
     let plan = fleet.planner.committed().clone();
     let text = serde_json::to_string(&plan).expect("a plan");
@@ -379,18 +386,18 @@
 fn each_broken_rule_is_caught() {
     set(Some(BrokenRule::NoHeadroom));
     let mut fleet = Fleet::new();
-    fleet.asked = [4.0; 6];
+    fleet.demand = [4.0; 6];
     fleet.pass(3000.0);
-    fleet.silent[0] = true;
+    fleet.is_silent[0] = true;
     fleet.pass(4000.0);
-    assert!(fleet.worst_fill > 1.0, "{}", fleet.worst_fill);
+    assert!(fleet.max_fill_fraction > 1.0, "{}", fleet.max_fill_fraction);
     set(Some(BrokenRule::NoHysteresis));
     let mut fleet = Fleet::new();
     fleet.pass(3000.0);
     for _ in 0..8 {
-        fleet.silent[1] = true;
+        fleet.is_silent[1] = true;
         fleet.pass(4000.0);
-        fleet.silent[1] = false;
+        fleet.is_silent[1] = false;
         fleet.pass(4000.0);
     }
     assert!(turns(&fleet.moves, 1) > 6);
@@ -437,7 +444,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Never less carried than by the nearest first, and as much by ways no longer; never more than there is.
+    /// Never less carried than by the nearest first, and as much at no higher cost; never more than there is.
     #[test]
     fn flow_carries_the_most_at_the_least_cost(
         supply in proptest::collection::vec(0u64..500, 1..6),
@@ -460,7 +467,7 @@
         }
         let (ours, theirs) = (units_and_cost(&best, &cost), units_and_cost(&greedy_flow(&supply, &room, &cost), &cost));
         prop_assert!(ours.0 >= theirs.0 && (ours.0 > theirs.0 || ours.1 <= theirs.1 + 1e-6), "{ours:?} {theirs:?}");
-        // No pair of flows could be exchanged for shorter ways, and none that is left has room to go to.
+        // Nothing that is left has a path to free capacity.
         for from in 0..supply.len() {
             let left = supply[from] - best[from].iter().sum::<u64>();
             for to in 0..room.len() {
@@ -488,7 +495,7 @@
         prop_assert_eq!(carried(&both, &[0, 1, 2, 3]), carried(&at_once, &[0, 1, 2, 3]));
     }
 
-    /// Whatever is told, plans are sound and nothing is sent where nothing is carried.
+    /// Any reports give valid plans, and nothing is sent to a zone that is excluded.
     #[test]
     fn any_reports_give_valid_plans(steps in proptest::collection::vec(
         (0u64..30, 0usize..8, proptest::num::f64::ANY, proptest::num::f64::ANY, proptest::num::f64::ANY, 0u32..2000), 1..200),
