--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -146,8 +146,8 @@
 
     bulkheads: Option<BulkheadState>,
     bulkheads_logged_ms: f64,
-    /// Counted for the cluster's traffic plan.
-    counters: cluster::Counted,
+    /// Counts for the cluster's traffic plan.
+    counters: cluster::TrafficCounts,
     runs_since_sample: f64,
     work_ms: f64,
     sampled_ms: f64,
