--- a/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
@@ -163,3 +163,17 @@
     let refusal = AdaptiveBulkheads::new(large, 4, 40, 20).expect_err("too many").to_string();
     assert_eq!(refusal, "the least of all pools add up to 26, and there is room for 20, counted in calls");
 }
+
+/// An operator's file reserves more for a bulkhead than its own maximum, at the start and by a reload. It must be refused with a
+/// text that names both, and a reload must change nothing. It panics: the limits are built before the capacities are checked.
+#[test]
+fn reservation_above_its_own_maximum_is_refused_at_start_and_reload() {
+    let mut above = plan();
+    (above.bulkheads[0].reserved_runs, above.bulkheads[0].max_runs) = (10, 5);
+    let refusal = "[pool cheap] least 10 is above most 5: at most 5, counted in runs";
+    let at_start = AdaptiveBulkheads::new(above.clone(), 4, 40, 20).expect_err("above its maximum");
+    assert_eq!(at_start.to_string(), refusal);
+    let mut bulkheads = bulkheads();
+    assert_eq!(bulkheads.replace(above).expect_err("above its maximum").to_string(), refusal);
+    assert_eq!(bulkheads.replace(plan()), Ok(()));
+}
