--- a/crates/plovershelf-cluster/src/consensus/leader.rs
+++ b/crates/plovershelf-cluster/src/consensus/leader.rs
@@ -83,15 +83,14 @@
     }
 
     /// What each follower is to be sent now.
-    pub(super) fn messages<S: StateMachine>(
-        &mut self,
-        log: &ReplicatedLog<S>,
+    pub(super) fn messages<'a, S: StateMachine>(
+        &'a mut self,
+        log: &'a ReplicatedLog<S>,
         now_ms: f64,
         mode: SendMode,
-    ) -> Vec<(NodeId, Message<S>)> {
+    ) -> impl Iterator<Item = (NodeId, Message<S>)> + 'a {
         let followers = self.tracker.track(self.own, log.voters(), log.last().index);
-        let message = |id| Some((id, self.message(id, log, now_ms, mode)?));
-        followers.into_iter().filter_map(message).collect()
+        followers.into_iter().filter_map(move |id| Some((id, self.message(id, log, now_ms, mode)?)))
     }
 
     /// What one follower is to be sent now.
--- a/crates/plovershelf-cluster/src/consensus/raft.rs
+++ b/crates/plovershelf-cluster/src/consensus/raft.rs
@@ -480,8 +480,7 @@
     }
 
     fn send_to_all(&mut self, mode: SendMode) {
-        let messages = self.leadership.messages(&self.log, self.now_ms, mode);
-        self.send.extend(messages);
+        self.send.extend(self.leadership.messages(&self.log, self.now_ms, mode));
     }
 
     fn handle_append_response(&mut self, term: Term, answer: &AppendAnswer) {
