--- a/crates/plovershelf-client/src/caller/attempt_planner.rs
+++ b/crates/plovershelf-client/src/caller/attempt_planner.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// When a first attempt that is sent now is hedged; `None` where it is not.
+    /// When an attempt that is sent now and is alone in flight is hedged; `None` where it is not.
     pub(super) fn hedge_at_ms(&self, context: &Context, class: ClassId) -> Option<f64> {
         context.config.hedge_percentile?;
         self.classes.hedge_delay_ms(class).map(|delay_ms| context.now_ms + delay_ms)
--- a/crates/plovershelf-client/src/caller/call.rs
+++ b/crates/plovershelf-client/src/caller/call.rs
@@ -338,10 +338,6 @@
         self.calls.get_mut(&id)
     }
 
-    pub(super) fn contains(&self, id: CallId) -> bool {
-        self.calls.contains_key(&id)
-    }
-
     pub(super) fn ids(&self) -> Vec<CallId> {
         self.calls.keys().copied().collect()
     }
--- a/crates/plovershelf-client/src/caller/connection_manager.rs
+++ b/crates/plovershelf-client/src/caller/connection_manager.rs
@@ -1,7 +1,8 @@
 //! Endpoints and connections together: which endpoint an attempt goes to, which connections are made, kept and closed, and
 //! what an end or an answer means for the endpoint. Calls appear here by their ids alone.
 //!
-//! Losses of attempts are handed back; whether they are retried is decided by the [`Caller`](super::Caller).
+//! Losses of attempts are handed back; whether they are retried is decided by the
+//! [`Dispatcher`](super::dispatcher::Dispatcher).
 
 use std::net::SocketAddr;
 
@@ -230,10 +231,9 @@
 
     /// Whether there was such a connection in the making.
     pub(super) fn handle_connected(&mut self, context: &mut Context, id: ConnectionId) -> bool {
-        if !self.pool.has_state(id, ConnectionState::Connecting) {
-            return false;
-        }
-        let Some(connection) = self.pool.get_mut(id) else { return false };
+        let connection = self.pool.get_mut(id);
+        let connecting = connection.filter(|connection| connection.state() == ConnectionState::Connecting);
+        let Some(connection) = connecting else { return false };
         connection.established(context.now_ms);
         let endpoint = self.endpoints.get(connection.endpoint());
         if endpoint.is_some_and(|endpoint| endpoint.losses > 0 || !endpoint.breaker.is_closed()) {
--- a/crates/plovershelf-client/src/caller/connection_pool.rs
+++ b/crates/plovershelf-client/src/caller/connection_pool.rs
@@ -57,8 +57,8 @@
     /// Whether a connection to the endpoint is being made or proves itself.
     pub(super) fn is_connecting(&self, endpoint: &Endpoint) -> bool {
         let unready = [ConnectionState::Connecting, ConnectionState::Proving];
-        let connections = endpoint.connections.iter().filter_map(|id| self.get(*id));
-        connections.into_iter().any(|connection| unready.contains(&connection.state()))
+        let mut connections = endpoint.connections.iter().filter_map(|id| self.get(*id));
+        connections.any(|connection| unready.contains(&connection.state()))
     }
 
     pub(super) fn is_connected(&self, endpoint: &Endpoint) -> bool {
@@ -73,7 +73,8 @@
     }
 
     pub(super) fn capacity(&self, endpoint: &Endpoint, config: &ClientConfig) -> Capacity {
-        if self.least_loaded(endpoint, config).is_some() {
+        let mut connections = endpoint.connections.iter().filter_map(|id| self.get(*id));
+        if connections.any(|connection| connection.has_capacity(config)) {
             Capacity::Available
         } else if endpoint.connections.len() < config.max_connections_per_endpoint
             || self.is_connecting(endpoint)
--- a/crates/plovershelf-client/src/caller/dispatcher.rs
+++ b/crates/plovershelf-client/src/caller/dispatcher.rs
@@ -251,11 +251,7 @@
             return Placement::Settled;
         }
         self.connections.connect(context, endpoint);
-        if self.calls.contains(id) {
-            Placement::StillReady
-        } else {
-            Placement::Settled
-        }
+        Placement::StillReady
     }
 
     fn wait_for_any_endpoint(&mut self, context: &mut Context, id: CallId) -> Placement {
--- a/crates/plovershelf-client/src/caller/latency.rs
+++ b/crates/plovershelf-client/src/caller/latency.rs
@@ -79,7 +79,7 @@
 }
 
 impl MovingAverage {
-    /// One new time counts for this part of the average.
+    /// A new time counts for one part in this many of the average.
     const LOOK_BACK_COUNT: f64 = 16.0;
 
     pub(super) fn record(&mut self, took_ms: f64) {
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -15,10 +15,10 @@
 //! | `attempt_planner` | the classes and the retry budget | whether an attempt is worth sending |
 //! | `request_class`, `latency` | latency of each class | whether an attempt can end in time; when a call is hedged |
 //! | `connection_manager` | endpoints and connections | which connections are made, kept and closed |
-//! | `endpoint_set` | endpoints, usual latency | what an answer means for its endpoint |
+//! | `endpoint_set` | endpoints | what an answer means for its endpoint |
 //! | `lost_attempt` | | whether an attempt on a connection that ended may have run |
 //! | `connection`, `connection_pool` | one connection; all of them | which connection takes an attempt; when it is probed |
-//! | `balancer`, `subset` | | which endpoint an attempt goes to; which endpoints are talked to at all |
+//! | `balancer`, `subset` | usual latency | which endpoint an attempt goes to; which endpoints are talked to at all |
 //! | `endpoint`, `backpressure` | what is known of an endpoint; its signals | whether its signals keep a call away |
 //! | `circuit_breaker` | recent failures of an endpoint | whether it is ejected, and how it comes back |
 //! | `reconnect` | lost endpoints | when an endpoint is connected to again |
@@ -61,6 +61,7 @@
 
 /// Lost endpoints are connected to again by themselves if there was a call within this time.
 const ACTIVE_MS: f64 = 10_000.0;
+
 /// The client's state machine.
 #[derive(Debug)]
 pub struct Caller {
--- a/crates/plovershelf-client/src/caller/reconnect.rs
+++ b/crates/plovershelf-client/src/caller/reconnect.rs
@@ -20,7 +20,7 @@
 /// The place in the spread moves on by the golden ratio with each loss of all endpoints.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_75;
 /// Doublings of the backoff, before the bound, at most.
-const MAX_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 7;
 /// The other endpoints follow the first one within this part of the spread.
 const FOLLOWERS_SPREAD_FRACTION: f64 = 0.25;
 
@@ -152,7 +152,7 @@
 }
 
 fn jittered_backoff_ms(context: &mut Context, losses: u32) -> f64 {
-    let doublings = losses.min(MAX_DOUBLINGS).saturating_sub(1);
+    let doublings = losses.saturating_sub(1).min(MAX_DOUBLINGS);
     let doubled_ms = context.config.reconnect_spread_ms.max(1.0) * f64::from(1u32 << doublings);
     doubled_ms.min(context.config.max_reconnect_backoff_ms) * context.random.random::<f64>()
 }
--- a/crates/plovershelf-client/src/caller/request_class.rs
+++ b/crates/plovershelf-client/src/caller/request_class.rs
@@ -100,7 +100,7 @@
         AttemptTime { timeout_ms: left_ms - round_trip_ms, is_sufficient }
     }
 
-    /// How long a first attempt is waited for before it is hedged; `None` while nothing is known.
+    /// How long an attempt that is alone in flight is waited for before it is hedged; `None` while nothing is known.
     pub(super) fn hedge_delay_ms(&self, id: ClassId) -> Option<f64> {
         self.classes[id.0].slow.value().map(|slow_ms| slow_ms.max(MIN_HEDGE_DELAY_MS))
     }
--- a/crates/plovershelf-client/src/caller/retry_budget.rs
+++ b/crates/plovershelf-client/src/caller/retry_budget.rs
@@ -3,7 +3,7 @@
 //! Inputs: first attempts and retries, with their times in milliseconds.
 //!
 //! Rule: in any second, retries are at most a fraction of the first attempts in it, rounded up or down by a draw; and one is
-//! allowed in any case where there was none for a long interval.
+//! allowed where there was none for a long interval, unless the fraction is 0.
 //!
 //! Why: retries must not add to an overload. The budget looks back on one second instead of saving tokens, because a fleet whose
 //! clients each saved one through a calm period would spend them all in the same second, the one in which the trouble begins. The
--- a/crates/plovershelf-client/src/caller/retry_policy.rs
+++ b/crates/plovershelf-client/src/caller/retry_policy.rs
@@ -11,14 +11,15 @@
 //! Why: an endpoint knows the idempotency keys that it has run, not those of others. Without this table a lost connection would
 //! have non-idempotent work run twice.
 //!
-//! A call passes these gates in this order, and the first that is closed ends it:
+//! After an attempt that gave no result, these are asked in this order:
 //!
 //! 1. A lost attempt: was it read at all? (`lost_attempt`)
 //! 2. A rejection: is it final? (`is_final_rejection`)
 //! 3. The table above (`retry_decision`), called by `call`, which avoids the endpoints tried before. One attempt that was never read
 //!    is sent again without a withdrawal from the budget.
 //! 4. Is there a retry left? (`retry_budget`)
-//! 5. Is there an endpoint, and time enough for its answer? (`attempt_planner`)
+//! 5. Is there time enough for an answer (`attempt_planner`), and an endpoint that takes it (`balancer`)? Without an endpoint it waits
+//!    while its deadline allows.
 
 use plovershelf::api::Idempotency;
 
--- a/crates/plovershelf-client/src/config.rs
+++ b/crates/plovershelf-client/src/config.rs
@@ -5,8 +5,8 @@
 /// Settings of one client. Times are milliseconds. [`ClientConfig::validate`] checks the ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientConfig {
-    /// Seed of all random draws; 0 (the default) has one drawn at start. Clients of one fleet must differ in it, since the
-    /// spread of their reconnects depends on it.
+    /// Seed of all random draws; 0 (the default) has [`ClientBuilder`](crate::ClientBuilder) draw one, and who drives a
+    /// [`Caller`](crate::Caller) sets it. Clients of one fleet must differ in it, since the spread of their reconnects depends on it.
     pub seed: u64,
     /// Index of this client in its fleet, from 0. Consecutive indices give the most even subsets; with `None` (the default) the
     /// place on the ring is drawn.
@@ -27,11 +27,11 @@
     pub max_connections: usize,
     /// Endpoints that this client talks to, of however many are listed. Default: 20.
     pub subset_size: usize,
-    /// Endpoints taken from a list; the rest of a longer one is ignored. Default: 10,000.
+    /// Endpoints taken from a list that is handed in, of which the rest is ignored; an endpoint file with more is refused. Default: 10,000.
     pub max_endpoints: usize,
     /// Retries in any second, as a fraction of the first attempts in it. Default: 0.07.
     pub retry_budget_fraction: f64,
-    /// One retry is allowed at this interval whatever the fraction says. Default: 10 s.
+    /// One retry is allowed at this interval even if the fraction allows none; a fraction of 0 allows none at all. Default: 10 s.
     pub min_retry_interval_ms: f64,
     /// Calls of a class are rejected locally once endpoints accept less than one in this many. Default: 2.
     pub throttle_ratio: f64,
--- a/crates/plovershelf-client/src/request.rs
+++ b/crates/plovershelf-client/src/request.rs
@@ -5,14 +5,13 @@
 
 use plovershelf::api::Idempotency;
 
+use plovershelf_codec::front::{MAX_IDEMPOTENCY_KEY_BYTES, MEMORY_LIMIT_KB};
+
 use crate::caller::{CallOutcome, NotSentReason};
 
 /// The longest body that backends take.
 pub const MAX_BODY_BYTES: usize = 2 << 10;
 const MAX_NAME_BYTES: usize = 128;
-const MAX_KEY_BYTES: usize = 128;
-/// Backends take a memory footprint above 0 and under this.
-const FOOTPRINT_BOUND_KB: f64 = 2000.0;
 const MAX_PRIORITY: f64 = 0.9999;
 const DEFAULT_PRIORITY: f64 = 0.5;
 const DEFAULT_FOOTPRINT_KB: f64 = 10.0;
@@ -102,11 +101,11 @@
             ),
             (self.tenant.len() > MAX_NAME_BYTES, "the tenant's name is longer than 128 bytes"),
             (
-                self.idempotency_key.as_ref().is_some_and(|key| key.len() > MAX_KEY_BYTES),
+                self.idempotency_key.as_ref().is_some_and(|key| key.len() > MAX_IDEMPOTENCY_KEY_BYTES),
                 "the ticket is longer than 128 bytes",
             ),
             (
-                !(self.footprint_kb > 0.0 && self.footprint_kb < FOOTPRINT_BOUND_KB),
+                !(self.footprint_kb > 0.0 && self.footprint_kb < MEMORY_LIMIT_KB),
                 "the footprint is not between 0 and 2000 KB",
             ),
         ];
--- a/crates/plovershelf-codec/src/agent.rs
+++ b/crates/plovershelf-codec/src/agent.rs
@@ -17,8 +17,8 @@
     Failed,
     /// It was cancelled.
     Interrupted,
-    /// The agent has no such run.
-    NotFound,
+    /// It never started, which proves that it had no effect.
+    NotStarted,
 }
 
 /// What the agent reports. Notices with a number come once each, and again on a new connection.
@@ -123,7 +123,7 @@
         b"success" => RunResult::Succeeded,
         b"failure" => RunResult::Failed,
         b"interrupted" => RunResult::Interrupted,
-        b"nothing" => RunResult::NotFound,
+        b"nothing" => RunResult::NotStarted,
         _ => return None,
     })
 }
--- a/crates/plovershelf-codec/src/front.rs
+++ b/crates/plovershelf-codec/src/front.rs
@@ -7,16 +7,16 @@
 mod binary_protocol;
 pub mod client;
 
-pub use binary_protocol::FrameError;
+pub use binary_protocol::{FrameError, LENGTH_BYTES};
 use binary_protocol::{
-    Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, LENGTH_BYTES, MAP, MAX_NESTED, ONEWAY,
-    REPLY, STRING, STRUCT,
+    Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, MAP, MAX_NESTED, ONEWAY, REPLY, STRING,
+    STRUCT,
 };
 
 /// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 128;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 /// Memory that one request may claim, in KiB; below this.
-const MEMORY_LIMIT_KB: f64 = 2000.0;
+pub const MEMORY_LIMIT_KB: f64 = 2000.0;
 /// As much of an unknown method's name as its exception repeats, in bytes.
 const SHOWN_OF_METHOD: usize = 64;
 
@@ -27,7 +27,7 @@
     UnknownMethod = 1,
     /// The message is of another type than its method's.
     WrongType = 2,
-    /// The backend can't take it now.
+    /// The backend refuses the request as it is: its class, tenant, size, time or key; or it has not started yet.
     Internal = 6,
     /// What the message holds is malformed.
     Protocol = 7,
@@ -161,6 +161,16 @@
     }
 }
 
+/// The first complete frame without its length, and the bytes it takes; `None` until it is complete.
+///
+/// # Errors
+/// The frame's length is negative or above `max_length`.
+pub fn decode_first(read: &[u8], max_length: usize) -> Result<Option<(&[u8], usize)>, FrameError> {
+    let Some(length) = frame_length(read, max_length)? else { return Ok(None) };
+    let end = LENGTH_BYTES + length;
+    Ok(read.get(LENGTH_BYTES..end).map(|frame| (frame, end)))
+}
+
 /// Decodes a client's message out of one frame without its length.
 ///
 /// # Errors
@@ -268,7 +278,7 @@
         Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| RejectReason::BadObject)?,
     };
     let idempotency_key = fields.text("k")?;
-    if idempotency_key.is_some_and(|key| key.len() > MAX_KEY) {
+    if idempotency_key.is_some_and(|key| key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         return Err(RejectReason::KeyTooLong);
     }
     Ok(Request {
@@ -306,10 +316,9 @@
             self.retry_after_ms.map(|span| ("w", format!("{}", span.ceil() as u64))),
             self.no_retry_elsewhere.then(|| ("l", "1".to_string())),
         ];
-        let present = fields.iter().flatten();
-        let fields: Vec<TextField<'_>> =
-            present.map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect();
-        writer.text_map(number, &fields);
+        let encoded =
+            fields.each_ref().map(|field| field.as_ref().map(|(name, value)| (*name, value.as_bytes())));
+        writer.text_map(number, &encoded);
     }
 }
 
--- a/crates/plovershelf-codec/src/front/binary_protocol.rs
+++ b/crates/plovershelf-codec/src/front/binary_protocol.rs
@@ -33,7 +33,7 @@
 const LIST: u8 = 15;
 
 /// Bytes of a frame's length.
-pub(super) const LENGTH_BYTES: usize = 4;
+pub const LENGTH_BYTES: usize = 4;
 
 /// Bytes that are no message of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -236,12 +236,13 @@
         self.raw(&number.to_be_bytes());
     }
 
-    pub(super) fn text_map(&mut self, number: i16, fields: &[TextField<'_>]) {
+    /// A map of the fields that are there.
+    pub(super) fn text_map(&mut self, number: i16, fields: &[Option<(&str, &[u8])>]) {
         self.field(MAP, number);
         self.raw(&[STRING, STRING]);
-        self.raw(&(fields.len() as u32).to_be_bytes());
-        for (name, value) in fields {
-            self.binary(name);
+        self.raw(&(fields.iter().flatten().count() as u32).to_be_bytes());
+        for (name, value) in fields.iter().flatten() {
+            self.binary(name.as_bytes());
             self.binary(value);
         }
     }
--- a/crates/plovershelf-codec/src/front/client.rs
+++ b/crates/plovershelf-codec/src/front/client.rs
@@ -1,10 +1,12 @@
 //! The clients' side of the front: what they send, and what they receive from a backend.
 
 use super::binary_protocol::{
-    FrameError, Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, LENGTH_BYTES, MAP, MAX_NESTED,
-    ONEWAY, REPLY, STRING, STRUCT,
+    FrameError, Header, Reader, Writer, BOOL, CALL, EXCEPTION, I32, MAP, MAX_NESTED, ONEWAY, REPLY, STRING,
+    STRUCT,
 };
-use super::{frame_length, ExceptionKind, ServerSignals};
+pub use super::decode_first;
+use super::{ExceptionKind, ServerSignals};
+use crate::lines::measure;
 use crate::AttemptId;
 
 /// One attempt of a request, as its client describes it.
@@ -113,8 +115,6 @@
         hint.as_ref().map(|hint| ("h", hint.as_bytes())),
         attempt.marked_retry.then_some(("r", b"1")),
     ];
-    let present = fields.into_iter().flatten();
-    let fields: Vec<TextField<'_>> = present.map(|(name, value)| (name.as_bytes(), value)).collect();
     writer.text_map(1, &fields);
     writer.field(STRING, 2);
     writer.binary(attempt.body);
@@ -137,16 +137,6 @@
     writer.finish(1)
 }
 
-/// The first complete frame without its length, and the bytes it takes; `None` until it is complete.
-///
-/// # Errors
-/// The frame's length is negative or above `max_length`.
-pub fn decode_first(read: &[u8], max_length: usize) -> Result<Option<(&[u8], usize)>, FrameError> {
-    let Some(length) = frame_length(read, max_length)? else { return Ok(None) };
-    let end = LENGTH_BYTES + length;
-    Ok(read.get(LENGTH_BYTES..end).map(|frame| (frame, end)))
-}
-
 /// Decodes a backend's message out of one frame without its length.
 ///
 /// # Errors
@@ -214,11 +204,9 @@
 fn read_signals(reader: &mut Reader<'_>) -> Result<ServerSignals, FrameError> {
     let mut signals = ServerSignals::default();
     for (name, value) in reader.text_map()? {
-        let number = || std::str::from_utf8(value).ok().and_then(|value| value.parse::<f64>().ok());
-        let measure = || number().filter(|value| value.is_finite() && *value >= 0.0);
         match name {
-            b"v" => signals.backpressure = measure(),
-            b"w" => signals.retry_after_ms = measure(),
+            b"v" => signals.backpressure = measure(value),
+            b"w" => signals.retry_after_ms = measure(value),
             b"l" => signals.no_retry_elsewhere = value == b"1",
             _ => {}
         }
--- a/crates/plovershelf-codec/tests/pins.rs
+++ b/crates/plovershelf-codec/tests/pins.rs
@@ -264,7 +264,7 @@
         ("outcome_success", outcome(7, ID, RunResult::Succeeded, b"a\r\nbc")),
         ("outcome_failure", outcome(8, OTHER_ID, RunResult::Failed, b"x")),
         ("outcome_interrupted", outcome(9, ID, RunResult::Interrupted, b"")),
-        ("outcome_nothing", outcome(10, OTHER_ID, RunResult::NotFound, b"")),
+        ("outcome_nothing", outcome(10, OTHER_ID, RunResult::NotStarted, b"")),
         ("request", Notice::CallRequested { number: 11, id: ID, call: b"call" }),
         ("sampled", Notice::Sampled { tag: b"3", gauges: vec![0.5, 12.0, 0.25, 24.0] }),
         ("refusal_of_a_run", Notice::CommandRejected { command: b"launch", about: &ID }),
--- a/crates/plovershelf-server/src/agent_link/tests.rs
+++ b/crates/plovershelf-server/src/agent_link/tests.rs
@@ -14,7 +14,7 @@
     assert!(!follows_gap(&Notice::Greeting { fresh: true, up_for_ms: 0.0 }, 5));
 }
 
-/// The queue to the owner is full while a run's end waits for a place in it, and the link is left for another: the end has
+/// The queue to the event loop is full while a run's end waits for a place in it, and the link is left for another: the end has
 /// to be told again there, or its caller never hears of it.
 #[test]
 fn a_notice_that_waits_for_the_queue_when_its_link_ends_is_told_again() {
@@ -34,7 +34,7 @@
         link.answer_sample();
         let _ = full.recv_blocking();
         link.send("outcome 1 00000000000000aa success 3", Some(b"end"));
-        // Its word that all was read never comes through, as the owner takes nothing.
+        // Its word that all was read never comes through, as the event loop takes nothing.
         while link.next_line().is_some() {}
         tell_left.send_blocking(()).expect("it waits");
         // The connection that was made for the hand-over goes with the link that it was to follow.
--- a/crates/plovershelf-server/src/client_io.rs
+++ b/crates/plovershelf-server/src/client_io.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt};
-use plovershelf_codec::front;
+use plovershelf_codec::front::{self, LENGTH_BYTES};
 
 use crate::connection_state::{ConnectionState, PhaseEvent};
 use crate::event::{ConnectionId, Event, ReadError};
@@ -14,9 +14,6 @@
 use crate::outbox::UnwrittenBytes;
 use crate::streams::{recv_batch, with_timeout, write_all, ReadBuffer};
 
-/// Bytes of a frame's length.
-const LENGTH_BYTES: usize = 4;
-
 /// Reads frames until the connection ends, and what comes after them is discarded, up to a bound.
 pub(crate) async fn read_until_end(
     state: &ConnectionState,
@@ -48,10 +45,10 @@
             return Some(ReadError::AfterEnd);
         }
         state.set_partial_frame(!buffer.is_empty());
-        match front::frame_length(buffer.bytes(), limits.max_frame_bytes) {
-            Ok(Some(length)) if buffer.bytes().len() >= LENGTH_BYTES + length => {
-                let frame = buffer.bytes()[LENGTH_BYTES..LENGTH_BYTES + length].to_vec();
-                buffer.consume(LENGTH_BYTES + length);
+        match front::decode_first(buffer.bytes(), limits.max_frame_bytes) {
+            Ok(Some((frame, used))) => {
+                let frame = frame.to_vec();
+                buffer.consume(used);
                 complete_by = None;
                 // Counted before it waits for the queue, so that its connection is not considered idle.
                 state.frame_queued();
@@ -61,7 +58,7 @@
                 // A client that sends at full speed takes turns with the others.
                 future::yield_now().await;
             }
-            Ok(_) => {
+            Ok(None) => {
                 if complete_by.is_none() && !buffer.is_empty() {
                     complete_by = Some(Instant::now() + timeout);
                 }
--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -1,12 +1,11 @@
 //! This backend's node of the cluster: a thread of its own with a listener, a connection a peer and a file, which drives the
-//! state machine that decides. Nothing of it is on the owner's time, and where it ends the backend serves on alone.
+//! state machine that decides. Nothing of it is on the event loop's time, and where it ends the backend serves on alone.
 //!
 //! The ordinary path: a frame or a timeout reaches [`Driver`], which passes it to the state machine, saves what is to be
 //! saved, and only then sends what is to be sent.
 
 mod driver_heartbeat;
 mod failover;
-mod notices;
 mod replication;
 mod replication_status;
 mod storage;
@@ -34,11 +33,11 @@
 use crate::config_distribution::{self, ConsensusState, KEY as CONFIG_KEY};
 use crate::entropy::random_id;
 use crate::links::{self, LinkEvent, OutgoingLinks};
-use notices::NoticeLimiter;
+use crate::log_limit::{LogLimit, MAX_LINES_PER_S};
 use replication::{HandoffEnd, ReplicationDriver};
 use storage::{Opened, Storage};
 
-/// How often the node is told whether the owner is ready.
+/// How often the node is told whether the event loop is ready.
 const READINESS_INTERVAL_MS: f64 = 200.0;
 /// Events that wait for the driver; more are dropped, as a network drops.
 const INBOX: usize = 1024;
@@ -68,7 +67,7 @@
         /// The value.
         bytes: Vec<u8>,
     },
-    /// What the owner wants of replication.
+    /// What the event loop wants of replication.
     Replication(ReplicationCommand),
     /// The drain notice: replicated records are to be handed off within so long.
     DrainNotice {
@@ -132,7 +131,7 @@
             config_distribution,
             reported_consensus: ConsensusState::default(),
             replication,
-            failover: failover.map(|failover| *failover),
+            failover,
             node,
             cluster: setup.name.clone(),
             storage,
@@ -141,7 +140,7 @@
             heartbeat,
             readiness_at_ms: 0.0,
             awaiting_recovery: Vec::new(),
-            notices: NoticeLimiter::default(),
+            notices: LogLimit::new(MAX_LINES_PER_S),
         };
         async_io::block_on(executor.run(driver.run(incoming)));
     };
@@ -174,10 +173,10 @@
 }
 
 /// Failover between zones, where the operator's file has it.
-fn start_failover(setup: &Setup) -> Result<Option<Box<failover::FailoverDriver>>, String> {
+fn start_failover(setup: &Setup) -> Result<Option<failover::FailoverDriver>, String> {
     let Some(zones) = setup.zones.clone() else { return Ok(None) };
     let failover = failover::FailoverDriver::new(zones, &setup.zone, now_ms());
-    failover.map(|failover| Some(Box::new(failover))).map_err(|error| error.to_string())
+    failover.map(Some).map_err(|error| error.to_string())
 }
 
 /// Configuration distribution from this member, where the operator's file has it: the queue of its thread.
@@ -212,7 +211,7 @@
     readiness_at_ms: f64,
     /// Who waits to hear what came of a recovery.
     awaiting_recovery: Vec<Sender<Answer>>,
-    notices: NoticeLimiter,
+    notices: LogLimit,
 }
 
 impl Driver {
@@ -266,7 +265,7 @@
         let failover::Due { report, proposal } = failover.handle_timeout(now_ms, &self.heartbeat, &self.node);
         if let Some((leader, bytes)) = report {
             let from = self.node.node().id;
-            self.send_subsystem(leader, Wire::Subsystem { from, to: leader, bytes });
+            send_subsystem(&mut self.links, &self.node, leader, &Wire::Subsystem { from, to: leader, bytes });
         }
         if let Some((version, bytes)) = proposal {
             self.node.propose(now_ms, failover::PLAN_KEY, version, bytes);
@@ -297,7 +296,7 @@
             Incoming::Link(LinkEvent::Message { wire, is_local, answer }) => {
                 self.handle_wire(now_ms, *wire, is_local, answer)
             }
-            Incoming::Link(LinkEvent::PeerError(what)) => self.notices.log(&what),
+            Incoming::Link(LinkEvent::PeerError(what)) => self.log_notice(&what),
             Incoming::ProposeConfiguration { version, bytes } => {
                 self.node.propose(now_ms, CONFIG_KEY, version, bytes);
             }
@@ -446,18 +445,17 @@
     fn send_replication(&mut self) {
         let Some(replication) = self.replication.as_mut() else { return };
         let (from, messages) = replication.poll_actions();
-        let members: Vec<_> = messages
-            .into_iter()
-            .filter_map(|(to, bytes)| Some((replication.member(to)?, to, bytes)))
-            .collect();
-        for (member, to, bytes) in members {
-            self.send_subsystem(member, Wire::Subsystem { from, to, bytes });
+        for (to, bytes) in messages {
+            if let Some(member) = replication.member(to) {
+                send_subsystem(&mut self.links, &self.node, member, &Wire::Subsystem { from, to, bytes });
+            }
         }
     }
 
-    fn send_subsystem(&mut self, member: NodeId, wire: Wire) {
-        if let Some(member) = self.node.view().members.get(&member) {
-            self.links.send(member.address, Some(&member.name), &wire);
+    /// Logs what others do, where the present second has room for it.
+    fn log_notice(&mut self, what: &str) {
+        if self.notices.admit(now_ms()).is_admitted {
+            tracing::warn!(event = "cluster_notice", "{what}");
         }
     }
 
@@ -497,11 +495,18 @@
                 tracing::warn!(event = "epoch_recovery_ended", "{answer:?}");
                 self.awaiting_recovery.drain(..).for_each(|waits| drop(waits.try_send(answer.clone())));
             }
-            Event::Notice(notice) => self.notices.log(&notice.to_string()),
+            Event::Notice(notice) => self.log_notice(&notice.to_string()),
         }
     }
 }
 
+/// Sends a message of a subsystem to a member of the view.
+fn send_subsystem(links: &mut OutgoingLinks, node: &ClusterNode, member: NodeId, wire: &Wire) {
+    if let Some(member) = node.view().members.get(&member) {
+        links.send(member.address, Some(&member.name), wire);
+    }
+}
+
 /// A node id as logs and commands show it.
 fn in_hex(id: NodeId) -> String {
     format!("{:016x}", id.0)
--- a/crates/plovershelf-server/src/cluster/replication.rs
+++ b/crates/plovershelf-server/src/cluster/replication.rs
@@ -1,4 +1,4 @@
-//! Replication's part of the cluster's thread: the state machine between the owner's requests, the links and the clock.
+//! Replication's part of the cluster's thread: the state machine between the event loop's requests, the links and the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
     Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
 };
 
-/// What the owner wants for one of its open requests, by its number there.
+/// What the event loop wants for one of its open requests, by its number there.
 pub enum ReplicationCommand {
     /// It is to be launched, within so long; its outcome is retained for so long.
     Reserve {
@@ -41,7 +41,7 @@
     },
 }
 
-/// What the owner is told of its requests, by its number for each.
+/// What the event loop is told of its requests, by its number for each.
 pub enum ReplicationEvent {
     /// It holds its key and is to be launched.
     Launch(u32),
@@ -83,13 +83,13 @@
     }
 }
 
-/// The state machine of replication, and which of the owner's requests its own numbers mean.
+/// The state machine of replication, and which of the event loop's requests its own numbers mean.
 pub(super) struct ReplicationDriver {
     local: NodeId,
     /// Members of the view by their replica ids.
     members: BTreeMap<NodeId, NodeId>,
     replicator: Replicator,
-    /// The owner's numbers by the state machine's, and the other way round.
+    /// The event loop's numbers by the state machine's, and the other way round.
     open: BTreeMap<RequestId, u32>,
     requests: BTreeMap<u32, RequestId>,
     events: Sender<ReplicationEvent>,
@@ -206,12 +206,12 @@
         Some(if complete { HandoffEnd::Complete } else { HandoffEnd::DeadlinePassed { remaining } })
     }
 
-    /// Tells the owner its events, and returns what goes to other members: the local replica id, then receivers and bytes.
+    /// Tells the event loop its events, and returns what goes to other members: the local replica id, then receivers and bytes.
     pub(super) fn poll_actions(&mut self) -> (NodeId, Vec<(NodeId, Vec<u8>)>) {
         let actions = self.replicator.poll_actions();
         for event in actions.events {
-            if let Some(event) = self.owner_event(event) {
-                // The channel is unbounded, and holds no more than the owner has open.
+            if let Some(event) = self.driver_event(event) {
+                // The channel is unbounded, and holds no more than the event loop has open.
                 let _ = self.events.try_send(event);
             }
         }
@@ -219,8 +219,8 @@
         (self.local, actions.messages.into_iter().map(encode).collect())
     }
 
-    /// An event with the owner's number; the last one of a request forgets both numbers.
-    fn owner_event(&mut self, event: Event) -> Option<ReplicationEvent> {
+    /// An event with the event loop's number; the last one of a request forgets both numbers.
+    fn driver_event(&mut self, event: Event) -> Option<ReplicationEvent> {
         Some(match event {
             Event::Launch(request) => ReplicationEvent::Launch(*self.open.get(&request)?),
             Event::OutcomeProvisional(request, outcome) => {
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -21,6 +21,7 @@
 use super::{Input, StartError, Startup};
 use crate::entropy::random_id;
 use crate::links::{self, now_ms, LinkEvent, LinkLimits, OutgoingLinks};
+use crate::log_limit::{LogLimit, MAX_LINES_PER_S};
 
 /// Lost connections that wait to be passed to the node.
 const MAX_QUEUED_LOSSES: usize = 256;
@@ -28,7 +29,6 @@
 const INPUTS_A_TURN: usize = 64;
 /// The longest sleep, whatever the node asks for.
 const MAX_SLEEP_MS: f64 = 1000.0;
-const MAX_WARNINGS_A_SECOND: u32 = 10;
 /// An update that the subscriber did not take is offered again after this.
 const PUBLISH_RETRY_MS: f64 = 50.0;
 /// Listeners that may ask an origin at once, as when a release starts all of them anew.
@@ -71,7 +71,7 @@
         links,
         publisher: Publisher::new(name, subscriber),
         origin: origin.map(|origin| Origin::new(origin.propose, origin.file)),
-        warnings: WarningLimit::default(),
+        warnings: LogLimit::new(MAX_LINES_PER_S),
     };
     // Those that read connections end when nobody takes from the queue any more.
     let accepting = executor.spawn(accepting);
@@ -96,7 +96,7 @@
     links: OutgoingLinks,
     publisher: Publisher,
     origin: Option<Origin>,
-    warnings: WarningLimit,
+    warnings: LogLimit,
 }
 
 impl Driver {
@@ -183,22 +183,22 @@
                 respond(AdminResponse::Status(Box::new(StatusReport { node, is_origin, consensus })));
             }
             Ok(AdminRequest::History) => respond(AdminResponse::History(self.node.history())),
-            Ok(AdminRequest::Propose { edits, after }) if is_local => {
-                self.propose(edits, after, Box::new(respond));
+            Ok(AdminRequest::Propose { edits, after }) => {
+                self.propose(edits, after, is_local, Box::new(respond));
             }
-            Ok(AdminRequest::Propose { .. }) => respond(AdminResponse::Rejected(match self.origin {
-                Some(_) => "a change is taken on the source's own machine alone".into(),
-                None => NOT_AN_ORIGIN.into(),
-            })),
             Err(why) => respond(AdminResponse::Rejected(why)),
         }
     }
 
-    /// A change that somebody on this machine proposes.
-    fn propose(&mut self, edits: Vec<Edit>, after: Option<u64>, respond: Respond) {
+    /// A change that somebody proposes, which an origin takes from its own machine alone.
+    fn propose(&mut self, edits: Vec<Edit>, after: Option<u64>, is_local: bool, respond: Respond) {
+        let reject = |why: &str| AdminResponse::Rejected(why.into());
         let Some(origin) = self.origin.as_mut() else {
-            return respond(AdminResponse::Rejected(NOT_AN_ORIGIN.into()));
+            return respond(reject("this is a listener: changes are proposed to a source"));
         };
+        if !is_local {
+            return respond(reject("a change is taken on the source's own machine alone"));
+        }
         let unix_ms = std::time::SystemTime::UNIX_EPOCH.elapsed().map_or(0, |since| since.as_millis() as u64);
         match self.node.prepare_change(edits, after, origin.epoch(), unix_ms) {
             Ok(change) => origin.propose(now_ms(), &change, respond),
@@ -252,14 +252,12 @@
     }
 
     fn warn(&mut self, what: &str) {
-        if self.warnings.admits(now_ms()) {
+        if self.warnings.admit(now_ms()).is_admitted {
             tracing::warn!(event = "config_distribution_warning", "{what}");
         }
     }
 }
 
-const NOT_AN_ORIGIN: &str = "this is a listener: changes are proposed to a source";
-
 /// What is asked of this part of the product; else what is wrong with the question, in one line.
 fn admin_request(question: Question) -> Result<AdminRequest, String> {
     let Question::Part { part, bytes } = question else {
@@ -271,23 +269,3 @@
         Err(malformed) => Err(format!("the question is {malformed}")),
     }
 }
-
-/// Limits the warnings of a second.
-///
-/// Against a peer that sends what can't be read over and over: the log would grow as fast as it sends.
-#[derive(Default)]
-struct WarningLimit {
-    second: u64,
-    count: u32,
-}
-
-impl WarningLimit {
-    fn admits(&mut self, now_ms: f64) -> bool {
-        let second = (now_ms / 1000.0) as u64;
-        if self.second != second {
-            (self.second, self.count) = (second, 0);
-        }
-        self.count += 1;
-        self.count <= MAX_WARNINGS_A_SECOND
-    }
-}
--- a/crates/plovershelf-server/src/deduplication.rs
+++ b/crates/plovershelf-server/src/deduplication.rs
@@ -7,7 +7,7 @@
 //! | state of a key | left by |
 //! | --- | --- |
 //! | unknown | `insert` by its first request: open |
-//! | open, not run | a run begins: open, ran; its request ends: unknown |
+//! | open, not run | a run begins: open, ran; its request ends: unknown, or completed where another backend had a result |
 //! | open, ran | its request ends: completed, with a result or without |
 //! | completed | the window and a grace are over: unknown |
 
@@ -16,6 +16,9 @@
 
 use plovershelf::api::Idempotency;
 
+/// What a request has for the object that it reads where it reads none.
+pub(crate) const NO_OBJECT: u64 = 0;
+
 /// By what a duplicate is recognised.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeduplicationKey {
@@ -34,7 +37,7 @@
     ) -> Option<DeduplicationKey> {
         match idempotency {
             Idempotency::Keyed => idempotency_key.map(|key| DeduplicationKey::Idempotency(class, key.into())),
-            Idempotency::Idempotent => (object != 0).then_some(DeduplicationKey::Read(class, object)),
+            Idempotency::Idempotent => (object != NO_OBJECT).then_some(DeduplicationKey::Read(class, object)),
             Idempotency::NonIdempotent => None,
         }
     }
--- a/crates/plovershelf-server/src/dependency.rs
+++ b/crates/plovershelf-server/src/dependency.rs
@@ -59,11 +59,9 @@
                     connection.place(id, number, dependency::call(&id, timeout_ms, &body));
                 }
                 CallCommand::Abandon { id } => {
-                    connections
-                        .iter()
-                        .find(|one| one.carries(&id))
-                        .into_iter()
-                        .for_each(|one| one.abandon(&id));
+                    if let Some(connection) = connections.iter().find(|one| one.carries(&id)) {
+                        connection.abandon(&id);
+                    }
                 }
             }
         }
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -44,9 +44,10 @@
 use crate::deduplication::{DeduplicationLimits, DeduplicationRecords};
 use crate::event::{CallCommand, ConnectionId, Event};
 use crate::limits::Limits;
+use crate::log_limit::LogLimit;
 use agent::CommandLog;
 use bulkheads::BulkheadState;
-use clients::{ClientConnection, PeerErrorLog};
+use clients::ClientConnection;
 use open_request::OpenRequest;
 use tenant_quotas::InitialQuotas;
 
@@ -69,7 +70,7 @@
     /// The grace is over: no further connections are accepted.
     RefuseConnections,
     /// Connections that were told to close and are idle are closed.
-    CloseIdle,
+    CloseAnnounced,
     /// The program exits.
     Exit,
 }
@@ -99,8 +100,9 @@
 enum Input {
     Event(Event),
     DrainNotice(f64),
-    /// A time-out may have come due, or the queues are closed.
-    Woken,
+    /// A time-out may have come due.
+    TimerExpired,
+    QueueClosed,
 }
 
 /// The event loop and all that it owns.
@@ -123,7 +125,7 @@
     timer_set_for: Option<u64>,
 
     connections: BTreeMap<ConnectionId, ClientConnection>,
-    peer_errors: PeerErrorLog,
+    peer_errors: LogLimit,
     requests: BTreeMap<u32, OpenRequest>,
     request_by_attempt: BTreeMap<AttemptId, u32>,
     open_bytes: usize,
@@ -196,7 +198,7 @@
             timer: Timer::never(),
             timer_set_for: None,
             connections: BTreeMap::new(),
-            peer_errors: PeerErrorLog::new(limits.max_peer_errors_per_s),
+            peer_errors: LogLimit::new(limits.max_peer_errors_per_s),
             requests: BTreeMap::new(),
             request_by_attempt: BTreeMap::new(),
             open_bytes: 0,
@@ -274,7 +276,8 @@
                 match input {
                     Input::Event(event) => self.handle_event(event),
                     Input::DrainNotice(noticed_ms) => self.handle_drain_notice(noticed_ms),
-                    Input::Woken => {}
+                    Input::TimerExpired => self.timer_set_for = None,
+                    Input::QueueClosed => {}
                 }
             }
             self.finish_turn();
@@ -300,18 +303,12 @@
                 Err(_) => future::pending().await,
             }
         };
-        let events = async { inbox.recv().await.map_or(Input::Woken, Input::Event) };
-        let mut timer_expired = false;
+        let events = async { inbox.recv().await.map_or(Input::QueueClosed, Input::Event) };
         let expiry = async {
             timer.await;
-            timer_expired = true;
-            Input::Woken
+            Input::TimerExpired
         };
-        let input = future::or(notices, future::or(events, expiry)).await;
-        if timer_expired {
-            self.timer_set_for = None;
-        }
-        input
+        future::or(notices, future::or(events, expiry)).await
     }
 
     /// Sets the timer for the next time-out, or for a while where none is near.
@@ -361,9 +358,9 @@
             }
             Timeout::AnnounceClosing => self.announce_closing_to_all(),
             Timeout::RefuseConnections => self.refuse_connections(),
-            Timeout::CloseIdle => {
+            Timeout::CloseAnnounced => {
                 self.close_announced(self.limits.final_closing_timeout_ms);
-                self.schedule(self.limits.final_closing_timeout_ms / 3.0, Timeout::CloseIdle);
+                self.schedule(self.limits.final_closing_timeout_ms / 3.0, Timeout::CloseAnnounced);
             }
             Timeout::Exit => self.is_over = true,
         }
@@ -437,7 +434,7 @@
             self.listener = ListenerState::Closing;
         }
         self.announce_closing_to_all();
-        self.schedule(self.limits.final_closing_timeout_ms, Timeout::CloseIdle);
+        self.schedule(self.limits.final_closing_timeout_ms, Timeout::CloseAnnounced);
     }
 }
 
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -9,12 +9,9 @@
 use super::open_request::{LaunchState, OpenRequest, OutboundCall};
 use super::replication::ReplicationStage;
 use super::Driver;
-use crate::deduplication::{body_hash, DeduplicationKey, Known, Lookup};
+use crate::deduplication::{body_hash, DeduplicationKey, Known, Lookup, NO_OBJECT};
 use crate::event::ConnectionId;
 
-/// What a request has on the wire where it is no read of an object.
-const NO_OBJECT: u64 = 0;
-
 /// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RejectReason {
@@ -197,7 +194,7 @@
             key,
             body_hash,
             replication: ReplicationStage::default(),
-            replicated_outcome: None,
+            provisional_outcome: None,
             is_failure_told: false,
         };
         self.requests.insert(request.id, open);
--- a/crates/plovershelf-server/src/driver/agent.rs
+++ b/crates/plovershelf-server/src/driver/agent.rs
@@ -196,7 +196,7 @@
             RunResult::Succeeded => RunOutcome::Completed,
             RunResult::Failed => RunOutcome::Failed,
             RunResult::Interrupted => RunOutcome::Cancelled,
-            RunResult::NotFound => RunOutcome::NotStarted,
+            RunResult::NotStarted => RunOutcome::NotStarted,
         };
         self.handle_run_ended(id, outcome, body);
     }
@@ -249,7 +249,7 @@
         // No client sends what the agent does not know.
         let request = self.request_by_attempt.get(&attempt).and_then(|id| self.requests.get(id));
         let connection = request.filter(|request| !request.is_answered).map(|request| request.connection);
-        self.handle_run_result(attempt, RunResult::NotFound, Vec::new());
+        self.handle_run_result(attempt, RunResult::NotStarted, Vec::new());
         if let Some(connection) = connection {
             self.stop_reading(connection, "the agent knows nothing of what it sends");
         }
--- a/crates/plovershelf-server/src/driver/clients.rs
+++ b/crates/plovershelf-server/src/driver/clients.rs
@@ -79,7 +79,7 @@
 
     /// It was told to close this long ago, and is idle with nothing of it on the way. A message that has begun has as long
     /// again to be complete.
-    fn is_closed_after(&self, timeout_ms: f64, now_ms: f64) -> bool {
+    fn closing_timed_out(&self, timeout_ms: f64, now_ms: f64) -> bool {
         let state = self.outbox.connection();
         let timeout_ms = if state.has_partial_frame() { 2.0 * timeout_ms } else { timeout_ms };
         let is_over = self.closing_since_ms.is_some_and(|since_ms| since_ms + timeout_ms <= now_ms);
@@ -87,38 +87,18 @@
     }
 }
 
-/// Lines in the log about what peers do wrong, bounded in each second.
-pub(super) struct PeerErrorLog {
-    max_per_s: u32,
-    second: u64,
-    lines: u32,
-}
-
-impl PeerErrorLog {
-    pub(super) fn new(max_per_s: u32) -> Self {
-        PeerErrorLog { max_per_s, second: 0, lines: 0 }
-    }
-
-    fn log(&mut self, now_ms: f64, what: &str) {
-        let second = (now_ms / 1000.0) as u64;
-        if self.second != second {
-            if self.lines > self.max_per_s {
-                let more = self.lines - self.max_per_s;
-                tracing::warn!(event = "peer_errors_suppressed", more, "{more} more of the like");
-            }
-            (self.second, self.lines) = (second, 0);
+impl Driver {
+    /// Logs what a peer does wrong, where the present second has room for it.
+    pub(super) fn log_peer_error(&mut self, what: &str) {
+        let line = self.peer_errors.admit(self.now_ms);
+        if line.suppressed > 0 {
+            let more = line.suppressed;
+            tracing::warn!(event = "peer_errors_suppressed", more, "{more} more of the like");
         }
-        self.lines += 1;
-        if self.lines <= self.max_per_s {
+        if line.is_admitted {
             tracing::warn!(event = "peer_error", "{what}");
         }
     }
-}
-
-impl Driver {
-    pub(super) fn log_peer_error(&mut self, what: &str) {
-        self.peer_errors.log(self.now_ms, what);
-    }
 
     // ---- events --------------------------------------------------------------------------------------
 
@@ -285,7 +265,8 @@
     /// Closes connections that were told to close so long ago and are idle.
     pub(super) fn close_announced(&mut self, timeout_ms: f64) {
         let now_ms = self.now_ms;
-        let closed = self.connections.iter().filter(|(_, client)| client.is_closed_after(timeout_ms, now_ms));
+        let closed =
+            self.connections.iter().filter(|(_, client)| client.closing_timed_out(timeout_ms, now_ms));
         let closed: Vec<ConnectionId> = closed.map(|(connection, _)| *connection).collect();
         closed.into_iter().for_each(|connection| self.close(connection));
     }
--- a/crates/plovershelf-server/src/driver/open_request.rs
+++ b/crates/plovershelf-server/src/driver/open_request.rs
@@ -70,7 +70,7 @@
     /// Where keyed requests are replicated: how far its reservation is.
     pub(super) replication: ReplicationStage,
     /// The outcome that stands on enough replicas to be answered if the deadline comes before the rest confirm.
-    pub(super) replicated_outcome: Option<plovershelf_replication::Outcome>,
+    pub(super) provisional_outcome: Option<plovershelf_replication::Outcome>,
     /// Its client was told that it failed, so that no other outcome is told to anybody.
     pub(super) is_failure_told: bool,
 }
--- a/crates/plovershelf-server/src/driver/replication.rs
+++ b/crates/plovershelf-server/src/driver/replication.rs
@@ -86,7 +86,7 @@
             {
                 unavailable
             }
-            ReplicationStage::Replicating if is_failure => match request.replicated_outcome.take() {
+            ReplicationStage::Replicating if is_failure => match request.provisional_outcome.take() {
                 Some(Outcome::Succeeded(result)) => {
                     request.result = result;
                     Completion::Succeeded
@@ -108,8 +108,7 @@
 
     /// Nobody waits for the request any more.
     pub(super) fn abandon_reservation(&mut self, id: u32) {
-        let is_reserving = |stage| stage == ReplicationStage::Reserving;
-        if self.requests.get(&id).is_some_and(|request| is_reserving(request.replication)) {
+        if self.requests.get(&id).is_some_and(|request| request.replication.holds_launch()) {
             self.send_to_replication(ReplicationCommand::Cancel { id });
         }
     }
@@ -120,7 +119,7 @@
         if request.replication != ReplicationStage::Started {
             return false;
         }
-        if result == RunResult::NotFound {
+        if result == RunResult::NotStarted {
             request.replication = ReplicationStage::Done;
             self.send_to_replication(ReplicationCommand::CancelLaunch { id });
             return false;
@@ -146,7 +145,7 @@
             ReplicationEvent::OutcomeProvisional(id, outcome) => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     if request.replication == ReplicationStage::Replicating {
-                        request.replicated_outcome = Some(outcome);
+                        request.provisional_outcome = Some(outcome);
                     }
                 }
             }
--- a/crates/plovershelf-server/src/driver/requests.rs
+++ b/crates/plovershelf-server/src/driver/requests.rs
@@ -5,7 +5,7 @@
 use plovershelf_codec::front::{self, ServerSignals};
 
 use super::{Driver, Timeout};
-use crate::deduplication::Joined;
+use crate::deduplication::{DeduplicationKey, Joined};
 
 impl Driver {
     pub(super) fn apply_effects(&mut self, effects: Effects) {
@@ -133,9 +133,7 @@
         self.open_bytes -= request.frame.len() + self.limits.request_overhead_bytes;
         self.request_by_attempt.remove(&request.attempt);
         if let Some(key) = &request.key {
-            for duplicate in self.deduplication.handle_end(key, id, None, self.now_ms) {
-                self.end_duplicate(duplicate, None);
-            }
+            self.end_duplicates(key, id, None);
         }
     }
 
@@ -151,7 +149,11 @@
     /// The holder of a key has ended: so do the duplicates that wait for it.
     pub(super) fn end_duplicates_of(&mut self, id: u32, result: Option<&[u8]>) {
         let Some(key) = self.requests.get(&id).and_then(|request| request.key.clone()) else { return };
-        for duplicate in self.deduplication.handle_end(&key, id, result, self.now_ms) {
+        self.end_duplicates(&key, id, result);
+    }
+
+    fn end_duplicates(&mut self, key: &DeduplicationKey, id: u32, result: Option<&[u8]>) {
+        for duplicate in self.deduplication.handle_end(key, id, result, self.now_ms) {
             self.end_duplicate(duplicate, result);
         }
     }
--- a/crates/plovershelf-server/src/driver/tests.rs
+++ b/crates/plovershelf-server/src/driver/tests.rs
@@ -7,7 +7,7 @@
 use plovershelf_codec::agent::RunResult;
 use plovershelf_testkit::scripted::{alive, cancel, decode_response, dispatch, Response, SETTINGS};
 
-/// An driver with the far ends of its queues, whose agent is up.
+/// A driver with the far ends of its queues, whose agent is up.
 struct Stage {
     driver: Driver,
     commands: Receiver<Vec<u8>>,
@@ -134,7 +134,7 @@
 fn a_failed_run_and_one_that_ends_unasked_are_answered() {
     let mut stage = Stage::new();
     let peer = stage.connect();
-    for (seqid, over) in [(1, RunResult::Failed), (2, RunResult::Interrupted), (3, RunResult::NotFound)] {
+    for (seqid, over) in [(1, RunResult::Failed), (2, RunResult::Interrupted), (3, RunResult::NotStarted)] {
         stage.send(peer, dispatch(seqid, seqid as u64, "plain", &[], b""));
         stage.run_over(seqid as u64, over, b"");
         assert_eq!(stage.heard(peer), [Response::Failed(seqid)]);
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -1,6 +1,4 @@
 //! What the tasks of the server send to the event loop, and what it sends to the dependency's connections.
-//!
-//! All of them use this module, and it uses none of them.
 
 use async_channel::Sender;
 use plovershelf::api::CallOutcome;
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `startup`, `limits` | the configuration; all sizes, counts and times |
+//! | `startup`, `limits` | the configuration; sizes, counts and times of serving |
 //! | `service` | starts the tasks, handles signals, waits for the end |
 //! | `event` | what tasks send to the driver and back |
 //! | `driver` | the event loop: event in, decision, commands out |
@@ -14,7 +14,7 @@
 //! | `agent_link` | the link with the agent that owns the cores |
 //! | `dependency` | outbound calls |
 //! | `registry` | heartbeats |
-//! | `streams`, `links` | bounded reading and writing; links among processes |
+//! | `streams`, `links`, `log_limit` | bounded reading and writing; links among processes; lines of the log that others cause |
 //! | [`cluster`], [`config_distribution`] | the drivers of cluster, replication and failover, and of configuration distribution |
 //! | `entropy` | random numbers that no other start draws |
 
@@ -31,6 +31,7 @@
 mod limits;
 mod links;
 mod listener;
+mod log_limit;
 mod outbox;
 mod registry;
 mod service;
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -1,4 +1,5 @@
-//! Sizes, counts and times that bound the program: the one place for them, filled at start and handed down.
+//! Sizes, counts and times that bound serving, filled at start and handed down. Those of links and of the threads of cluster and
+//! configuration distribution stand in their own files.
 
 /// Descriptors kept back for the listener, the agent, the dependency, the registry, the standard streams and the event
 /// queue.
--- a/crates/plovershelf-server/src/listener/tests.rs
+++ b/crates/plovershelf-server/src/listener/tests.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// The owner ends a connection while more of its frames wait for the queue, more lies unread in the socket, and its peer
+/// The event loop ends a connection while more of its frames wait for the queue, more lies unread in the socket, and its peer
 /// writes on: a close would reset it.
 #[test]
 fn an_end_over_unread_bytes_lets_the_last_answer_through_and_hands_nothing_more_on() {
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -205,7 +205,7 @@
     let (sender, receiver) = async_channel::unbounded();
     let replication_events = is_replicated.then_some(sender);
     let commands = cluster::start(setup, name.to_string(), heartbeat.clone(), replication_events)
-        .map_err(|error| ServiceError::Part(error.to_string()))?;
+        .map_err(ServiceError::Part)?;
     if is_replicated {
         forward(executor, receiver, events, Event::Replication);
     }
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -133,39 +133,33 @@
     let in_file = |source| StartupError::Config { path: config_path(), source };
     let mut launch = read_launch(&document).map_err(in_file)?;
     launch.bulkheads = read_bulkheads(&launch.startup.classes)?;
-    launch.group = read_operator_file(CLUSTER_VARIABLE, |path, text| {
-        plovershelf_config::group::read(path, text).map_err(|error| error.to_string())
-    })?;
-    launch.changes = read_operator_file(CHANGES_VARIABLE, |path, text| {
-        plovershelf_config::config_distribution::read(path, text).map_err(|error| error.to_string())
-    })?;
+    launch.group = read_operator_file(CLUSTER_VARIABLE, plovershelf_config::group::read)?;
+    launch.changes = read_operator_file(CHANGES_VARIABLE, plovershelf_config::config_distribution::read)?;
     Ok(launch)
 }
 
 fn read_document() -> Result<Value, StartupError> {
-    let path = std::env::var_os(CONFIG_VARIABLE).ok_or(StartupError::NoConfig)?;
+    let (path, text) = read_file(CONFIG_VARIABLE)?.ok_or(StartupError::NoConfig)?;
+    serde_json::from_str(&text).map_err(|source| StartupError::NoJson { path, source })
+}
+
+/// Path and text of the file that a variable names, where it names one.
+fn read_file(variable: &'static str) -> Result<Option<(String, String)>, StartupError> {
+    let Some(path) = std::env::var_os(variable) else { return Ok(None) };
     let shown = path.to_string_lossy().into_owned();
-    let text = std::fs::read_to_string(&path).map_err(|source| StartupError::Unreadable {
-        variable: CONFIG_VARIABLE,
-        path: shown.clone(),
-        source,
-    })?;
-    serde_json::from_str(&text).map_err(|source| StartupError::NoJson { path: shown, source })
+    match std::fs::read_to_string(&path) {
+        Ok(text) => Ok(Some((shown, text))),
+        Err(source) => Err(StartupError::Unreadable { variable, path: shown, source }),
+    }
 }
 
-/// The file that a variable names, where it names one.
-fn read_operator_file<T>(
+/// What the file says that a variable names, where it names one.
+fn read_operator_file<T, E: std::fmt::Display>(
     variable: &'static str,
-    parse: impl FnOnce(&str, &str) -> Result<T, String>,
+    parse: impl FnOnce(&str, &str) -> Result<T, E>,
 ) -> Result<Option<T>, StartupError> {
-    let Some(path) = std::env::var_os(variable) else { return Ok(None) };
-    let shown = path.to_string_lossy().into_owned();
-    let text = std::fs::read_to_string(&path).map_err(|source| StartupError::Unreadable {
-        variable,
-        path: shown.clone(),
-        source,
-    })?;
-    parse(&shown, &text).map(Some).map_err(StartupError::OperatorFile)
+    let Some((path, text)) = read_file(variable)? else { return Ok(None) };
+    parse(&path, &text).map(Some).map_err(|error| StartupError::OperatorFile(error.to_string()))
 }
 
 /// The bulkheads of the operator's file, where there is one.
@@ -173,9 +167,7 @@
 /// # Errors
 /// All that is wrong with the file.
 pub(crate) fn read_bulkheads(classes: &[String]) -> Result<Option<BulkheadPlan>, StartupError> {
-    read_operator_file(BULKHEADS_VARIABLE, |path, text| {
-        plovershelf_config::pools::read(path, text, classes).map_err(|error| error.to_string())
-    })
+    read_operator_file(BULKHEADS_VARIABLE, |path, text| plovershelf_config::pools::read(path, text, classes))
 }
 
 fn text<'a>(document: &'a Value, key: &'static str) -> Result<&'a str, ConfigError> {
