--- a/crates/plovershelf-cluster/src/consensus/election.rs
+++ b/crates/plovershelf-cluster/src/consensus/election.rs
@@ -1,7 +1,8 @@
 //! Elections: when a voter campaigns, and whom it votes for.
 //!
 //! A voter that hears no leader for an election timeout campaigns. One that hears a leader gives no vote within the
-//! shortest timeout, which is what makes a leader's lease good (Raft, section 9.6; "lease read").
+//! shortest timeout, which is what makes a leader's lease good (Raft, section 6; leases:
+//! Ongaro's dissertation, section 6.4.1).
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
--- a/crates/plovershelf-cluster/src/consensus/leader.rs
+++ b/crates/plovershelf-cluster/src/consensus/leader.rs
@@ -120,10 +120,9 @@
 
     /// Takes an answer in; false where its sender is sent nothing.
     pub(super) fn handle_answer(&mut self, answer: &AppendAnswer, own_last: u64, now_ms: f64) -> bool {
-        if !self.tracker.is_tracked(answer.from) {
+        if !self.tracker.record_contact(answer.from, answer.sent_at_us.min(to_us(now_ms))) {
             return false;
         }
-        self.tracker.record_contact(answer.from, answer.sent_at_us.min(to_us(now_ms)));
         if answer.matches {
             self.tracker.acknowledge(answer.from, answer.last_index.min(own_last));
         } else {
--- a/crates/plovershelf-cluster/src/consensus/log.rs
+++ b/crates/plovershelf-cluster/src/consensus/log.rs
@@ -1,6 +1,6 @@
 //! The replicated log with its commit index and state machine, and the records that bring it to the disk.
 //!
-//! It keeps two promises whatever it is told: the commit index never goes back but with a new epoch, and no entry at or
+//! It keeps two promises whatever it is told, but that who installs a snapshot sees to it that it is later: the commit index never goes back but with a new epoch, and no entry at or
 //! before it is ever replaced. Elections and replication decide what is appended and committed; this module only does it.
 
 use std::collections::BTreeSet;
--- a/crates/plovershelf-cluster/src/consensus/message.rs
+++ b/crates/plovershelf-cluster/src/consensus/message.rs
@@ -13,7 +13,7 @@
 pub enum Ballot {
     /// A vote that binds the voter in its term.
     Vote,
-    /// Whether there would be a vote; nobody's term changes by it (Raft, section 9.6).
+    /// Whether there would be a vote; nobody's term changes by it (Ongaro's dissertation, section 9.6).
     PreVote,
 }
 
--- a/crates/plovershelf-cluster/src/consensus/mod.rs
+++ b/crates/plovershelf-cluster/src/consensus/mod.rs
@@ -12,7 +12,8 @@
 //!   votes and acknowledgements do not count for the old one.
 //! - A voter that restarts does not trust its disk, which may be an older copy; it recovers as in viewstamped replication
 //!   (module `recovery`).
-//! - Committed entries reach nodes that are no voters from any node ([`Raft::handle_relayed_entries`]), not from the leader.
+//! - Committed entries reach nodes that are no voters from any node ([`Raft::handle_relayed_entries`]), the leader among them,
+//!   and not by `AppendEntries`, unless they are learners.
 //!
 //! | role | event | next role |
 //! | --- | --- | --- |
--- a/crates/plovershelf-cluster/src/consensus/replication.rs
+++ b/crates/plovershelf-cluster/src/consensus/replication.rs
@@ -81,10 +81,6 @@
         followers
     }
 
-    pub(super) fn is_tracked(&self, id: NodeId) -> bool {
-        self.progress.contains_key(&id)
-    }
-
     pub(super) fn matched(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
         self.progress.iter().map(|(id, progress)| (*id, progress.match_index))
     }
@@ -119,11 +115,11 @@
         Some(Batch::Entries { previous_index, until })
     }
 
-    /// The follower answered a message that the leader sent then: it followed it at that time.
-    pub(super) fn record_contact(&mut self, from: NodeId, sent_at_us: u64) {
-        if let Some(progress) = self.progress.get_mut(&from) {
-            progress.acknowledged_us = progress.acknowledged_us.max(sent_at_us);
-        }
+    /// The follower answered a message that the leader sent then: it followed it at that time. False where it is sent nothing.
+    pub(super) fn record_contact(&mut self, from: NodeId, sent_at_us: u64) -> bool {
+        let Some(progress) = self.progress.get_mut(&from) else { return false };
+        progress.acknowledged_us = progress.acknowledged_us.max(sent_at_us);
+        true
     }
 
     /// The follower's log matches up to there.
@@ -160,10 +156,8 @@
 
     /// The last index that a majority of voters has.
     pub(super) fn quorum_index(&self, own: NodeId, own_last: u64, voters: &BTreeSet<NodeId>) -> Option<u64> {
-        let index = |id: &NodeId| match self.progress.get(id) {
-            _ if *id == own => own_last,
-            progress => progress.map_or(0, |progress| progress.match_index),
-        };
+        let match_index = |id: &NodeId| self.progress.get(id).map_or(0, |progress| progress.match_index);
+        let index = |id: &NodeId| if *id == own { own_last } else { match_index(id) };
         let mut matched: Vec<u64> = voters.iter().map(index).collect();
         matched.sort_by(|a, b| b.cmp(a));
         matched.get(majority(matched.len()) - 1).copied()
--- a/crates/plovershelf-cluster/src/gossip/config.rs
+++ b/crates/plovershelf-cluster/src/gossip/config.rs
@@ -13,8 +13,8 @@
     pub suspicion_timeout_ms: f64,
     /// The fraction of it that a suspicion lasts which as many share as count.
     pub confirmed_suspicion_fraction: f64,
-    /// How many times longer all of it may get while local health is poor.
-    pub max_health_multiplier: f64,
+    /// The highest score of local health; timeouts get `1 + score / 2` times longer, so 2.5 times with 3.
+    pub max_health_score: f64,
     /// Updates carried along with one message.
     pub updates_per_message: usize,
     /// Members that are known at once.
@@ -43,7 +43,7 @@
             indirect_probes: 3,
             suspicion_timeout_ms: 1000.0,
             confirmed_suspicion_fraction: 0.5,
-            max_health_multiplier: 4.0,
+            max_health_score: 3.0,
             updates_per_message: 6,
             max_members: 2000,
             sync_interval_ms: 5000.0,
--- a/crates/plovershelf-cluster/src/gossip/probe.rs
+++ b/crates/plovershelf-cluster/src/gossip/probe.rs
@@ -130,8 +130,8 @@
 }
 
 impl LocalHealth {
-    pub(super) fn new(max_multiplier: f64) -> Self {
-        LocalHealth { score: 0.0, max_score: max_multiplier - 1.0 }
+    pub(super) fn new(max_score: f64) -> Self {
+        LocalHealth { score: 0.0, max_score }
     }
 
     /// By how much timeouts are longer.
--- a/crates/plovershelf-cluster/src/gossip/swim.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim.rs
@@ -1,5 +1,6 @@
 //! The state machine of one member; see the [module](super).
 
+use std::cmp::Ordering;
 use std::net::SocketAddr;
 
 use rand::seq::SliceRandom;
@@ -68,7 +69,7 @@
             table: MemberTable::default(),
             round: ProbeRound::default(),
             probes: PendingProbes::default(),
-            health: LocalHealth::new(config.max_health_multiplier),
+            health: LocalHealth::new(config.max_health_score),
             seeds,
             probe_at_ms: now_ms + config.probe_interval_ms * phase,
             sync_at_ms: now_ms + config.sync_interval_ms * phase,
@@ -334,11 +335,12 @@
     fn expire_suspicions(&mut self) {
         let multiplier = self.health.multiplier();
         let members = self.table.len();
-        let expired = |entry: &&MemberEntry| {
+        let deadline_ms = |entry: &MemberEntry| {
             let suspected_by = entry.suspected_by.len();
-            let deadline_ms =
-                suspicion_deadline_ms(&self.config, entry.since_ms, members, multiplier, suspected_by);
-            entry.update.state == MemberState::Suspect && self.now_ms >= deadline_ms
+            suspicion_deadline_ms(&self.config, entry.since_ms, members, multiplier, suspected_by)
+        };
+        let expired = |entry: &&MemberEntry| {
+            entry.update.state == MemberState::Suspect && self.now_ms >= deadline_ms(entry)
         };
         let dead: Vec<MemberUpdate> = self
             .table
@@ -412,8 +414,11 @@
         if id == self.own.node.id {
             return self.refute(&update);
         }
-        let disseminate = match self.table.get(id) {
-            Some(_) => self.apply_to_known(update).map(|changed| changed || relay == Relay::Always),
+        let known = self.table.get(id).map(|entry| entry.update.precedence());
+        let disseminate = match known {
+            Some(known) => {
+                self.apply_to_known(update, known).map(|changed| changed || relay == Relay::Always)
+            }
             None => self.add_member(update).then_some(relay == Relay::Always),
         };
         if disseminate.is_some_and(|disseminate| disseminate || !alive) {
@@ -422,19 +427,23 @@
     }
 
     /// Whether the update changed the member's state; nothing where it is not newer than what is known.
-    fn apply_to_known(&mut self, update: MemberUpdate) -> Option<bool> {
-        let id = update.node.id;
-        if self.table.confirm_suspicion(&update) {
-            self.queue.enqueue(id);
-        }
-        if update.precedence() <= self.table.get(id)?.update.precedence() {
-            return None;
-        }
-        let changed = self.table.replace(update, self.now_ms);
-        if changed {
-            self.schedule_broadcast();
+    fn apply_to_known(&mut self, update: MemberUpdate, known: (u32, MemberState)) -> Option<bool> {
+        match update.precedence().cmp(&known) {
+            Ordering::Less => None,
+            Ordering::Equal => {
+                if self.table.confirm_suspicion(&update) {
+                    self.queue.enqueue(update.node.id);
+                }
+                None
+            }
+            Ordering::Greater => {
+                let changed = self.table.replace(update, self.now_ms);
+                if changed {
+                    self.schedule_broadcast();
+                }
+                Some(changed)
+            }
         }
-        Some(changed)
     }
 
     /// Whether the member was added. The long dead are of no use to a member that never knew them.
--- a/crates/plovershelf-cluster/src/lease/mod.rs
+++ b/crates/plovershelf-cluster/src/lease/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The leader grants a lease for a short time to members of the view that it does not mean to remove, and only while no other
 //! node can lead. The lease runs from when it was asked for, on the asker's own clock, shortened by what clocks may drift;
-//! the leader counts it from when it granted it, lengthened by the same. So what the member takes for valid ends before what
+//! the leader counts it from when it granted it, lengthened by twice as much. So what the member takes for valid ends before what
 //! the leader waits for, and a process that was paused finds its lease expired when it wakes.
 
 use std::collections::BTreeMap;
--- a/crates/plovershelf-cluster/src/node/cluster_node.rs
+++ b/crates/plovershelf-cluster/src/node/cluster_node.rs
@@ -473,7 +473,7 @@
         let committed = before.and_then(|index| self.raft.committed_after(index));
         let Some((previous, entries)) = committed else { return };
         let epoch = self.raft.epoch();
-        for destination in members.into_iter().filter_map(|id| self.destination_of(id)).collect::<Vec<_>>() {
+        for destination in self.destinations_of(members) {
             let entries = entries.clone();
             self.send(destination, NodeMessage::CommittedEntries { epoch, previous, entries });
         }
--- a/crates/plovershelf-cluster/src/node/leader_duties.rs
+++ b/crates/plovershelf-cluster/src/node/leader_duties.rs
@@ -1,7 +1,8 @@
 //! What the leader does for the cluster: it keeps the view, the leases and the voters.
 //!
 //! The three belong together: a member is removed from the view only when no lease of it is valid, and gets no lease while it
-//! is to be removed. On a node that does not lead all of this state is empty.
+//! is to be removed. On a node that does not lead it is cleared at the next look, but for the voters that an operator
+//! wants replaced.
 
 use std::collections::BTreeMap;
 
--- a/crates/plovershelf-cluster/src/status.rs
+++ b/crates/plovershelf-cluster/src/status.rs
@@ -319,7 +319,7 @@
         let (raft, info) = (node.raft(), &update.node);
         let voter = raft.voters().contains(&info.id);
         let last = raft.persistent().last().index;
-        let matched = raft.matched().into_iter().find(|(id, _)| *id == info.id);
+        let lag = || raft.matched().into_iter().find(|(id, _)| *id == info.id).map(|(_, index)| last - index);
         MemberStatus {
             name: info.name.clone(),
             node_id: info.id.0,
@@ -332,7 +332,7 @@
             in_view: node.view().members.contains_key(&info.id),
             voter,
             since_ms,
-            lag: matched.filter(|_| voter && raft.leads()).map(|(_, index)| last - index),
+            lag: if voter && raft.leads() { lag() } else { None },
         }
     }
 }
--- a/crates/plovershelf-cluster/src/storage/mod.rs
+++ b/crates/plovershelf-cluster/src/storage/mod.rs
@@ -173,8 +173,9 @@
         let from = persistent.snapshot.last.index + 1;
         records.push(Record::Append { from, entries: persistent.log.clone() });
     }
-    let records = records.iter().flat_map(encode_record);
-    encode_frame(header).into_iter().chain(records).collect()
+    let mut file = encode_frame(header);
+    records.iter().for_each(|record| file.extend(encode_record(record)));
+    file
 }
 
 /// A record as it is appended to the file.
--- a/crates/plovershelf-config-distribution/src/lib.rs
+++ b/crates/plovershelf-config-distribution/src/lib.rs
@@ -37,9 +37,6 @@
 //! | `fetch` | one request at a time for a delta or a snapshot that is missing here |
 //! | `node` | joins the parts: the driver's interface |
 
-#![warn(missing_docs)]
-#![warn(unreachable_pub)]
-
 mod aggregation;
 pub mod broken;
 mod change;
--- a/crates/plovershelf-config-distribution/src/node/sync.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -154,8 +154,8 @@
     }
 
     pub(super) fn apply(&mut self, now_ms: f64, change: Change) -> Result<(), ApplyError> {
-        let (version, edits) = (change.version, change.edits.clone());
-        self.store.apply(change)?;
+        let version = change.version;
+        let edits = self.store.apply(change)?;
         self.actions.events.push(Event::DeltaApplied { version, edits });
         self.on_table_changed(now_ms);
         Ok(())
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -98,12 +98,12 @@
         let mut found = pick(&relays, request.node, self.fan_out, Distance::SameZone);
         if found.is_empty() {
             if let Some(origin) = self.nearer_origin(now_ms, request, peers) {
-                return candidates(Vec::new(), ListenerKind::Leaf, FanOutLimit::Normal, Some(origin));
+                return parent_candidates(Vec::new(), ListenerKind::Leaf, FanOutLimit::Normal, Some(origin));
             }
             let is_full = children.len() + self.pending_promises(children) >= self.origin_fan_out;
             if !is_full || children.contains(request.from) {
                 self.promise(now_ms, request);
-                return candidates(Vec::new(), ListenerKind::Relay, FanOutLimit::Normal, None);
+                return parent_candidates(Vec::new(), ListenerKind::Relay, FanOutLimit::Normal, None);
             }
             found = pick(&relays, request.node, self.fan_out, Distance::Far);
         }
@@ -114,7 +114,7 @@
         if let Some(first) = found.first().copied() {
             self.count_placed(first, children, peers);
         }
-        candidates(found, ListenerKind::Leaf, limit, None)
+        parent_candidates(found, ListenerKind::Leaf, limit, None)
     }
 
     /// Whether a place is reserved for it here, though others may have come meanwhile.
@@ -264,7 +264,7 @@
     sorted.iter().filter(fits).take(MAX_CANDIDATES).map(|relay| relay.address).collect()
 }
 
-fn candidates(
+fn parent_candidates(
     relays: Vec<SocketAddr>,
     kind: ListenerKind,
     limit: FanOutLimit,
--- a/crates/plovershelf-config-distribution/src/placement/tests.rs
+++ b/crates/plovershelf-config-distribution/src/placement/tests.rs
@@ -32,7 +32,7 @@
 }
 
 fn relays(relays: &[u8], limit: FanOutLimit) -> Message {
-    candidates(relays.iter().copied().map(address).collect(), ListenerKind::Leaf, limit, None)
+    parent_candidates(relays.iter().copied().map(address).collect(), ListenerKind::Leaf, limit, None)
 }
 
 fn one_relay() -> DistributionConfig {
@@ -60,7 +60,7 @@
 fn full_relays_are_named_last_and_with_the_failover_limit() {
     let mut origin = Origin::new(&one_relay());
     let leaf = node_in(50, "a", "north");
-    let become_relay = candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None);
+    let become_relay = parent_candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None);
     assert_eq!(origin.find(&leaf, &[]), become_relay);
     origin.placement.fulfil_promise(leaf.address);
     origin.add_relay(10, "b", 1);
@@ -76,12 +76,12 @@
     let mut origin = Origin::new(&one_relay());
     let leaf = node_in(50, "c", "south");
     origin.peers.handle_relays(0.0, address(2), node_in(2, "c", "south"), Vec::new());
-    let redirect = candidates(vec![], ListenerKind::Leaf, FanOutLimit::Normal, Some(address(2)));
+    let redirect = parent_candidates(vec![], ListenerKind::Leaf, FanOutLimit::Normal, Some(address(2)));
     assert_eq!(origin.find(&leaf, &[]), redirect);
     let request = ParentRequest { from: leaf.address, node: &leaf, excluded: &[], redirected: false };
     let answer =
         origin.placement.handle_find_parent(60_000.0, &request, &mut origin.children, &mut origin.peers);
-    assert_eq!(answer, candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None));
+    assert_eq!(answer, parent_candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None));
 }
 
 /// An origin comes back and feeds nobody. Relays of its region must be sent there one by one, those that are nearer to it
--- a/crates/plovershelf-config-distribution/src/store.rs
+++ b/crates/plovershelf-config-distribution/src/store.rs
@@ -1,6 +1,6 @@
 //! What a process holds of the configuration, and what it can hand on: the table in force and the log that led to it.
 
-use crate::change::Change;
+use crate::change::{Change, Edit};
 use crate::change_log::ChangeLog;
 use crate::quota_table::{ApplyError, QuotaTable, MAX_CHUNK_BYTES};
 use crate::version::Version;
@@ -34,10 +34,12 @@
         &self.log
     }
 
-    pub(crate) fn apply(&mut self, change: Change) -> Result<(), ApplyError> {
+    /// Applies a change and returns its edits.
+    pub(crate) fn apply(&mut self, change: Change) -> Result<Vec<Edit>, ApplyError> {
         self.table.apply(&change)?;
+        let edits = change.edits.clone();
         self.log.push(change);
-        Ok(())
+        Ok(edits)
     }
 
     /// Another table, to which no change of the log leads.
--- a/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -1,4 +1,4 @@
-//! Sources that stand still: they take what is sent to them, and answer nothing.
+//! Origins that stand still: they take what is sent to them, and answer nothing.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     Node::new(Startup { node: info(port), role, origins, config, table: QuotaTable::default(), seed }, 0.0)
 }
 
-/// Where it asks for ways from its start on, nobody answering, and when.
+/// Where it looks for a parent from its start on, nobody answering, and when.
 fn asked(node: &mut Node, until: f64) -> Vec<(f64, SocketAddr)> {
     let (mut asked, mut now) = (Vec::new(), 0.0);
     while now < until {
--- a/crates/plovershelf-replication/src/primary.rs
+++ b/crates/plovershelf-replication/src/primary.rs
@@ -75,7 +75,7 @@
         replica: &Replica,
     ) -> Effects {
         let mut effects = Effects::default();
-        let Some(outcome) = replica.get(key).and_then(|stored| stored.outcome.clone()) else {
+        let Some(outcome) = replica.get(key).and_then(|stored| stored.outcome.as_ref()) else {
             return effects;
         };
         let state = self.keys.entry(key).or_default();
@@ -136,9 +136,9 @@
         repair: &mut Repair,
     ) -> Effects {
         let ReserveRequest { key, reservation, .. } = request;
-        let stored = replica.get(key).and_then(|stored| stored.outcome.clone());
+        let stored = replica.get(key).and_then(|stored| stored.outcome.as_ref());
         let replicated = self.keys.get(&key).is_some_and(|state| state.outcome_replicated);
-        let outcome = stored.clone().filter(|_| replicated);
+        let outcome = stored.filter(|_| replicated).cloned();
         if outcome.is_none() {
             let waiters = &mut self.keys.entry(key).or_default().waiters;
             if !waiters.contains(&reservation) && waiters.len() < MAX_WAITERS {
