--- a/crates/plovershelf-cli/src/demo.rs
+++ b/crates/plovershelf-cli/src/demo.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use clap::Args;
 use comfy_table::{presets, Table};
-use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
+use plovershelf_client::{BackpressureSignal, ClientConfig};
 use plovershelf_testkit::backend::server_program;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::{cores, dependency, Clock, Executor};
@@ -78,10 +78,7 @@
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
             };
-            let builder =
-                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
-            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(&executor, &members, number, config)?;
             askers.push(Asker::Library(client));
         }
         let names: Vec<String> =
--- a/crates/plovershelf-cli/src/load.rs
+++ b/crates/plovershelf-cli/src/load.rs
@@ -2,11 +2,12 @@
 //! two kinds of callers meet the very same demand.
 
 use std::cell::RefCell;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{Client, NotSentReason, Request, Response};
+use plovershelf_client::{Client, ClientBuilder, ClientConfig, NotSentReason, Request, Response};
 use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
 use plovershelf_testkit::work::{Idempotency, WorkSpec};
 use plovershelf_testkit::{Clock, Executor};
@@ -197,6 +198,22 @@
 /// What came of each, by its place in the schedule; more than one would show.
 pub type Results = Rc<RefCell<Vec<Vec<Result>>>>;
 
+/// A client of the library that runs on an executor.
+///
+/// # Errors
+/// What is wrong with its configuration, in one line.
+pub fn library_client(
+    executor: &Executor,
+    endpoints: &[SocketAddr],
+    number: usize,
+    config: ClientConfig,
+) -> std::result::Result<Client, String> {
+    let builder = ClientBuilder::new().endpoints(endpoints).client_number(number as u32).config(config);
+    let (client, drive) = builder.build().map_err(|error| error.to_string())?;
+    executor.spawn(drive).detach();
+    Ok(client)
+}
+
 /// Who asks.
 #[derive(Clone)]
 pub enum Asker {
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
+use plovershelf_client::{BackpressureSignal, ClientConfig};
 use plovershelf_testkit::backend::Backend;
 use plovershelf_testkit::basic_client::BasicClient;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
@@ -100,10 +100,7 @@
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
             };
-            let builder =
-                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
-            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(executor, &members, number, config)?;
             askers.push(Asker::Library(client));
         }
         let results = load::Results::default();
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, Client, ClientBuilder, ClientConfig};
+use plovershelf_client::{BackpressureSignal, Client, ClientConfig};
 use plovershelf_testkit::fleet::Fleet;
 use plovershelf_testkit::Clock;
 
@@ -40,10 +40,7 @@
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
             };
-            let builder =
-                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
-            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(executor, &members, number, config)?;
             clients.push(client);
         }
         let askers: Vec<Asker> = clients.iter().cloned().map(Asker::Library).collect();
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
+use plovershelf_client::{BackpressureSignal, ClientConfig};
 use plovershelf_cluster::status::{Answer, Question, Status};
 use plovershelf_simulation::audit::{self, Event, Seen};
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step, CALM_MS};
@@ -87,10 +87,7 @@
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
             };
-            let builder =
-                ClientBuilder::new().endpoints(&addresses).client_number(number as u32).config(config);
-            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(executor, &addresses, number, config)?;
             askers.push(Asker::Library(client));
         }
         let looks: Rc<RefCell<Vec<Look>>> = Rc::default();
--- a/crates/plovershelf-cli/src/trial/group_model.rs
+++ b/crates/plovershelf-cli/src/trial/group_model.rs
@@ -15,7 +15,7 @@
 const STEPS: usize = 14;
 const SPAN_MS: f64 = 30_000.0;
 
-/// What all seeds report to.
+/// What all seeds came to.
 #[derive(Default)]
 struct Sum {
     broken: Vec<(u64, String)>,
@@ -81,7 +81,7 @@
     (report, figures)
 }
 
-/// A line through what each size report to. Sizes that a figure is missing for are missing here too, and fail by themselves.
+/// A line through what each size came to. Sizes that a figure is missing for are missing here too, and fail by themselves.
 fn slope(points: &[(f64, f64)]) -> Figures {
     let fit = Fit::of(points);
     let mut figures = Figures::default();
--- a/crates/plovershelf-cli/src/trial/pools.rs
+++ b/crates/plovershelf-cli/src/trial/pools.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use async_io::Timer;
-use plovershelf_client::{ClientBuilder, ClientConfig};
+use plovershelf_client::ClientConfig;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::{cores, dependency, Clock};
 
@@ -116,10 +116,7 @@
             // Callers that neither throttle nor heed a rank, so that the flood reaches the backends.
             let seed = ground.seed * 1000 + number as u64 + 1;
             let config = ClientConfig { seed, throttle_ratio: 1000.0, ..ClientConfig::default() };
-            let builder =
-                ClientBuilder::new().endpoints(&members).client_number(number as u32).config(config);
-            let (client, drive) = builder.build().map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(executor, &members, number, config)?;
             askers.push(Asker::Library(client));
         }
         let began = clock.now();
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use plovershelf_client::{BackpressureSignal, ClientBuilder, ClientConfig};
+use plovershelf_client::{BackpressureSignal, ClientConfig};
 use plovershelf_testkit::basic_client::BasicClient;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::{cores, dependency, Clock};
@@ -33,7 +33,7 @@
 enum Senders {
     /// Callers of the library, that share out what they are told.
     Heed,
-    /// BasicClient ones, that know of nothing.
+    /// Basic ones, that know of nothing.
     Untold,
 }
 
@@ -115,13 +115,7 @@
                 subset_index: Some(number as u64),
                 ..ClientConfig::default()
             };
-            let (client, drive) = ClientBuilder::new()
-                .endpoints(&members)
-                .client_number(number as u32)
-                .config(config)
-                .build()
-                .map_err(|error| error.to_string())?;
-            executor.spawn(drive).detach();
+            let client = load::library_client(executor, &members, number, config)?;
             askers.push(Asker::Library(client));
         }
         let results = load::Results::default();
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -13,9 +13,8 @@
     decode, encode_frame as encode, encode_payload as plain, read_frame as unframed, Hello, Wire,
 };
 use plovershelf_failover::{Request, Response, ShiftRequest, Status as ZonesStatus, TrafficPlan};
-use plovershelf_simulation::schedule::{Fault, Folder};
+use plovershelf_simulation::schedule::{Fault, FaultPhase, Folder};
 use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
-use plovershelf_testkit::fault_injection::FaultPhase;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::scripted::SETTINGS;
 use plovershelf_testkit::work::{Idempotency, WorkSpec};
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -1,4 +1,4 @@
-//! Change changes on simulated time, carried in three ways on the same seeds, changes and troubles: the leader sends to all,
+//! Numbered changes on simulated time, carried in three ways on the same seeds, changes and troubles: the leader sends to all,
 //! gossip with exchange, and the very state machines that serve. Each is held to the same promises, and what each costs is counted
 //! at every process.
 //!
--- a/crates/plovershelf-simulation/src/cluster/world.rs
+++ b/crates/plovershelf-simulation/src/cluster/world.rs
@@ -17,7 +17,7 @@
 use super::report::Report;
 use crate::audit::{Event, Seen};
 use crate::net::{Net, Queue};
-use crate::schedule::{third, Fault, Folder, Step, CALM_MS};
+use crate::schedule::{cut_paths, third, Fault, FaultPhase, Folder, Step, CALM_MS};
 
 /// Between two looks at all members.
 const OBSERVE_INTERVAL_MS: f64 = 20.0;
@@ -145,8 +145,8 @@
                     self.call(member, |node, clock_ms| node.handle_timeout(clock_ms));
                 }
             }
-            Happening::FaultBegins(place) => self.apply_fault(place, true),
-            Happening::FaultEnds(place) => self.apply_fault(place, false),
+            Happening::FaultBegins(place) => self.apply_fault(place, FaultPhase::Begins),
+            Happening::FaultEnds(place) => self.apply_fault(place, FaultPhase::Ends),
             Happening::Observe => {
                 self.observe_all();
                 self.observe_growth();
@@ -348,7 +348,8 @@
 
     // ---- faults ------------------------------------------------------------------------------------
 
-    fn apply_fault(&mut self, place: usize, begins: bool) {
+    fn apply_fault(&mut self, place: usize, phase: FaultPhase) {
+        let begins = phase == FaultPhase::Begins;
         let step = self.plan.schedule.steps[place].clone();
         let (now_ms, count) = (self.queue.now(), self.processes.len());
         for member in step.fault.touches(count) {
@@ -359,17 +360,20 @@
             self.record(Seen::Fault { text });
         }
         match step.fault {
-            Fault::Cut { these, those, one_way } => self.partition(&these, &those, one_way, begins),
+            Fault::Cut { these, those, one_way } => {
+                let paths = cut_paths(&these, &those, one_way);
+                paths.for_each(|(from, to)| self.net.cut(from, to, begins));
+            }
             Fault::Loss { share } => {
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0)
             }
             Fault::Slow { member, by_ms } => self.net.slow(member, begins.then_some(by_ms)),
-            Fault::Kill { member, folder } => self.hold_down(member, begins, folder),
+            Fault::Kill { member, folder } => self.hold_down(member, phase, folder),
             // Without the notice: as hard as a loss that keeps its disk.
-            Fault::Leave { member } => self.hold_down(member, begins, Folder::Kept),
+            Fault::Leave { member } => self.hold_down(member, phase, Folder::Kept),
             Fault::KillThird { first } => {
                 let members: Vec<usize> = third(first, count).collect();
-                members.into_iter().for_each(|member| self.hold_down(member, begins, Folder::Kept));
+                members.into_iter().for_each(|member| self.hold_down(member, phase, Folder::Kept));
             }
             Fault::Stop { member } => {
                 self.processes[member].paused = begins && self.processes[member].node.is_some();
@@ -394,21 +398,10 @@
         }
     }
 
-    fn partition(&mut self, these: &[usize], those: &[usize], one_way: bool, begins: bool) {
-        for one in these {
-            for other in those {
-                self.net.cut(*one, *other, begins);
-                if !one_way {
-                    self.net.cut(*other, *one, begins);
-                }
-            }
-        }
-    }
-
     /// Members that several faults hold down come back when the last of them is over.
-    fn hold_down(&mut self, member: usize, begins: bool, folder: Folder) {
+    fn hold_down(&mut self, member: usize, phase: FaultPhase, folder: Folder) {
         let process = &mut self.processes[member];
-        if begins {
+        if phase == FaultPhase::Begins {
             process.down_count += 1;
             if process.node.is_some() {
                 self.kill(member, folder);
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -16,7 +16,7 @@
 use super::report::{KeyHistory, Report, Visit};
 use super::views::{Seen, ViewService};
 use crate::net::{Net, Queue};
-use crate::schedule::{third, Fault};
+use crate::schedule::{cut_paths, third, Fault, FaultPhase};
 
 /// How long a request may be launched, and how long its client waits at the median, in milliseconds.
 const DEADLINE_MS: f64 = 3000.0;
@@ -27,13 +27,6 @@
 /// The run goes on for so long after the last fault, in milliseconds.
 const AFTERMATH_MS: f64 = 10_000.0;
 
-/// Whether a fault begins or ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Edge {
-    Begins,
-    Ends,
-}
-
 /// One run.
 pub struct World {
     plan: Plan,
@@ -99,8 +92,8 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Process(process, event) => self.handle_process_event(process, event),
-            Event::FaultBegins(place) => self.apply_fault(place, Edge::Begins),
-            Event::FaultEnds(place) => self.apply_fault(place, Edge::Ends),
+            Event::FaultBegins(place) => self.apply_fault(place, FaultPhase::Begins),
+            Event::FaultEnds(place) => self.apply_fault(place, FaultPhase::Ends),
             Event::Agree => self.agree(),
             Event::NewKey => self.new_key(),
             Event::Attempt { key, retries_left } => self.attempt(key, retries_left),
@@ -404,38 +397,33 @@
 
     // ---- faults ----------------------------------------------------------------------------------------
 
-    fn apply_fault(&mut self, place: usize, edge: Edge) {
-        let begins = edge == Edge::Begins;
+    fn apply_fault(&mut self, place: usize, phase: FaultPhase) {
+        let begins = phase == FaultPhase::Begins;
         match self.plan.schedule.steps[place].fault.clone() {
             Fault::Cut { these, those, one_way } => {
-                let links = these.iter().flat_map(|one| those.iter().map(move |other| (*one, *other)));
-                for (one, other) in links {
-                    self.net.cut(one, other, begins);
-                    if !one_way {
-                        self.net.cut(other, one, begins);
-                    }
-                }
+                let paths = cut_paths(&these, &those, one_way);
+                paths.for_each(|(from, to)| self.net.cut(from, to, begins));
             }
             Fault::Loss { share } => {
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0);
             }
             Fault::Slow { member, by_ms } => self.net.slow(member, begins.then_some(by_ms)),
             // Without the time that leaving takes: as hard as a loss.
-            Fault::Kill { member, .. } | Fault::Leave { member } => self.lose(member, edge),
+            Fault::Kill { member, .. } | Fault::Leave { member } => self.lose(member, phase),
             // Two at once, next to each other and so in two zones: what three replicas are promised to outlive.
             Fault::KillThird { first } => {
                 let lost: Vec<usize> = third(first, self.nodes.len()).take(2).collect();
-                lost.into_iter().for_each(|member| self.lose(member, edge));
+                lost.into_iter().for_each(|member| self.lose(member, phase));
             }
-            Fault::Stop { member } => self.pause(member, edge),
+            Fault::Stop { member } => self.pause(member, phase),
             Fault::Unfit { .. } | Fault::Full { .. } | Fault::Clock { .. } => {}
         }
     }
 
-    fn pause(&mut self, member: usize, edge: Edge) {
-        match edge {
-            Edge::Begins => self.nodes[member].paused = self.nodes[member].is_up(),
-            Edge::Ends => {
+    fn pause(&mut self, member: usize, phase: FaultPhase) {
+        match phase {
+            FaultPhase::Begins => self.nodes[member].paused = self.nodes[member].is_up(),
+            FaultPhase::Ends => {
                 let Some(deferred) = self.nodes[member].resume() else { return };
                 for (process, event) in deferred {
                     self.handle_process_event(process, event);
@@ -445,15 +433,15 @@
         }
     }
 
-    fn lose(&mut self, member: usize, edge: Edge) {
-        match edge {
-            Edge::Begins => {
+    fn lose(&mut self, member: usize, phase: FaultPhase) {
+        match phase {
+            FaultPhase::Begins => {
                 self.nodes[member].begin_fault();
                 if self.nodes[member].is_up() {
                     self.kill(member);
                 }
             }
-            Edge::Ends => {
+            FaultPhase::Ends => {
                 if self.nodes[member].end_fault() {
                     self.start(member);
                 }
--- a/crates/plovershelf-simulation/src/schedule.rs
+++ b/crates/plovershelf-simulation/src/schedule.rs
@@ -114,6 +114,27 @@
     }
 }
 
+/// Whether a fault begins or ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultPhase {
+    /// It takes effect.
+    Begins,
+    /// It is over.
+    Ends,
+}
+
+/// Sender and receiver of each path that a cut between two sets of members concerns; with `one_way` only those from the first set to
+/// the second.
+pub fn cut_paths<'a>(
+    these: &'a [usize],
+    those: &'a [usize],
+    one_way: bool,
+) -> impl Iterator<Item = (usize, usize)> + 'a {
+    let pairs = these.iter().flat_map(|one| those.iter().map(|other| (*one, *other)));
+    pairs
+        .flat_map(move |(one, other)| std::iter::once((one, other)).chain((!one_way).then_some((other, one))))
+}
+
 /// The members that a third killed at once takes.
 pub fn third(first: usize, members: usize) -> impl Iterator<Item = usize> {
     (0..members / 3).map(move |n| (first + n) % members)
--- a/crates/plovershelf-simulation/tests/groups.rs
+++ b/crates/plovershelf-simulation/tests/groups.rs
@@ -236,7 +236,7 @@
     plan.recoveries = vec![recovery(10_000.0, 4, &["n1"]), recovery(16_000.0, 4, &["n1", "n2"])];
     let report = World::run(plan.clone());
     assert!(report.audit.broken.is_empty(), "{:?}", report.audit.broken);
-    // The first left n2 out, which does not answer either; nothing report of it.
+    // The first left n2 out, which does not answer either; nothing came of it.
     assert!(
         matches!(&report.recovered[..], [Err(why), Ok(3)] if why.contains("n2")),
         "{:?}",
--- a/crates/plovershelf-testkit/src/fault_injection.rs
+++ b/crates/plovershelf-testkit/src/fault_injection.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 
 use async_io::Timer;
-use plovershelf_simulation::schedule::{third, Fault, Folder, Schedule};
+use plovershelf_simulation::schedule::{cut_paths, third, Fault, FaultPhase, Folder, Schedule};
 
 use crate::cluster::Cluster;
 use crate::fleet::Fleet;
@@ -13,15 +13,6 @@
 /// Time between two snapshots of the members' storage.
 const SNAPSHOT_INTERVAL_MS: f64 = 1000.0;
 
-/// Whether a fault begins or ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FaultPhase {
-    /// It is over.
-    Ends,
-    /// It takes effect.
-    Begins,
-}
-
 /// A fault's begin or end as it was applied, for the history and for who counts as healthy.
 #[derive(Clone, Debug)]
 pub struct AppliedFault {
@@ -132,13 +123,8 @@
     fn apply_fault(&mut self, fault: &Fault, begins: bool) {
         match fault {
             Fault::Cut { these, those, one_way } => {
-                for one in these {
-                    for other in those {
-                        set_partition(self.path(*one, *other), begins);
-                        if !one_way {
-                            set_partition(self.path(*other, *one), begins);
-                        }
-                    }
+                for (from, to) in cut_paths(these, those, *one_way) {
+                    set_partition(self.path(from, to), begins);
                 }
             }
             Fault::Loss { share } => {
