--- a/crates/plovershelf-bulkhead/examples/compare.rs
+++ b/crates/plovershelf-bulkhead/examples/compare.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// The algorithms, as the table names them.
+/// The algorithms, as the output has named them from the first.
 const ALGORITHMS: [(&str, LimitAlgorithm); 3] = [
     ("Additive", LimitAlgorithm::Aimd),
     ("Gradient", LimitAlgorithm::Gradient),
--- a/crates/plovershelf-failover/src/locality.rs
+++ b/crates/plovershelf-failover/src/locality.rs
@@ -49,7 +49,7 @@
     (cores * UNITS_PER_CORE).round().max(0.0) as u64
 }
 
-/// The plan that is best for what zones may carry and want. `cut_paths`, from and to, are not used.
+/// The plan that is best for what zones may carry and want. No traffic is sent by `cut_paths` (from, to).
 pub fn locality_weighted_plan(
     topology: &Topology,
     config: &PlannerConfig,
--- a/crates/plovershelf-failover/src/messages.rs
+++ b/crates/plovershelf-failover/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages about zones between members, and of callers and operators to members.
 //!
-//! Variants and fields keep their order on the wire. Names of fields that differ from their serialized form are those that
-//! scripts read of the command's JSON.
+//! Variants and fields keep their order on the wire. Where a field is renamed for its serialized form,
+//! that form is the key that scripts read of the command's JSON.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/plovershelf-failover/src/planner.rs
+++ b/crates/plovershelf-failover/src/planner.rs
@@ -37,7 +37,7 @@
     pub step_interval_ms: f64,
     /// Fraction of a zone's capacity that its own traffic may fill.
     pub near_fill_fraction: f64,
-    /// Fraction of a zone's capacity that all traffic may fill where some comes from other zones.
+    /// Fraction of a zone's capacity up to which traffic of other zones may fill it, less what it loses with its largest member.
     pub fill_fraction: f64,
     /// By how much of its traffic a zone is left in one step.
     pub leave_step: f64,
--- a/crates/plovershelf-simulator-adapter/src/event.rs
+++ b/crates/plovershelf-simulator-adapter/src/event.rs
@@ -47,7 +47,7 @@
     CallRequested { id: u32 },
     CallEnded { id: u32, outcome: CallOutcome },
     RunEnded { id: u32, outcome: RunOutcome },
-    TimerFired { timer: Timer, gauges: Vec<f64> },
+    TimerFired { timer: Timer, gauges: [Option<f64>; MAX_GAUGES] },
     DrainNotice { stop_ms: f64 },
     ProcessEnded,
 }
@@ -133,7 +133,7 @@
     }
 }
 
-fn gauges(record: &Record<'_>) -> Vec<f64> {
-    let count = usize::from(record.u8(10)).min(MAX_GAUGES);
-    (0..count).map(|place| record.f32(11 + 4 * place)).collect()
+fn gauges(record: &Record<'_>) -> [Option<f64>; MAX_GAUGES] {
+    let count = usize::from(record.u8(10));
+    std::array::from_fn(|place| (place < count).then(|| record.f32(11 + 4 * place)))
 }
--- a/crates/plovershelf-simulator-adapter/src/host.rs
+++ b/crates/plovershelf-simulator-adapter/src/host.rs
@@ -88,7 +88,7 @@
             Event::CallEnded { id, outcome } => backend.handle_call_ended(now_ms, id, outcome),
             Event::RunEnded { id, outcome } => backend.handle_run_ended(now_ms, id, outcome),
             Event::TimerFired { timer, gauges } => {
-                backend.handle_timeout(now_ms, timer, self.startup.gauges(gauges))
+                backend.handle_timeout(now_ms, timer, self.startup.gauges(gauges.into_iter().flatten()))
             }
             Event::DrainNotice { stop_ms } => backend.handle_drain_notice(now_ms, now_ms, stop_ms),
             Event::ProcessEnded => return None,
--- a/src/admission/cpu.rs
+++ b/src/admission/cpu.rs
@@ -2,8 +2,8 @@
 //!
 //! *Decides*: how much core time each execution gets, and whether other work crowds the executions out.
 //! *Inputs*: core utilization (fraction), runnable tasks, executions on the cores, elapsed time (ms).
-//! *Rule*: executions share the cores evenly, each at most one core, times the part of them that was
-//! runnable of late; more than [`MAX_COMPETING_TASKS_PER_CORE`] other runnable tasks are contention.
+//! *Rule*: each execution gets an even share of the cores, one core at most, or the part of executions that
+//! was runnable of late, whichever is less; more than [`MAX_COMPETING_TASKS_PER_CORE`] other runnable tasks are contention.
 //! *Why*: a backend does not see the time slices of its executions, only gauges once a period; executions
 //! that wait for disk take no core time.
 //! *Source*: `docs/design.md`, "Departures": load as defined there leaves out reading requests.
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,8 +1,8 @@
 //! The memory bound.
 //!
 //! *Decides*: whether one more execution, one more joined duplicate or one more retained outcome fits.
-//! *Inputs*: memory of a queued request (kB), factor by which an execution takes more, size of a
-//! deduplication entry (kB), memory of the process (kB).
+//! *Inputs*: memory of a queued request (KiB), factor by which an execution takes more, size of a
+//! deduplication entry (KiB), memory of the process (KiB).
 //! *Rule*: executions, queued and joined requests and deduplication entries fill at most
 //! [`MAX_OCCUPIED_FRACTION`] of the memory.
 //! *Why*: the rest is for requests that are being read, which the backend does not see yet.
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -76,8 +76,8 @@
 
 /// Time between two readings of the gauges.
 const PERIOD_MS: f64 = 100.0;
-/// The first period is shortest; by chance it is up to a period longer, so that servers started at once do
-/// not announce in step.
+/// The shortest first period, as a fraction of [`PERIOD_MS`]; by chance it is up to a period longer, so that
+/// servers started at once do not announce in step.
 const MIN_FIRST_PERIOD_FRACTION: f64 = 0.5;
 
 /// What becomes of a request that was just read.
--- a/src/api.rs
+++ b/src/api.rs
@@ -21,7 +21,7 @@
     pub latency_objective_ms: f64,
     /// The objective grows by this many times the request's own work.
     pub objective_per_work: f64,
-    /// Time after which a client has given up; the upper bound of every deadline of the class.
+    /// Time after which a client has given up: the deadline of a request that names none, from its arrival on.
     pub timeout_ms: f64,
     /// For how long a key is remembered from the arrival of its request on.
     pub deduplication_window_ms: f64,
@@ -199,7 +199,7 @@
 pub enum Completion {
     /// It ran and returned its result.
     Succeeded,
-    /// Nothing of it took effect.
+    /// It was not carried out, or may be repeated without harm.
     Rejected {
         /// When the client may retry.
         retry_after_ms: f64,
