--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What the decisions on a request, the end of its execution and a timeout cost, by requests in flight and by
-//! tenants. Run with `cargo bench --bench decision`.
+//! Measures the decisions on a request, the end of its execution and a timeout, for several numbers of requests in
+//! flight and of tenants. Run with `cargo bench --bench decision`.
 
 use std::hint::black_box;
 
@@ -25,7 +25,7 @@
         seed: 7,
         classes: vec![class(1.0), class(2.0), class(10.0)],
         tenant_quotas_per_s: vec![f64::MAX],
-        // So many cores that every request in flight runs.
+        // Enough cores to run every request in flight.
         cores: 10_000.0,
         memory_kb: 1e12,
         running_memory_factor: 8.0,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Each request is another tenant's, at 228 requests a second.
+/// Each request is for another tenant, at 228 requests per second.
 fn tenants(criterion: &mut Criterion) {
     for tenants in [100usize, 1000, 3400, 10_000, 34_000] {
         let tenant_quotas_per_s = vec![f64::MAX; tenants];
--- a/src/admission/backpressure/tests.rs
+++ b/src/admission/backpressure/tests.rs
@@ -1,5 +1,5 @@
 use crate::admission::backpressure::Backpressure;
-use crate::admission::test_support::{config, last_state, request, running, started};
+use crate::admission::test_support::{backend_with_running, config, last_state, request, start_backend};
 use crate::api::{BackendConfig, BackpressureSignal, Completion, Effects, Gauges, RequestState, Timer};
 
 impl Backpressure {
@@ -9,8 +9,8 @@
 }
 
 #[test]
-fn the_longer_arrivals_lie_unread_the_longer_the_retry_after() {
-    let mut backend = running(10);
+fn retry_after_grows_with_the_unread_time_of_arrivals() {
+    let mut backend = backend_with_running(10);
     backend.concurrency.set_unread_ms(500.0);
     backend.shedding.set_recent_fraction(0.0);
     let effects = backend.handle_request(0.0, request(1, 1));
@@ -19,26 +19,26 @@
 }
 
 #[test]
-fn only_what_shedding_of_late_mostly_kept_is_sent_elsewhere() {
-    let mut backend = running(10);
+fn only_recently_admitted_shedding_levels_may_retry_elsewhere() {
+    let mut backend = backend_with_running(10);
     backend.shedding.set_recent_fraction(0.5);
     backend.shedding.set_arrivals(&[0.0, 0.0, 8.0, 2.0]);
-    let is_sent_on = |effects: &Effects| {
+    let retries_elsewhere = |effects: &Effects| {
         let RequestState::Completed(Completion::Rejected { retry_elsewhere, .. }) = last_state(effects)
         else {
             panic!("not rejected: {effects:?}")
         };
         retry_elsewhere
     };
-    assert!(!is_sent_on(&backend.handle_request(0.0, request(1, 0))));
-    assert!(is_sent_on(&backend.handle_request(0.0, request(2, 1))));
+    assert!(!retries_elsewhere(&backend.handle_request(0.0, request(1, 0))));
+    assert!(retries_elsewhere(&backend.handle_request(0.0, request(2, 1))));
 }
 
 #[test]
-fn a_number_shared_by_many_clients_lets_each_have_one_request_on_a_warm_server() {
+fn concurrency_per_client_is_at_least_one_on_a_warm_server_with_many_clients() {
     let level = |client_count: f64| {
         let backpressure = BackpressureSignal::ConcurrencyPerClient;
-        let mut backend = started(BackendConfig { backpressure, client_count, ..config() });
+        let mut backend = start_backend(BackendConfig { backpressure, client_count, ..config() });
         backend.handle_timeout(100.0, Timer::Periodic, Gauges::default()).announcements.backpressure
     };
     assert!(level(2.0) > Some(1.0));
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn the_level_follows_what_clients_take_it_for() {
+fn the_level_depends_on_the_signal_that_clients_use() {
     let level = |backpressure, recent_fraction| {
-        let mut backend = started(BackendConfig { backpressure, ..config() });
+        let mut backend = start_backend(BackendConfig { backpressure, ..config() });
         backend.shedding.set_arrivals(&[0.0, 0.0, 50.0, 50.0]);
         backend.shedding.set_recent_fraction(recent_fraction);
         backend.announce();
@@ -64,14 +64,14 @@
     assert!(level(BackpressureSignal::RateFraction, 0.4).is_some_and(|fraction| fraction < 1.0));
 }
 
-/// The finer step is for numbers that are parts of a request; what clients take for a priority or a fraction
-/// is announced as seldom as ever.
+/// Guards against frequent announcements: the finer step applies only to numbers of requests below one, not to
+/// priorities and rate fractions.
 #[test]
-fn only_numbers_under_one_are_announced_anew_in_finer_steps() {
-    let settings =
+fn only_request_numbers_below_one_are_announced_in_finer_steps() {
+    let config_with =
         |backpressure| BackendConfig { backpressure, client_count: 500.0, cold_start: true, ..config() };
     let announced = |announced_level: f64, recent_fraction: f64| {
-        let mut backend = started(settings(BackpressureSignal::RateFraction));
+        let mut backend = start_backend(config_with(BackpressureSignal::RateFraction));
         backend.backpressure.set_announced_level(announced_level);
         backend.shedding.set_recent_fraction(recent_fraction);
         backend.now_ms = 8000.0;
@@ -81,8 +81,8 @@
     };
     assert_eq!(announced(0.5, 0.485), None);
     assert_eq!(announced(0.5, 0.47), Some(0.47));
-    let mut cold = started(settings(BackpressureSignal::ConcurrencyPerClient));
+    let mut cold = start_backend(config_with(BackpressureSignal::ConcurrencyPerClient));
     cold.backpressure.set_announced_level(0.02);
     cold.announce();
-    assert!(cold.effects.announcements.backpressure.is_some_and(|each| each < 0.02));
+    assert!(cold.effects.announcements.backpressure.is_some_and(|per_client| per_client < 0.02));
 }
--- a/src/admission/bulkhead.rs
+++ b/src/admission/bulkhead.rs
@@ -1,19 +1,19 @@
-//! Bulkheads: capacity reserved for and bounded to groups of request classes.
+//! Bulkheads: capacity reserved for, and limited to, groups of request classes.
 //!
-//! *Decides*: the admitted fraction of one bulkhead's arrivals, and whether it may place a call.
-//! *Inputs*: each bulkhead's capacity (reserved executions, executions and calls at most), the admitted
-//! fraction for all.
-//! *Rule*: a bulkhead at its capacity admits nothing; one below its reservation admits all while the limits
-//! of the backend hold; between them the fraction for all stands.
-//! *Why*: a request that wants a call and has none counts as an execution, so a bulkhead whose calls are full
-//! fills up by itself and holds up no other.
+//! *Decides*: the admitted fraction of one bulkhead's arrivals, and whether it may index an outbound call.
+//! *Inputs*: each bulkhead's capacity (reserved executions, maximum executions and calls), the admitted
+//! fraction of the backend.
+//! *Rule*: a bulkhead at its maximum admits nothing; one below its reservation admits everything while the
+//! backend is within its limits; in between, the backend's admitted fraction applies.
+//! *Why*: a request that waits for a call counts as an execution, so a bulkhead whose calls are exhausted
+//! fills up on its own and does not block any other.
 //! *Source*: Nygard, "Release It!", "Bulkheads"; `docs/bulkhead.md`.
-//! *Without it*: a flood of one class takes all capacity from the others. It does harm where bulkheads are
-//! drawn too narrow. Where an operator has set none, nothing of this is reached.
+//! *Without it*: a flood of one class takes all capacity from the others. The rule is harmful where bulkheads
+//! are too small. Without configured bulkheads it has no effect.
 
 use crate::api::{BulkheadCapacity, Bulkheads, RequestState};
 
-/// Executions and calls of one bulkhead.
+/// Number of executions and calls of one bulkhead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Occupancy {
     runs: usize,
@@ -32,14 +32,14 @@
     }
 }
 
-/// Whether the limits of the backend as a whole leave capacity.
+/// Whether the backend as a whole is below its limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BackendLoad {
     WithinLimits,
     AtLimit,
 }
 
-/// The bulkheads, where an operator has set any, and what each holds.
+/// Configured bulkheads, if any, and the occupancy of each.
 #[derive(Default)]
 pub(super) struct BulkheadAdmission {
     bulkheads: Option<Bulkheads>,
@@ -51,7 +51,7 @@
         self.bulkheads.is_some()
     }
 
-    /// New capacities; where classes moved between bulkheads, all requests in flight are counted again.
+    /// Replaces the capacities. If classes moved between bulkheads, all requests in flight are counted again.
     pub(super) fn update(
         &mut self,
         bulkheads: Option<Bulkheads>,
@@ -60,9 +60,9 @@
         fn layout(bulkheads: &Option<Bulkheads>) -> Option<(&[usize], usize)> {
             bulkheads.as_ref().map(|b| (b.bulkhead_of_class.as_slice(), b.capacities.len()))
         }
-        let moved = layout(&bulkheads) != layout(&self.bulkheads);
+        let layout_changed = layout(&bulkheads) != layout(&self.bulkheads);
         self.bulkheads = bulkheads;
-        if moved {
+        if layout_changed {
             let count = self.bulkheads.as_ref().map_or(0, |bulkheads| bulkheads.capacities.len());
             self.occupancies = vec![Occupancy::default(); count];
             in_flight.for_each(|(class, state)| self.enter(class, state));
@@ -71,30 +71,30 @@
 
     fn bulkhead(&self, class: usize) -> Option<(usize, &BulkheadCapacity)> {
         let bulkheads = self.bulkheads.as_ref()?;
-        let place = *bulkheads.bulkhead_of_class.get(class)?;
-        bulkheads.capacities.get(place).map(|capacity| (place, capacity))
+        let index = *bulkheads.bulkhead_of_class.get(class)?;
+        bulkheads.capacities.get(index).map(|capacity| (index, capacity))
     }
 
-    /// A request of a class entered a state.
+    /// Counts a request of the class that entered a state.
     pub(super) fn enter(&mut self, class: usize, state: RequestState) {
-        let Some((place, _)) = self.bulkhead(class) else { return };
-        if let Some(count) = self.occupancies[place].count_of(state) {
+        let Some((index, _)) = self.bulkhead(class) else { return };
+        if let Some(count) = self.occupancies[index].count_of(state) {
             *count += 1;
         }
     }
 
-    /// A request of a class left a state.
+    /// Stops counting a request of the class that left a state.
     pub(super) fn leave(&mut self, class: usize, state: RequestState) {
-        let Some((place, _)) = self.bulkhead(class) else { return };
-        if let Some(count) = self.occupancies[place].count_of(state) {
+        let Some((index, _)) = self.bulkhead(class) else { return };
+        if let Some(count) = self.occupancies[index].count_of(state) {
             *count -= 1;
         }
     }
 
-    /// The fraction of a class's arrivals to admit, where `fraction` holds for all.
+    /// Returns the fraction of the class's arrivals to admit; `fraction` is the backend's admitted fraction.
     pub(super) fn admitted_fraction(&self, class: usize, fraction: f64, backend: BackendLoad) -> f64 {
-        let Some((place, capacity)) = self.bulkhead(class) else { return fraction };
-        let Occupancy { runs, calls } = self.occupancies[place];
+        let Some((index, capacity)) = self.bulkhead(class) else { return fraction };
+        let Occupancy { runs, calls } = self.occupancies[index];
         let (runs, calls) = (runs as f64, calls as f64);
         if runs >= capacity.max_runs || calls >= capacity.max_calls {
             0.0
@@ -105,10 +105,10 @@
         }
     }
 
-    /// Whether a class's bulkhead bears one call more.
+    /// Returns whether the bulkhead of the class has capacity for another call.
     pub(super) fn allows_call(&self, class: usize) -> bool {
         self.bulkhead(class)
-            .is_none_or(|(place, capacity)| self.occupancies[place].calls as f64 + 1.0 <= capacity.max_calls)
+            .is_none_or(|(index, capacity)| self.occupancies[index].calls as f64 + 1.0 <= capacity.max_calls)
     }
 }
 
--- a/src/admission/bulkhead/tests.rs
+++ b/src/admission/bulkhead/tests.rs
@@ -1,20 +1,21 @@
 use super::*;
 use crate::admission::random::Pcg32;
-use crate::admission::test_support::{config, is_executed, request, running, started};
+use crate::admission::test_support::{backend_with_running, config, is_executed, request, start_backend};
 use crate::admission::Backend;
 use crate::api::{BackendConfig, CallOutcome, Gauges, RunOutcome, Timer};
 
-const WIDE: BulkheadCapacity = BulkheadCapacity { reserved_runs: 0.0, max_runs: 100.0, max_calls: 100.0 };
+const UNLIMITED: BulkheadCapacity =
+    BulkheadCapacity { reserved_runs: 0.0, max_runs: 100.0, max_calls: 100.0 };
 
-/// The first class in one bulkhead, the others in another that bounds nothing.
+/// Returns a bulkhead with the given capacity for the first class, and one that limits nothing for the others.
 fn two_bulkheads(reserved_runs: f64, max_runs: f64, max_calls: f64) -> Option<Bulkheads> {
-    let narrow = BulkheadCapacity { reserved_runs, max_runs, max_calls };
-    Some(Bulkheads { bulkhead_of_class: vec![0, 1, 1, 1], capacities: vec![narrow, WIDE] })
+    let limited = BulkheadCapacity { reserved_runs, max_runs, max_calls };
+    Some(Bulkheads { bulkhead_of_class: vec![0, 1, 1, 1], capacities: vec![limited, UNLIMITED] })
 }
 
 #[test]
-fn a_full_bulkhead_sheds_all_and_the_others_nothing() {
-    let mut backend = started(config());
+fn a_full_bulkhead_sheds_everything_and_the_others_nothing() {
+    let mut backend = start_backend(config());
     backend.update_bulkheads(1.0, two_bulkheads(0.0, 2.0, 9.0));
     let executed: Vec<bool> =
         (0..4).map(|id| is_executed(&backend.handle_request(2.0, request(id, 0)), id)).collect();
@@ -25,39 +26,41 @@
 }
 
 #[test]
-fn what_is_reserved_for_a_bulkhead_is_admitted_while_the_limits_hold() {
-    // Above the soft limit and under the hard one the lowest ranks are shed.
+fn a_bulkhead_below_its_reservation_admits_everything_while_the_limits_hold() {
+    // Between the soft and the hard limit the lowest ranks are shed.
     let admitted_fraction = |count: u32| {
-        let (load, limits) = running(count).load_and_limits();
+        let (load, limits) = backend_with_running(count).load_and_limits();
         load.admitted_fraction(&limits)
     };
-    let count = (1..40).find(|count| (0.05..0.5).contains(&admitted_fraction(*count))).expect("a cut");
+    let count = (1..40)
+        .find(|count| (0.05..0.5).contains(&admitted_fraction(*count)))
+        .expect("a count between the limits");
     let executed = |bulkheads: Option<Bulkheads>| {
-        let mut backend = running(count);
-        // Most of what comes is of high value, so all of the low value is shed.
+        let mut backend = backend_with_running(count);
+        // Most arrivals are of high value, so all of low value are shed.
         backend.shedding.set_arrivals(&[0.0, 0.0, 0.0, 100.0]);
         backend.update_bulkheads(1.0, bulkheads);
         (0..5).filter(|id| is_executed(&backend.handle_request(2.0, request(*id, 0)), *id)).count()
     };
     assert_eq!((executed(None), executed(two_bulkheads(2.0, 50.0, 9.0))), (0, 2));
-    let mut full = running(200);
+    let mut full = backend_with_running(200);
     full.update_bulkheads(1.0, two_bulkheads(2.0, 50.0, 9.0));
     assert!(!is_executed(&full.handle_request(2.0, request(1, 0)), 1));
 }
 
-/// The calls of one bulkhead hang. Its requests wait, and the requests of another place their calls past
-/// them.
+/// Guards against one bulkhead blocking another: the calls of one hang and its requests wait, while the
+/// requests of the other still place their calls.
 #[test]
-fn a_bulkhead_whose_calls_are_full_waits_and_holds_up_no_other() {
-    let mut backend = started(BackendConfig { dependency_share: Some(50.0), ..config() });
-    let one_call = BulkheadCapacity { max_calls: 1.0, ..WIDE };
-    let bulkheads = Bulkheads { bulkhead_of_class: vec![0, 1, 1, 1], capacities: vec![WIDE, one_call] };
+fn a_bulkhead_without_free_calls_does_not_block_another() {
+    let mut backend = start_backend(BackendConfig { dependency_share: Some(50.0), ..config() });
+    let one_call = BulkheadCapacity { max_calls: 1.0, ..UNLIMITED };
+    let bulkheads = Bulkheads { bulkhead_of_class: vec![0, 1, 1, 1], capacities: vec![UNLIMITED, one_call] };
     backend.update_bulkheads(1.0, Some(bulkheads));
     for (id, class) in [(1, 3), (2, 3), (3, 0)] {
         backend.handle_request(2.0, request(id, class));
     }
     (1..=3).for_each(|id| drop(backend.handle_call_requested(3.0, id)));
-    // What comes to it now would only wait behind them.
+    // A further request would only wait behind the others.
     assert!(!is_executed(&backend.handle_request(3.0, request(4, 3)), 4));
     let is_calling =
         |backend: &Backend, id: u32| matches!(backend.requests.state(id), Some(RequestState::Calling { .. }));
@@ -67,8 +70,8 @@
 }
 
 #[test]
-fn occupancies_follow_every_change_and_without_bulkheads_none_is_kept() {
-    let mut backend = started(config());
+fn occupancies_match_a_recount_after_every_event() {
+    let mut backend = start_backend(config());
     let mut random = Pcg32::new(5);
     for step in 0..3000u32 {
         let now_ms = f64::from(step) * 4.0;
--- a/src/admission/cpu/tests.rs
+++ b/src/admission/cpu/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn executions_share_the_cores_and_have_one_core_each_at_most() {
+fn executions_share_the_cores_and_have_at_most_one_core_each() {
     let mut cpu = CpuUsage::new(4.0);
     cpu.advance(100.0, 2);
     assert_eq!(cpu.execution_clock_ms(), 100.0);
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn other_runnable_tasks_crowd_the_cores_when_they_last() {
+fn persistent_runnable_tasks_of_others_are_contention() {
     let mut cpu = CpuUsage::new(4.0);
     cpu.update_runnable(Some(22.0), 2);
     assert_eq!(cpu.contention(), Contention::Normal);
     (0..10).for_each(|_| cpu.update_runnable(Some(22.0), 2));
-    assert_eq!(cpu.contention(), Contention::Crowded);
+    assert_eq!(cpu.contention(), Contention::High);
     (0..10).for_each(|_| cpu.update_runnable(Some(2.0), 2));
     assert_eq!(cpu.contention(), Contention::Normal);
 }
 
 #[test]
-fn without_gauges_the_cores_count_as_busy_and_not_crowded() {
+fn without_gauges_the_cores_count_as_busy_and_without_contention() {
     let mut cpu = CpuUsage::new(4.0);
     cpu.update_utilization(None);
     cpu.update_runnable(None, 2);
--- a/src/admission/deduplication.rs
+++ b/src/admission/deduplication.rs
@@ -1,33 +1,33 @@
-//! Retention of requests, so that duplicates of them are known.
+//! Retention of requests for the detection of duplicates.
 //!
 //! *Decides*: whether a request is retained, and for how long.
-//! *Inputs*: the class's idempotency, window and objective (ms), the request's key, how long answers to reads
+//! *Inputs*: the class's idempotency, window and objective (ms), the request's key, how long responses to reads
 //! may be shared (ms).
-//! *Rule*: an idempotency-keyed request is retained for its window, from before it is executed. A read is
-//! retained for its objective and the time of sharing, where answers are shared and memory allows.
-//! *Why*: the host tells a duplicate by what is retained; it joins the first request and gets the same
-//! answer. Retained only after its execution, a request could be executed twice.
+//! *Rule*: an idempotency-keyed request is retained for its window, starting before its execution. A read is
+//! retained for its objective plus the sharing time, if responses are shared and memory allows.
+//! *Why*: the host detects duplicates among retained requests; a duplicate joins the first request and gets the
+//! same response. If requests were retained only after their execution, one could be executed twice.
 //! *Source*: IETF draft "The Idempotency-Key HTTP Header Field"; `docs/design.md`, "Guards for the four
 //! rules".
-//! *Without it*: a retry of a keyed request takes its effect twice.
+//! *Without it*: a retry of a keyed request takes effect twice.
 
 use std::collections::BTreeSet;
 
 use crate::admission::time::TimeKey;
 use crate::api::{ClassConfig, Idempotency, Request};
 
-/// Requests that are retained, and until when.
+/// Retained requests, ordered by the time at which their retention ends.
 pub(super) struct Deduplication {
     shared_response_ms: f64,
     retained: BTreeSet<(TimeKey, u32)>,
 }
 
-/// Why a request is retained.
+/// Reason for which a request is retained, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Retention {
-    /// Duplicates of it must be known.
+    /// Duplicates of the keyed request must be detected.
     Keyed { retain_ms: f64 },
-    /// Its answer may serve other clients, as long as memory allows.
+    /// The response may serve other clients while memory allows.
     SharedRead { retain_ms: f64 },
 }
 
@@ -36,7 +36,7 @@
         Deduplication { shared_response_ms, retained: BTreeSet::new() }
     }
 
-    /// Entries that an execution of this class adds for certain.
+    /// Returns the number of entries that an execution of this class is certain to add.
     pub(super) fn entries_for(class: &ClassConfig) -> usize {
         usize::from(class.idempotency == Idempotency::Keyed)
     }
@@ -57,13 +57,13 @@
         self.retained.insert((TimeKey::from_ms(now_ms + retain_ms), id));
     }
 
-    /// Forgets what was retained for long enough.
+    /// Removes the requests whose retention has ended.
     pub(super) fn expire(&mut self, now_ms: f64) {
         let now = TimeKey::from_ms(now_ms);
         self.retained.retain(|(until, _)| *until > now);
     }
 
-    /// How many requests are retained.
+    /// Returns the number of retained requests.
     pub(super) fn entries(&self) -> usize {
         self.retained.len()
     }
--- a/src/admission/deduplication/tests.rs
+++ b/src/admission/deduplication/tests.rs
@@ -1,11 +1,11 @@
-use crate::admission::test_support::{config, last_state, request, started};
+use crate::admission::test_support::{config, last_state, request, start_backend};
 use crate::api::{BackendConfig, Completion, Gauges, Request, RequestState, RunOutcome, Timer};
 
-/// A client retries a keyed request whose first attempt still runs: executed beside it, its effect would be
-/// taken twice. The retry joins the first attempt and gets the same answer.
+/// Guards against a second effect: a client retries a keyed request whose first attempt is still running. The
+/// retry joins the first attempt and gets the same response.
 #[test]
 fn a_keyed_request_is_retained_and_its_duplicate_joins_it() {
-    let mut backend = started(config());
+    let mut backend = start_backend(config());
     let first = backend.handle_request(0.0, request(1, 2));
     assert!(first.transitions.iter().any(|change| change.retain_ms == Some(5000.0)));
     assert_eq!(last_state(&first), RequestState::Running);
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn reads_share_answers_only_where_the_settings_say_so() {
+fn responses_to_reads_are_shared_only_if_configured() {
     let read = Request { key: 9, ..request(1, 0) };
-    let mut sharing = started(BackendConfig { shared_response_ms: 500.0, ..config() });
+    let mut sharing = start_backend(BackendConfig { shared_response_ms: 500.0, ..config() });
     assert!(sharing.handle_request(0.0, read).transitions.iter().any(|change| change.retain_ms.is_some()));
-    let effects = started(config()).handle_request(0.0, read);
+    let effects = start_backend(config()).handle_request(0.0, read);
     assert!(effects.transitions.iter().all(|change| change.retain_ms.is_none()));
 }
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -1,39 +1,41 @@
 //! Health of the backend.
 //!
-//! *Decides*: whether clients and health checks are told to stay away.
-//! *Inputs*: outcomes of executions, contention for the cores, the fraction of arrivals admitted of late, the
+//! *Decides*: whether clients and health checks should avoid this server.
+//! *Inputs*: outcomes of executions, contention for the cores, the recently admitted fraction of arrivals, the
 //! phase of the drain.
-//! *Rule*: unhealthy when over [`MAX_FAILING_FRACTION`] of executions of late failed or were given up, or
-//! when the drain is nearly over. Not ready when unhealthy, or when no more than [`MIN_READY_FRACTION`] of
-//! arrivals is admitted; the latter not where service discovery follows health checks.
-//! *Why*: a hung, slow or failing server admits all that comes, as its load says nothing. It goes on
-//! executing what comes, as only that shows when it is well. What was given up while the cores are crowded is
-//! no fault of the server.
+//! *Rule*: the backend is unhealthy when more than [`MAX_FAILING_FRACTION`] of recent executions failed or were
+//! cancelled, or when the drain is about to end. It is not ready when it is unhealthy, or when at most
+//! [`MIN_READY_FRACTION`] of arrivals are admitted; the latter does not apply if service discovery follows
+//! health checks.
+//! *Why*: a hung, slow or failing server admits all arrivals, because its load does not show the fault. It
+//! continues to execute arrivals, as only that shows its recovery. Executions cancelled during contention for
+//! the cores are no fault of the server.
 //! *Source*: Google SRE book, "Addressing Cascading Failures", on health checks; `docs/design.md`, "What
 //! the design leaves open, and what was chosen" (Health checks) and "Departures".
-//! *Without it*: a faulty server that fails fast attracts ever more requests. With readiness bound to load
-//! where discovery follows it, a fleet that is overloaded as a whole vanishes from the endpoint list.
+//! *Without it*: a faulty server that fails fast attracts ever more requests. If readiness depended on load
+//! where discovery follows health checks, a fleet that is overloaded as a whole would vanish from the endpoint
+//! list.
 
 use crate::admission::cpu::Contention;
 use crate::admission::drain::DrainPhase;
 use crate::admission::statistics::Smoothed;
 use crate::api::RunOutcome;
 
-/// Weight of an execution in the failing fraction.
+/// Weight of an execution in the smoothed failing fraction.
 const FAILING_WEIGHT: f64 = 0.1;
 /// Failing fraction above which the backend is unhealthy.
 const MAX_FAILING_FRACTION: f64 = 0.6;
-/// Admitted fraction up to which the backend is not ready.
+/// Admitted fraction at or below which the backend is not ready.
 const MIN_READY_FRACTION: f64 = 0.5;
 
-/// What changed in the backend's health.
+/// Changes of readiness and of health since the last update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct HealthChange {
     pub(super) ready: Option<bool>,
     pub(super) note: Option<&'static str>,
 }
 
-/// Outcomes of late, and what was announced last.
+/// Recent outcomes, and the state announced last.
 pub(super) struct Health {
     discovery_follows_health: bool,
     failing_fraction: Smoothed,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// An execution ended, or was given up.
+    /// Records an execution that ended or was cancelled.
     pub(super) fn record_execution(&mut self, outcome: RunOutcome, contention: Contention) {
         let is_failure = match outcome {
             RunOutcome::Failed => true,
@@ -61,12 +63,12 @@
         self.failing_fraction.update(f64::from(u8::from(is_failure)), FAILING_WEIGHT);
     }
 
-    /// Whether clients are told to stay away.
+    /// Returns whether clients should avoid this server.
     pub(super) fn is_unhealthy(&self) -> bool {
         self.is_unhealthy
     }
 
-    /// Judges anew, and says what changed.
+    /// Re-evaluates health and readiness, and returns the changes.
     pub(super) fn update(&mut self, drain: DrainPhase, admitted_fraction: f64) -> HealthChange {
         let is_ending = drain == DrainPhase::Ending;
         let is_unhealthy = is_ending || self.failing_fraction.value() > MAX_FAILING_FRACTION;
--- a/src/admission/idle_timeout.rs
+++ b/src/admission/idle_timeout.rs
@@ -1,34 +1,33 @@
-//! The idle timeout of connections.
+//! Idle timeout of connections.
 //!
-//! *Decides*: how long a connection may stay that carries no request.
-//! *Inputs*: number of clients, arrivals of late, contention for the cores, longest time that clients keep
+//! *Decides*: how long a connection without requests may stay open.
+//! *Inputs*: number of clients, recent arrivals, contention for the cores, longest time that clients keep
 //! idle connections (ms).
-//! *Rule*: `BREAK_EVEN_MS² / expected return` of a client, where the expected return is the clients over the
-//! rate of arrivals; while the cores are crowded it grows by [`CROWDED_GROWTH`] a period. It is announced
-//! when it moved by [`MIN_CHANGE`].
-//! *Why*: each open connection costs speed, each new one costs work. While the cores are crowded, a full
-//! connection table turns clients back at no work.
+//! *Rule*: `BREAK_EVEN_MS² / expected return` of a client, where the expected return is the number of clients
+//! divided by the rate of arrivals; during contention for the cores the timeout grows by
+//! [`CONTENTION_GROWTH`] per period. It is announced when it has changed by more than [`MIN_CHANGE`].
+//! *Why*: each open connection slows the server, each new one costs work. During contention, a full
+//! connection table turns clients away at no cost.
 //! *Source*: `docs/design.md`, "What the design leaves open, and what was chosen"
 //! (Connections) and "Departures".
-//! *Without it*: storms in which reads and new connections crowd out the executions, and with many clients a
-//! server that is slow for the connections that it keeps open. It does harm where few clients open many
-//! connections each.
+//! *Without it*: storms in which reads and new connections starve the executions, and, with many clients, a
+//! server slowed by its open connections. The rule is harmful where few clients open many connections each.
 
 use crate::admission::cpu::Contention;
 use crate::admission::statistics::HALF_LIFE_MS;
 use crate::api::BackendConfig;
 
-/// A connection is worth its place when its client comes back in about this time.
+/// Time between requests of a client at which keeping its connection costs as much as reopening it.
 const BREAK_EVEN_MS: f64 = 10000.0;
-/// Steps of a period while the cores are crowded and while they are not.
-const CROWDED_GROWTH: f64 = 1.4;
+/// Factors of the timeout per period with and without contention for the cores.
+const CONTENTION_GROWTH: f64 = 1.4;
 const NORMAL_DECAY: f64 = 0.8;
-/// Relative change from which on the timeout is announced.
+/// Relative change above which the timeout is announced.
 const MIN_CHANGE: f64 = 0.2;
 /// Shortest timeout.
 const MIN_TIMEOUT_MS: f64 = 100.0;
 
-/// The timeout as it stands and as it was announced last.
+/// Current timeout, and the one announced last.
 pub(super) struct IdleTimeout {
     client_count: f64,
     max_ms: f64,
@@ -46,21 +45,22 @@
         }
     }
 
-    /// The timeout to announce, where it moved, by the decaying number of arrivals.
+    /// Returns the timeout to announce, if it has changed enough. `recent_arrivals` is the decayed number of
+    /// arrivals.
     pub(super) fn update(&mut self, recent_arrivals: f64, contention: Contention) -> Option<f64> {
         let expected_return_ms =
             self.client_count * HALF_LIFE_MS / std::f64::consts::LN_2 / recent_arrivals.max(1.0);
-        let worthwhile_ms = (BREAK_EVEN_MS * BREAK_EVEN_MS / expected_return_ms).max(MIN_TIMEOUT_MS);
+        let break_even_timeout_ms = (BREAK_EVEN_MS * BREAK_EVEN_MS / expected_return_ms).max(MIN_TIMEOUT_MS);
         let step = match contention {
-            Contention::Crowded => CROWDED_GROWTH,
+            Contention::High => CONTENTION_GROWTH,
             Contention::Normal => NORMAL_DECAY,
         };
-        self.timeout_ms = (self.timeout_ms * step).max(worthwhile_ms).min(self.max_ms);
-        let moved = (self.timeout_ms / self.announced_ms - 1.0).abs() > MIN_CHANGE;
-        if moved {
+        self.timeout_ms = (self.timeout_ms * step).max(break_even_timeout_ms).min(self.max_ms);
+        let has_changed = (self.timeout_ms / self.announced_ms - 1.0).abs() > MIN_CHANGE;
+        if has_changed {
             self.announced_ms = self.timeout_ms;
         }
-        moved.then_some(self.timeout_ms)
+        has_changed.then_some(self.timeout_ms)
     }
 }
 
--- a/src/admission/memory/tests.rs
+++ b/src/admission/memory/tests.rs
@@ -1,11 +1,11 @@
-use crate::admission::test_support::{config, request, started};
+use crate::admission::test_support::{config, request, start_backend};
 use crate::api::{BackendConfig, Request};
 
-/// Executions and their duplicates come without end: a process that runs out of memory loses all that it has
-/// in flight. There is always some left for what is being read.
+/// Guards against exhausted memory, which would lose everything in flight: however many executions and
+/// duplicates arrive, some memory remains for requests that are being read.
 #[test]
-fn memory_is_never_filled() {
-    let mut backend = started(BackendConfig { memory_kb: 400.0, ..config() });
+fn executions_and_duplicates_never_fill_the_memory() {
+    let mut backend = start_backend(BackendConfig { memory_kb: 400.0, ..config() });
     for id in 1..40 {
         backend.handle_request(0.0, request(id, 2));
         let duplicate = Request { duplicate_of: Some(1), memory_kb: 30.0, ..request(100 + id, 2) };
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,27 +1,27 @@
 //! Admission control, load shedding and scheduling of one server: every decision about its requests.
 //!
-//! A driver makes a [`Backend`] with [`Backend::start`] and calls one function for each thing that happens;
-//! each returns [`Effects`]: the state changes that it made, and what the backend announces. The driver owns
-//! the clock, the connections and the executions. The same inputs give the same effects: there is no other
-//! source of time or chance than the inputs and the seed.
+//! A driver creates a [`Backend`] with [`Backend::start`] and calls one function for each event; each returns
+//! [`Effects`]: the state changes, and what the backend announces. The driver owns the clock, the connections
+//! and the executions. The same inputs give the same effects: the inputs and the seed are the only sources of
+//! time and randomness.
 //!
-//! [`Backend`] decides nothing itself. It asks the rules, one a module, in the order of a request's life, and
-//! is the one place where a rule's answer becomes a state change (`request` has the table of states).
+//! [`Backend`] has no policy of its own. It consults the rules, one per module, in the order of a request's
+//! lifecycle, and is the only place where a rule's result becomes a state change (`request` has the state table).
 //!
-//! | input | rules, in the order in which they are asked |
+//! | input | rules, in the order in which they are consulted |
 //! | --- | --- |
-//! | any | `cpu` (execution clock), `deadline` (what expired) |
+//! | any | `cpu` (execution clock), `deadline` (expired requests) |
 //! | a request was read, first | `retry_detection`, `deadline`, `deduplication` (duplicates join) |
-//! | then | `concurrency` (can it end in time), `drain`, `tenant_quota` |
+//! | then | `concurrency` (expected to end in time), `drain`, `tenant_quota` |
 //! | then | `shedding` by `priority`, `bulkhead`, `memory`, `scheduling` |
-//! | its client went | `scheduling` |
-//! | it wants a call; the call ended | `outbound`, `bulkhead`, `scheduling` |
-//! | its execution ended | `health`, `concurrency`, `outbound`, `scheduling` |
+//! | the client disconnected | `scheduling` |
+//! | a request needs a call; a call ended | `outbound`, `bulkhead`, `scheduling` |
+//! | an execution ended | `health`, `concurrency`, `outbound`, `scheduling` |
 //! | drain notice | `drain`, `deadline`, `health`, `idle_timeout`, `backpressure` |
-//! | a period is over, first | `outbound`, `deduplication`, `cpu`, `concurrency`, `shedding` |
+//! | a period ended, first | `outbound`, `deduplication`, `cpu`, `concurrency`, `shedding` |
 //! | then | `health`, `idle_timeout`, `backpressure`, `scheduling` |
 //!
-//! `docs/design.md` has the source of the design and where the rules depart from it.
+//! `docs/design.md` has the source of the design and the departures of the rules from it.
 
 mod backpressure;
 mod bulkhead;
@@ -54,7 +54,7 @@
     Idempotency, Request, RequestState, RunOutcome, Timer, Transition,
 };
 
-use backpressure::{retry_after_ms, Backpressure, Conditions, ShedClass};
+use backpressure::{retry_after_ms, Backpressure, LevelInputs, ShedClass};
 use bulkhead::{BackendLoad, BulkheadAdmission};
 use concurrency::{Concurrency, Limits};
 use cpu::CpuUsage;
@@ -69,32 +69,32 @@
 use random::Pcg32;
 use request::{is_answered, Clock, InFlightRequest, RequestTable};
 use retry_detection::RetryDetection;
-use scheduling::{Scheduling, Turn};
+use scheduling::{Scheduling, SchedulingKey};
 use shedding::{Load, Shedding, SheddingLevel, SheddingTier};
 use statistics::DecayClock;
 use tenant_quota::TenantQuotas;
 
-/// Time between two readings of the gauges.
+/// Time between two gauge readings.
 const PERIOD_MS: f64 = 100.0;
-/// The shortest first period, as a fraction of [`PERIOD_MS`]; by chance it is up to a period longer, so that
-/// servers started at once do not announce in step.
+/// Shortest first period, as a fraction of [`PERIOD_MS`]. A random part of up to one period is added, so that
+/// servers started at the same time do not announce in lockstep.
 const MIN_FIRST_PERIOD_FRACTION: f64 = 0.5;
 
-/// What becomes of a request that was just read.
+/// Admission decision about a request that was just read.
 enum Admission {
     Execute,
-    /// It is a duplicate and gets the first request's outcome.
+    /// The request is a duplicate and gets the outcome of the first request.
     Join,
-    /// It is a duplicate and there is no memory for it.
+    /// The request is a duplicate and there is not enough memory for it.
     Fail,
-    /// It is answered with a rejection. Where load is the reason, the level is its place in the order of shedding.
+    /// The request is rejected. If load is the reason, `level` is its shedding level.
     Reject {
         retry_after_ms: f64,
         level: Option<SheddingLevel>,
     },
 }
 
-/// The decisions of one server, as a state machine without I/O or clock.
+/// State machine that takes all decisions of one server, without I/O or a clock.
 pub struct Backend {
     classes: Vec<ClassConfig>,
     cancellation: Cancellation,
@@ -121,13 +121,13 @@
 }
 
 impl Backend {
-    /// A backend that starts now, on the driver's clock, and what it announces at first.
+    /// Returns a backend that starts at `now_ms` on the driver's clock, and its first announcements.
     pub fn start(now_ms: f64, config: BackendConfig) -> (Self, Effects) {
         let priorities = Priorities::new(&config.classes);
         let mut effects = Effects::default();
         effects.announcements.ready = Some(true);
-        let chance = Pcg32::new(config.seed).next_fraction();
-        let first_period_ms = PERIOD_MS * (MIN_FIRST_PERIOD_FRACTION + chance);
+        let random_fraction = Pcg32::new(config.seed).next_fraction();
+        let first_period_ms = PERIOD_MS * (MIN_FIRST_PERIOD_FRACTION + random_fraction);
         effects.announcements.timers.push((first_period_ms, Timer::Periodic));
         let backend = Backend {
             cancellation: config.cancellation,
@@ -156,13 +156,13 @@
         (backend, effects)
     }
 
-    // ---- inputs, in the order of a request's life -----------------------------------------------------
+    // ---- inputs, in the order of a request's lifecycle ------------------------------------------------
 
-    /// A request was read: it is executed, joins the request that it duplicates, or is rejected.
+    /// Handles a request that was read: executes it, joins it to the request that it duplicates, or rejects it.
     pub fn handle_request(&mut self, now_ms: f64, request: Request) -> Effects {
         self.advance_to(now_ms);
-        let remaining_ms = self.receive(&request);
-        match self.admission(&request, remaining_ms) {
+        let valuable_for_ms = self.enqueue(&request);
+        match self.admission(&request, valuable_for_ms) {
             Admission::Execute => {
                 self.tenant_quotas.record_admission(request.tenant, now_ms);
                 self.retain(&request);
@@ -175,7 +175,7 @@
         self.take_effects()
     }
 
-    /// The client of a request does not wait for its answer any more.
+    /// Handles a client that no longer waits for the response to a request.
     pub fn handle_client_gone(&mut self, now_ms: f64, id: u32) -> Effects {
         self.advance_to(now_ms);
         if self.requests.state(id).is_some() {
@@ -185,7 +185,7 @@
         self.take_effects()
     }
 
-    /// An execution came to its outbound call.
+    /// Handles an execution that needs its outbound call.
     pub fn handle_call_requested(&mut self, now_ms: f64, id: u32) -> Effects {
         self.advance_to(now_ms);
         if self.requests.state(id) == Some(RequestState::Running) {
@@ -196,7 +196,7 @@
         self.take_effects()
     }
 
-    /// An outbound call came to its end.
+    /// Handles the end of an outbound call.
     pub fn handle_call_ended(&mut self, now_ms: f64, id: u32, outcome: CallOutcome) -> Effects {
         self.advance_to(now_ms);
         let request = self.requests.get(id);
@@ -210,14 +210,14 @@
             match after_call {
                 AfterCall::Resume => self.transition(id, RequestState::Running),
                 AfterCall::Retry => {}
-                AfterCall::GiveUp => self.give_up(id),
+                AfterCall::Terminate => self.terminate(id),
             }
             self.place_calls();
         }
         self.take_effects()
     }
 
-    /// An execution came to its end.
+    /// Handles the end of an execution.
     pub fn handle_run_ended(&mut self, now_ms: f64, id: u32, outcome: RunOutcome) -> Effects {
         self.advance_to(now_ms);
         if let Some(state) = self.requests.state(id) {
@@ -235,8 +235,8 @@
         self.take_effects()
     }
 
-    /// The process will be stopped. The notice may be read later than it was given; its times count from
-    /// then.
+    /// Handles a drain notice, which announces that the process will be stopped. The notice may be read later
+    /// than it was issued; its times count from its issue at `given_ms`.
     pub fn handle_drain_notice(&mut self, now_ms: f64, given_ms: f64, stop_ms: f64) -> Effects {
         self.advance_to(now_ms);
         self.drain.handle_notice(given_ms, stop_ms);
@@ -245,7 +245,7 @@
         self.take_effects()
     }
 
-    /// A timer fired that was asked for in [`Announcements::timers`](crate::api::Announcements::timers).
+    /// Handles a timer that was requested in [`Announcements::timers`](crate::api::Announcements::timers).
     pub fn handle_timeout(&mut self, now_ms: f64, timer: Timer, gauges: Gauges) -> Effects {
         self.advance_to(now_ms);
         self.cpu.update_utilization(gauges.cores_busy);
@@ -258,7 +258,8 @@
         self.take_effects()
     }
 
-    /// New capacities of the bulkheads; without any, the backend's limits hold for all classes alike.
+    /// Updates the capacities of the bulkheads. Without bulkheads, the backend's limits apply to all classes
+    /// alike.
     pub fn update_bulkheads(&mut self, now_ms: f64, bulkheads: Option<Bulkheads>) -> Effects {
         self.advance_to(now_ms);
         let in_flight = self.requests.iter().map(|(_, request)| (request.class(), request.state()));
@@ -267,8 +268,8 @@
         self.take_effects()
     }
 
-    /// New quotas of tenants: place of the tenant in the settings, and requests a second over the whole
-    /// fleet. Arrivals are judged by them from now on, against the counts as they stand. With one that is not
+    /// Updates quotas of tenants, as pairs of the tenant's index in the settings and requests per second over
+    /// the whole fleet. The new quotas apply to subsequent arrivals, against the existing counts. If any is not
     /// valid, none changes and a note names it.
     pub fn update_tenant_quotas(&mut self, now_ms: f64, changed: &[(usize, f64)]) -> Effects {
         self.advance_to(now_ms);
@@ -284,41 +285,41 @@
         self.cpu.advance((now_ms - self.now_ms).max(0.0), self.requests.running());
         self.now_ms = now_ms;
         while let Some(id) = self.deadlines.pop_expired(now_ms) {
-            self.give_up(id);
+            self.terminate(id);
         }
     }
 
-    /// Takes a request into the queue; returns for how long an answer still has value.
-    fn receive(&mut self, request: &Request) -> f64 {
+    /// Adds a request to the queue; returns for how long a response still has value.
+    fn enqueue(&mut self, request: &Request) -> f64 {
         let decay_factor = self.tally_decay.advance_to(self.now_ms);
         self.shedding.decay(decay_factor);
         self.concurrency.record_arrival(request.class, request.unread_ms, decay_factor);
         let class = &self.classes[request.class];
         let times = ClientTimes::new(self.now_ms, request, class);
-        let waited_ms = self.retry_detection.observe(request, times.patience_ms());
-        let valuable_until_ms = times.valuable_until_ms(request, class, waited_ms);
+        let prior_wait_ms = self.retry_detection.observe(request, times.attempt_timeout_ms());
+        let valuable_until_ms = times.valuable_until_ms(request, class, prior_wait_ms);
         let expires_ms = times.expires_ms(self.now_ms, valuable_until_ms, class.idempotency);
         let deadline_ms = self.drain.deadline_ms(expires_ms, self.now_ms);
         self.memory.add_request(request.memory_kb);
         let in_flight = InFlightRequest::new(request, expires_ms, deadline_ms);
         self.requests.insert(request.id, in_flight);
         self.deadlines.insert(request.id, deadline_ms);
-        let turn = Turn::new(self.priorities.rank(request.class), deadline_ms, request.id);
-        self.scheduling.enter(RequestState::Queued, turn);
+        let key = SchedulingKey::new(self.priorities.rank(request.class), deadline_ms, request.id);
+        self.scheduling.enter(RequestState::Queued, key);
         self.record_transition(request.id, None, RequestState::Queued, None);
         valuable_until_ms - self.now_ms
     }
 
-    fn admission(&mut self, request: &Request, remaining_ms: f64) -> Admission {
+    fn admission(&mut self, request: &Request, valuable_for_ms: f64) -> Admission {
         if request.duplicate_of.is_some() {
             let joins = self.memory.allows_join(self.deduplication.entries());
             return if joins { Admission::Join } else { Admission::Fail };
         }
-        // With nothing else running, a request that only seems too late is tried: the expectation may be
-        // outdated.
+        // If nothing else is running, a request that seems too late is tried all the same: the expected
+        // duration may be outdated.
         let running = self.requests.running();
         let expected_ms = self.concurrency.expected_duration_ms(request.class, request.work_hint_ms, running);
-        if remaining_ms <= 0.0 || (remaining_ms < expected_ms && running > 0) {
+        if valuable_for_ms <= 0.0 || (valuable_for_ms < expected_ms && running > 0) {
             return Admission::Reject { retry_after_ms: self.concurrency.unread_ms(), level: None };
         }
         if self.drain.rejects(self.now_ms - request.unread_ms) {
@@ -340,7 +341,7 @@
         let fraction = self.bulkheads.admitted_fraction(request.class, fraction, backend_load);
         if fraction <= 0.0
             || !self.memory_allows_execution(request.id)
-            || self.shedding.sheds(level, fraction)
+            || self.shedding.should_shed(level, fraction)
         {
             let retry_after_ms = retry_after_ms(fraction, self.concurrency.unread_ms());
             return Admission::Reject { retry_after_ms, level: Some(level) };
@@ -350,7 +351,7 @@
 
     fn load_and_limits(&self) -> (Load, Limits) {
         let load = Load {
-            running_per_core: self.concurrency.load(self.requests.running()),
+            running_per_core: self.concurrency.running_per_core(self.requests.running()),
             awaiting_call: self.requests.awaiting_call() as f64,
             utilization: self.cpu.utilization(),
         };
@@ -363,7 +364,7 @@
         self.memory.allows_execution(request.memory_kb(), self.deduplication.entries(), new_entries)
     }
 
-    /// Has the driver retain a request before anything of it is executed, so that duplicates of it are known.
+    /// Has the driver retain a request before its execution, so that duplicates of it are detected.
     fn retain(&mut self, request: &Request) {
         let retention = self.deduplication.retention(request, &self.classes[request.class]);
         let allows_sharing = || self.memory.allows_sharing(self.deduplication.entries());
@@ -399,8 +400,8 @@
         }
     }
 
-    /// The request's deadline is over, or its call may not be repeated: it is answered at once.
-    fn give_up(&mut self, id: u32) {
+    /// Ends a request whose deadline has passed or whose call must not be repeated, and answers it at once.
+    fn terminate(&mut self, id: u32) {
         let Some(request) = self.requests.get(id) else { return };
         let idempotency = self.classes[request.class()].idempotency;
         if request.may_have_executed() && idempotency != Idempotency::Idempotent {
@@ -412,13 +413,13 @@
     }
 
     fn reject(&mut self, id: u32, retry_after_ms: f64, level: Option<SheddingLevel>) {
-        let kept_fraction = level.map(|level| self.shedding.recently_kept_fraction(level));
+        let level_admitted_fraction = level.map(|level| self.shedding.recent_level_admitted_fraction(level));
         let is_unhealthy = self.health.is_unhealthy();
-        let completion = self.backpressure.rejection(retry_after_ms, is_unhealthy, kept_fraction);
+        let completion = self.backpressure.rejection(retry_after_ms, is_unhealthy, level_admitted_fraction);
         self.answer(id, completion);
     }
 
-    /// Gives the final answer; an execution that goes on is cancelled where it may be.
+    /// Gives the final response; a running execution is cancelled if that is allowed.
     fn answer(&mut self, id: u32, completion: Completion) {
         let Some(request) = self.requests.get(id) else { return };
         let idempotency = self.classes[request.class()].idempotency;
@@ -427,7 +428,7 @@
         }
     }
 
-    /// What an execution took, or had taken when it was given up, which is the least that it would have.
+    /// Records the core time of an execution. For a cancelled execution it is a lower bound of the full time.
     fn record_execution(&mut self, id: u32, outcome: RunOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         if request.state() != RequestState::Running || outcome == RunOutcome::NotStarted {
@@ -457,7 +458,7 @@
         }
     }
 
-    /// Executions that were told to stop while the cores stood still are told again.
+    /// Repeats cancellations, because an execution may have missed one while the cores were stalled.
     fn repeat_cancellations(&mut self) {
         for (id, state) in self.requests.cancelling() {
             self.transition(id, state);
@@ -467,7 +468,7 @@
     fn announce(&mut self) {
         let admitted_fraction = self.shedding.recent_fraction();
         let health = self.health.update(self.drain.phase(self.now_ms), admitted_fraction);
-        let conditions = Conditions {
+        let level_inputs = LevelInputs {
             is_unhealthy: self.health.is_unhealthy(),
             admitted_fraction,
             speed_fraction: self.concurrency.speed_fraction(self.now_ms),
@@ -476,14 +477,17 @@
         let shedding = &self.shedding;
         let shed_classes = self.priorities.iter().map(|priority| {
             let level = shedding.level(priority.rank, SheddingTier::Ordinary);
-            ShedClass { priority: *priority, shed_fraction: 1.0 - shedding.recently_kept_fraction(level) }
+            ShedClass {
+                priority: *priority,
+                shed_fraction: 1.0 - shedding.recent_level_admitted_fraction(level),
+            }
         });
         let recent_arrivals = self.concurrency.recent_arrivals();
         let announcements = &mut self.effects.announcements;
         announcements.ready = health.ready;
         announcements.notes.extend(health.note.map(String::from));
         announcements.idle_timeout_ms = self.idle_timeout.update(recent_arrivals, self.cpu.contention());
-        announcements.backpressure = self.backpressure.update(&conditions, shed_classes);
+        announcements.backpressure = self.backpressure.update(&level_inputs, shed_classes);
     }
 
     fn update_deadline(&mut self, id: u32) {
@@ -494,18 +498,18 @@
         self.requests.set_deadline(id, new_ms);
         self.deadlines.remove(id, old_ms);
         self.deadlines.insert(id, new_ms);
-        self.scheduling.leave(state, Turn::new(rank, old_ms, id));
-        self.scheduling.enter(state, Turn::new(rank, new_ms, id));
+        self.scheduling.leave(state, SchedulingKey::new(rank, old_ms, id));
+        self.scheduling.enter(state, SchedulingKey::new(rank, new_ms, id));
     }
 
-    // ---- the one place where states change --------------------------------------------------------------
+    // ---- the only place where states change -------------------------------------------------------------
 
     fn transition(&mut self, id: u32, to: RequestState) {
         let clock = Clock { now_ms: self.now_ms, execution_ms: self.cpu.execution_clock_ms() };
         let Some(change) = self.requests.transition(id, to, clock) else { return };
-        let turn = Turn::new(self.priorities.rank(change.class), change.deadline_ms, id);
-        self.scheduling.leave(change.from, turn);
-        self.scheduling.enter(to, turn);
+        let key = SchedulingKey::new(self.priorities.rank(change.class), change.deadline_ms, id);
+        self.scheduling.leave(change.from, key);
+        self.scheduling.enter(to, key);
         self.memory.update_request(change.memory_kb, change.from, to);
         self.bulkheads.leave(change.class, change.from);
         self.bulkheads.enter(change.class, to);
@@ -528,7 +532,7 @@
         self.effects.transitions.push(Transition { id, from, to, retain_ms });
     }
 
-    /// The effects since the last input, with a timer where the next deadline needs one.
+    /// Returns the effects since the last input, including a timer if the next deadline needs one.
     fn take_effects(&mut self) -> Effects {
         if let Some(wait_ms) = self.deadlines.poll_timer(self.now_ms) {
             self.effects.announcements.timers.push((wait_ms, Timer::Deadline));
--- a/src/admission/outbound.rs
+++ b/src/admission/outbound.rs
@@ -1,50 +1,50 @@
 //! Outbound calls to the shared dependency.
 //!
-//! *Decides*: whether one more call is placed, and what becomes of a request whose call ended.
-//! *Inputs*: this backend's share of the dependency (calls in flight), calls in flight, how long each took
-//! (ms) and how it ended, how long an abandoned call lingers at the dependency (ms).
-//! *Rule*: calls in flight are bounded by [`USED_SHARE_FRACTION`] of the share; the bound shrinks when a call
-//! fails or the mean duration is [`SLOW_MULTIPLE`] times its least of late, to [`MIN_SHARE_FRACTION`] of the
-//! share, and grows back by one a bound's worth of calls. After a failure none is placed for a pause that
-//! doubles. A call is repeated only where that does no harm.
-//! *Why*: the mean is judged, as single calls differ much. A call that was abandoned still takes its place at
-//! the dependency and counts while it may linger. The pause keeps instant refusals from being repeated
-//! without end.
+//! *Decides*: whether another call is placed, and how a request continues after its call ended.
+//! *Inputs*: this backend's share of the dependency (calls in flight), calls in flight, duration (ms) and
+//! outcome of each call, how long an abandoned call lingers at the dependency (ms).
+//! *Rule*: calls in flight are limited to [`USED_SHARE_FRACTION`] of the share. The limit shrinks when a call
+//! fails or when the mean duration exceeds [`SLOW_MULTIPLE`] times its recent minimum, down to
+//! [`MIN_SHARE_FRACTION`] of the share, and grows back by one per limit's worth of calls. After a failure no
+//! call is placed for a pause that doubles. A call is repeated only where that does no harm.
+//! *Why*: the rule uses the mean because single durations vary widely. An abandoned call still occupies the
+//! dependency and counts while it may linger. The pause prevents immediate refusals from being retried in a
+//! tight loop.
 //! *Source*: Chiu and Jain, "Analysis of the increase and decrease algorithms for congestion avoidance"
 //! (1989), for additive increase and multiplicative decrease; `docs/design.md`, "What the design leaves
 //! open, and what was chosen" (Outbound calls) and "Cold, as a sum".
-//! *Without it*: a dependency that slows, rejects or is gone is crowded by all its callers until it fails. It
-//! does harm where a slowdown is brief.
+//! *Without it*: a dependency that is slow, rejecting or unreachable is overloaded by all its callers until it
+//! fails. The rule is harmful where a slowdown is brief.
 
 use crate::admission::statistics::{Smoothed, RETAINED_FRACTION};
 use crate::api::{BackendConfig, CallOutcome, ClassConfig, Idempotency};
 
-/// Part of the share that calls in flight may take.
+/// Fraction of the share that calls in flight may use.
 const USED_SHARE_FRACTION: f64 = 0.9;
-/// Multiple of the least mean duration from which on calls are slow.
+/// Multiple of the minimum mean duration above which calls are slow.
 const SLOW_MULTIPLE: f64 = 3.0;
-/// What a slow and what a failed call leave of the bound.
+/// Factors of the limit after a slow and after a failed call.
 const SLOW_DECREASE: f64 = 0.95;
 const FAILURE_DECREASE: f64 = 0.7;
-/// Least bound, as part of the share.
+/// Lower bound of the limit, as a fraction of the share.
 const MIN_SHARE_FRACTION: f64 = 0.25;
 /// First and longest pause after a failure.
 const MIN_PAUSE_MS: f64 = 20.0;
 const MAX_PAUSE_MS: f64 = 640.0;
-/// Growth of the least mean duration in a period, so that it is one of late.
-const LEAST_MEAN_GROWTH_PER_PERIOD: f64 = 1.005;
-/// Shortest time that a call is given.
+/// Growth of the minimum mean duration per period, so that the minimum reflects recent calls.
+const MIN_MEAN_GROWTH_PER_PERIOD: f64 = 1.005;
+/// Shortest timeout of a call.
 const MIN_CALL_TIMEOUT_MS: f64 = 1.0;
 
-/// What becomes of a request whose call ended.
+/// How a request continues after its call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterCall {
-    /// Its execution goes on.
+    /// The execution continues.
     Resume,
-    /// It awaits another call.
+    /// The request awaits another call.
     Retry,
-    /// The call may have had its effect, so it is not repeated.
-    GiveUp,
+    /// The call may have taken effect and is not repeated, so the request ends.
+    Terminate,
 }
 
 impl AfterCall {
@@ -55,33 +55,33 @@
         } else if class.idempotency == Idempotency::Idempotent || outcome == CallOutcome::NotExecuted {
             AfterCall::Retry
         } else {
-            AfterCall::GiveUp
+            AfterCall::Terminate
         }
     }
 }
 
-/// Whether the dependency may still work on a call that has ended here.
+/// Whether the dependency may still process a call that has ended on this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AfterEnd {
-    Gone,
-    Lingers,
+enum RemoteProcessing {
+    Ended,
+    MayContinue,
 }
 
-/// The bound of calls in flight, and what is known of their durations.
+/// Limit of calls in flight, and statistics of their durations.
 pub(super) struct Outbound {
     share: f64,
     linger_ms: f64,
     max_in_flight: f64,
     mean_ms: Smoothed,
-    least_mean_ms: f64,
+    min_mean_ms: f64,
     pause_ms: f64,
-    /// No call is placed before.
+    /// No call is placed before this time.
     blocked_until_ms: f64,
-    /// When calls that were abandoned have left the dependency.
+    /// Times at which abandoned calls are assumed to have left the dependency.
     lingering_until_ms: Vec<f64>,
 }
 
-/// How long a call may take that is placed now.
+/// Returns the timeout of a call placed now.
 pub(super) fn call_timeout_ms(deadline_ms: f64, now_ms: f64) -> f64 {
     (deadline_ms - now_ms).max(MIN_CALL_TIMEOUT_MS)
 }
@@ -94,20 +94,20 @@
             linger_ms: config.abandoned_call_linger_ms,
             max_in_flight: share.max(1.0),
             mean_ms: Smoothed::new(MAX_PAUSE_MS),
-            least_mean_ms: f64::MAX,
+            min_mean_ms: f64::MAX,
             pause_ms: MIN_PAUSE_MS,
             blocked_until_ms: now_ms,
             lingering_until_ms: Vec::new(),
         }
     }
 
-    /// Whether one call more may be placed beside so many.
+    /// Returns whether another call may be placed beside `in_flight` others.
     pub(super) fn allows_call(&self, now_ms: f64, in_flight: usize) -> bool {
         let counted = (in_flight + self.lingering_until_ms.len()) as f64;
         counted + 1.0 <= self.max_in_flight && now_ms >= self.blocked_until_ms
     }
 
-    /// Calls in flight at most.
+    /// Returns the limit of calls in flight.
     pub(super) fn max_in_flight(&self) -> f64 {
         self.max_in_flight
     }
@@ -116,32 +116,34 @@
         (MIN_SHARE_FRACTION * self.share).max(1.0)
     }
 
-    /// A call ended that took so long.
+    /// Records that a call ended after `took_ms`.
     pub(super) fn handle_call_ended(&mut self, now_ms: f64, took_ms: f64, outcome: CallOutcome) {
         let is_paused = now_ms < self.blocked_until_ms;
-        // A call whose connection was lost was given up with it, and may stay at the dependency as long.
-        let after_end = match outcome {
-            CallOutcome::Abandoned | CallOutcome::ConnectionLost => AfterEnd::Lingers,
-            CallOutcome::Completed | CallOutcome::NotExecuted | CallOutcome::Unknown => AfterEnd::Gone,
+        // A call whose connection was lost was abandoned with it, and lingers at the dependency as long.
+        let remote_processing = match outcome {
+            CallOutcome::Abandoned | CallOutcome::ConnectionLost => RemoteProcessing::MayContinue,
+            CallOutcome::Completed | CallOutcome::NotExecuted | CallOutcome::Unknown => {
+                RemoteProcessing::Ended
+            }
         };
-        self.rest(now_ms, took_ms, after_end);
+        self.pause_after_call(now_ms, took_ms, remote_processing);
         if outcome == CallOutcome::Completed {
-            self.learn_duration(took_ms);
+            self.record_duration(took_ms);
             return;
         }
         self.max_in_flight = (self.max_in_flight * FAILURE_DECREASE).max(self.min_in_flight());
-        // A lost connection says nothing of the dependency.
+        // A lost connection does not indicate a fault of the dependency.
         if !is_paused && outcome != CallOutcome::ConnectionLost {
             self.blocked_until_ms = self.blocked_until_ms.max(now_ms + self.pause_ms);
             self.pause_ms = (2.0 * self.pause_ms).min(MAX_PAUSE_MS);
         }
     }
 
-    fn learn_duration(&mut self, took_ms: f64) {
+    fn record_duration(&mut self, took_ms: f64) {
         self.pause_ms = MIN_PAUSE_MS;
         self.mean_ms.update(took_ms, 1.0 - RETAINED_FRACTION);
-        self.least_mean_ms = self.least_mean_ms.min(self.mean_ms.value());
-        let is_slow = self.mean_ms.value() > SLOW_MULTIPLE * self.least_mean_ms;
+        self.min_mean_ms = self.min_mean_ms.min(self.mean_ms.value());
+        let is_slow = self.mean_ms.value() > SLOW_MULTIPLE * self.min_mean_ms;
         let next = if is_slow {
             self.max_in_flight * SLOW_DECREASE
         } else {
@@ -150,27 +152,28 @@
         self.max_in_flight = next.min(self.share).max(self.min_in_flight());
     }
 
-    /// The request of a call was answered before the call ended.
+    /// Records that the request of a call was answered before the call ended.
     pub(super) fn handle_call_abandoned(&mut self, now_ms: f64, took_ms: f64) {
-        self.rest(now_ms, took_ms, AfterEnd::Lingers);
+        self.pause_after_call(now_ms, took_ms, RemoteProcessing::MayContinue);
     }
 
-    /// A share under one call is kept by resting after each, also for as long as an abandoned one may linger.
-    fn rest(&mut self, now_ms: f64, took_ms: f64, after_end: AfterEnd) {
-        let linger_ms = match after_end {
-            AfterEnd::Gone => 0.0,
-            AfterEnd::Lingers => {
+    /// Enforces a share below one call by a pause after each call, which also covers the time that an abandoned
+    /// call may linger.
+    fn pause_after_call(&mut self, now_ms: f64, took_ms: f64, remote_processing: RemoteProcessing) {
+        let linger_ms = match remote_processing {
+            RemoteProcessing::Ended => 0.0,
+            RemoteProcessing::MayContinue => {
                 self.lingering_until_ms.push(now_ms + self.linger_ms);
                 self.linger_ms
             }
         };
-        let rest_ms = (took_ms + linger_ms) * (1.0 / self.share - 1.0).max(0.0);
-        self.blocked_until_ms = self.blocked_until_ms.max(now_ms + rest_ms);
+        let pause_ms = (took_ms + linger_ms) * (1.0 / self.share - 1.0).max(0.0);
+        self.blocked_until_ms = self.blocked_until_ms.max(now_ms + pause_ms);
     }
 
     pub(super) fn handle_period(&mut self, now_ms: f64) {
         self.lingering_until_ms.retain(|until_ms| *until_ms > now_ms);
-        self.least_mean_ms *= LEAST_MEAN_GROWTH_PER_PERIOD;
+        self.min_mean_ms *= MIN_MEAN_GROWTH_PER_PERIOD;
     }
 }
 
--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -1,21 +1,21 @@
-//! The order of request classes by their value.
+//! Order of request classes by value.
 //!
-//! *Decides*: the rank of a class, and the span that the classes of a rank take of all classes.
-//! *Inputs*: the value of each class (no unit; only its order counts).
+//! *Decides*: the rank of a class, and the quantile range that the classes of a rank take among all classes.
+//! *Inputs*: the value of each class (no unit; only the order matters).
 //! *Rule*: classes of equal value share a rank; the lowest value has rank 0.
-//! *Why*: the source asks for coarse buckets. With a rank for each class, the one listed first among equals
-//! would be starved for its place in the list.
+//! *Why*: the source asks for coarse buckets. With a rank per class, the class listed first among equals
+//! would starve because of its position in the list.
 //! *Source*: CRE life lessons, "Using load shedding to survive a success disaster".
 //! *Without it*: shedding and scheduling would disagree on which request goes first.
 
 use crate::api::ClassConfig;
 
-/// Where a class stands among all classes.
+/// Rank of a class among all classes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Priority {
-    /// Place of its value among the values that differ, the lowest first.
+    /// Index of the class's value among the distinct values, in ascending order.
     pub(super) rank: usize,
-    /// Parts of all classes below its rank, and up to and with it.
+    /// Fraction of all classes whose rank is lower, and fraction whose rank is lower or equal.
     pub(super) quantile_from: f64,
     pub(super) quantile_to: f64,
 }
@@ -43,7 +43,7 @@
         Priorities { classes: classes.iter().map(priority).collect(), ranks: values.len() }
     }
 
-    /// How many ranks there are.
+    /// Returns the number of ranks.
     pub(super) fn ranks(&self) -> usize {
         self.ranks
     }
--- a/src/admission/random.rs
+++ b/src/admission/random.rs
@@ -1,10 +1,10 @@
-//! The backend's own pseudo-random numbers.
+//! Pseudo-random numbers of the backend.
 
 /// Generator PCG-XSH-RR 64/32 (O'Neill, "PCG: A family of simple fast space-efficient statistically good
 /// algorithms for random number generation", 2014).
 ///
-/// The seed is the first state, without the two steps by which `rand_pcg` mixes it in: replacing this type
-/// by that crate's would give another sequence, and with it other decisions, for the same seed.
+/// The seed is the initial state, without the two steps by which `rand_pcg` mixes it in: replacing this type
+/// by that crate's would change the sequence, and with it the decisions, for the same seed.
 pub(super) struct Pcg32(u64);
 
 const MULTIPLIER: u64 = 6364136223846793005;
@@ -16,7 +16,7 @@
         Pcg32(seed)
     }
 
-    /// The next number, uniform over [0, 1).
+    /// Returns the next number, uniform over [0, 1).
     pub(super) fn next_fraction(&mut self) -> f64 {
         let old = self.0;
         self.0 = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
--- a/src/admission/random/tests.rs
+++ b/src/admission/random/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn numbers_are_spread_evenly_and_follow_from_the_seed() {
+fn numbers_are_uniform_and_determined_by_the_seed() {
     let numbers = |seed| {
         let mut random = Pcg32::new(seed);
         (0..4000).map(|_| random.next_fraction()).collect::<Vec<f64>>()
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -1,26 +1,26 @@
-//! Requests in flight: their states, and the counts by state that the other rules go by.
+//! Requests in flight: their states, and the counts by state that other rules use.
 //!
-//! *Decides*: to which state a final answer moves a request, and whether it may have been executed.
+//! *Decides*: to which state a final response moves a request, and whether the request may have been executed.
 //! *Inputs*: state changes, with the time (ms) and the execution clock (ms of core time).
-//! *Rule*: an answer completes what has not begun; what has begun is answered at once and completes when its
-//! execution ends. Only idempotent executions are cancelled, and only where the host can do so.
-//! *Why*: the client waits for the answer, not for the execution; an execution that is cut off half-way may
-//! have had half of its effect.
+//! *Rule*: a response completes a request that has not started; one that has started is answered at once and
+//! completes when its execution ends. Only idempotent executions are cancelled, and only if the host can do so.
+//! *Why*: the client waits for the response, not for the execution; a non-idempotent execution that is cut off
+//! midway may have taken part of its effect.
 //! *Source*: `docs/design.md`, "Guards for the four rules".
-//! *Without it*: clients would wait for executions that nobody needs, or be told that a request was not
-//! executed when it was.
+//! *Without it*: clients would wait for executions whose result is no longer needed, or would be informed that
+//! a request was not executed although it was.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | – | read | `Queued` |
-//! | `Queued` | a duplicate of a request that is known | `Joined`, or `Completed` where memory is short |
+//! | `Queued` | duplicate of a known request | `Joined`, or `Completed` if memory is short |
 //! | `Queued` | rejected; client gone; deadline | `Completed` |
-//! | `Queued` | its turn | `Running` |
-//! | `Joined` | the first request's result; client gone; deadline | `Completed` |
-//! | `Running` | wants an outbound call | `AwaitingCall` |
+//! | `Queued` | next in scheduling order | `Running` |
+//! | `Joined` | result of the first request; client gone; deadline | `Completed` |
+//! | `Running` | requests an outbound call | `AwaitingCall` |
 //! | `AwaitingCall` | the call is placed | `Calling` |
-//! | `Calling` | the call completed, or may be left out | `Running` |
-//! | `Calling` | the call failed | `AwaitingCall` to try again, or as at the deadline |
+//! | `Calling` | the call completed, or may be skipped | `Running` |
+//! | `Calling` | the call failed | `AwaitingCall` for a retry, or as at the deadline |
 //! | `Running`, `AwaitingCall`, `Calling` | client gone; deadline | `Answered` |
 //! | `Running`, `Answered` | the execution ended | `Completed` |
 
@@ -28,7 +28,7 @@
 
 use crate::api::{Cancellation, Completion, Idempotency, Request, RequestState};
 
-/// Has an execution on the cores, or waiting for disk.
+/// Returns whether the request has an execution that is on the cores or waits for disk.
 fn is_executing(state: RequestState) -> bool {
     matches!(state, RequestState::Running | RequestState::Answered { .. })
 }
@@ -41,42 +41,42 @@
     matches!(state, RequestState::Calling { .. })
 }
 
-/// Owed no answer any more.
+/// Returns whether the final response was given.
 pub(super) fn is_answered(state: RequestState) -> bool {
     matches!(state, RequestState::Answered { .. } | RequestState::Completed(_))
 }
 
-/// Whether a state takes up the memory of an execution.
+/// Returns whether a request in this state takes the memory of an execution.
 pub(super) fn takes_execution_memory(state: RequestState) -> bool {
     is_executing(state) || awaits_call(state)
 }
 
-/// The times by which a state change is accounted.
+/// Times at which a state change is accounted.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     pub(super) now_ms: f64,
     pub(super) execution_ms: f64,
 }
 
-/// A request from its reading to the end of its execution.
+/// A request from the time it was read to the end of its execution.
 pub(super) struct InFlightRequest {
     state: RequestState,
     class: usize,
     memory_kb: f64,
     work_hint_ms: Option<f64>,
-    /// When it is given up while the backend is not draining.
+    /// Time at which the request expires while the backend is not draining.
     expires_ms: f64,
-    /// The same, as it stands in the order of deadlines.
+    /// Time at which the request expires, limited by the drain; its key in the order of deadlines.
     deadline_ms: f64,
     may_have_run: bool,
     call_started_ms: f64,
-    /// Core time so far, and the execution clock when it was last brought up to date.
+    /// Core time so far, and the execution clock at the last update of that time.
     core_ms: f64,
     execution_clock_ms: f64,
 }
 
 impl InFlightRequest {
-    /// A request that was just read.
+    /// Returns a queued request that was just read.
     pub(super) fn new(request: &Request, expires_ms: f64, deadline_ms: f64) -> Self {
         InFlightRequest {
             state: RequestState::Queued,
@@ -120,17 +120,17 @@
         self.call_started_ms
     }
 
-    /// It was executed, or waits for one that was.
+    /// Returns whether the request was executed, or waits for a request that was.
     pub(super) fn may_have_executed(&self) -> bool {
         self.may_have_run || self.state == RequestState::Joined
     }
 
-    /// Core time that its execution had by now.
+    /// Returns the core time that the execution has had so far.
     pub(super) fn core_ms_at(&self, execution_clock_ms: f64) -> f64 {
         self.core_ms + execution_clock_ms - self.execution_clock_ms
     }
 
-    /// The state to which an answer moves it; none where it has had one.
+    /// Returns the state to which a final response moves the request, or `None` if it was answered before.
     pub(super) fn state_after_answer(
         &self,
         completion: Completion,
@@ -149,13 +149,13 @@
     }
 }
 
-/// What a state change did, for the rules that keep accounts of their own.
+/// Details of a state change for the rules that keep their own statistics.
 pub(super) struct StateChange {
     pub(super) from: RequestState,
     pub(super) class: usize,
     pub(super) memory_kb: f64,
     pub(super) deadline_ms: f64,
-    /// Its outbound call was dropped with it, after so long.
+    /// Age of the outbound call that the state change abandoned, if any.
     pub(super) abandoned_call_ms: Option<f64>,
 }
 
@@ -163,7 +163,7 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<u32, InFlightRequest>,
-    /// Answered requests whose execution was told to stop.
+    /// Answered requests whose execution was asked to stop and has not ended.
     cancelling: BTreeSet<u32>,
     running: usize,
     awaiting_call: usize,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Makes a state change; none where the request is not known.
+    /// Changes the state of a request; returns `None` if the request is not known.
     pub(super) fn transition(&mut self, id: u32, to: RequestState, clock: Clock) -> Option<StateChange> {
         let request = self.requests.get_mut(&id)?;
         let from = request.state;
@@ -214,7 +214,7 @@
         if has_call_in_flight(to) {
             request.call_started_ms = clock.now_ms;
         }
-        self.count(from, to);
+        self.update_counts(from, to);
         if matches!(to, RequestState::Answered { cancel: true, .. }) {
             self.cancelling.insert(id);
         } else {
@@ -226,20 +226,20 @@
         Some(change)
     }
 
-    fn count(&mut self, from: RequestState, to: RequestState) {
-        let moved =
+    fn update_counts(&mut self, from: RequestState, to: RequestState) {
+        let updated =
             |count: usize, is: fn(RequestState) -> bool| count + usize::from(is(to)) - usize::from(is(from));
-        self.running = moved(self.running, is_executing);
-        self.awaiting_call = moved(self.awaiting_call, awaits_call);
-        self.calls_in_flight = moved(self.calls_in_flight, has_call_in_flight);
+        self.running = updated(self.running, is_executing);
+        self.awaiting_call = updated(self.awaiting_call, awaits_call);
+        self.calls_in_flight = updated(self.calls_in_flight, has_call_in_flight);
     }
 
-    /// Executions on the cores or waiting for disk.
+    /// Returns the number of executions on the cores or waiting for disk.
     pub(super) fn running(&self) -> usize {
         self.running
     }
 
-    /// Requests that want an outbound call or have one in flight.
+    /// Returns the number of requests that wait for an outbound call or have one in flight.
     pub(super) fn awaiting_call(&self) -> usize {
         self.awaiting_call
     }
@@ -248,12 +248,12 @@
         self.calls_in_flight
     }
 
-    /// Requests that are owed an answer, in the order of their ids.
+    /// Returns the ids of unanswered requests in ascending order.
     pub(super) fn unanswered(&self) -> Vec<u32> {
         self.iter().filter(|(_, request)| !is_answered(request.state)).map(|(id, _)| id).collect()
     }
 
-    /// Requests whose execution was told to stop and has not ended, with their states.
+    /// Returns the requests whose execution was asked to stop and has not ended, with their states.
     pub(super) fn cancelling(&self) -> Vec<(u32, RequestState)> {
         self.cancelling.iter().filter_map(|id| Some((*id, self.state(*id)?))).collect()
     }
--- a/src/admission/request/tests.rs
+++ b/src/admission/request/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::admission::test_support::{last_state, request, running};
+use crate::admission::test_support::{backend_with_running, last_state, request};
 use crate::api::{Gauges, Timer};
 
 const REJECTED: Completion = Completion::Rejected { retry_after_ms: 1.0, retry_elsewhere: false };
@@ -12,40 +12,40 @@
 }
 
 #[test]
-fn where_nothing_can_be_cancelled_no_cancellation_is_asked_for() {
-    let mut backend = running(1);
+fn no_cancellation_is_requested_if_the_host_cannot_cancel() {
+    let mut backend = backend_with_running(1);
     backend.cancellation = Cancellation::Unsupported;
     let effects = backend.handle_timeout(1000.0, Timer::Deadline, Gauges::default());
     assert!(matches!(last_state(&effects), RequestState::Answered { cancel: false, .. }));
 }
 
-/// Cores that stand still do not see that an execution was told to stop; it would go on when they run again.
+/// Guards against a missed cancellation: an execution on stalled cores does not see it and would continue.
 #[test]
-fn an_execution_that_did_not_stop_is_told_again() {
-    let mut backend = running(1);
+fn the_cancellation_of_a_running_execution_is_repeated() {
+    let mut backend = backend_with_running(1);
     backend.handle_timeout(1000.0, Timer::Deadline, Gauges::default());
     let effects = backend.handle_timeout(1100.0, Timer::Periodic, Gauges::default());
     assert!(matches!(last_state(&effects), RequestState::Answered { cancel: true, .. }));
 }
 
 #[test]
-fn an_answer_completes_what_has_not_begun_and_leaves_the_rest_to_its_execution() {
+fn an_answer_completes_waiting_requests_and_marks_running_ones_as_answered() {
     let answered = |state| {
         let table = table_in(state);
         let request = table.get(1).expect("in flight");
         request.state_after_answer(REJECTED, Idempotency::Idempotent, Cancellation::Abort)
     };
-    let stays = |cancel| Some(RequestState::Answered { completion: REJECTED, cancel });
+    let answered_with = |cancel| Some(RequestState::Answered { completion: REJECTED, cancel });
     assert_eq!(answered(RequestState::Queued), Some(RequestState::Completed(REJECTED)));
     assert_eq!(answered(RequestState::Joined), Some(RequestState::Completed(REJECTED)));
-    assert_eq!(answered(RequestState::Running), stays(true));
-    assert_eq!(answered(RequestState::AwaitingCall), stays(false));
-    assert_eq!(answered(RequestState::Calling { timeout_ms: 1.0 }), stays(false));
+    assert_eq!(answered(RequestState::Running), answered_with(true));
+    assert_eq!(answered(RequestState::AwaitingCall), answered_with(false));
+    assert_eq!(answered(RequestState::Calling { timeout_ms: 1.0 }), answered_with(false));
     assert_eq!(answered(RequestState::Answered { completion: REJECTED, cancel: true }), None);
 }
 
 #[test]
-fn counts_follow_the_state_and_a_call_answered_before_its_end_is_reported_as_abandoned() {
+fn counts_follow_the_state_and_an_answer_during_a_call_abandons_it() {
     let mut table = table_in(RequestState::Running);
     assert_eq!((table.running(), table.awaiting_call(), table.calls_in_flight()), (1, 0, 0));
     let clock = |now_ms| Clock { now_ms, execution_ms: now_ms };
--- a/src/admission/retry_detection.rs
+++ b/src/admission/retry_detection.rs
@@ -1,64 +1,65 @@
-//! Detection of retries that are not marked.
+//! Detection of unmarked retries.
 //!
-//! *Decides*: how long the client of an attempt has waited before it, by an estimate. `deadline` takes it off the time in which
-//! an answer is still worth something to that client.
-//! *Inputs*: how long the client waits for this attempt (ms), whether it named a deadline and a mark, the
+//! *Decides*: an estimate of how long the client waited before this attempt. `deadline` subtracts it from the
+//! time in which a response has value to that client.
+//! *Inputs*: the timeout of this attempt (ms), whether the client named a deadline and marked a retry, the
 //! class's timeout (ms).
-//! *Rule*: first attempts of a class come with one of a few usual waits, each found by votes; an attempt that
-//! waits for another span is bounded by what is left of the client's timeout, which tells its age.
-//! *Why*: retries carry the deadline of the first attempt. Whether they are marked is up to the client.
+//! *Rule*: first attempts of a class use one of a few common timeouts, each found by votes. Any other timeout is
+//! taken for the rest of the client's total timeout, which gives the time since the first attempt.
+//! *Why*: retries carry the deadline of the first attempt. Whether they are marked depends on the client.
 //! *Source*: `docs/design.md`, "Departures": unmarked retries pass a count of arrivals at full priority.
-//! *Without it*: retry storms and restarting clients fill the cores with work whose objective is over. It
-//! does harm where clients' first waits vary by themselves.
+//! *Without it*: retry storms and restarting clients fill the cores with work that has missed its objective.
+//! The rule is harmful where the timeouts of first attempts vary.
 
 use crate::api::{BackendConfig, Request};
 
-/// Waits nearer than this are the same.
-const SAME_WAIT_MS: f64 = 25.0;
-/// Votes that a usual wait collects at most.
+/// Timeouts that differ by less than this count as equal.
+const SAME_TIMEOUT_MS: f64 = 25.0;
+/// Maximum number of votes of a common timeout.
 const MAX_VOTES: i32 = 40;
-/// Votes from which on a class's usual waits are known.
+/// Number of votes from which on the common timeouts of a class are known.
 const MIN_KNOWN_VOTES: i32 = MAX_VOTES / 4;
-/// Votes from which on a wait is taken for that of a first attempt.
+/// Number of votes from which on a timeout is taken for that of a first attempt.
 const MIN_FIRST_ATTEMPT_VOTES: i32 = MAX_VOTES / 10;
-/// Usual waits that are remembered for a class.
-const MAX_USUAL_WAITS: usize = 4;
+/// Maximum number of common timeouts per class.
+const MAX_COMMON_TIMEOUTS: usize = 4;
 
-/// A wait that came often, and how often of late.
+/// A timeout that recurs, and its votes from recent attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct UsualWait {
-    wait_ms: f64,
+struct CommonTimeout {
+    timeout_ms: f64,
     votes: i32,
 }
 
-/// What is known of the attempts of one class.
-struct ClassWaits {
-    timeout_ms: f64,
-    usual: Vec<UsualWait>,
+/// Observed timeouts of the attempts of one class.
+struct ClassTimeouts {
+    class_timeout_ms: f64,
+    common: Vec<CommonTimeout>,
 }
 
-impl ClassWaits {
-    /// Learns from an attempt, and tells how long its client waited before it; 0 for a first attempt.
-    fn observe(&mut self, patience_ms: f64) -> f64 {
-        let is_first_attempt = self.vote(patience_ms);
-        let is_known = self.usual.iter().any(|usual| usual.votes >= MIN_KNOWN_VOTES);
+impl ClassTimeouts {
+    /// Records an attempt and returns how long its client waited before it; 0 for a first attempt.
+    fn observe(&mut self, attempt_timeout_ms: f64) -> f64 {
+        let is_first_attempt = self.vote(attempt_timeout_ms);
+        let is_known = self.common.iter().any(|common| common.votes >= MIN_KNOWN_VOTES);
         if is_first_attempt || !is_known {
             return 0.0;
         }
-        (self.timeout_ms - patience_ms).max(0.0)
+        (self.class_timeout_ms - attempt_timeout_ms).max(0.0)
     }
 
-    /// Counts a wait; true where it is a usual one.
-    fn vote(&mut self, patience_ms: f64) -> bool {
-        let new = UsualWait { wait_ms: patience_ms, votes: 1 };
-        let is_same = |usual: &&mut UsualWait| (patience_ms - usual.wait_ms).abs() < SAME_WAIT_MS;
-        if let Some(usual) = self.usual.iter_mut().find(is_same) {
-            usual.votes = (usual.votes + 1).min(MAX_VOTES);
-            return usual.votes >= MIN_FIRST_ATTEMPT_VOTES;
+    /// Votes for a timeout; returns whether it is a common one.
+    fn vote(&mut self, attempt_timeout_ms: f64) -> bool {
+        let new = CommonTimeout { timeout_ms: attempt_timeout_ms, votes: 1 };
+        let is_same =
+            |common: &&mut CommonTimeout| (attempt_timeout_ms - common.timeout_ms).abs() < SAME_TIMEOUT_MS;
+        if let Some(common) = self.common.iter_mut().find(is_same) {
+            common.votes = (common.votes + 1).min(MAX_VOTES);
+            return common.votes >= MIN_FIRST_ATTEMPT_VOTES;
         }
-        if self.usual.len() < MAX_USUAL_WAITS {
-            self.usual.push(new);
-        } else if let Some(weakest) = self.usual.iter_mut().min_by_key(|usual| usual.votes) {
+        if self.common.len() < MAX_COMMON_TIMEOUTS {
+            self.common.push(new);
+        } else if let Some(weakest) = self.common.iter_mut().min_by_key(|common| common.votes) {
             weakest.votes -= 1;
             if weakest.votes < 1 {
                 *weakest = new;
@@ -68,29 +69,31 @@
     }
 }
 
-/// The usual waits of all classes.
+/// Observed timeouts of all classes.
 pub(super) struct RetryDetection {
     retries_marked: bool,
-    classes: Vec<ClassWaits>,
+    classes: Vec<ClassTimeouts>,
 }
 
 impl RetryDetection {
     pub(super) fn new(config: &BackendConfig) -> Self {
-        let class_waits =
-            |timeout_ms: f64| ClassWaits { timeout_ms, usual: Vec::with_capacity(MAX_USUAL_WAITS) };
+        let class_timeouts = |class_timeout_ms: f64| ClassTimeouts {
+            class_timeout_ms,
+            common: Vec::with_capacity(MAX_COMMON_TIMEOUTS),
+        };
         RetryDetection {
             retries_marked: config.retries_marked,
-            classes: config.classes.iter().map(|class| class_waits(class.timeout_ms)).collect(),
+            classes: config.classes.iter().map(|class| class_timeouts(class.timeout_ms)).collect(),
         }
     }
 
-    /// How long the client waited before this attempt. Only a deadline that the client named says so, and
-    /// where retries are marked, only that of a marked one.
-    pub(super) fn observe(&mut self, request: &Request, patience_ms: f64) -> f64 {
-        let waited_ms = self.classes[request.class].observe(patience_ms);
+    /// Records an attempt and returns how long its client waited before it. The estimate applies only if the
+    /// client named a deadline and, where retries are marked, marked this attempt as a retry; otherwise it is 0.
+    pub(super) fn observe(&mut self, request: &Request, attempt_timeout_ms: f64) -> f64 {
+        let prior_wait_ms = self.classes[request.class].observe(attempt_timeout_ms);
         let may_be_retry = request.deadline_ms.is_some() && (!self.retries_marked || request.marked_retry);
         if may_be_retry {
-            waited_ms
+            prior_wait_ms
         } else {
             0.0
         }
--- a/src/admission/scheduling.rs
+++ b/src/admission/scheduling.rs
@@ -1,15 +1,15 @@
-//! The order in which queued requests are executed and outbound calls are placed.
+//! Order in which queued requests are executed and outbound calls are placed.
 //!
-//! *Decides*: which queued request is executed next, and which request that wants a call gets the next one.
+//! *Decides*: which queued request is executed next, and which waiting request gets the next outbound call.
 //! *Inputs*: rank and deadline (ms) of each request.
-//! *Rule*: the highest rank first, within it the earliest deadline.
-//! *Why*: what is left over when capacity runs out is the least valuable; within a rank the earliest deadline
-//! first lets most requests meet theirs. On the ordinary path the queue is empty: what is admitted runs at
+//! *Rule*: the highest rank first; within a rank, the earliest deadline first.
+//! *Why*: when capacity runs out, the least valuable requests remain; within a rank, the earliest deadline
+//! first lets most requests meet theirs. Normally the queue is empty, because admitted requests are executed at
 //! once.
 //! *Source*: Liu and Layland, "Scheduling algorithms for multiprogramming in a hard-real-time environment"
 //! (1973), for the earliest deadline; `docs/design.md`, "What is kept".
-//! *Without it*: valuable requests expire behind others. The sets keep the order, so that no event looks
-//! through all requests.
+//! *Without it*: valuable requests expire behind others. Ordered sets avoid a scan of all requests at each
+//! event.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -17,29 +17,29 @@
 use crate::admission::time::TimeKey;
 use crate::api::RequestState;
 
-/// A request's place in the order: the greatest goes first.
+/// Sort key of a request; the greatest key goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct SchedulingKey {
     rank: usize,
     deadline: Reverse<TimeKey>,
     id: u32,
 }
 
-impl Turn {
+impl SchedulingKey {
     pub(super) fn new(rank: usize, deadline_ms: f64, id: u32) -> Self {
-        Turn { rank, deadline: Reverse(TimeKey::from_ms(deadline_ms)), id }
+        SchedulingKey { rank, deadline: Reverse(TimeKey::from_ms(deadline_ms)), id }
     }
 }
 
-/// What waits, in order.
+/// Waiting requests in scheduling order.
 #[derive(Default)]
 pub(super) struct Scheduling {
-    queued: BTreeSet<Turn>,
-    awaiting_call: BTreeSet<Turn>,
+    queued: BTreeSet<SchedulingKey>,
+    awaiting_call: BTreeSet<SchedulingKey>,
 }
 
 impl Scheduling {
-    fn order_of(&mut self, state: RequestState) -> Option<&mut BTreeSet<Turn>> {
+    fn set_for(&mut self, state: RequestState) -> Option<&mut BTreeSet<SchedulingKey>> {
         match state {
             RequestState::Queued => Some(&mut self.queued),
             RequestState::AwaitingCall => Some(&mut self.awaiting_call),
@@ -47,28 +47,28 @@
         }
     }
 
-    /// A request entered a state.
-    pub(super) fn enter(&mut self, state: RequestState, turn: Turn) {
-        if let Some(order) = self.order_of(state) {
-            order.insert(turn);
+    /// Adds a request that entered a state.
+    pub(super) fn enter(&mut self, state: RequestState, key: SchedulingKey) {
+        if let Some(order) = self.set_for(state) {
+            order.insert(key);
         }
     }
 
-    /// A request left a state.
-    pub(super) fn leave(&mut self, state: RequestState, turn: Turn) {
-        if let Some(order) = self.order_of(state) {
-            order.remove(&turn);
+    /// Removes a request that left a state.
+    pub(super) fn leave(&mut self, state: RequestState, key: SchedulingKey) {
+        if let Some(order) = self.set_for(state) {
+            order.remove(&key);
         }
     }
 
-    /// The next request to execute.
+    /// Returns the next request to execute.
     pub(super) fn next_queued(&self) -> Option<u32> {
-        self.queued.last().map(|turn| turn.id)
+        self.queued.last().map(|key| key.id)
     }
 
-    /// The next request to place a call for, out of those that may.
+    /// Returns the next request to place a call for, among those for which `may_call` holds.
     pub(super) fn next_awaiting_call(&self, may_call: impl Fn(u32) -> bool) -> Option<u32> {
-        self.awaiting_call.iter().rev().map(|turn| turn.id).find(|id| may_call(*id))
+        self.awaiting_call.iter().rev().map(|key| key.id).find(|id| may_call(*id))
     }
 }
 
--- a/src/admission/scheduling/tests.rs
+++ b/src/admission/scheduling/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::admission::random::Pcg32;
 use crate::admission::request::InFlightRequest;
-use crate::admission::test_support::{config, request, started};
+use crate::admission::test_support::{config, request, start_backend};
 use crate::api::{BackendConfig, CallOutcome, Gauges, Request, RunOutcome, Timer};
 
-/// What waits stands in an order of its own; it has to be the one that looking through all requests gives.
+/// Compares the ordered sets with a scan of all requests.
 #[test]
-fn what_waits_stands_in_order_under_any_sequence_of_events() {
-    let mut backend = started(BackendConfig { dependency_share: Some(2.0), cores: 1.0, ..config() });
+fn scheduling_order_matches_a_scan_after_every_event() {
+    let mut backend = start_backend(BackendConfig { dependency_share: Some(2.0), cores: 1.0, ..config() });
     let mut random = Pcg32::new(99);
     let mut next = 1;
     for step in 0..4000u32 {
@@ -39,27 +39,27 @@
             let first = waiting().max_by(|(_, a), (_, b)| {
                 value(a).total_cmp(&value(b)).then(b.deadline_ms().total_cmp(&a.deadline_ms()))
             });
-            assert_eq!(first.map(|(id, _)| id), order.last().map(|turn| turn.id), "step {step}");
+            assert_eq!(first.map(|(id, _)| id), order.last().map(|key| key.id), "step {step}");
         }
         let is_cancelling = |request: &InFlightRequest| {
             matches!(request.state(), RequestState::Answered { cancel: true, .. })
         };
-        let told = backend.requests.iter().filter(|(_, request)| is_cancelling(request));
+        let expected = backend.requests.iter().filter(|(_, request)| is_cancelling(request));
         let cancelling: Vec<u32> = backend.requests.cancelling().iter().map(|(id, _)| *id).collect();
-        assert_eq!(told.map(|(id, _)| id).collect::<Vec<u32>>(), cancelling);
+        assert_eq!(expected.map(|(id, _)| id).collect::<Vec<u32>>(), cancelling);
     }
     assert!(next > 1000);
 }
 
 #[test]
-fn a_higher_rank_goes_first_and_within_it_the_earliest_deadline() {
+fn the_highest_rank_goes_first_and_within_it_the_earliest_deadline() {
     let mut scheduling = Scheduling::default();
     for (rank, deadline_ms, id) in [(0, 10.0, 1), (1, 900.0, 2), (1, 300.0, 3)] {
-        scheduling.enter(RequestState::AwaitingCall, Turn::new(rank, deadline_ms, id));
+        scheduling.enter(RequestState::AwaitingCall, SchedulingKey::new(rank, deadline_ms, id));
     }
     assert_eq!(scheduling.next_queued(), None);
     assert_eq!(scheduling.next_awaiting_call(|_| true), Some(3));
     assert_eq!(scheduling.next_awaiting_call(|id| id != 3), Some(2));
-    scheduling.leave(RequestState::AwaitingCall, Turn::new(1, 300.0, 3));
+    scheduling.leave(RequestState::AwaitingCall, SchedulingKey::new(1, 300.0, 3));
     assert_eq!(scheduling.next_awaiting_call(|_| true), Some(2));
 }
--- a/src/admission/shedding/tests.rs
+++ b/src/admission/shedding/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::admission::concurrency::Concurrency;
-use crate::admission::test_support::{config, last_state, request, running};
+use crate::admission::test_support::{backend_with_running, config, last_state, request};
 use crate::api::{Completion, RequestState};
 
 impl Shedding {
@@ -8,7 +8,7 @@
         self.recent_fraction = Smoothed::new(fraction);
     }
 
-    /// Recent arrivals by level, the lowest first.
+    /// Sets the recent arrivals by level, the lowest first.
     pub(in crate::admission) fn set_arrivals(&mut self, arrivals: &[f64]) {
         assert_eq!(arrivals.len(), 2 * self.ranks);
         self.arrivals = DecayedTallies::from_counts(arrivals);
@@ -34,13 +34,13 @@
     shedding
 }
 
-/// How many of a cycle of arrivals of a level are shed at an admitted fraction that does not change.
-fn shed_of_a_cycle(shedding: &mut Shedding, level: SheddingLevel, admitted_fraction: f64) -> usize {
-    (0..STEPS).filter(|_| shedding.sheds(level, admitted_fraction)).count()
+/// Returns how many arrivals of one counter cycle are shed at a constant admitted fraction.
+fn shed_per_cycle(shedding: &mut Shedding, level: SheddingLevel, admitted_fraction: f64) -> usize {
+    (0..STEPS).filter(|_| shedding.should_shed(level, admitted_fraction)).count()
 }
 
 #[test]
-fn the_admitted_fraction_falls_by_steps_from_the_soft_to_the_hard_limit() {
+fn the_admitted_fraction_falls_in_steps_from_the_soft_to_the_hard_limit() {
     let limits = limits();
     assert!(limits.soft >= 1.0 && limits.hard > limits.soft);
     let mut fractions: Vec<f64> =
@@ -51,16 +51,15 @@
     fractions.reverse();
     assert!(fractions.is_sorted());
     for count in 0..12 {
-        let (load, limits) = running(count).load_and_limits();
+        let (load, limits) = backend_with_running(count).load_and_limits();
         assert_eq!(load.admitted_fraction(&limits), fractions[11 - count as usize]);
     }
 }
 
-/// More comes than the cores bear. Every arrival is rejected at once and told when to come back, or its
-/// client would retry at once.
+/// Guards against immediate retries: under overload every arrival is rejected at once with a Retry-After.
 #[test]
 fn at_the_hard_limit_every_arrival_is_rejected_with_a_retry_after() {
-    let effects = running(10).handle_request(0.0, request(1, 1));
+    let effects = backend_with_running(10).handle_request(0.0, request(1, 1));
     let RequestState::Completed(Completion::Rejected { retry_after_ms, retry_elsewhere }) =
         last_state(&effects)
     else {
@@ -70,13 +69,13 @@
 }
 
 #[test]
-fn the_lowest_rank_is_shed_first_and_the_counter_picks_among_equals() {
+fn the_lowest_rank_is_shed_first_and_the_counter_selects_within_it() {
     let mut shedding = shedding([0.0, 0.0, 60.0, 40.0]);
     let [low, high] = [0, 1].map(|rank| shedding.level(rank, SheddingTier::Ordinary));
-    assert_eq!(shed_of_a_cycle(&mut shedding, low, 0.7), 10);
-    assert_eq!(shed_of_a_cycle(&mut shedding, high, 0.7), 0);
-    assert_eq!(shed_of_a_cycle(&mut shedding, low, 0.2), 20);
-    assert_eq!(shed_of_a_cycle(&mut shedding, high, 0.2), 10);
+    assert_eq!(shed_per_cycle(&mut shedding, low, 0.7), 10);
+    assert_eq!(shed_per_cycle(&mut shedding, high, 0.7), 0);
+    assert_eq!(shed_per_cycle(&mut shedding, low, 0.2), 20);
+    assert_eq!(shed_per_cycle(&mut shedding, high, 0.2), 10);
 }
 
 #[test]
@@ -85,8 +84,8 @@
     let demoted = shedding.level(1, SheddingTier::Demoted);
     let ordinary = shedding.level(0, SheddingTier::Ordinary);
     assert_eq!((demoted, ordinary), (SheddingLevel(1), SheddingLevel(2)));
-    assert_eq!(shed_of_a_cycle(&mut shedding, demoted, 0.7), 20);
-    assert_eq!(shed_of_a_cycle(&mut shedding, ordinary, 0.7), 0);
+    assert_eq!(shed_per_cycle(&mut shedding, demoted, 0.7), 20);
+    assert_eq!(shed_per_cycle(&mut shedding, ordinary, 0.7), 0);
 }
 
 #[test]
@@ -97,11 +96,11 @@
     assert_eq!(load(10, 0, 0.5).admitted_fraction(&limits), 0.0);
 }
 
-/// The dependency slows, and requests pile up at their calls. They are no load on the cores, so without a
-/// limit of their own all arrivals would be admitted until the calls come back at once.
+/// Guards against admission without limit while the dependency is slow: requests awaiting calls do not load the
+/// cores, and would all return at once when the calls end.
 #[test]
-fn requests_that_await_calls_are_no_load_and_have_a_limit_of_their_own() {
-    let mut backend = running(6);
+fn requests_that_await_calls_have_a_separate_limit() {
+    let mut backend = backend_with_running(6);
     (1000..1006).for_each(|id| backend.transition(id, RequestState::AwaitingCall));
     let (load, limits) = backend.load_and_limits();
     assert_eq!(load.running_per_core, 0.0);
@@ -109,7 +108,7 @@
 }
 
 #[test]
-fn idle_cores_shed_for_requests_awaiting_calls_later_but_by_steps_and_at_the_same_limit() {
+fn on_idle_cores_requests_awaiting_calls_shed_later_but_in_steps_to_the_same_limit() {
     let admitted = |count: u32, utilization: f64| load(0, count, utilization).admitted_fraction(&limits());
     assert!(admitted(3, 0.95) < 1.0);
     assert_eq!(admitted(3, 0.5), 1.0);
--- a/src/admission/statistics.rs
+++ b/src/admission/statistics.rs
@@ -1,22 +1,22 @@
-//! Statistics that forget: one type for each kind, used by the rules beside it.
+//! Decaying statistics used by the admission rules.
 //!
-//! Two kinds of forgetting: by time, with [`HALF_LIFE_MS`], for rates of arrivals; by observation, as a
-//! part kept at each new one, for durations and outcomes.
+//! Arrival rates decay with time, at [`HALF_LIFE_MS`]; durations and outcomes decay with each new observation,
+//! at a fixed retained fraction.
 
 /// Half-life of counts that decay with time.
 pub(super) const HALF_LIFE_MS: f64 = 2000.0;
-/// Part of the old sum that each new observation of a duration keeps.
+/// Fraction of the previous sum that is retained at each new observation of a duration.
 pub(super) const RETAINED_FRACTION: f64 = 0.95;
 /// Weight of one period's reading in a smoothed gauge.
 pub(super) const PERIOD_WEIGHT: f64 = 0.15;
 
-/// What is left of a decaying count after so long.
+/// Returns the factor by which a decaying count shrinks over the elapsed time.
 pub(super) fn decay_factor(elapsed_ms: f64) -> f64 {
     0.5f64.powf(elapsed_ms / HALF_LIFE_MS)
 }
 
-/// Hands out the factor by which counts decay since it was last asked, so that several rules' tallies decay
-/// by the same one without each working it out.
+/// Computes the factor by which counts decay since the previous call, so that the tallies of several rules
+/// share one computation.
 pub(super) struct DecayClock {
     updated_ms: f64,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// A set of counts that all decay at once, a few of them.
+/// A small set of counts that decay together.
 #[derive(Debug)]
 pub(super) struct DecayedTallies {
     counts: Vec<f64>,
@@ -48,8 +48,8 @@
         self.counts.iter_mut().for_each(|count| *count *= factor);
     }
 
-    pub(super) fn increment(&mut self, place: usize) {
-        self.counts[place] += 1.0;
+    pub(super) fn increment(&mut self, index: usize) {
+        self.counts[index] += 1.0;
     }
 
     pub(super) fn as_slice(&self) -> &[f64] {
@@ -61,8 +61,8 @@
     }
 }
 
-/// One count of many that decay: it is brought up to date only when it is asked for, so that the work at an
-/// event does not grow with their number.
+/// One of many decaying counts. It is brought up to date only when it is read or incremented, so that the work
+/// per event does not grow with the number of counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct DecayedCount {
     sum: f64,
@@ -78,7 +78,7 @@
         self.sum * decay_factor(now_ms - self.updated_ms)
     }
 
-    /// Events a second that would keep the count at its present value.
+    /// Returns the rate in events per second that would hold the count at its present value.
     pub(super) fn rate_per_s(&self, now_ms: f64) -> f64 {
         self.value_at(now_ms) * 1000.0 * std::f64::consts::LN_2 / HALF_LIFE_MS
     }
@@ -103,7 +103,7 @@
         self.value
     }
 
-    /// Moves towards a sample by `weight` of the distance.
+    /// Moves the value towards a sample by `weight` of the distance.
     pub(super) fn update(&mut self, sample: f64, weight: f64) {
         self.value += weight * (sample - self.value);
     }
@@ -113,8 +113,8 @@
     }
 }
 
-/// Core time of executions of one request class, as sums of which each new execution keeps
-/// [`RETAINED_FRACTION`].
+/// Core time of executions of one request class, as sums that retain [`RETAINED_FRACTION`] at each new
+/// execution.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ServiceTime {
     executions: f64,
@@ -129,7 +129,7 @@
         self.hinted_ms = self.hinted_ms * RETAINED_FRACTION + hint_ms.unwrap_or(0.0);
     }
 
-    /// Executions that the sums stand for.
+    /// Returns the decayed number of executions in the sums.
     pub(super) fn executions(&self) -> f64 {
         self.executions
     }
@@ -138,8 +138,8 @@
         self.core_ms
     }
 
-    /// Core time that an execution takes: in proportion to its hint where executions came with hints.
-    /// Nothing before one execution is known.
+    /// Returns the expected core time of an execution, in proportion to its hint if past executions had hints.
+    /// Returns `None` before the first execution.
     pub(super) fn expected_core_ms(&self, hint_ms: Option<f64>) -> Option<f64> {
         if self.executions < 1.0 {
             return None;
--- a/src/admission/statistics/tests.rs
+++ b/src/admission/statistics/tests.rs
@@ -19,21 +19,21 @@
 }
 
 #[test]
-fn a_count_halves_in_its_half_life_whether_or_not_it_is_asked_for() {
-    let mut asked = DecayedCount::new(0.0);
-    let mut not_asked = DecayedCount::new(0.0);
-    for count in [&mut asked, &mut not_asked] {
+fn a_count_halves_in_its_half_life_whether_or_not_it_is_read() {
+    let mut read = DecayedCount::new(0.0);
+    let mut unread = DecayedCount::new(0.0);
+    for count in [&mut read, &mut unread] {
         (0..8).for_each(|_| count.increment(100.0));
     }
     for step in 1..20 {
-        asked.value_at(100.0 + 100.0 * f64::from(step));
+        read.value_at(100.0 + 100.0 * f64::from(step));
     }
-    assert_eq!(asked.value_at(100.0 + HALF_LIFE_MS), 4.0);
-    assert_eq!(not_asked.value_at(100.0 + HALF_LIFE_MS), 4.0);
+    assert_eq!(read.value_at(100.0 + HALF_LIFE_MS), 4.0);
+    assert_eq!(unread.value_at(100.0 + HALF_LIFE_MS), 4.0);
 }
 
 #[test]
-fn the_rate_of_a_steady_stream_is_found() {
+fn the_rate_of_a_steady_stream_is_measured() {
     let mut count = DecayedCount::new(0.0);
     (1..2000).for_each(|step| count.increment(20.0 * f64::from(step)));
     assert!((count.rate_per_s(20.0 * 2000.0) - 50.0).abs() < 0.5);
--- a/src/admission/tenant_quota.rs
+++ b/src/admission/tenant_quota.rs
@@ -1,27 +1,30 @@
 //! Tenant quotas.
 //!
-//! *Decides*: whether a tenant's arrival counts as over quota, so that it is shed before others.
-//! *Inputs*: quota of each tenant over the whole fleet (requests a second), size of the fleet, admitted
+//! *Decides*: whether an arrival counts as over its tenant's quota, so that it is shed before others.
+//! *Inputs*: quota of each tenant over the whole fleet (requests per second), size of the fleet, admitted
 //! requests by tenant.
-//! *Rule*: over quota is whose admitted rate on this server is above the quota divided by the fleet's size.
-//! *Why*: a server sees its own arrivals only; balancers spread a tenant about evenly. Only admitted requests
-//! count, so that a tenant that is shed comes back under its quota.
+//! *Rule*: a tenant is over quota if its admitted rate on this server exceeds the quota divided by the fleet's
+//! size.
+//! *Why*: a server sees only its own arrivals, and balancers spread the requests of a tenant about evenly. Only
+//! admitted requests count, so that a tenant whose requests are shed returns to within its quota.
 //! *Source*: CRE life lessons, "Using load shedding to survive a success disaster": those over quota first.
-//! *Without it*: one tenant's flood takes the capacity of the others of the same value.
+//! *Without it*: one tenant's flood takes the capacity of other tenants' requests of the same value.
 
 use thiserror::Error;
 
 use crate::admission::statistics::DecayedCount;
 use crate::api::BackendConfig;
 
-/// Why new quotas were not taken over.
+/// Errors for which new quotas are not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub(super) enum TenantQuotaError {
-    #[error("no quota changes: {quota_per_s} a second for tenant {tenant} of {tenants} can't be")]
+    #[error(
+        "tenant quotas unchanged: {quota_per_s} per second for tenant {tenant} of {tenants} is not valid"
+    )]
     Invalid { quota_per_s: f64, tenant: usize, tenants: usize },
 }
 
-/// Quotas, and what was admitted of late.
+/// Quotas, and decayed counts of admitted requests.
 pub(super) struct TenantQuotas {
     quotas_per_s: Vec<f64>,
     admitted: Vec<DecayedCount>,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// New quotas by tenant; the counts stand. With one that can't be, none changes.
+    /// Updates the quotas of the given tenants and leaves the counts. If any is not valid, none changes.
     pub(super) fn update(&mut self, changed: &[(usize, f64)]) -> Result<(), TenantQuotaError> {
         let tenants = self.quotas_per_s.len();
         let is_valid = |&&(tenant, quota_per_s): &&(usize, f64)| {
--- a/src/admission/test_support.rs
+++ b/src/admission/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the rules share: settings, requests and backends in a known state.
+//! Configurations, requests and backends shared by the tests of the rules.
 
 use crate::admission::Backend;
 use crate::api::{
@@ -19,7 +19,8 @@
     }
 }
 
-/// Two idempotent classes, of value 1 and 5, then an idempotency-keyed and a non-idempotent one.
+/// Returns a configuration of two idempotent classes, of value 1 and 5, an idempotency-keyed and a
+/// non-idempotent class.
 pub(super) fn config() -> BackendConfig {
     BackendConfig {
         seed: 7,
@@ -53,7 +54,7 @@
     }
 }
 
-pub(super) fn started(config: BackendConfig) -> Backend {
+pub(super) fn start_backend(config: BackendConfig) -> Backend {
     Backend::start(0.0, config).0
 }
 
@@ -73,17 +74,17 @@
     }
 }
 
-/// A backend with so many executions of the second class, ids from 1000.
-pub(super) fn running(count: u32) -> Backend {
-    let mut backend = started(config());
+/// Returns a backend with `count` executions of the second class, with ids from 1000.
+pub(super) fn backend_with_running(count: u32) -> Backend {
+    let mut backend = start_backend(config());
     (1000..1000 + count).for_each(|id| execute(&mut backend, id));
     backend.effects = Effects::default();
     backend
 }
 
-/// Executes a request of the second class, whatever the limits.
+/// Executes a request of the second class, regardless of the limits.
 pub(super) fn execute(backend: &mut Backend, id: u32) {
-    backend.receive(&request(id, 1));
+    backend.enqueue(&request(id, 1));
     backend.transition(id, RequestState::Running);
 }
 
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,10 +1,10 @@
-use crate::admission::test_support::{config, request, started};
+use crate::admission::test_support::{config, request, start_backend};
 use crate::api::{Gauges, Request, RunOutcome, Timer};
 
 #[test]
-fn the_same_inputs_give_the_same_effects() {
-    let day = || {
-        let mut backend = started(config());
+fn identical_inputs_give_identical_effects() {
+    let run = || {
+        let mut backend = start_backend(config());
         let mut all = Vec::new();
         for step in 0..200u32 {
             let now_ms = f64::from(step) * 10.0;
@@ -16,5 +16,5 @@
         }
         all
     };
-    assert_eq!(day(), day());
+    assert_eq!(run(), run());
 }
--- a/src/admission/time.rs
+++ b/src/admission/time.rs
@@ -1,11 +1,11 @@
-//! Points of time as keys of ordered sets.
+//! Times as keys of ordered sets.
 
-/// A time in milliseconds that can be compared and ordered; times before 0 count as 0.
+/// A time in milliseconds with a total order; times before 0 count as 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimeKey(u64);
 
 impl TimeKey {
-    /// The bits of floating-point numbers that are not negative have the order of the numbers.
+    /// The bits of non-negative floating-point numbers sort like the numbers.
     pub(super) fn from_ms(time_ms: f64) -> Self {
         TimeKey(time_ms.max(0.0).to_bits())
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,269 +1,269 @@
-//! Types that a driver passes to [`crate::admission::Backend`] and receives from it. Nothing here decides anything.
+//! Types that a driver passes to [`crate::admission::Backend`] and receives from it, without any decision logic.
 //!
-//! Instants are milliseconds, with fractions, on a clock of the driver's choice that never goes back; durations are
-//! milliseconds. Identifiers are the driver's own.
+//! Instants are milliseconds, with fractions, on a monotonic clock chosen by the driver; durations are
+//! milliseconds. Identifiers are assigned by the driver.
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It carries an idempotency key by which a retry is recognised within the deduplication window.
+    /// The request has an idempotency key that identifies its retries within the deduplication window.
     Keyed,
-    /// It must run at most once, and nothing tells a retry from a new request.
+    /// The request must run at most once, and its retries cannot be distinguished from new requests.
     NonIdempotent,
 }
 
 /// Configuration of one request class.
 #[derive(Clone, Debug)]
 pub struct ClassConfig {
-    /// Latency objective: a response within this time earns the full value.
+    /// Latency objective: a response within this time has the full value.
     pub latency_objective_ms: f64,
-    /// The objective grows by this many times the request's own work.
+    /// Extension of the objective as a multiple of the request's work.
     pub objective_per_work: f64,
-    /// Time after which a client has given up: the deadline of a request that names none, from its arrival on.
+    /// Timeout from the arrival on, used as the deadline of a request whose client names none.
     pub timeout_ms: f64,
-    /// For how long a key is remembered from the arrival of its request on.
+    /// Time for which a key is retained, from the arrival of its request on.
     pub deduplication_window_ms: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Value of one successful response; its order among the classes gives the criticality.
+    /// Value of one successful response. The order of the values among the classes gives the criticality.
     pub value: f64,
-    /// Fraction of the value that a response between the objective and the time-out keeps.
+    /// Fraction of the value that remains for a response between the objective and the timeout.
     pub late_value_fraction: f64,
-    /// Fraction of the value that a response keeps whose outbound call was skipped; 0 forbids skipping.
+    /// Fraction of the value that remains for a response whose outbound call was skipped; 0 forbids skipping.
     pub skipped_call_value_fraction: f64,
 }
 
-/// What can be done to running work that nobody waits for.
+/// Cancellation of executions whose result is no longer needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// It runs to its end.
+    /// The execution runs to its end.
     Unsupported,
-    /// It stops and its progress is lost.
+    /// The execution stops and loses its progress.
     Abort,
-    /// It stops and keeps its progress and its memory.
+    /// The execution stops and retains its progress and its memory.
     Pause,
 }
 
-/// How clients interpret the backpressure level that responses carry.
+/// Interpretation by the clients of the backpressure level in responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackpressureSignal {
-    /// They ignore it.
+    /// Clients ignore the level.
     None,
-    /// Requests below this priority, from 0 to 1, are not sent.
+    /// Clients do not send requests below this priority, from 0 to 1.
     MinimumPriority,
-    /// Requests that one client may have outstanding here.
+    /// Maximum number of outstanding requests of one client at this backend.
     ConcurrencyPerClient,
-    /// Fraction of its usual rate that a client sends.
+    /// Fraction of its usual rate at which a client sends.
     RateFraction,
 }
 
-/// Everything a backend is given when it starts.
+/// Configuration of a backend at its start.
 #[derive(Clone, Debug)]
 pub struct BackendConfig {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Request classes; a class is named by its place here.
+    /// Request classes, identified by their index.
     pub classes: Vec<ClassConfig>,
-    /// Requests per second that each tenant may send to the whole fleet; a tenant is named by its place here.
+    /// Requests per second that each tenant may send to the whole fleet; tenants are identified by their index.
     pub tenant_quotas_per_s: Vec<f64>,
-    /// Cores that requests run on.
+    /// Number of cores for executions.
     pub cores: f64,
-    /// Memory for requests and deduplication records, in KiB.
+    /// Memory for requests and deduplication entries, in KiB.
     pub memory_kb: f64,
-    /// Memory of a running request relative to that of a queued one.
+    /// Ratio of the memory of a running request to that of a queued one.
     pub running_memory_factor: f64,
-    /// Memory of one deduplication record, in KiB.
+    /// Memory of one deduplication entry, in KiB.
     pub deduplication_entry_kb: f64,
-    /// Mean number of outbound calls that this backend may add to the shared dependency; none where it is not shared.
+    /// Mean number of outbound calls that this backend may have at the shared dependency; none if it is not shared.
     pub dependency_share: Option<f64>,
-    /// How long the dependency may go on with a call that was abandoned.
+    /// Time for which the dependency may continue to process an abandoned call.
     pub abandoned_call_linger_ms: f64,
-    /// What can be done to running work.
+    /// How executions can be cancelled.
     pub cancellation: Cancellation,
     /// How clients interpret the backpressure level.
     pub backpressure: BackpressureSignal,
-    /// Service discovery drops backends whose health checks fail.
+    /// Whether service discovery removes backends whose health checks fail.
     pub discovery_follows_health: bool,
-    /// Backends in the fleet.
+    /// Number of backends in the fleet.
     pub fleet_size: f64,
-    /// Clients of the fleet.
+    /// Number of clients of the fleet.
     pub client_count: f64,
-    /// Clients mark retries as such.
+    /// Whether clients mark retries as such.
     pub retries_marked: bool,
-    /// The cores have just started and are slow at first.
+    /// Whether the cores have just started and are slow at first.
     pub cold_start: bool,
-    /// Speed of cold cores as a fraction of warm ones.
+    /// Speed of cold cores as a fraction of the speed of warm ones.
     pub cold_speed_fraction: f64,
     /// Time from a cold start to full speed.
     pub warm_up_ms: f64,
-    /// Concurrent runs per core at which warm cores collapse.
+    /// Concurrent executions per core at which warm cores collapse.
     pub overload_multiple: f64,
-    /// Requests that arrive this long after the drain notice are still served.
+    /// Time after the drain notice within which arriving requests are still served.
     pub drain_grace_ms: f64,
-    /// Clients close connections that are idle for this long.
+    /// Time after which clients close idle connections.
     pub max_idle_ms: f64,
     /// Longest Retry-After that clients follow.
     pub max_retry_after_ms: f64,
-    /// How long the response to a read may serve other reads of the same object; 0 for never.
+    /// Time for which the response to a read may serve other reads of the same object; 0 disables sharing.
     pub shared_response_ms: f64,
 }
 
 /// A request that has just been read.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The driver's identifier, unique among open requests.
+    /// Identifier assigned by the driver, unique among open requests.
     pub id: u32,
-    /// Place of its class in the configuration.
+    /// Index of the request's class in the configuration.
     pub class: usize,
-    /// Place of its tenant in the configuration.
+    /// Index of the request's tenant in the configuration.
     pub tenant: usize,
-    /// What a read is about, or the hash of an idempotency key; 0 for neither.
+    /// Hash of the object of a read or of the idempotency key; 0 for neither.
     pub key: u64,
-    /// When the client stops waiting, if it has said so.
+    /// Time at which the client stops waiting, if it named one.
     pub deadline_ms: Option<f64>,
-    /// Core time that the client expects the request to need.
+    /// Core time that the client expects the request to take.
     pub work_hint_ms: Option<f64>,
-    /// Memory while it is queued, in KiB.
+    /// Memory of the request while it is queued, in KiB.
     pub memory_kb: f64,
-    /// The client has marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub marked_retry: bool,
-    /// It changes state, so its response serves no other request.
+    /// Whether the request changes state, so that its response serves no other request.
     pub writes: bool,
-    /// How long it lay unread.
+    /// Time between the arrival and the reading of the request.
     pub unread_ms: f64,
-    /// The open or remembered request that it repeats.
+    /// Open or retained request that this request duplicates.
     pub duplicate_of: Option<u32>,
 }
 
-/// What one bulkhead may use at present.
+/// Current capacity of one bulkhead.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BulkheadCapacity {
-    /// Runs that are admitted whatever fraction of arrivals is shed.
+    /// Number of executions that are admitted regardless of the shed fraction.
     pub reserved_runs: f64,
-    /// Most concurrent runs.
+    /// Maximum number of concurrent executions.
     pub max_runs: f64,
-    /// Most concurrent outbound calls.
+    /// Maximum number of concurrent outbound calls.
     pub max_calls: f64,
 }
 
-/// Bulkheads of a backend.
+/// Bulkheads of a backend and the request classes assigned to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bulkheads {
-    /// For each class, the place of its bulkhead in `capacities`.
+    /// Index in `capacities` of the bulkhead of each class.
     pub bulkhead_of_class: Vec<usize>,
-    /// What each bulkhead may use.
+    /// Capacity of each bulkhead.
     pub capacities: Vec<BulkheadCapacity>,
 }
 
-/// How a run ended.
+/// Outcome of an execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It returned a result.
+    /// The execution returned a result.
     Completed,
-    /// It returned an error.
+    /// The execution returned an error.
     Failed,
-    /// It was cancelled.
+    /// The execution was cancelled.
     Cancelled,
-    /// It never started.
+    /// The execution never started.
     NotStarted,
 }
 
-/// How an outbound call ended.
+/// Outcome of an outbound call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The dependency replied.
     Completed,
-    /// The dependency proved that it did not execute it.
+    /// The dependency proved that it did not execute the call.
     NotExecuted,
-    /// Given up: it may linger at the dependency and may take effect.
+    /// The caller abandoned the call, which may linger at the dependency and may take effect.
     Abandoned,
-    /// It may have taken effect.
+    /// The call may have taken effect.
     Unknown,
-    /// Its connection broke, which proves nothing about the dependency; it may take effect.
+    /// The connection broke, which is no evidence of a fault of the dependency; the call may take effect.
     ConnectionLost,
 }
 
-/// Load of the cores, as far as it is measured.
+/// Measurements of the load of the cores; absent if not measured.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Fraction of the cores that is busy.
+    /// Busy fraction of the cores.
     pub cores_busy: Option<f64>,
-    /// Tasks that run or wait for a core.
+    /// Number of tasks that run or wait for a core.
     pub runnable: Option<f64>,
 }
 
-/// The final answer to a request.
+/// Final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Completion {
-    /// It ran and returned its result.
+    /// The request ran and returned its result.
     Succeeded,
-    /// It was not carried out, or may be repeated without harm.
+    /// The request was not executed, or may be repeated without harm.
     Rejected {
-        /// When the client may retry.
+        /// Time after which the client may retry.
         retry_after_ms: f64,
-        /// Whether another backend is worth an immediate retry.
+        /// Whether the client should retry on another backend at once.
         retry_elsewhere: bool,
     },
-    /// The backend answers with an error.
+    /// The backend responds with an error.
     Failed,
-    /// The run returned an error, which is the answer.
+    /// The execution returned an error, which is the response.
     ExecutionFailed,
-    /// The client has gone; no answer is due.
+    /// The client disconnected; no response is sent.
     ClientGone,
 }
 
 /// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestState {
-    /// Admitted to memory, not running yet.
+    /// Accepted into memory, not running yet.
     Queued,
-    /// Waits for the result of the request that it repeats.
+    /// Waiting for the result of the request that it duplicates.
     Joined,
-    /// On the cores.
+    /// Running on the cores.
     Running,
-    /// Wants an outbound call that has not been placed.
+    /// Waiting for an outbound call to be placed.
     AwaitingCall,
-    /// Waits for an outbound call.
+    /// Waiting for the response to an outbound call.
     Calling {
-        /// Time that the call has.
+        /// Timeout of the call.
         timeout_ms: f64,
     },
-    /// Its answer is out, but its work still takes memory or a core.
+    /// The response was sent, but the execution still occupies memory or a core.
     Answered {
-        /// The answer.
+        /// Response that was sent.
         completion: Completion,
-        /// The work is to be cancelled.
+        /// Whether the execution is to be cancelled.
         cancel: bool,
     },
-    /// Nothing of it is left.
+    /// The request occupies no resources any more.
     Completed(Completion),
 }
 
-/// One change of a request's state.
+/// A state change of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Transition {
-    /// The request.
+    /// Identifier of the request.
     pub id: u32,
-    /// The state before; none for a new request.
+    /// Previous state; none for a new request.
     pub from: Option<RequestState>,
-    /// The state from now on.
+    /// New state.
     pub to: RequestState,
-    /// Remember the request for this long, so that its duplicates are recognised.
+    /// If present, the driver retains the request for this time to detect its duplicates.
     pub retain_ms: Option<f64>,
 }
 
-/// Why a time-out was requested; handed back when it expires.
+/// Reason of a requested timer; passed back when the timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The periodic measurement.
+    /// Periodic measurement.
     Periodic,
-    /// The earliest deadline.
+    /// Earliest deadline.
     Deadline,
 }
 
-/// What the backend tells its clients and its driver.
+/// Announcements of the backend to its clients and its driver. Absent fields are unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Announcements {
     /// New backpressure level.
@@ -272,19 +272,19 @@
     pub ready: Option<bool>,
     /// New time after which idle connections are closed.
     pub idle_timeout_ms: Option<f64>,
-    /// Concurrent runs and outbound calls that all bulkheads may use together; only where there are bulkheads.
+    /// Total concurrent executions and outbound calls of all bulkheads; only present if there are bulkheads.
     pub total_capacity: Option<(f64, f64)>,
-    /// Time-outs to start: the delay in milliseconds, and what is handed back.
+    /// Timers to set: the delay in milliseconds, and the reason to pass back.
     pub timers: Vec<(f64, Timer)>,
-    /// Lines for the log.
+    /// Messages for the log.
     pub notes: Vec<String>,
 }
 
-/// What an input led to.
+/// Effects of an input.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
     /// State changes, in order.
     pub transitions: Vec<Transition>,
-    /// What is to be announced.
+    /// Announcements to make.
     pub announcements: Announcements,
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,6 +1,6 @@
-//! A cold backend under any number of clients, and any number of backends on the dependency that they share:
-//! what they take and announce holds as a sum, on the decisions alone. The bound is that of the settings;
-//! over a budget of N only 2 √N + 2 are chance.
+//! Cold backends with any number of clients, and any number of backends with a shared dependency: the admitted work
+//! and the announced levels must stay within the budget in total, by the admission decisions alone. The budget is
+//! that of the settings; up to 2 √N + 2 above a budget of N are random variation.
 
 use std::collections::BTreeMap;
 
@@ -79,31 +79,32 @@
     }
 }
 
-fn chance_over(budget: f64) -> f64 {
+/// Returns the random variation allowed above a budget.
+fn random_variation(budget: f64) -> f64 {
     2.0 * budget.sqrt() + 2.0
 }
 
-/// An execution: the core time that it still needs, and at how much left it wants its next call.
+/// An execution, with its remaining core time and the remaining core time at which it needs its next call.
 struct Execution {
     remaining_ms: f64,
     next_call_at_ms: f64,
 }
 
-/// No call is wanted any more, and one is in flight.
+/// Values of `next_call_at_ms` if no call is needed any more, and while a call is pending.
 const NO_CALL: f64 = -1.0;
-const AT_CALL: f64 = f64::MAX;
+const CALL_PENDING: f64 = f64::MAX;
 
-/// A backend with a simulated host: cores that warm up and are shared evenly, and calls that end by chance.
+/// A backend with a simulated host: cores that warm up and are shared evenly, and calls of random duration and outcome.
 struct SimulatedHost {
     backend: Backend,
     random: Pcg32,
     executions: BTreeMap<u32, Execution>,
-    /// When each call ends, and how.
+    /// End time and outcome of each call.
     calls: BTreeMap<u32, (f64, CallOutcome)>,
-    /// When the dependency lets go of calls that this side has abandoned.
+    /// Times at which the dependency stops processing calls that were abandoned on this side.
     lingering_until_ms: Vec<f64>,
     cancelled: Vec<u32>,
-    /// Requests that have had no final answer.
+    /// Number of requests without a final response.
     unanswered: usize,
     periodic_timers_ms: Vec<f64>,
     level: Option<f64>,
@@ -184,7 +185,7 @@
         self.apply(now_ms, effects);
     }
 
-    /// One millisecond. Returns how many executions were on the cores and how many calls the dependency held.
+    /// Advances by one millisecond. Returns the executions on the cores and the calls at the dependency.
     fn advance(&mut self, now_ms: f64) -> (usize, usize) {
         let running = self.run_cores(now_ms);
         for id in std::mem::take(&mut self.cancelled) {
@@ -198,7 +199,8 @@
     }
 
     fn run_cores(&mut self, now_ms: f64) -> usize {
-        let on_cores = self.executions.iter().filter(|(_, execution)| execution.next_call_at_ms < AT_CALL);
+        let on_cores =
+            self.executions.iter().filter(|(_, execution)| execution.next_call_at_ms < CALL_PENDING);
         let on_cores: Vec<u32> = on_cores.map(|(id, _)| *id).collect();
         let speed = COLD_SPEED_FRACTION + (1.0 - COLD_SPEED_FRACTION) * (now_ms / WARM_UP_MS).min(1.0);
         let each_ms = speed * (CORES / on_cores.len().max(1) as f64).min(1.0);
@@ -206,8 +208,8 @@
             let Some(execution) = self.executions.get_mut(id) else { continue };
             execution.remaining_ms -= each_ms;
             if execution.remaining_ms <= execution.next_call_at_ms {
-                // It takes no core until its call has ended.
-                execution.next_call_at_ms = AT_CALL;
+                // The execution takes no core until its call has ended.
+                execution.next_call_at_ms = CALL_PENDING;
                 let effects = self.backend.handle_call_requested(now_ms, *id);
                 self.apply(now_ms, effects);
             } else if execution.remaining_ms <= 0.0 {
@@ -226,7 +228,7 @@
             if outcome == CallOutcome::Completed {
                 self.executions.entry(id).and_modify(|execution| execution.next_call_at_ms = NO_CALL);
             } else {
-                // Its connection was closed; the dependency holds it for a while yet.
+                // The connection was closed, but the dependency continues to process the call for a while.
                 self.lingering_until_ms.push(now_ms + LINGER_MS);
             }
             let effects = self.backend.handle_call_ended(now_ms, id, outcome);
@@ -235,8 +237,8 @@
     }
 
     fn fire_timers(&mut self, now_ms: f64, running: usize) {
-        while let Some(place) = self.periodic_timers_ms.iter().position(|at_ms| *at_ms <= now_ms) {
-            self.periodic_timers_ms.swap_remove(place);
+        while let Some(index) = self.periodic_timers_ms.iter().position(|at_ms| *at_ms <= now_ms) {
+            self.periodic_timers_ms.swap_remove(index);
             let gauges = Gauges {
                 cores_busy: Some((running as f64 / CORES).min(1.0)),
                 runnable: Some(running as f64),
@@ -247,16 +249,16 @@
     }
 }
 
-/// What the settings let a backend of this age survive on its cores.
+/// Returns the concurrency that a backend of this age can sustain on its cores according to the settings.
 fn budget(now_ms: f64) -> f64 {
     let speed = COLD_SPEED_FRACTION + (1.0 - COLD_SPEED_FRACTION) * (now_ms / WARM_UP_MS).min(1.0);
     CORES * (1.0 + (OVERLOAD_MULTIPLE - 1.0) * speed)
 }
 
-/// Clients that heed nothing and know of nothing each send more than their part of what the cores can do.
-/// What is on the cores, and all requests in flight, stay inside the budget, however many clients send them.
+/// Guards against overload of a cold backend: clients that ignore all signals each send more than their part of
+/// its capacity. Executions and requests in flight must stay within the budget for any number of clients.
 #[test]
-fn a_cold_backend_takes_no_more_than_its_budget_from_any_number_of_clients() {
+fn a_cold_backend_admits_no_more_than_its_budget_from_any_number_of_clients() {
     for clients in 1..=30 {
         for (backpressure, work_ms) in
             [(BackpressureSignal::MinimumPriority, 300.0), (BackpressureSignal::ConcurrencyPerClient, 40.0)]
@@ -276,7 +278,7 @@
                 on_cores.push(running as f64);
                 let max = budget(now_ms);
                 assert!(
-                    host.unanswered as f64 <= max + chance_over(max),
+                    host.unanswered as f64 <= max + random_variation(max),
                     "{clients} clients, {} in flight at {now_ms}",
                     host.unanswered
                 );
@@ -289,11 +291,11 @@
     }
 }
 
-/// The level is shared among the clients: were each to have as many requests here as it was told, all of them
-/// together would hold no more than the budget; and no more of the usual rate is asked for than there is of
-/// the usual speed.
+/// Guards against announced levels that exceed the budget in total: if each client had as many requests as the level
+/// allows, all of them together must fit the budget; and the announced rate fraction must not exceed the fraction
+/// of full speed.
 #[test]
-fn what_a_cold_backend_announces_adds_up_to_its_budget() {
+fn announced_levels_of_a_cold_backend_add_up_to_at_most_its_budget() {
     for clients in 1..=30 {
         let announced = |backpressure| {
             let mut host = SimulatedHost::new(config(1, clients, backpressure, None), 300.0, 0.0);
@@ -308,7 +310,7 @@
         for (now_ms, level) in announced(BackpressureSignal::ConcurrencyPerClient) {
             assert!(
                 level * clients as f64 <= budget(now_ms),
-                "{clients} clients are told {level} each at {now_ms}"
+                "{clients} clients with level {level} each at {now_ms}"
             );
         }
         for (now_ms, level) in announced(BackpressureSignal::RateFraction) {
@@ -318,11 +320,10 @@
     }
 }
 
-/// The settings tell each backend its share of what the dependency survives. Whatever becomes of the calls,
-/// also of those whose connection was lost, all backends together keep the sum of their shares while they are
-/// cold.
+/// Guards against overload of the dependency: whatever the outcomes of the calls, including lost connections, all cold
+/// backends together must stay within the sum of their configured shares.
 #[test]
-fn cold_backends_together_keep_their_shares_of_the_dependency() {
+fn cold_backends_together_stay_within_their_shares_of_the_dependency() {
     for backends in 1..=30usize {
         let share = [0.4, 1.3, 3.0][backends % 3];
         let mut hosts: Vec<SimulatedHost> = (0..backends)
@@ -332,7 +333,7 @@
                 SimulatedHost::new(config, 40.0, 0.3)
             })
             .collect();
-        let mut held = 0.0;
+        let mut mean_calls = 0.0;
         let duration_ms = 5000;
         for ms in 0..duration_ms {
             let now_ms = f64::from(ms);
@@ -340,17 +341,20 @@
                 if host.random.random::<f64>() < 0.1 {
                     host.send(now_ms, 0);
                 }
-                held += host.advance(now_ms).1 as f64 / f64::from(duration_ms);
+                mean_calls += host.advance(now_ms).1 as f64 / f64::from(duration_ms);
             }
         }
         let budget = share * backends as f64;
-        assert!(held <= budget, "{backends} backends with {share} each hold {held} in the mean");
+        assert!(
+            mean_calls <= budget,
+            "{backends} backends with share {share} each have {mean_calls} calls on average"
+        );
     }
 }
 
-/// Nothing that settings may say makes a decision impossible: no panic, no level that is not a number.
+/// Guards against panics and invalid levels with extreme settings.
 #[test]
-fn settings_at_their_extremes_are_borne() {
+fn extreme_settings_cause_no_panic_and_no_invalid_level() {
     type Change = fn(&mut BackendConfig, f64);
     let changes: [Change; 13] = [
         |config, value| config.cores = value.max(0.001),
