--- a/crates/plovershelf-bulkhead/src/bulkheads.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads.rs
@@ -1,13 +1,13 @@
-//! The bulkheads of one backend: which request class is in which, and for runs and for calls an adaptive limit each and
-//! the division of what the backend and its dependency bear.
+//! Bulkheads of one backend: the assignment of request classes to bulkheads, an adaptive limit per bulkhead for runs and
+//! for calls, and the division of the capacity of the backend and its dependency.
 //!
 //! | input | when |
 //! | --- | --- |
-//! | [`set_total`](AdaptiveBulkheads::set_total) | the overload bound, or the share of calls, changed: slow start, a smaller share |
-//! | [`set_waiting`](AdaptiveBulkheads::set_waiting) | work waits for a core, or for its call |
-//! | [`try_start`](AdaptiveBulkheads::try_start), [`end`](AdaptiveBulkheads::end) | a run or a call would start; has ended |
-//! | [`set_in_flight`](AdaptiveBulkheads::set_in_flight), [`record`](AdaptiveBulkheads::record) | in place of the two above, for a caller that admits by itself |
-//! | [`replace`](AdaptiveBulkheads::replace) | the operator's file was read again |
+//! | [`set_total`](AdaptiveBulkheads::set_total) | the overload limit or the share of calls changed, for example by slow start |
+//! | [`set_waiting`](AdaptiveBulkheads::set_waiting) | the amount of work waiting for a core or for a call changed |
+//! | [`try_start`](AdaptiveBulkheads::try_start), [`end`](AdaptiveBulkheads::end) | a run or a call is about to start; has ended |
+//! | [`set_in_flight`](AdaptiveBulkheads::set_in_flight), [`record`](AdaptiveBulkheads::record) | in place of these two, for a caller with its own admission |
+//! | [`replace`](AdaptiveBulkheads::replace) | the operator's file was reloaded |
 
 use std::fmt;
 
@@ -15,10 +15,10 @@
 use crate::concurrency_limit::{ConcurrencyLimit, LimitAlgorithm, LimitBounds, WorkOutcome, WorkSample};
 use crate::error::BulkheadError;
 
-/// What capacity is counted in.
+/// Kind of work that capacity is counted in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Execution on the backend's cores.
+    /// An execution on the backend's cores.
     Run,
     /// An outbound call to the dependency.
     Call,
@@ -33,22 +33,22 @@
     }
 }
 
-/// One bulkhead, for both kinds of work.
+/// Configuration of one bulkhead, for both kinds of work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BulkheadConfig {
-    /// The operator's name for it.
+    /// Name chosen by the operator.
     pub name: String,
-    /// Indices of its request classes. The first bulkhead takes also those that no bulkhead names.
+    /// Indices of the request classes. The first bulkhead also has the classes that no bulkhead names.
     pub classes: Vec<usize>,
-    /// Runs that it always has where it asks.
+    /// Number of runs guaranteed on demand.
     pub reserved_runs: usize,
-    /// Runs at most.
+    /// Maximum number of concurrent runs.
     pub max_runs: usize,
-    /// Calls that it always has where it asks.
+    /// Number of calls guaranteed on demand.
     pub reserved_calls: usize,
-    /// Calls at most.
+    /// Maximum number of concurrent calls.
     pub max_calls: usize,
-    /// Its part of what is left beyond reservations, against the others'.
+    /// Relative weight in the division of the capacity beyond reservations.
     pub weight: f64,
 }
 
@@ -62,27 +62,27 @@
     }
 }
 
-/// All bulkheads of a backend.
+/// Configuration of all bulkheads of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BulkheadPlan {
-    /// The bulkheads, in the file's order.
+    /// Bulkheads in the order of the file.
     pub bulkheads: Vec<BulkheadConfig>,
-    /// Capacity that one of them always finds.
+    /// Capacity set aside for one of the bulkheads.
     pub reserve: Option<Reserve>,
 }
 
-/// What a bulkhead has of one kind of work.
+/// State of a bulkhead for one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BulkheadStatus {
-    /// Work in flight.
+    /// Amount of work in flight.
     pub in_flight: usize,
-    /// The adaptive limit.
+    /// Current adaptive limit.
     pub limit: f64,
-    /// Work in flight beyond the limit.
+    /// Amount of work in flight above the limit.
     pub borrowed: usize,
 }
 
-/// One kind of work: its capacity, and the bulkheads' adaptive limits on it.
+/// Capacity of one kind of work, and the adaptive limits of the bulkheads.
 #[derive(Clone, Debug)]
 struct KindState {
     capacity: CapacityAllocator,
@@ -93,13 +93,13 @@
     fn new(plan: &BulkheadPlan, kind: WorkKind, total: usize) -> Result<Self, BulkheadError> {
         let configs: Vec<CapacityConfig> =
             plan.bulkheads.iter().map(|bulkhead| bulkhead.capacity(kind)).collect();
-        // First, as only a plan that it accepts has bounds for the limits.
+        // The allocator validates the plan first: an invalid plan has no valid bounds for the limits.
         let capacity = CapacityAllocator::new(configs.clone(), plan.reserve, total)
             .map_err(|source| BulkheadError::Capacity { kind, source })?;
         let weights: f64 = configs.iter().map(|config| config.weight).sum();
         let limit = |config: &CapacityConfig| {
             let bounds = LimitBounds { min: config.reserved.max(1) as f64, max: config.max.max(1) as f64 };
-            // It begins at its part and not at its maximum: what its work takes is not known yet.
+            // The initial limit is the weighted share, not the maximum, because durations are not known yet.
             ConcurrencyLimit::new(LimitAlgorithm::Aimd, bounds, total as f64 * config.weight / weights)
         };
         let limits = configs.iter().map(limit).collect();
@@ -116,19 +116,19 @@
         self.capacity.set_limit(bulkhead, limit);
     }
 
-    /// Takes over what a bulkhead of the plan before had in flight and, where it keeps its name, had learnt.
-    fn adopt(&mut self, before: &KindState, old: usize, new: Option<usize>) {
-        self.capacity.adopt(new.unwrap_or(0), before.capacity.in_flight(old));
+    /// Transfers the work in flight of a bulkhead of the previous plan and, if its name remains, its limit state.
+    fn transfer_from(&mut self, previous: &KindState, old: usize, new: Option<usize>) {
+        self.capacity.add_in_flight(new.unwrap_or(0), previous.capacity.in_flight(old));
         if let Some(new) = new {
             let bounds = self.limits[new].bounds();
-            self.limits[new] = before.limits[old].clone();
+            self.limits[new] = previous.limits[old].clone();
             self.limits[new].set_bounds(bounds);
             self.apply_limit(new);
         }
     }
 }
 
-/// Bulkheads whose limits adapt to what their work takes.
+/// Bulkheads whose limits adapt to the measured durations of their work.
 #[derive(Clone, Debug)]
 pub struct AdaptiveBulkheads {
     plan: BulkheadPlan,
@@ -138,10 +138,10 @@
 }
 
 impl AdaptiveBulkheads {
-    /// Bulkheads for so many request classes, with so many runs and calls in total when warm.
+    /// Returns bulkheads for the given number of request classes and the total runs and calls of a warm backend.
     ///
     /// # Errors
-    /// A class in two bulkheads, or one that does not exist; capacities of either kind that do not fit.
+    /// Fails if a class is in two bulkheads or does not exist, or if capacities of either kind are inconsistent.
     pub fn new(
         plan: BulkheadPlan,
         classes: usize,
@@ -154,32 +154,32 @@
         Ok(AdaptiveBulkheads { plan, bulkhead_of_class, runs, calls })
     }
 
-    /// The bulkhead of a request class.
+    /// Returns the bulkhead of a request class.
     pub fn bulkhead_of_class(&self, class: usize) -> usize {
         self.bulkhead_of_class.get(class).copied().unwrap_or(0)
     }
 
-    /// Names of the bulkheads, in their order.
+    /// Returns the names of the bulkheads in their order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.plan.bulkheads.iter().map(|bulkhead| bulkhead.name.as_str())
     }
 
-    /// Sets what all bulkheads together may have in flight.
+    /// Sets the maximum work in flight of all bulkheads together.
     pub fn set_total(&mut self, kind: WorkKind, total: usize) {
         self.kind_mut(kind).capacity.set_total(total);
     }
 
-    /// Sets how much of a bulkhead waits to start.
+    /// Sets the amount of a bulkhead's work that waits to start.
     pub fn set_waiting(&mut self, kind: WorkKind, bulkhead: usize, waiting: usize) {
         self.kind_mut(kind).capacity.set_waiting(bulkhead, waiting);
     }
 
-    /// Starts one more of a bulkhead if it may; returns whether it did.
+    /// Starts one unit of work of a bulkhead if that is allowed; returns whether it started.
     pub fn try_start(&mut self, kind: WorkKind, bulkhead: usize) -> bool {
         self.kind_mut(kind).capacity.try_start(bulkhead)
     }
 
-    /// One ended after `duration_ms`; `None` for one that shows nothing of what it takes: given up, cancelled.
+    /// Ends one unit of work. `duration_ms` is `None` for abandoned or cancelled work, whose duration means nothing.
     pub fn end(
         &mut self,
         kind: WorkKind,
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Sets how much of a bulkhead is in flight, for a caller that admits by itself, by [`Self::available`].
+    /// Sets a bulkhead's work in flight, for a caller with its own admission based on [`Self::available`].
     pub fn set_in_flight(&mut self, kind: WorkKind, bulkhead: usize, in_flight: usize) {
         self.kind_mut(kind).capacity.set_in_flight(bulkhead, in_flight);
     }
 
-    /// Learns what work took, for a caller that admits by itself.
+    /// Records the duration of ended work, for a caller with its own admission.
     pub fn record(
         &mut self,
         kind: WorkKind,
@@ -218,21 +218,21 @@
         state.record(bulkhead, WorkSample { now_ms, duration_ms, in_flight, outcome });
     }
 
-    /// What each bulkhead could have now, if it wanted the total, while the others have and want what they do.
+    /// Returns the capacity of each bulkhead if it wanted the total while the others' work and demand stayed the same.
     pub fn available(&self, kind: WorkKind) -> Vec<usize> {
         let capacity = &self.kind(kind).capacity;
         (0..self.plan.bulkheads.len()).map(|bulkhead| capacity.available(bulkhead)).collect()
     }
 
-    /// Runs that a bulkhead always has where it asks.
+    /// Returns the number of runs guaranteed to a bulkhead on demand.
     pub fn reserved_runs(&self, bulkhead: usize) -> usize {
         let total = self.runs.capacity.total();
         let reserve = self.plan.reserve.filter(|reserve| reserve.bulkhead == bulkhead);
-        let reserved = reserve.map_or(0, |reserve| reserve.of(total));
+        let reserved = reserve.map_or(0, |reserve| reserve.units_of(total));
         self.plan.bulkheads[bulkhead].reserved_runs.max(reserved).min(total)
     }
 
-    /// What a bulkhead has of one kind of work.
+    /// Returns the state of a bulkhead for one kind of work.
     pub fn status(&self, kind: WorkKind, bulkhead: usize) -> BulkheadStatus {
         let state = self.kind(kind);
         BulkheadStatus {
@@ -242,18 +242,18 @@
         }
     }
 
-    /// Takes a new plan, all or nothing. A bulkhead that keeps its name keeps its work in flight and what was learnt;
-    /// one that is gone leaves its work to the first.
+    /// Replaces the plan, or leaves it unchanged on an error. A bulkhead whose name remains retains its work in flight
+    /// and its limit state; the work of a removed bulkhead counts for the first one.
     ///
     /// # Errors
-    /// As of [`Self::new`]; nothing has changed then.
+    /// Fails like [`Self::new`], without any change.
     pub fn replace(&mut self, plan: BulkheadPlan) -> Result<(), BulkheadError> {
         let (total_runs, total_calls) = (self.runs.capacity.total(), self.calls.capacity.total());
         let mut next = AdaptiveBulkheads::new(plan, self.bulkhead_of_class.len(), total_runs, total_calls)?;
         for (old, name) in self.names().enumerate() {
             let new = next.names().position(|other| other == name);
-            next.runs.adopt(&self.runs, old, new);
-            next.calls.adopt(&self.calls, old, new);
+            next.runs.transfer_from(&self.runs, old, new);
+            next.calls.transfer_from(&self.calls, old, new);
         }
         *self = next;
         Ok(())
@@ -274,12 +274,12 @@
     }
 }
 
-/// The bulkhead of each class; the first for those that no bulkhead names.
+/// Returns the bulkhead of each class: the first for classes that no bulkhead names.
 fn assign_classes(plan: &BulkheadPlan, classes: usize) -> Result<Vec<usize>, BulkheadError> {
     let mut assigned: Vec<Option<usize>> = vec![None; classes];
-    for (place, BulkheadConfig { name, classes: own, .. }) in plan.bulkheads.iter().enumerate() {
+    for (index, BulkheadConfig { name, classes: named, .. }) in plan.bulkheads.iter().enumerate() {
         let bulkhead = || name.clone();
-        for class in own {
+        for class in named {
             let slot = assigned.get_mut(*class).ok_or_else(|| BulkheadError::UnknownClass {
                 bulkhead: bulkhead(),
                 class: *class,
@@ -289,7 +289,7 @@
                 let owner = plan.bulkheads[owner].name.clone();
                 return Err(BulkheadError::ClassInTwoBulkheads { bulkhead: bulkhead(), owner });
             }
-            *slot = Some(place);
+            *slot = Some(index);
         }
     }
     Ok(assigned.into_iter().map(|bulkhead| bulkhead.unwrap_or(0)).collect())
--- a/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads/tests.rs
@@ -20,15 +20,15 @@
 }
 
 fn plan() -> BulkheadPlan {
-    let bulkheads = vec![config("cheap", &[0], 1.0), config("dear", &[1, 2], 4.0)];
+    let bulkheads = vec![config("cheap", &[0], 1.0), config("valuable", &[1, 2], 4.0)];
     BulkheadPlan { bulkheads, reserve: Some(Reserve { bulkhead: 0, fraction: 0.1 }) }
 }
 
 fn bulkheads() -> AdaptiveBulkheads {
-    AdaptiveBulkheads::new(plan(), 4, 40, 20).expect("fit terms")
+    AdaptiveBulkheads::new(plan(), 4, 40, 20).expect("valid plan")
 }
 
-/// Each bulkhead wants so many runs in flight, of so many milliseconds each. Returns how many of each ended in the time.
+/// Simulates bulkheads that each want `wanted` runs in flight of `run_ms` each. Returns how many runs of each ended.
 fn simulate(
     bulkheads: &mut AdaptiveBulkheads,
     start_ms: f64,
@@ -70,17 +70,17 @@
     ended
 }
 
-/// Ten times the capacity is asked for by the cheap class. The valuable class must hardly notice, and the cheap class must
-/// still be served.
+/// Guards against starvation: the cheap class demands ten times the capacity. The valuable class must hardly be
+/// affected, and the cheap class must still be served.
 #[test]
 fn flood_of_the_cheap_class_starves_neither_class() {
     let alone = simulate(&mut bulkheads(), 0.0, 5000.0, [20.0, 20.0], [0, 24])[1];
-    let [cheap, dear] = simulate(&mut bulkheads(), 0.0, 5000.0, [20.0, 20.0], [240, 24]);
-    assert!(f64::from(dear) >= 0.97 * f64::from(alone), "{dear} of {alone}");
+    let [cheap, valuable] = simulate(&mut bulkheads(), 0.0, 5000.0, [20.0, 20.0], [240, 24]);
+    assert!(f64::from(valuable) >= 0.97 * f64::from(alone), "{valuable} of {alone}");
     assert!(cheap >= 500, "{cheap}");
 }
 
-/// The work of one bulkhead gets ten times as long. The limit of the other must not sink for it.
+/// Guards against coupled limits: the work of one bulkhead takes ten times as long, and the other's limit must not fall.
 #[test]
 fn long_work_in_one_bulkhead_does_not_lower_the_limit_of_another() {
     let mut bulkheads = bulkheads();
@@ -90,7 +90,8 @@
     assert!(bulkheads.status(WorkKind::Run, 1).limit >= before);
 }
 
-/// A bulkhead has no traffic for an hour and lends all it has. With its traffic, its capacity must return within one run.
+/// Guards against lent capacity that is not returned: a bulkhead lends everything during an hour without traffic. When its
+/// traffic resumes, its capacity must return within one run.
 #[test]
 fn lent_capacity_returns_within_one_run_after_an_idle_hour() {
     let mut bulkheads = bulkheads();
@@ -100,34 +101,34 @@
     assert!(ended[1] >= 150, "{ended:?}");
 }
 
-/// The operator lowers a maximum below what runs: nothing may be ended for it, and nothing started until it fits. A plan that
-/// is refused must change nothing.
+/// Guards against a new plan that affects running work: if a maximum falls below the work in flight, that work continues
+/// and nothing starts until it fits. A rejected plan must change nothing.
 #[test]
-fn lower_maximum_ends_nothing_and_refused_plan_changes_nothing() {
+fn lower_maximum_ends_nothing_and_rejected_plan_changes_nothing() {
     let mut bulkheads = bulkheads();
     bulkheads.set_waiting(WorkKind::Run, 1, 30);
     let started = (0..30).filter(|_| bulkheads.try_start(WorkKind::Run, 1)).count();
     let bulkheads_of_one_class = vec![config("a", &[0], 1.0), config("b", &[0], 1.0)];
     let bad = BulkheadPlan { bulkheads: bulkheads_of_one_class, reserve: None };
-    let refusal = bulkheads.replace(bad).expect_err("one class twice");
-    assert_eq!(refusal.to_string(), "[pool b] names an offering of [pool a]");
+    let error = bulkheads.replace(bad).expect_err("a class in two bulkheads");
+    assert_eq!(error.to_string(), "[pool b] names an offering of [pool a]");
     assert_eq!(bulkheads.status(WorkKind::Run, 1).in_flight, started);
     let mut small = plan();
     small.bulkheads[1].max_runs = 5;
-    bulkheads.replace(small).expect("fit terms");
+    bulkheads.replace(small).expect("valid plan");
     bulkheads.set_waiting(WorkKind::Run, 1, 30);
-    for left in (5..started).rev() {
+    for remaining in (5..started).rev() {
         assert!(!bulkheads.try_start(WorkKind::Run, 1));
         bulkheads.end(WorkKind::Run, 1, 1.0, None, WorkOutcome::Succeeded);
-        assert_eq!(bulkheads.status(WorkKind::Run, 1).in_flight, left);
+        assert_eq!(bulkheads.status(WorkKind::Run, 1).in_flight, remaining);
     }
     bulkheads.end(WorkKind::Run, 1, 1.0, None, WorkOutcome::Succeeded);
     assert!(bulkheads.try_start(WorkKind::Run, 1) && !bulkheads.try_start(WorkKind::Run, 1));
 }
 
-/// During slow start the total lies below the reservations. The total must hold.
+/// Guards against exceeding the total during slow start, when it is below the reservations.
 #[test]
-fn total_below_the_reservations_holds() {
+fn total_below_the_reservations_is_respected() {
     let mut bulkheads = bulkheads();
     bulkheads.set_total(WorkKind::Run, 3);
     for bulkhead in [0, 1] {
@@ -138,7 +139,7 @@
     assert_eq!(bulkheads.bulkhead_of_class(3), 0);
 }
 
-/// The dependency fails all calls of one bulkhead. Its limit must sink to the least, the other must keep its own.
+/// Guards against coupled limits: all calls of one bulkhead fail. Its limit must fall to the minimum, the other's must not.
 #[test]
 fn failing_calls_of_one_bulkhead_leave_the_limit_of_another() {
     let mut bulkheads = bulkheads();
@@ -157,23 +158,24 @@
 }
 
 #[test]
-fn reservations_above_the_total_are_refused_with_their_sum() {
+fn reservations_above_the_total_are_rejected_with_their_sum() {
     let mut large = plan();
     large.bulkheads[0].reserved_calls = 25;
-    let refusal = AdaptiveBulkheads::new(large, 4, 40, 20).expect_err("too many").to_string();
-    assert_eq!(refusal, "the least of all pools add up to 26, and there is room for 20, counted in calls");
+    let error =
+        AdaptiveBulkheads::new(large, 4, 40, 20).expect_err("reservations above the total").to_string();
+    assert_eq!(error, "the least of all pools add up to 26, and there is room for 20, counted in calls");
 }
 
-/// An operator's file reserves more for a bulkhead than its own maximum, at the start and by a reload. It must be refused with a
-/// text that names both, and a reload must change nothing. It panics: the limits are built before the capacities are checked.
+/// Guards against a panic at the start and at a reload: a reservation above the bulkhead's own maximum must be rejected
+/// before the limits are built, with a text that names both values, and a reload must change nothing.
 #[test]
-fn reservation_above_its_own_maximum_is_refused_at_start_and_reload() {
+fn reservation_above_its_own_maximum_is_rejected_at_start_and_reload() {
     let mut above = plan();
     (above.bulkheads[0].reserved_runs, above.bulkheads[0].max_runs) = (10, 5);
-    let refusal = "[pool cheap] least 10 is above most 5: at most 5, counted in runs";
+    let expected = "[pool cheap] least 10 is above most 5: at most 5, counted in runs";
     let at_start = AdaptiveBulkheads::new(above.clone(), 4, 40, 20).expect_err("above its maximum");
-    assert_eq!(at_start.to_string(), refusal);
+    assert_eq!(at_start.to_string(), expected);
     let mut bulkheads = bulkheads();
-    assert_eq!(bulkheads.replace(above).expect_err("above its maximum").to_string(), refusal);
+    assert_eq!(bulkheads.replace(above).expect_err("above its maximum").to_string(), expected);
     assert_eq!(bulkheads.replace(plan()), Ok(()));
 }
--- a/crates/plovershelf-bulkhead/src/capacity.rs
+++ b/crates/plovershelf-bulkhead/src/capacity.rs
@@ -1,32 +1,32 @@
-//! Capacity for one kind of work (runs on the cores, or outbound calls) divided among bulkheads.
+//! Division among bulkheads of the capacity for one kind of work (runs on the cores, or outbound calls).
 //!
-//! *Decides*: what each bulkhead may have in flight, and whether one may start one more.
-//! *Inputs*: each bulkhead's work in flight, work waiting, present limit; the total.
-//! *Rule*: each first gets what is reserved for it, then one unit at a time goes to the bulkhead furthest below its
-//! weight, up to the limits, then beyond them up to the maxima. The reserve is left to its owner.
-//! *Why*: idle capacity serves whoever waits, and its owner has it back with the next end of work.
+//! *Decides*: how much work each bulkhead may have in flight, and whether one more unit may start.
+//! *Inputs*: each bulkhead's work in flight, waiting work and current limit; the total.
+//! *Rule*: each bulkhead first gets its reservation. The rest is given unit by unit to the bulkhead furthest below its
+//! weight, first up to the limits, then beyond them up to the maxima. The reserve is left to its owner.
+//! *Why*: idle capacity serves waiting work of any bulkhead, and its owner gets it back as soon as work ends.
 //! *Source*: weighted max-min fairness; Nygard, "Release It!", "Bulkheads".
 //! *Without it*: a flood of one bulkhead takes the capacity of the others.
 
 use crate::error::CapacityError;
 
-/// Capacity of one bulkhead for one kind of work.
+/// Configured capacity of one bulkhead for one kind of work.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CapacityConfig {
-    /// The bulkhead's name.
+    /// Name of the bulkhead.
     pub(crate) name: String,
-    /// What it always has where it asks.
+    /// Amount of work guaranteed on demand.
     pub(crate) reserved: usize,
-    /// The most that it may have.
+    /// Maximum work in flight.
     pub(crate) max: usize,
-    /// Its part of what is left beyond reservations, against the others'.
+    /// Relative weight in the division of the capacity beyond reservations.
     pub(crate) weight: f64,
 }
 
-/// Capacity that one bulkhead, that of the least valuable requests, always finds: the others may not take the last of it.
+/// Capacity set aside for one bulkhead, that of the least valuable requests; other bulkheads may not use it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
-    /// The index of the bulkhead that owns it.
+    /// Index of the bulkhead that owns the reserve.
     pub bulkhead: usize,
     /// Fraction of the total, from 0 to [`MAX_RESERVE_FRACTION`].
     pub fraction: f64,
@@ -36,25 +36,25 @@
 const MAX_RESERVE_FRACTION: f64 = 0.5;
 
 impl Reserve {
-    /// Whole units of a total.
-    pub(crate) fn of(self, total: usize) -> usize {
+    /// Returns the reserve of a total in whole units, rounded up.
+    pub(crate) fn units_of(self, total: usize) -> usize {
         (self.fraction * total as f64).ceil() as usize
     }
 }
 
-/// How far the second part of an allocation may go for a bulkhead.
+/// Upper bound for a bulkhead in a round of the weighted allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ceiling {
-    /// Its present limit.
+    /// The current limit.
     Limit,
-    /// Its maximum: what is beyond the limit is borrowed.
+    /// The configured maximum; work above the limit is borrowed capacity.
     Max,
 }
 
 #[derive(Clone, Debug)]
 struct Slot {
     config: CapacityConfig,
-    /// The present limit, as it adapts.
+    /// Current adaptive limit.
     limit: usize,
     in_flight: usize,
     waiting: usize,
@@ -69,8 +69,8 @@
     }
 }
 
-/// The capacity of all bulkheads. Its sum is bounded by the total that was set last; work in flight beyond that, where
-/// the total sank, only keeps more from starting.
+/// Capacity of all bulkheads, whose sum is bounded by the current total. If the total falls below the work in flight,
+/// that work continues and nothing more starts.
 #[derive(Clone, Debug)]
 pub(crate) struct CapacityAllocator {
     slots: Vec<Slot>,
@@ -80,7 +80,8 @@
 
 impl CapacityAllocator {
     /// # Errors
-    /// No bulkhead, a bad weight or reserve, reservations that are above a maximum or, added up, above the total.
+    /// Fails without bulkheads, for an invalid weight or reserve, and for reservations above a maximum or, in sum, above
+    /// the total.
     pub(crate) fn new(
         configs: Vec<CapacityConfig>,
         reserve: Option<Reserve>,
@@ -92,29 +93,29 @@
         Ok(CapacityAllocator { slots: slots.collect(), reserve, total })
     }
 
-    /// Sets the total. During slow start it may lie below the reservations.
+    /// Sets the total, which may be below the reservations during slow start.
     pub(crate) fn set_total(&mut self, total: usize) {
         self.total = total;
     }
 
-    /// Sets a bulkhead's limit, as its adaptive limit has it, within its configuration.
+    /// Sets a bulkhead's current limit, clamped to its reservation and maximum.
     pub(crate) fn set_limit(&mut self, bulkhead: usize, limit: f64) {
         let slot = &mut self.slots[bulkhead];
         let limit = if limit.is_finite() { limit.max(0.0).floor() as usize } else { slot.config.max };
         slot.limit = limit.clamp(slot.config.reserved, slot.config.max);
     }
 
-    /// Sets how much of a bulkhead waits to start.
+    /// Sets the amount of a bulkhead's work that waits to start.
     pub(crate) fn set_waiting(&mut self, bulkhead: usize, waiting: usize) {
         self.slots[bulkhead].waiting = waiting;
     }
 
-    /// Sets how much of a bulkhead is in flight, whatever was allowed to start.
+    /// Sets a bulkhead's work in flight, regardless of what was allowed to start.
     pub(crate) fn set_in_flight(&mut self, bulkhead: usize, in_flight: usize) {
         self.slots[bulkhead].in_flight = in_flight;
     }
 
-    /// Starts one more of a bulkhead if it may; returns whether it did.
+    /// Starts one unit of work of a bulkhead if that is allowed; returns whether it started.
     pub(crate) fn try_start(&mut self, bulkhead: usize) -> bool {
         let may_start = self.may_start(bulkhead);
         if may_start {
@@ -125,40 +126,40 @@
         may_start
     }
 
-    /// One of a bulkhead ended.
+    /// Ends one unit of work of a bulkhead.
     pub(crate) fn end(&mut self, bulkhead: usize) {
         self.slots[bulkhead].in_flight = self.slots[bulkhead].in_flight.saturating_sub(1);
     }
 
-    /// Takes in work that started under another plan.
-    pub(crate) fn adopt(&mut self, bulkhead: usize, in_flight: usize) {
+    /// Adds work that started under another plan.
+    pub(crate) fn add_in_flight(&mut self, bulkhead: usize, in_flight: usize) {
         self.slots[bulkhead].in_flight += in_flight;
     }
 
-    /// The total that was set last.
+    /// Returns the current total.
     pub(crate) fn total(&self) -> usize {
         self.total
     }
 
-    /// Work of a bulkhead in flight.
+    /// Returns the work in flight of a bulkhead.
     pub(crate) fn in_flight(&self, bulkhead: usize) -> usize {
         self.slots[bulkhead].in_flight
     }
 
-    /// What a bulkhead has beyond its limit, lent to it until the owners ask.
+    /// Returns the work in flight of a bulkhead above its limit, which uses capacity lent by others.
     pub(crate) fn borrowed(&self, bulkhead: usize) -> usize {
         self.slots[bulkhead].in_flight.saturating_sub(self.slots[bulkhead].limit)
     }
 
-    /// What a bulkhead could have if it wanted the total, while the others have and want what they do.
+    /// Returns the capacity of a bulkhead if it wanted the total while the others' work and demand stayed the same.
     pub(crate) fn available(&self, bulkhead: usize) -> usize {
-        let mut wanted = self.wanted();
-        wanted[bulkhead] = self.slots[bulkhead].in_flight + self.total;
-        self.allocate(&wanted)[bulkhead].min(self.total.saturating_sub(self.reserved_from(bulkhead)))
+        let mut demand = self.demand();
+        demand[bulkhead] = self.slots[bulkhead].in_flight + self.total;
+        self.allocate(&demand)[bulkhead].min(self.total.saturating_sub(self.reserved_from(bulkhead)))
     }
 
-    /// Whether a bulkhead may start one more: not where the total or its maximum is reached, nor where what it has lent,
-    /// or what others are owed, comes first.
+    /// Returns whether a bulkhead may start one more unit of work: the total and its maximum must not be reached, and
+    /// the demand of other bulkheads must leave it the capacity.
     fn may_start(&self, bulkhead: usize) -> bool {
         let slot = &self.slots[bulkhead];
         if self.total_in_flight() + self.reserved_from(bulkhead) >= self.total
@@ -166,13 +167,13 @@
         {
             return false;
         }
-        // It wants this one at least, also where it had none waiting.
-        let mut wanted = self.wanted();
-        wanted[bulkhead] = slot.in_flight + slot.waiting.max(1);
-        slot.in_flight < self.allocate(&wanted)[bulkhead]
+        // The bulkhead wants at least this unit, even if none was reported as waiting.
+        let mut demand = self.demand();
+        demand[bulkhead] = slot.in_flight + slot.waiting.max(1);
+        slot.in_flight < self.allocate(&demand)[bulkhead]
     }
 
-    fn wanted(&self) -> Vec<usize> {
+    fn demand(&self) -> Vec<usize> {
         self.slots.iter().map(|slot| slot.in_flight + slot.waiting).collect()
     }
 
@@ -180,68 +181,68 @@
         self.slots.iter().map(|slot| slot.in_flight).sum()
     }
 
-    /// What of the reserve a bulkhead must leave to its owner, as far as the owner has not taken it.
+    /// Returns the unused part of the reserve that a bulkhead must leave to the reserve's owner.
     fn reserved_from(&self, bulkhead: usize) -> usize {
         let Some(reserve) = self.reserve.filter(|reserve| reserve.bulkhead != bulkhead) else { return 0 };
-        reserve.of(self.total).min(self.total).saturating_sub(self.slots[reserve.bulkhead].in_flight)
+        reserve.units_of(self.total).min(self.total).saturating_sub(self.slots[reserve.bulkhead].in_flight)
     }
 
-    /// What a bulkhead has before the others' weights count, of what it wants.
-    fn reservation(&self, bulkhead: usize, wanted: usize) -> usize {
+    /// Returns the part of a bulkhead's demand that is allocated before the weights apply.
+    fn reservation(&self, bulkhead: usize, demand: usize) -> usize {
         let reserve = self.reserve.filter(|reserve| reserve.bulkhead == bulkhead);
-        let reserved = reserve.map_or(0, |reserve| reserve.of(self.total));
-        wanted.min(self.slots[bulkhead].config.reserved.max(reserved))
+        let reserved = reserve.map_or(0, |reserve| reserve.units_of(self.total));
+        demand.min(self.slots[bulkhead].config.reserved.max(reserved))
     }
 
-    /// Divides the total, given what each bulkhead wants in flight. The sum is the total at most.
-    fn allocate(&self, wanted: &[usize]) -> Vec<usize> {
+    /// Divides the total among the demands of all bulkheads. The sum of the result is at most the total.
+    fn allocate(&self, demand: &[usize]) -> Vec<usize> {
         let mut allocated = vec![0usize; self.slots.len()];
-        let mut left = self.allocate_reservations(wanted, &mut allocated);
+        let mut remaining = self.allocate_reservations(demand, &mut allocated);
         for ceiling in [Ceiling::Limit, Ceiling::Max] {
-            left = self.allocate_by_weight(wanted, ceiling, left, &mut allocated);
+            remaining = self.allocate_by_weight(demand, ceiling, remaining, &mut allocated);
         }
         allocated
     }
 
-    /// Gives one unit to each in turn, so that none goes without for its place where not even the reservations fit, as
-    /// during slow start. Returns what is left.
-    fn allocate_reservations(&self, wanted: &[usize], allocated: &mut [usize]) -> usize {
-        let mut left = self.total;
+    /// Allocates reservations one unit per bulkhead in turn, so that no bulkhead starves because of its position when
+    /// the total is below the reservations, as during slow start. Returns the remaining capacity.
+    fn allocate_reservations(&self, demand: &[usize], allocated: &mut [usize]) -> usize {
+        let mut remaining = self.total;
         loop {
-            let mut has_given = false;
+            let mut has_allocated = false;
             for (bulkhead, allocated) in allocated.iter_mut().enumerate() {
-                if left > 0 && *allocated < self.reservation(bulkhead, wanted[bulkhead]) {
+                if remaining > 0 && *allocated < self.reservation(bulkhead, demand[bulkhead]) {
                     *allocated += 1;
-                    left -= 1;
-                    has_given = true;
+                    remaining -= 1;
+                    has_allocated = true;
                 }
             }
-            if !has_given {
-                return left;
+            if !has_allocated {
+                return remaining;
             }
         }
     }
 
-    /// Gives one unit at a time to the bulkhead furthest below its weight. Returns what is left.
+    /// Allocates one unit at a time to the bulkhead furthest below its weight. Returns the remaining capacity.
     fn allocate_by_weight(
         &self,
-        wanted: &[usize],
+        demand: &[usize],
         ceiling: Ceiling,
-        mut left: usize,
+        mut remaining: usize,
         allocated: &mut [usize],
     ) -> usize {
-        while left > 0 {
-            let is_open =
-                |place: &usize| allocated[*place] < wanted[*place].min(self.slots[*place].ceiling(ceiling));
+        while remaining > 0 {
+            let can_grow =
+                |index: &usize| allocated[*index] < demand[*index].min(self.slots[*index].ceiling(ceiling));
             let weighted =
-                |place: &usize| (allocated[*place] as f64 + 1.0) / self.slots[*place].config.weight;
+                |index: &usize| (allocated[*index] as f64 + 1.0) / self.slots[*index].config.weight;
             let next =
-                (0..allocated.len()).filter(is_open).min_by(|a, b| weighted(a).total_cmp(&weighted(b)));
-            let Some(place) = next else { break };
-            allocated[place] += 1;
-            left -= 1;
+                (0..allocated.len()).filter(can_grow).min_by(|a, b| weighted(a).total_cmp(&weighted(b)));
+            let Some(index) = next else { break };
+            allocated[index] += 1;
+            remaining -= 1;
         }
-        left
+        remaining
     }
 }
 
--- a/crates/plovershelf-bulkhead/src/concurrency_limit/tests.rs
+++ b/crates/plovershelf-bulkhead/src/concurrency_limit/tests.rs
@@ -2,14 +2,14 @@
 
 const ALGORITHMS: [LimitAlgorithm; 3] =
     [LimitAlgorithm::Aimd, LimitAlgorithm::Gradient, LimitAlgorithm::DelayTarget];
-const WIDE: LimitBounds = LimitBounds { min: 2.0, max: 100.0 };
+const WIDE_BOUNDS: LimitBounds = LimitBounds { min: 2.0, max: 100.0 };
 
 fn end(limit: &mut ConcurrencyLimit, now_ms: f64, duration_ms: f64, in_flight: usize) {
     limit.record(WorkSample { now_ms, duration_ms, in_flight, outcome: WorkOutcome::Succeeded });
 }
 
-/// As much work as the limit allows, on servers where one takes `work_ms` and what is beyond the servers queues. Returns the
-/// time of the last end.
+/// Simulates as much work as the limit allows, on servers that take `work_ms` per unit and queue the excess. Returns the time
+/// of the last end.
 fn run_at_limit(limit: &mut ConcurrencyLimit, start_ms: f64, servers: f64, work_ms: f64, ends: u32) -> f64 {
     let mut now_ms = start_ms;
     for _ in 0..ends {
@@ -22,24 +22,24 @@
 }
 
 #[test]
-fn limit_settles_near_what_the_servers_take() {
+fn limit_settles_near_the_capacity_of_the_servers() {
     for algorithm in ALGORITHMS {
-        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 4.0);
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE_BOUNDS, 4.0);
         let mut now_ms = run_at_limit(&mut limit, 0.0, 20.0, 10.0, 20_000);
-        let mut seen = Vec::new();
+        let mut limits = Vec::new();
         for _ in 0..200 {
             now_ms = run_at_limit(&mut limit, now_ms, 20.0, 10.0, 50);
-            seen.push(limit.limit());
+            limits.push(limit.limit());
         }
-        let mean = seen.iter().sum::<f64>() / seen.len() as f64;
-        assert!((12.0..60.0).contains(&mean), "{algorithm:?} {mean}");
+        let mean = limits.iter().sum::<f64>() / limits.len() as f64;
+        assert!((12.0..60.0).contains(&mean), "{algorithm:?}: mean limit {mean}");
     }
 }
 
 #[test]
 fn unused_limit_does_not_grow() {
     for algorithm in ALGORITHMS {
-        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 10.0);
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE_BOUNDS, 10.0);
         for n in 0..5000 {
             end(&mut limit, f64::from(n) * 10.0, 10.0, 2);
         }
@@ -47,12 +47,12 @@
     }
 }
 
-/// A dependency gets six times as slow, whatever is in flight. That looks like queueing, and cuts would go on to the least limit;
-/// the limit must be back near where it was.
+/// Guards against cuts down to the minimum: a dependency becomes six times as slow regardless of the load, which looks like
+/// queueing. The limit must return to near its previous value.
 #[test]
-fn limit_recovers_where_the_dependency_is_slow_by_itself() {
+fn limit_recovers_if_the_dependency_is_slow_regardless_of_load() {
     for algorithm in ALGORITHMS {
-        let mut limit = ConcurrencyLimit::new(algorithm, WIDE, 20.0);
+        let mut limit = ConcurrencyLimit::new(algorithm, WIDE_BOUNDS, 20.0);
         let mut now_ms = run_at_limit(&mut limit, 0.0, 1e9, 10.0, 5000);
         let before = limit.limit();
         now_ms = run_at_limit(&mut limit, now_ms, 1e9, 60.0, 30_000);
@@ -64,10 +64,10 @@
 fn limit_stays_within_bounds_for_any_samples() {
     for algorithm in ALGORITHMS {
         let mut limit = ConcurrencyLimit::new(algorithm, LimitBounds { min: 3.0, max: 9.0 }, 100.0);
-        let odd = [f64::NAN, -1.0, 0.0, 1e12, f64::INFINITY, 5.0];
+        let durations_ms = [f64::NAN, -1.0, 0.0, 1e12, f64::INFINITY, 5.0];
         for n in 0..3000usize {
             let outcome = if n % 5 != 0 { WorkOutcome::Succeeded } else { WorkOutcome::Failed };
-            let duration_ms = odd[n % odd.len()];
+            let duration_ms = durations_ms[n % durations_ms.len()];
             limit.record(WorkSample { now_ms: n as f64, duration_ms, in_flight: n % 17, outcome });
             assert!((3.0..=9.0).contains(&limit.limit()), "{algorithm:?}");
         }
--- a/crates/plovershelf-bulkhead/src/error.rs
+++ b/crates/plovershelf-bulkhead/src/error.rs
@@ -1,76 +1,76 @@
-//! What a plan of bulkheads can have against it. The texts use the words of the operator's file.
+//! Validation errors of a plan of bulkheads. The texts use the terms of the operator's file.
 
 use thiserror::Error;
 
 use crate::bulkheads::WorkKind;
 
-/// Why a plan of bulkheads was refused.
+/// Error of a rejected plan of bulkheads.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum BulkheadError {
     /// A bulkhead names a request class that the backend does not have.
     #[error("[pool {bulkhead}] names offering {class} of {classes}")]
     UnknownClass {
-        /// The bulkhead's name.
+        /// Name of the bulkhead.
         bulkhead: String,
-        /// The index that it names.
+        /// Index of the unknown class.
         class: usize,
-        /// How many classes there are.
+        /// Number of classes of the backend.
         classes: usize,
     },
     /// Two bulkheads name the same request class.
     #[error("[pool {bulkhead}] names an offering of [pool {owner}]")]
     ClassInTwoBulkheads {
-        /// The bulkhead that names it second.
+        /// Bulkhead that names the class second.
         bulkhead: String,
-        /// The bulkhead that names it first.
+        /// Bulkhead that names the class first.
         owner: String,
     },
-    /// The capacities of one kind of work do not fit together.
+    /// The capacities of one kind of work are inconsistent.
     #[error("{source}, counted in {kind}")]
     Capacity {
-        /// The kind of work.
+        /// Kind of work.
         kind: WorkKind,
-        /// What does not fit.
+        /// Inconsistency found.
         source: CapacityError,
     },
 }
 
-/// Why capacity can't be divided among bulkheads.
+/// Error of the division of capacity among bulkheads.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CapacityError {
-    /// There is no bulkhead.
+    /// The plan has no bulkhead.
     #[error("no pool is named; one at least is needed")]
     NoBulkhead,
-    /// A weight that is not a finite number above 0.
+    /// A weight is not a finite number above 0.
     #[error("[pool {bulkhead}] weight = {weight}: a number above 0")]
     BadWeight {
-        /// The bulkhead's name.
+        /// Name of the bulkhead.
         bulkhead: String,
-        /// Its weight.
+        /// Rejected weight.
         weight: f64,
     },
-    /// A reservation above the bulkhead's own maximum.
+    /// A reservation is above the bulkhead's own maximum.
     #[error("[pool {bulkhead}] least {reserved} is above most {max}: at most {max}")]
     ReservedAboveMax {
-        /// The bulkhead's name.
+        /// Name of the bulkhead.
         bulkhead: String,
-        /// What is reserved for it.
+        /// Reserved capacity.
         reserved: usize,
-        /// Its maximum.
+        /// Maximum of the bulkhead.
         max: usize,
     },
-    /// A reserve for no bulkhead, or of a fraction that is out of range.
+    /// The reserve is for an unknown bulkhead, or its fraction is out of range.
     #[error("reserve = {fraction}: a share from 0 to 0.5 for a pool that is named")]
     BadReserve {
-        /// The fraction of the total.
+        /// Rejected fraction of the total.
         fraction: f64,
     },
-    /// Reservations that add up to more than there is.
+    /// The reservations add up to more than the total.
     #[error("the least of all pools add up to {reserved}, and there is room for {total}")]
     ReservedAboveTotal {
-        /// The sum of all reservations.
+        /// Sum of all reservations.
         reserved: usize,
-        /// The total capacity.
+        /// Total capacity.
         total: usize,
     },
 }
--- a/crates/plovershelf-bulkhead/src/latency_baseline.rs
+++ b/crates/plovershelf-bulkhead/src/latency_baseline.rs
@@ -1,18 +1,18 @@
-//! What work takes without overload.
+//! Baseline latency: the duration of work without overload.
 //!
 //! *Decides*: the base latency that a concurrency limit compares with.
-//! *Inputs*: how long work took, in milliseconds; what was in flight at its end; the present limit.
-//! *Rule*: the least of an exponentially decayed mean. It rises only while at most half of the limit is in flight, or by
-//! [`LatencyBaseline::reset_to_mean`].
-//! *Why*: a minimum over a window of time would rise with the limit that depends on it.
-//! *Without it*: a limit can't tell long work from queueing.
+//! *Inputs*: the duration of work, in milliseconds; the work in flight at its end; the current limit.
+//! *Rule*: the base is the minimum of an exponentially decayed mean. It rises only while at most half of the limit is in
+//! flight, or by [`LatencyBaseline::reset_to_mean`].
+//! *Why*: a minimum over a time window would rise with the limit that depends on it.
+//! *Without it*: a limit cannot distinguish long work from queueing.
 
-/// Samples that the mean looks back on: some tens, so that a tail that is long by nature is not taken for overload.
+/// Time constant of the mean in samples: some tens, so that a naturally long tail is not taken for overload.
 const MEAN_SAMPLES: f64 = 64.0;
-/// Part of the way to the mean that the base rises with each sample, while little is in flight.
+/// Fraction of the distance to the mean by which the base rises per sample, while little work is in flight.
 const RISE_FRACTION: f64 = 0.02;
 
-/// A decayed mean of durations, and the base latency learnt from it.
+/// Decayed mean of durations, and the base latency derived from it.
 #[derive(Clone, Debug)]
 pub(crate) struct LatencyBaseline {
     mean_ms: Option<f64>,
@@ -24,17 +24,17 @@
         LatencyBaseline { mean_ms: None, base_ms: f64::INFINITY }
     }
 
-    /// The mean duration; `None` before the first sample.
+    /// Returns the mean duration; `None` before the first sample.
     pub(crate) fn mean_ms(&self) -> Option<f64> {
         self.mean_ms
     }
 
-    /// The base latency; infinite before the first sample.
+    /// Returns the base latency; infinite before the first sample.
     pub(crate) fn base_ms(&self) -> f64 {
         self.base_ms
     }
 
-    /// Takes in one duration and returns the new mean.
+    /// Records a duration and returns the new mean.
     pub(crate) fn record(&mut self, duration_ms: f64, in_flight: usize, limit: f64) -> f64 {
         let before = self.mean_ms.unwrap_or(duration_ms);
         let mean_ms = before + (duration_ms - before) / MEAN_SAMPLES;
@@ -47,7 +47,7 @@
         mean_ms
     }
 
-    /// What work takes now is what it takes without overload.
+    /// Sets the base latency to the current mean.
     pub(crate) fn reset_to_mean(&mut self) {
         if let Some(mean_ms) = self.mean_ms {
             self.base_ms = mean_ms;
--- a/crates/plovershelf-bulkhead/src/latency_baseline/tests.rs
+++ b/crates/plovershelf-bulkhead/src/latency_baseline/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Work gets slower while the limit is used up: queueing, which must not become the base.
+/// Guards against queueing taken for the base: work slows down while more than half of the limit is in use.
 #[test]
 fn base_does_not_rise_while_more_than_half_of_the_limit_is_in_flight() {
     let mut baseline = LatencyBaseline::new();
@@ -11,7 +11,7 @@
     assert_eq!(baseline.base_ms(), 10.0);
 }
 
-/// Work gets slower while hardly any is in flight: that is what it takes now.
+/// Guards against a stale base: work slows down while little is in flight, so the new duration is the base.
 #[test]
 fn base_follows_the_mean_while_little_is_in_flight() {
     let mut baseline = LatencyBaseline::new();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reset_takes_the_mean_and_does_nothing_before_the_first_sample() {
+fn reset_sets_the_base_to_the_mean_and_has_no_effect_before_the_first_sample() {
     let mut baseline = LatencyBaseline::new();
     baseline.reset_to_mean();
     assert!(baseline.base_ms().is_infinite() && baseline.mean_ms().is_none());
--- a/crates/plovershelf-bulkhead/src/lib.rs
+++ b/crates/plovershelf-bulkhead/src/lib.rs
@@ -1,15 +1,15 @@
 //! Bulkheads over groups of request classes: adaptive concurrency limits, lending of idle capacity, and a reserve. No I/O.
 //!
-//! The caller reports what starts, ends and waits, and asks who may start. The sum over all bulkheads never passes the
-//! totals that the caller sets, whatever the bulkheads' own limits are.
+//! The caller reports starts, ends and waiting work, and asks whether work may start. The sum over all bulkheads never
+//! exceeds the totals that the caller sets, regardless of the limits of single bulkheads.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `bulkheads` | the bulkheads of one backend, for runs and for calls; replacement of their plan |
 //! | `capacity` | divides one kind of capacity among bulkheads: reservations, weights, lending, the reserve |
 //! | `concurrency_limit` | one adaptive limit on work in flight: AIMD, gradient or delay target |
-//! | `latency_baseline` | what work takes without overload, which the limits compare with |
-//! | `error` | what a plan can have against it |
+//! | `latency_baseline` | duration of work without overload, with which the limits compare |
+//! | `error` | validation errors of a plan |
 
 mod bulkheads;
 mod capacity;
