--- a/crates/plovershelf-settings/benches/lookup.rs
+++ b/crates/plovershelf-settings/benches/lookup.rs
@@ -1,4 +1,4 @@
-//! What it costs to find a tenant's place by its name, by number of tenants: by a walk, and as it is done. Run
+//! Measures the lookup of a tenant's index by name for several numbers of tenants, by linear search and by hash. Run
 //! with `cargo bench -p plovershelf-settings --bench lookup`.
 
 use std::hint::black_box;
@@ -6,7 +6,7 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use plovershelf_settings::Names;
 
-/// Each look-up is of another tenant, so that the mean over all places counts.
+/// Each lookup is for another tenant, so that the result is the mean over all indices.
 fn lookups(criterion: &mut Criterion) {
     for tenants in [100usize, 1000, 3400, 10_000, 34_000] {
         let names: Names = (0..tenants).map(|n| format!("tenant-{n:05}")).collect();
--- a/crates/plovershelf-settings/src/document.rs
+++ b/crates/plovershelf-settings/src/document.rs
@@ -1,8 +1,7 @@
-//! A JSON document read key by key. What is wrong with it is collected, so that one run of the program tells all of it.
+//! Reads a JSON document key by key and collects its errors, so that one run of the program reports all of them.
 //!
-//! A key that the document does not have reads as `None`, and the caller has a default for it. A key that is there with a value
-//! that can't be used reads as `None` too and leaves a [`Problem`]: the document is then refused whole. Keys that nobody
-//! reads are not looked at.
+//! A missing key reads as `None`, for which the caller has a default. A key with an invalid value reads as `None` too and
+//! records a [`Problem`], which makes the whole document invalid. Keys that no one reads are ignored.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,12 +9,12 @@
 
 use serde_json::{Map, Value};
 
-/// Characters of a value that a problem shows.
+/// Maximum number of characters of a value in an error message.
 const MAX_SHOWN_CHARS: usize = 60;
-/// Problems that are shown; the rest are counted.
+/// Maximum number of errors in a message; the others are only counted.
 const MAX_SHOWN_PROBLEMS: usize = 40;
 
-/// One key that can't be used.
+/// A key with an invalid or missing value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     path: String,
@@ -29,7 +28,7 @@
     }
 }
 
-/// All that is wrong with a document.
+/// All errors of a document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct InvalidDocument(Vec<Problem>);
 
@@ -44,18 +43,18 @@
     }
 }
 
-/// Collects what is wrong while a document is read.
+/// Errors collected while a document is read.
 #[derive(Debug, Default)]
 pub struct Problems(RefCell<Vec<Problem>>);
 
 impl Problems {
-    /// The value that was read, unless anything was wrong.
+    /// Returns the value that was read if no errors were recorded.
     ///
     /// # Errors
-    /// All that was wrong.
+    /// Returns all recorded errors.
     pub fn finish<T>(self, value: T) -> Result<T, InvalidDocument> {
         let mut problems = self.0.into_inner();
-        // A key that is read for two purposes is wrong once.
+        // A key that is read twice is reported once.
         let mut seen = BTreeSet::new();
         problems.retain(|problem| seen.insert(problem.path.clone()));
         if problems.is_empty() {
@@ -66,7 +65,7 @@
     }
 }
 
-/// The numbers that a key may have.
+/// Range of valid numbers for a key.
 #[derive(Clone, Copy, Debug)]
 pub struct NumberRange {
     min: f64,
@@ -76,17 +75,17 @@
 }
 
 impl NumberRange {
-    /// From `min` to `max`.
+    /// Returns the range from `min` to `max`, both included.
     pub const fn between(min: f64, max: f64) -> Self {
         NumberRange { min, max, excludes_min: false, is_whole: false }
     }
 
-    /// Above `min`, and `max` at most.
+    /// Returns the range above `min` up to and including `max`.
     pub const fn above(min: f64, max: f64) -> Self {
         NumberRange { min, max, excludes_min: true, is_whole: false }
     }
 
-    /// Whole numbers from `min` to `max`.
+    /// Returns the range of integers from `min` to `max`, both included.
     pub const fn whole(min: f64, max: f64) -> Self {
         NumberRange { min, max, excludes_min: false, is_whole: true }
     }
@@ -108,28 +107,28 @@
     }
 }
 
-/// An object of the document; one that is missing has no keys.
+/// An object of the document; a missing object has no keys.
 #[derive(Clone, Debug)]
 pub struct Section<'a> {
     path: String,
     fields: Option<&'a Map<String, Value>>,
-    /// It is no object, which was said: nothing is said of the keys that it can't have.
+    /// Whether the value is not an object, which was reported; errors of its keys are not reported then.
     is_rejected: bool,
     problems: &'a Problems,
 }
 
 impl<'a> Section<'a> {
-    /// The document itself.
+    /// Returns the root object of a document.
     pub fn document(value: &'a Value, problems: &'a Problems) -> Self {
         Section::named(String::new(), value, problems)
     }
 
-    /// An object that stands alone, under the name that it has in a document.
+    /// Returns a separate object, with `path` as its path in error messages.
     pub fn named(path: String, value: &'a Value, problems: &'a Problems) -> Self {
         Entry { path, value: Some(value), is_rejected: false, problems }.section()
     }
 
-    /// One key of it.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &str) -> Entry<'a> {
         let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
         let value = self.fields.and_then(|fields| fields.get(key));
@@ -137,7 +136,7 @@
     }
 }
 
-/// One key of a section, or one row of a list, with its value if it has one.
+/// A key of a section, or an element of a list, with its value if there is one.
 #[derive(Clone, Debug)]
 pub struct Entry<'a> {
     path: String,
@@ -147,27 +146,27 @@
 }
 
 impl<'a> Entry<'a> {
-    /// Where it stands in the document.
+    /// Returns the path of the entry in the document.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Whether the document has the key.
+    /// Returns whether the document has the key.
     pub fn is_present(&self) -> bool {
         self.value.is_some()
     }
 
-    /// Says that it can't be used, and what would be right.
+    /// Records that the value is invalid, with a description of valid values.
     pub fn reject(&self, expected: impl fmt::Display) {
         if self.is_rejected {
             return;
         }
-        let found = self.value.map_or_else(|| "missing".to_string(), |value| shortened(&value.to_string()));
+        let found = self.value.map_or_else(|| "missing".to_string(), |value| truncated(&value.to_string()));
         let problem = Problem { path: self.path.clone(), found, expected: expected.to_string() };
         self.problems.0.borrow_mut().push(problem);
     }
 
-    /// As an object.
+    /// Returns the value as an object.
     pub fn section(&self) -> Section<'a> {
         let fields = self.value.and_then(Value::as_object);
         let is_no_object = fields.is_none() && self.is_present();
@@ -178,14 +177,14 @@
         Section { path: self.path.clone(), fields, is_rejected, problems: self.problems }
     }
 
-    /// As a list; empty where it is missing.
+    /// Returns the elements of a list; empty if the list is missing.
     pub fn rows(&self) -> Vec<Entry<'a>> {
         let rows = self.value.and_then(Value::as_array);
         if rows.is_none() && self.is_present() {
             self.reject("a list");
         }
-        let row = |(place, value)| Entry {
-            path: format!("{}[{place}]", self.path),
+        let row = |(index, value)| Entry {
+            path: format!("{}[{index}]", self.path),
             value: Some(value),
             is_rejected: self.is_rejected,
             problems: self.problems,
@@ -193,12 +192,12 @@
         rows.into_iter().flatten().enumerate().map(row).collect()
     }
 
-    /// As a number in a range.
+    /// Returns the value as a number in a range.
     pub fn number(&self, range: NumberRange) -> Option<f64> {
         self.convert(range, |value| value.as_f64().filter(|number| range.contains(*number)))
     }
 
-    /// As a number that the document must have.
+    /// Returns the value as a number in a range, and rejects the entry if it is missing.
     pub fn required_number(&self, range: NumberRange) -> Option<f64> {
         if !self.is_present() {
             self.reject(range);
@@ -206,27 +205,27 @@
         self.number(range)
     }
 
-    /// As true or false.
+    /// Returns the value as a boolean.
     pub fn flag(&self) -> Option<bool> {
         self.convert("true or false", Value::as_bool)
     }
 
-    /// As text that is not empty.
+    /// Returns the value as a string that is not empty.
     pub fn text(&self) -> Option<&'a str> {
         self.convert("text that is not empty", |value| value.as_str().filter(|text| !text.is_empty()))
     }
 
-    /// As one of these words.
-    pub fn word<T: Copy>(&self, words: &[(&str, T)]) -> Option<T> {
-        let known = |value: &Value| {
+    /// Returns the meaning of the value, which must be one of the given keywords.
+    pub fn keyword<T: Copy>(&self, keywords: &[(&str, T)]) -> Option<T> {
+        let meaning_of = |value: &Value| {
             let text = value.as_str()?;
-            words.iter().find(|(word, _)| *word == text).map(|(_, meaning)| *meaning)
+            keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning)
         };
-        let names: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        self.convert(listed(&names), known)
+        let names: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
+        self.convert(join_alternatives(&names), meaning_of)
     }
 
-    /// As whatever `convert` makes of it; what it makes nothing of is rejected.
+    /// Returns the value as converted by `convert`, and rejects the entry if that returns `None`.
     pub fn convert<T>(
         &self,
         expected: impl fmt::Display,
@@ -240,8 +239,8 @@
     }
 }
 
-/// `a, b or c`.
-fn listed(names: &[&str]) -> String {
+/// Joins names to `a, b or c`.
+fn join_alternatives(names: &[&str]) -> String {
     match names {
         [] => String::new(),
         [only] => (*only).to_string(),
@@ -249,7 +248,7 @@
     }
 }
 
-fn shortened(text: &str) -> String {
+fn truncated(text: &str) -> String {
     match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text.to_string(),
--- a/crates/plovershelf-settings/src/keywords.rs
+++ b/crates/plovershelf-settings/src/keywords.rs
@@ -1,18 +1,18 @@
-//! The words of the settings, mapped once to the types of [`plovershelf::api`].
+//! Keywords of the settings and the corresponding values of [`plovershelf::api`].
 
 use plovershelf::api::{BackpressureSignal, Cancellation, Idempotency};
 
-/// A gauge that the backend reads.
+/// A gauge that the backend uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Gauge {
     CoresBusy,
     Runnable,
 }
 
-/// Where outbound calls go.
+/// Target of outbound calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Dependency {
-    /// One dependency for all backends.
+    /// One dependency shared by all backends.
     Shared,
     /// The backends of the next tier.
     NextTier,
@@ -38,7 +38,7 @@
 pub(crate) const DEPENDENCY: [(&str, Dependency); 3] =
     [("shared", Dependency::Shared), ("tier", Dependency::NextTier), ("silent", Dependency::None)];
 
-/// The gauge of a name; a backend may be handed others that it does not read.
+/// Returns the gauge of a name, or `None` for a gauge that the backend does not use.
 pub(crate) fn gauge(name: &str) -> Option<Gauge> {
     match name {
         "cpu_busy" => Some(Gauge::CoresBusy),
--- a/crates/plovershelf-settings/src/lib.rs
+++ b/crates/plovershelf-settings/src/lib.rs
@@ -1,44 +1,44 @@
 //! Parses and validates the settings that a backend is started with, for every program that hosts backends.
 //!
-//! - [`document`]: a JSON document read key by key, with all that is wrong with it.
-//! - `error`: why settings can't be used.
-//! - `names`: names of classes and tenants, each found without a walk.
-//! - `parse`: the settings as JSON, field by field.
-//! - [`ranges`]: the numbers that settings may have.
-//! - [`unique_keys`]: JSON in which no object has a key twice.
-//! - `words`: the words of the settings, mapped once to the types of [`plovershelf::api`].
+//! - [`document`]: reads a JSON document key by key and collects its errors.
+//! - `error`: errors of settings.
+//! - `names`: names of classes and tenants, with hashed lookup.
+//! - `parse`: reads the settings from JSON.
+//! - [`ranges`]: valid ranges of numbers.
+//! - [`unique_keys`]: JSON parser that rejects duplicate keys in an object.
+//! - `keywords`: keywords of the settings and the corresponding values of [`plovershelf::api`].
 
 pub mod document;
 mod error;
+mod keywords;
 mod names;
 mod parse;
 pub mod ranges;
 pub mod unique_keys;
-mod words;
 
 pub use error::SettingsError;
 pub use names::Names;
 pub use parse::{read, read_section, read_value, shares_a_dependency};
 
+use keywords::Gauge;
 use plovershelf::api::{BackendConfig, Gauges};
-use words::Gauge;
 
-/// A backend's configuration, and the names by which the outside knows what it refers to by place.
+/// Configuration of a backend, and the names of the items that it identifies by index.
 pub struct Startup {
-    /// What the backend is started with.
+    /// Configuration with which the backend is started.
     pub config: BackendConfig,
     /// Names of the classes, in the order of the configuration.
     pub classes: Names,
     /// Names of the tenants, in the order of the configuration.
     pub tenants: Names,
-    /// The gauges in the order in which their values come; none for one that the backend does not read.
+    /// Gauges in the order in which their values arrive; `None` for a gauge that the backend does not use.
     gauges: Vec<Option<Gauge>>,
-    /// Keys that are missing and should not be, and what stands in for them.
+    /// Messages about missing keys that should be present, and the values used instead.
     pub warnings: Vec<String>,
 }
 
 impl Startup {
-    /// The gauges that the backend reads, out of values in the order of the settings.
+    /// Returns the gauges that the backend uses, from values in the order of the settings.
     pub fn gauges(&self, values: impl IntoIterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
         for (gauge, value) in self.gauges.iter().zip(values) {
--- a/crates/plovershelf-settings/src/ranges.rs
+++ b/crates/plovershelf-settings/src/ranges.rs
@@ -1,4 +1,4 @@
-//! The numbers that settings may have. What lies outside is a slip of whoever wrote them, and not a deployment.
+//! Valid ranges of numbers in settings. A value outside its range is a mistake rather than an unusual deployment.
 
 use crate::document::NumberRange;
 
@@ -11,27 +11,27 @@
 const MAX_FACTOR: f64 = 1e6;
 const MAX_VALUE: f64 = 1e12;
 
-/// A span of time that may be none.
+/// A duration, which may be 0.
 pub const DURATION_MS: NumberRange = NumberRange::between(0.0, MAX_DURATION_MS);
-/// A span of time in which something has to fit.
+/// A duration above 0.
 pub const POSITIVE_DURATION_MS: NumberRange = NumberRange::above(0.0, MAX_DURATION_MS);
-/// Processor cores.
+/// Number of processor cores.
 pub const CORES: NumberRange = NumberRange::above(0.0, MAX_CORES);
-/// Memory that something has.
+/// Memory capacity.
 pub const MEMORY_KB: NumberRange = NumberRange::above(0.0, MAX_MEMORY_KB);
-/// Memory that something takes.
-pub(crate) const TAKEN_KB: NumberRange = NumberRange::between(0.0, MAX_MEMORY_KB);
-/// How many there are, in the mean.
+/// Memory usage, which may be 0.
+pub(crate) const USED_KB: NumberRange = NumberRange::between(0.0, MAX_MEMORY_KB);
+/// Mean number of items.
 pub(crate) const COUNT: NumberRange = NumberRange::between(0.0, MAX_COUNT);
-/// How many times as much.
+/// Positive factor.
 pub(crate) const FACTOR: NumberRange = NumberRange::above(0.0, MAX_FACTOR);
-/// How many times as much, and no less.
+/// Factor of at least 1.
 pub(crate) const MULTIPLE: NumberRange = NumberRange::between(1.0, MAX_FACTOR);
-/// How many times something is added; may be none.
-pub(crate) const STRETCH: NumberRange = NumberRange::between(0.0, MAX_FACTOR);
-/// What something is worth.
+/// Factor that may be 0.
+pub(crate) const FACTOR_OR_ZERO: NumberRange = NumberRange::between(0.0, MAX_FACTOR);
+/// Relative value of a request.
 pub(crate) const VALUE: NumberRange = NumberRange::between(0.0, MAX_VALUE);
-/// A part of a whole.
+/// Fraction of a whole.
 pub(crate) const FRACTION: NumberRange = NumberRange::between(0.0, 1.0);
-/// How often something comes a second.
+/// Rate per second.
 pub(crate) const RATE_PER_S: NumberRange = NumberRange::between(0.0, MAX_VALUE);
--- a/crates/plovershelf-settings/src/unique_keys.rs
+++ b/crates/plovershelf-settings/src/unique_keys.rs
@@ -1,4 +1,4 @@
-//! JSON in which no object has a key twice. Of two values the parser would keep the last and say nothing.
+//! JSON parser that rejects duplicate keys in an object. `serde_json` alone would silently keep the last value.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 /// Parses a document.
 ///
 /// # Errors
-/// Text that is no JSON, or an object with a key twice; with line and column.
+/// Fails for text that is not JSON or has an object with a duplicate key; the error has line and column.
 pub fn parse(text: &str) -> Result<Value, serde_json::Error> {
     serde_json::from_str::<UniqueKeys>(text).map(|document| document.0)
 }
--- a/crates/plovershelf-settings/tests/invalid_settings.rs
+++ b/crates/plovershelf-settings/tests/invalid_settings.rs
@@ -1,5 +1,5 @@
-//! Settings with nonsense in them: each key that is read and has a value that it can't have is named, and whatever is accepted
-//! can be served with.
+//! Invalid settings: each key that is read and has an invalid value is reported, and a backend can serve with all settings
+//! that are accepted.
 
 use plovershelf::api::Request;
 use plovershelf::Backend;
@@ -12,7 +12,7 @@
 const SEED: u64 = 0x5e77_1265;
 const DOCUMENTS: usize = 3000;
 
-fn whole() -> Value {
+fn valid_settings() -> Value {
     json!({
         "classes": [
             {"name": "quote", "aim_ms": 1800.0, "aim_stretch": 1.0, "deadline_ms": 4500.0, "dedup_window_ms": 5000.0,
@@ -33,14 +33,14 @@
     })
 }
 
-/// Values that a key can't have, whatever it is for; with those that only some can't have beside it.
-fn nonsense() -> Vec<Value> {
+/// Returns values that are invalid for nearly all keys.
+fn invalid_values() -> Vec<Value> {
     let mut values = vec![json!(null), json!({}), json!([[]]), json!(""), json!(-1), json!(1e308)];
     values.extend([json!("x"), json!(u64::MAX), json!(9_223_372_036_854_775_808u64), json!([{"a": "b"}])]);
     values
 }
 
-/// The pointers to all values of a document, with those that have others in them.
+/// Collects the JSON pointers to all values of a document, including objects and lists.
 fn pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     if !at.is_empty() {
         found.push(at.to_string());
@@ -50,7 +50,7 @@
             fields.iter().for_each(|(key, value)| pointers(value, &format!("{at}/{key}"), found));
         }
         Value::Array(rows) => {
-            let row = |(place, value)| pointers(value, &format!("{at}/{place}"), found);
+            let row = |(index, value)| pointers(value, &format!("{at}/{index}"), found);
             rows.iter().enumerate().for_each(row);
         }
         _ => {}
@@ -63,16 +63,16 @@
     found
 }
 
-/// `/classes/1/effect` as errors have it: `settings.classes[1].effect`.
+/// Converts a pointer such as `/classes/1/effect` to the path in errors: `settings.classes[1].effect`.
 fn path(pointer: &str) -> String {
     let steps = pointer.split('/').skip(1).map(|step| match step.parse::<usize>() {
-        Ok(place) => format!("[{place}]"),
+        Ok(index) => format!("[{index}]"),
         Err(_) => format!(".{step}"),
     });
     format!("settings{}", steps.collect::<String>())
 }
 
-/// Names may be any text; a gauge may be one that the backend does not read.
+/// Returns whether a value is valid after all: names and gauges may be any text, and some objects may be empty.
 fn is_allowed(pointer: &str, value: &Value) -> bool {
     let takes_any_text = pointer.ends_with("/name") || pointer.starts_with("/family_info/meters/");
     let takes_no_keys = ["/clients", "/policy_limits", "/rules"].contains(&pointer)
@@ -84,30 +84,30 @@
         || pointer == "/classes" && *value == json!([{"a": "b"}])
 }
 
-/// One value of the settings is a slip of whoever wrote them: the start must be refused with a line that names just that key.
+/// Guards against a start with an invalid value: the start must fail with a line that names the key.
 #[test]
-fn each_key_with_a_value_that_it_can_not_have_is_named() {
-    let whole = whole();
-    assert!(read_value(&whole, 1).is_ok_and(|startup| startup.warnings.is_empty()));
-    let mut refused = 0;
-    for pointer in all_pointers(&whole) {
-        for value in nonsense().into_iter().filter(|value| !is_allowed(&pointer, value)) {
-            let mut document = whole.clone();
+fn each_key_with_an_invalid_value_is_reported() {
+    let valid = valid_settings();
+    assert!(read_value(&valid, 1).is_ok_and(|startup| startup.warnings.is_empty()));
+    let mut rejected = 0;
+    for pointer in all_pointers(&valid) {
+        for value in invalid_values().into_iter().filter(|value| !is_allowed(&pointer, value)) {
+            let mut document = valid.clone();
             *document.pointer_mut(&pointer).expect("a value") = value.clone();
             let error = read_value(&document, 1).err().map(|error| error.to_string());
-            let error = error.unwrap_or_else(|| panic!("{pointer} = {value} was taken"));
+            let error = error.unwrap_or_else(|| panic!("{pointer} = {value} was accepted"));
             assert!(error.contains(&format!("\"{}", path(&pointer))), "{pointer} = {value}: {error}");
             assert!(!error.contains('\n'), "{error}");
-            refused += 1;
+            rejected += 1;
         }
     }
-    assert!(refused > 300, "{refused} refused");
+    assert!(rejected > 300, "{rejected} rejected");
 }
 
-/// Two slips in one document: both must be told at once.
+/// Guards against errors that are reported one at a time: two errors in a document must be reported together.
 #[test]
-fn all_errors_of_a_document_are_told_at_once() {
-    let mut document = whole();
+fn all_errors_of_a_document_are_reported_together() {
+    let mut document = valid_settings();
     document["classes"][1]["effect"] = json!("by_kye");
     document["rules"]["drain_grace_ms"] = json!("x");
     let error = read_value(&document, 1).err().expect("two errors").to_string();
@@ -118,26 +118,26 @@
     );
 }
 
-/// A keyed class without a window would run each retry anew: it must be refused.
+/// Guards against repeated execution: without a window, a keyed class would execute each retry again.
 #[test]
-fn keyed_class_without_a_window_is_refused() {
-    let mut document = whole();
+fn keyed_class_without_a_window_is_rejected() {
+    let mut document = valid_settings();
     document["classes"][1].as_object_mut().expect("a class").remove("dedup_window_ms");
-    let error = read_value(&document, 1).err().expect("no window").to_string();
+    let error = read_value(&document, 1).err().expect("a missing window").to_string();
     assert!(error.starts_with("\"settings.classes[1].dedup_window_ms\": missing:"), "{error}");
 }
 
-/// A key stands there twice, as after a careless merge: which of the two counts can't be known, so it must be named.
+/// Guards against a duplicate key, for example after a faulty merge: the intended value cannot be known.
 #[test]
-fn key_that_stands_twice_is_named() {
-    let text = whole().to_string().replacen(
+fn duplicate_key_is_reported() {
+    let text = valid_settings().to_string().replacen(
         "\"effect\":\"by_key\"",
         "\"effect\":\"by_key\",\"effect\":\"repeatable\"",
         1,
     );
-    let error = read(&text, 1).err().expect("a key twice").to_string();
+    let error = read(&text, 1).err().expect("a duplicate key").to_string();
     assert!(error.contains("key \"effect\" stands there twice at line 1 column"), "{error}");
-    assert!(read(&whole().to_string(), 1).is_ok());
+    assert!(read(&valid_settings().to_string(), 1).is_ok());
 }
 
 fn request(id: u32, class: usize) -> Request {
@@ -156,15 +156,15 @@
     }
 }
 
-/// Documents with several slips, values that are doubled, and parts left out: an error or a backend that serves, never a panic.
+/// Guards against panics: documents with several errors, duplicated values and missing parts are rejected or can be served.
 #[test]
-fn documents_of_any_kind_are_refused_or_served() {
+fn random_documents_are_rejected_or_served() {
     let mut random = Pcg64::seed_from_u64(SEED);
     let mut served = 0;
     for _ in 0..DOCUMENTS {
-        let mut document = whole();
+        let mut document = valid_settings();
         for _ in 0..random.random_range(1..4) {
-            change(&mut document, &mut random);
+            mutate(&mut document, &mut random);
         }
         let Ok(startup) = read(&document.to_string(), 1) else { continue };
         let (mut backend, _) = Backend::start(0.0, startup.config.clone());
@@ -176,16 +176,16 @@
     assert!(served > DOCUMENTS / 20, "{served} served");
 }
 
-fn change(document: &mut Value, random: &mut Pcg64) {
+fn mutate(document: &mut Value, random: &mut Pcg64) {
     let pointers = all_pointers(document);
     let Some(pointer) = pointers.choose(random) else { return };
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let value = document.pointer(pointer).cloned().expect("a value");
-    let changed = match random.random_range(0..4) {
+    let mutated = match random.random_range(0..4) {
         0 => {
             match document.pointer_mut(parent) {
                 Some(Value::Object(fields)) => drop(fields.remove(key)),
-                Some(Value::Array(rows)) => drop(rows.remove(key.parse().expect("a place"))),
+                Some(Value::Array(rows)) => drop(rows.remove(key.parse().expect("an index"))),
                 _ => {}
             }
             return;
@@ -197,7 +197,7 @@
             return;
         }
         2 => value.as_f64().map_or(value, |number| json!(number * 2.0)),
-        _ => nonsense().choose(random).cloned().expect("a value"),
+        _ => invalid_values().choose(random).cloned().expect("a value"),
     };
-    *document.pointer_mut(pointer).expect("a value") = changed;
+    *document.pointer_mut(pointer).expect("a value") = mutated;
 }
--- a/crates/plovershelf-settings/tests/settings.rs
+++ b/crates/plovershelf-settings/tests/settings.rs
@@ -1,19 +1,20 @@
-//! Settings as the host hands them over: the words, the defaults, and what is said of settings that can't be
-//! used.
+//! Settings as passed by the host: keywords, defaults, and error messages of invalid settings.
 
 use plovershelf::api::{BackpressureSignal, Cancellation, Idempotency};
 use plovershelf_settings::{read, shares_a_dependency};
 
 fn error_text(settings: &str) -> String {
-    read(settings, 7).err().expect("settings that can't be used").to_string()
+    read(settings, 7).err().expect("invalid settings").to_string()
 }
 
-fn with(own: &str) -> String {
-    format!(r#"{{"classes": [{{"name": "x"}}], "family_info": {{"cores": 1, "memory_kb": 1, {own}}}}}"#)
+fn settings_with(family_info: &str) -> String {
+    format!(
+        r#"{{"classes": [{{"name": "x"}}], "family_info": {{"cores": 1, "memory_kb": 1, {family_info}}}}}"#
+    )
 }
 
 #[test]
-fn settings_that_can_not_be_used_are_named() {
+fn invalid_settings_are_reported_by_key() {
     assert!(error_text("{").starts_with("settings don't parse: EOF while parsing"));
     assert_eq!(error_text("[]"), "\"settings\": []: an object");
     assert_eq!(
@@ -30,9 +31,9 @@
 }
 
 #[test]
-fn each_word_has_its_meaning_and_an_unknown_one_is_refused() {
+fn each_keyword_has_its_meaning_and_an_unknown_one_is_rejected() {
     let cancellation = |word: &str| {
-        let startup = read(&with(&format!(r#""halt": "{word}""#)), 7).ok()?;
+        let startup = read(&settings_with(&format!(r#""halt": "{word}""#)), 7).ok()?;
         Some(startup.config.cancellation)
     };
     assert_eq!(
@@ -40,7 +41,7 @@
         [Some(Cancellation::Abort), Some(Cancellation::Pause), Some(Cancellation::Unsupported), None]
     );
     let backpressure = |word: &str| {
-        let startup = read(&with(&format!(r#""signal": "{word}""#)), 7).ok()?;
+        let startup = read(&settings_with(&format!(r#""signal": "{word}""#)), 7).ok()?;
         Some(startup.config.backpressure)
     };
     assert_eq!(
@@ -65,9 +66,9 @@
 }
 
 #[test]
-fn a_share_of_the_dependency_is_read_only_where_it_is_shared() {
+fn the_share_of_the_dependency_is_read_only_if_it_is_shared() {
     let share = |below: &str| {
-        let text = with(&format!(r#""below": "{below}", "dep_share": 2.5"#));
+        let text = settings_with(&format!(r#""below": "{below}", "dep_share": 2.5"#));
         let shared = shares_a_dependency(&serde_json::from_str(&text).expect("JSON"));
         (shared, read(&text, 7).expect("settings").config.dependency_share)
     };
@@ -76,9 +77,10 @@
 
 #[test]
 fn gauges_are_read_in_the_order_of_the_settings() {
-    let startup = read(&with(r#""meters": ["mem_used", "runnable", "cpu_busy"]"#), 7).expect("settings");
+    let startup =
+        read(&settings_with(r#""meters": ["mem_used", "runnable", "cpu_busy"]"#), 7).expect("settings");
     let gauges = startup.gauges([0.1, 3.0, 0.7]);
     assert_eq!((gauges.cores_busy, gauges.runnable), (Some(0.7), Some(3.0)));
-    let cut_short = startup.gauges([0.1]);
-    assert_eq!((cut_short.cores_busy, cut_short.runnable), (None, None));
+    let partial = startup.gauges([0.1]);
+    assert_eq!((partial.cores_busy, partial.runnable), (None, None));
 }
