--- a/crates/plovershelf-simulator-adapter/src/action.rs
+++ b/crates/plovershelf-simulator-adapter/src/action.rs
@@ -1,5 +1,5 @@
-//! Actions as the simulator reads them, out of what the decisions return. An action's fields follow its code
-//! and the number of its instance.
+//! Encodes the effects of decisions as actions for the simulator. The fields of an action follow its code and the
+//! instance number.
 
 use plovershelf::api::{Announcements, Completion, Effects, RequestState, Timer, Transition};
 
@@ -20,10 +20,10 @@
 const SET_TIMER: u16 = 268;
 const LOG: u16 = 269;
 
-/// Health checks are answered from the setting alone.
+/// Marks that health checks are answered only from the value that was set.
 const ANSWERED_FROM_SETTING: u8 = 1;
 
-/// Writes effects of one instance, in their order.
+/// Encodes the effects of one instance in their order.
 pub(crate) fn encode(instance: u32, effects: Effects, reply: &mut Reply) {
     for transition in effects.transitions {
         encode_transition(instance, transition, reply);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The answer, where there is one to give: the result of an execution leaves by itself.
+/// Encodes the response if there is one to send: the host sends the result of an execution by itself.
 fn encode_completion(action: impl Fn(u16) -> ActionRecord, completion: Completion, reply: &mut Reply) {
     match completion {
         Completion::Rejected { retry_after_ms, retry_elsewhere } => {
--- a/crates/plovershelf-simulator-adapter/src/error.rs
+++ b/crates/plovershelf-simulator-adapter/src/error.rs
@@ -1,11 +1,11 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 
 use std::io;
 
 use plovershelf_settings::SettingsError;
 use thiserror::Error;
 
-/// A frame that can't be read, or a reply that can't be written.
+/// Error while reading a frame or writing a reply.
 #[derive(Debug, Error)]
 pub(crate) enum FrameError {
     #[error("reading a frame's length: {0}")]
@@ -26,7 +26,7 @@
     WriteReply(#[source] io::Error),
 }
 
-/// A record that makes no sense. Records count from 0 within their frame.
+/// Error in a record. Records are numbered from 0 within their frame.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
     #[error("record {record}: text at {start} of {length} bytes lies outside the tail of {tail}")]
@@ -43,7 +43,7 @@
     UnknownEvent { record: usize, code: u16 },
 }
 
-/// Why the adapter stops before its input ends.
+/// Error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     #[error(transparent)]
--- a/crates/plovershelf-simulator-adapter/src/event.rs
+++ b/crates/plovershelf-simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Events as the simulator writes them. An event's fields follow its code and the number of its instance.
+//! Decodes the simulator's events. The fields of an event follow its code and the instance number.
 
 use plovershelf::api::{CallOutcome, Request, RunOutcome, Timer};
 
@@ -15,7 +15,7 @@
 const RUN_ENDED: u16 = 263;
 const CALL_REQUESTED: u16 = 264;
 
-/// How executions and calls end.
+/// Outcome codes of executions and calls.
 const OUTCOME_OK: u16 = 0;
 const OUTCOME_CANCELLED: u16 = 1;
 const OUTCOME_TIMEOUT: u16 = 4;
@@ -28,19 +28,19 @@
 const OPTION_MARKED_RETRY: u8 = 2;
 const OPTION_WRITES: u8 = 4;
 
-/// Most gauges that a timer event holds.
+/// Maximum number of gauges in a timer event.
 const MAX_GAUGES: usize = 4;
-/// Tokens that timers are set with, and that come back when they fire.
+/// Tokens with which timers are set, and which are returned when they fire.
 pub(crate) const PERIODIC_TOKEN: u32 = 1;
 pub(crate) const DEADLINE_TOKEN: u32 = 2;
 
-/// A process starts, with its settings and the seed of its random numbers.
+/// Start of a process, with its settings and the seed of its random numbers.
 pub(crate) struct ProcessStart<'a> {
     pub(crate) seed: u64,
     pub(crate) settings: &'a str,
 }
 
-/// What happened to the process or to one of its requests.
+/// An event of a process or of one of its requests.
 pub(crate) enum Event {
     RequestRead(Request),
     ClientGone { id: u32 },
@@ -60,7 +60,7 @@
     record.u32(2)
 }
 
-/// The start of a process; none where the record is another event.
+/// Decodes the start of a process; `None` if the record is another event.
 pub(crate) fn process_start<'a>(record: &Record<'a>) -> Result<Option<ProcessStart<'a>>, RecordError> {
     if code(record) != PROCESS_STARTED {
         return Ok(None);
@@ -79,7 +79,7 @@
         TIMER_FIRED => Event::TimerFired { timer: timer(record.u32(6)), gauges: gauges(record) },
         DRAIN_NOTICE => Event::DrainNotice { stop_ms: record.f64(6) },
         PROCESS_ENDED => Event::ProcessEnded,
-        code => return Err(RecordError::UnknownEvent { record: record.place, code }),
+        code => return Err(RecordError::UnknownEvent { record: record.index, code }),
     })
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// The wire has 0 for what is absent.
+/// Decodes an optional value, which the wire format encodes as 0 if absent.
 fn present(value: f64) -> Option<f64> {
     (value > 0.0).then_some(value)
 }
@@ -135,5 +135,5 @@
 
 fn gauges(record: &Record<'_>) -> [Option<f64>; MAX_GAUGES] {
     let count = usize::from(record.u8(10));
-    std::array::from_fn(|place| (place < count).then(|| record.f32(11 + 4 * place)))
+    std::array::from_fn(|index| (index < count).then(|| record.f32(11 + 4 * index)))
 }
--- a/crates/plovershelf-simulator-adapter/src/frame.rs
+++ b/crates/plovershelf-simulator-adapter/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames of the wire: a length, a header, records of a fixed size and a tail that the records refer to. All
-//! numbers are little-endian.
+//! Frames of the wire format: a length, a header, fixed-size records, and a tail with data that the records refer to.
+//! All numbers are little-endian.
 
 use std::io::{Read, Write};
 
@@ -7,14 +7,14 @@
 
 pub(crate) const EVENT_BYTES: usize = 64;
 pub(crate) const ACTION_BYTES: usize = 24;
-/// Clock and number of records.
+/// Size of the batch header: clock and number of records.
 const BATCH_HEADER_BYTES: usize = 12;
-/// Number of records.
+/// Size of the reply header: number of records.
 const REPLY_HEADER_BYTES: usize = 4;
-/// No batch is near this size; a length beyond it is a malformed frame.
+/// Maximum frame length. Batches are far smaller, so a greater length is a malformed frame.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
-/// The events of one point of time.
+/// Events of one point in time.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub(crate) now_ms: f64,
@@ -22,16 +22,16 @@
     records: usize,
 }
 
-/// One event record, with the tail that it refers to.
+/// One event record, and the tail that it refers to.
 #[derive(Clone, Copy)]
 pub(crate) struct Record<'a> {
     bytes: &'a [u8],
     tail: &'a [u8],
-    /// Its place in the frame.
-    pub(crate) place: usize,
+    /// Index of the record in the frame.
+    pub(crate) index: usize,
 }
 
-/// Reads one batch; none where the input ended between frames.
+/// Reads one batch; returns `None` if the input ended between frames.
 pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
     let Some(length) = read_length(input)? else { return Ok(None) };
     let mut body = Vec::new();
@@ -65,14 +65,14 @@
 }
 
 fn field<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
-    bytes[offset..offset + N].try_into().expect("as many bytes as the range has")
+    bytes[offset..offset + N].try_into().expect("a slice of N bytes")
 }
 
 impl Batch {
     pub(crate) fn records(&self) -> impl Iterator<Item = Record<'_>> {
         let (records, tail) = self.body[BATCH_HEADER_BYTES..].split_at(self.records * EVENT_BYTES);
         let records = records.chunks_exact(EVENT_BYTES).enumerate();
-        records.map(move |(place, bytes)| Record { bytes, tail, place })
+        records.map(move |(index, bytes)| Record { bytes, tail, index })
     }
 }
 
@@ -101,18 +101,18 @@
         f64::from_le_bytes(field(self.bytes, offset))
     }
 
-    /// Text in the tail, of which the record holds the start and the length.
+    /// Returns text from the tail; the record has its start and length at `offset`.
     pub(crate) fn text(&self, offset: usize) -> Result<&'a str, RecordError> {
         let start = self.u32(offset) as usize;
         let length = self.u32(offset + 4) as usize;
-        let (record, tail) = (self.place, self.tail.len());
+        let (record, tail) = (self.index, self.tail.len());
         let bytes = start.checked_add(length).and_then(|end| self.tail.get(start..end));
         let bytes = bytes.ok_or(RecordError::TextOutsideTail { record, start, length, tail })?;
         std::str::from_utf8(bytes).map_err(|_| RecordError::TextNotUtf8 { record })
     }
 }
 
-/// One action record as it is filled in.
+/// An action record under construction.
 pub(crate) struct ActionRecord {
     bytes: [u8; ACTION_BYTES],
 }
@@ -128,7 +128,7 @@
     }
 }
 
-/// A reply as it grows.
+/// A reply under construction.
 #[derive(Default)]
 pub(crate) struct Reply {
     records: Vec<u8>,
@@ -140,7 +140,7 @@
         self.records.extend_from_slice(&action.bytes);
     }
 
-    /// Adds an action that refers to a text at the given place of its record.
+    /// Adds an action with a text in the tail, whose start and length are stored at `offset`.
     pub(crate) fn push_with_text(&mut self, action: ActionRecord, offset: usize, text: &str) {
         let start = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
@@ -148,7 +148,7 @@
         self.push(action.with(offset, start.to_le_bytes()).with(offset + 4, length.to_le_bytes()));
     }
 
-    /// The reply's frame.
+    /// Returns the encoded frame of the reply.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         let length = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         let records = self.records.len() / ACTION_BYTES;
@@ -161,7 +161,7 @@
     }
 }
 
-/// Writes a reply and has it leave at once: the simulator waits for it.
+/// Writes a reply and flushes it, because the simulator waits for it.
 pub(crate) fn write_reply(output: &mut impl Write, reply: &[u8]) -> Result<(), FrameError> {
     output.write_all(reply).and_then(|()| output.flush()).map_err(FrameError::WriteReply)
 }
--- a/crates/plovershelf-simulator-adapter/src/host.rs
+++ b/crates/plovershelf-simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The backends of one process, kept apart by the number of their instance.
+//! Backends of this process, by instance number.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
     startup: Startup,
 }
 
-/// All backends that this process hosts.
+/// All backends hosted by this process.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
 }
 
 impl Host {
-    /// Hands a batch's events to their backends; returns the frame of the reply.
+    /// Passes the events of a batch to their backends; returns the encoded reply.
     pub(crate) fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, RecordError> {
         let mut reply = Reply::default();
         for record in batch.records() {
@@ -39,7 +39,7 @@
             return self.start(now_ms, start, record);
         }
         let unknown = || RecordError::UnknownInstance {
-            record: record.place,
+            record: record.index,
             code: event::code(record),
             instance: number,
         };
@@ -63,7 +63,7 @@
     ) -> Result<Effects, RecordError> {
         let instance = event::instance(record);
         let startup = plovershelf_settings::read(start.settings, start.seed)
-            .map_err(|source| RecordError::Settings { record: record.place, instance, source })?;
+            .map_err(|source| RecordError::Settings { record: record.index, instance, source })?;
         let (backend, effects) = Backend::start(now_ms, startup.config.clone());
         self.instances.insert(instance, Instance { backend, startup });
         Ok(effects)
@@ -73,12 +73,12 @@
 impl Instance {
     fn check_class(&self, request: &Request, record: &Record<'_>) -> Result<(), RecordError> {
         if request.class >= self.startup.classes.len() {
-            return Err(RecordError::UnknownClass { record: record.place, class: request.class });
+            return Err(RecordError::UnknownClass { record: record.index, class: request.class });
         }
         Ok(())
     }
 
-    /// What the backend answers to an event; nothing where its process ended.
+    /// Returns the backend's effects of an event, or `None` if its process ended.
     fn handle_event(&mut self, now_ms: f64, event: Event) -> Option<Effects> {
         let backend = &mut self.backend;
         Some(match event {
--- a/crates/plovershelf-simulator-adapter/src/host/tests.rs
+++ b/crates/plovershelf-simulator-adapter/src/host/tests.rs
@@ -15,13 +15,13 @@
     record
 }
 
-fn with(mut record: Vec<u8>, offset: usize, bytes: &[u8]) -> Vec<u8> {
+fn with_bytes(mut record: Vec<u8>, offset: usize, bytes: &[u8]) -> Vec<u8> {
     record[offset..offset + bytes.len()].copy_from_slice(bytes);
     record
 }
 
 fn init(instance: u32) -> Vec<u8> {
-    with(record(262, instance), 18, &(SETTINGS.len() as u32).to_le_bytes())
+    with_bytes(record(262, instance), 18, &(SETTINGS.len() as u32).to_le_bytes())
 }
 
 fn frame(now_ms: f64, records: &[Vec<u8>], tail: &str) -> Vec<u8> {
@@ -34,40 +34,40 @@
     bytes
 }
 
-fn play(host: &mut Host, bytes: &[u8]) -> Result<Vec<u8>, AdapterError> {
+fn handle(host: &mut Host, bytes: &[u8]) -> Result<Vec<u8>, AdapterError> {
     let batch = read_batch(&mut &bytes[..])?.expect("a frame");
     Ok(host.handle_batch(&batch)?)
 }
 
 fn error_text(bytes: &[u8]) -> String {
-    play(&mut Host::default(), bytes).expect_err("bad input is refused").to_string()
+    handle(&mut Host::default(), bytes).expect_err("invalid input").to_string()
 }
 
 #[test]
-fn a_request_is_executed_in_the_reply_to_its_reading() {
+fn a_request_is_executed_in_the_reply_to_its_batch() {
     let mut host = Host::default();
-    let work = with(with(record(258, 3), 6, &77u32.to_le_bytes()), 40, &10f32.to_le_bytes());
-    let reply = play(&mut host, &frame(5.0, &[init(3), work], SETTINGS)).expect("a reply");
+    let work = with_bytes(with_bytes(record(258, 3), 6, &77u32.to_le_bytes()), 40, &10f32.to_le_bytes());
+    let reply = handle(&mut host, &frame(5.0, &[init(3), work], SETTINGS)).expect("a reply");
     let codes: Vec<u16> = reply[8..].chunks(24).map(|a| u16::from_le_bytes([a[0], a[1]])).collect();
     assert_eq!(codes, [265, 268, 256, 268]);
     assert_eq!(reply[8 + 48..8 + 58], [0, 1, 3, 0, 0, 0, 77, 0, 0, 0]);
-    let finished = with(record(263, 3), 6, &77u32.to_le_bytes());
-    let reply = play(&mut host, &frame(50.0, &[finished.clone(), finished], "")).expect("a reply");
+    let finished = with_bytes(record(263, 3), 6, &77u32.to_le_bytes());
+    let reply = handle(&mut host, &frame(50.0, &[finished.clone(), finished], "")).expect("a reply");
     assert_eq!(reply, [4, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
-    let reply = play(&mut Host::default(), &frame(1.0, &[], "")).expect("a reply");
+    let reply = handle(&mut Host::default(), &frame(1.0, &[], "")).expect("a reply");
     assert_eq!(reply, [4, 0, 0, 0, 0, 0, 0, 0]);
     assert!(read_batch(&mut &[][..]).expect("no error").is_none());
 }
 
 #[test]
-fn short_and_oversized_frames_are_refused() {
-    let whole = frame(1.0, &[record(257, 1)], "");
-    assert!(error_text(&whole[..40]).contains("inside a frame"));
-    assert!(error_text(&whole[..2]).contains("length"));
+fn truncated_and_oversized_frames_are_rejected() {
+    let complete = frame(1.0, &[record(257, 1)], "");
+    assert!(error_text(&complete[..40]).contains("inside a frame"));
+    assert!(error_text(&complete[..2]).contains("length"));
     assert!(error_text(&u32::MAX.to_le_bytes()).contains("out of range"));
     let mut records = frame(1.0, &[], "");
     records[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
@@ -75,24 +75,24 @@
 }
 
 #[test]
-fn unknown_codes_and_instances_are_named() {
+fn unknown_codes_and_instances_are_reported() {
     assert!(error_text(&frame(1.0, &[init(3), record(999, 3)], SETTINGS)).contains("unknown event code 999"));
     assert!(error_text(&frame(1.0, &[record(257, 8)], "")).contains("instance 8"));
-    let class = with(record(258, 3), 10, &9u16.to_le_bytes());
+    let class = with_bytes(record(258, 3), 10, &9u16.to_le_bytes());
     assert!(error_text(&frame(1.0, &[init(3), class], SETTINGS)).contains("class 9"));
 }
 
 #[test]
-fn bad_references_and_settings_are_named() {
+fn invalid_references_and_settings_are_reported() {
     assert!(error_text(&frame(1.0, &[init(3)], "{}")).contains("outside the tail"));
-    let far = with(init(3), 14, &u32::MAX.to_le_bytes());
-    assert!(error_text(&frame(1.0, &[far], SETTINGS)).contains("outside the tail"));
-    let broken = "x".repeat(SETTINGS.len());
-    assert!(error_text(&frame(1.0, &[init(3)], &broken)).contains("don't parse"));
+    let out_of_range = with_bytes(init(3), 14, &u32::MAX.to_le_bytes());
+    assert!(error_text(&frame(1.0, &[out_of_range], SETTINGS)).contains("outside the tail"));
+    let invalid = "x".repeat(SETTINGS.len());
+    assert!(error_text(&frame(1.0, &[init(3)], &invalid)).contains("don't parse"));
 }
 
 #[test]
-fn errors_name_the_record_and_what_is_wrong_with_it() {
+fn errors_name_the_record_and_its_fault() {
     let length = SETTINGS.len();
     let outside = format!("record 0: text at 0 of {length} bytes lies outside the tail of 2");
     let texts = [
--- a/crates/plovershelf-simulator-adapter/src/main.rs
+++ b/crates/plovershelf-simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! Hosts backends on the simulator's wire: batches of events in on standard input, one reply each on standard
+//! Hosts backends for the simulator: reads batches of events from standard input and writes one reply each to standard
 //! output.
 //!
-//! - `action`: what the decisions return, as actions of the wire.
-//! - `error`: why the adapter stops.
-//! - `event`: events of the wire, as inputs of the decisions.
-//! - `frame`: frames and records.
-//! - `host`: the backends of this process, by instance.
+//! - `action`: encodes the effects of decisions as actions of the wire format.
+//! - `error`: errors that stop the adapter.
+//! - `event`: decodes events of the wire format.
+//! - `frame`: reads and writes frames and records.
+//! - `host`: the backends of this process, by instance number.
 
 mod action;
 mod error;
