--- a/crates/plovershelf-config/src/config_distribution.rs
+++ b/crates/plovershelf-config/src/config_distribution.rs
@@ -1,5 +1,5 @@
-//! Files of configuration distribution: a listener's `changes.ini`, the section `[changes]` of an origin's `group.ini`, the list
-//! of tenants that all start from, and a change that is to be proposed.
+//! Files of configuration distribution: a listener's `changes.ini`, the section `[changes]` of an origin's `group.ini`, the
+//! initial list of tenants, and a change to be proposed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,60 +8,60 @@
 use ini::Properties;
 use plovershelf_config_distribution::{DistributionConfig, Edit, QuotaTable, MAX_QUOTA_PER_S, MAX_TENANTS};
 
-use crate::{Reading, Wrong};
+use crate::{FileParser, Wrong};
 
-/// All of a listener's file, checked.
+/// Contents of a valid listener's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Where it is reached.
+    /// Address at which the listener is reached.
     pub listen: SocketAddr,
-    /// The zone it runs in.
+    /// Zone in which the listener runs.
     pub zone: String,
-    /// The region of the zone.
+    /// Region of the zone.
     pub region: String,
-    /// Where origins are reached.
+    /// Addresses of the origins.
     pub origins: Vec<SocketAddr>,
     /// Intervals, timeouts and fan-outs.
     pub config: DistributionConfig,
 }
 
-/// The section of an origin's file, checked.
+/// Contents of a valid section of an origin's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Origin {
-    /// Where it is reached by listeners and other origins.
+    /// Address at which listeners and other origins reach this origin.
     pub listen: SocketAddr,
-    /// Where the other origins are.
+    /// Addresses of the other origins.
     pub origins: Vec<SocketAddr>,
-    /// The file with the list of tenants that all start from.
+    /// File with the initial list of tenants, the same at all origins.
     pub tenants: Option<PathBuf>,
     /// Intervals, timeouts and fan-outs.
     pub config: DistributionConfig,
 }
 
-/// Why the list of tenants can't be used.
+/// Error of the initial list of tenants.
 #[derive(Debug, thiserror::Error)]
 pub enum InitialTableError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// All that is wrong with it.
+    /// The file is invalid; the error lists all of its errors.
     #[error("{0}")]
     Invalid(Wrong),
 }
 
 impl Origin {
-    /// What is in force before any change.
+    /// Reads the table of quotas that applies before any change.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the file that `tenants` names.
+    /// Fails if the file named by `tenants` cannot be read, and returns all errors of an invalid file.
     pub fn initial_table(&self) -> Result<QuotaTable, InitialTableError> {
         let Some(path) = &self.tenants else { return Ok(QuotaTable::default()) };
         let shown = path.to_string_lossy();
@@ -96,78 +96,85 @@
     "spare_check_ms",
 ];
 pub(crate) const SECTION: &str = "changes";
-/// Origins in a file, at most.
+/// Maximum number of origins in a file.
 const MAX_ORIGINS: usize = 7;
-/// Bytes of a list of tenants, at most.
+/// Maximum length of a list of tenants in bytes.
 const MAX_LIST_BYTES: usize = 16 << 20;
 
 /// Reads the text of a listener's file.
 ///
-/// Errors: all that is wrong with the file.
+/// # Errors
+/// Returns all errors of the file.
 pub fn read(file: &str, text: &str) -> Result<Listener, Wrong> {
-    let (mut reading, ini) = Reading::of(file, text)?;
+    let (mut parser, ini) = FileParser::new(file, text)?;
     let mut listener = None;
-    for (section, told) in ini.iter() {
+    for (section, properties) in ini.iter() {
         match section {
-            None => reading.outside(told, "[changes]"),
+            None => parser.report_keys_outside_sections(properties, "[changes]"),
             Some(SECTION) if listener.is_none() => {
-                reading.check_keys(SECTION, told, &LISTENER_KEYS);
+                parser.check_keys(SECTION, properties, &LISTENER_KEYS);
                 let mut word =
-                    |key: &str, otherwise: Option<&str>| reading.word(SECTION, told, key, otherwise);
+                    |key: &str, default: Option<&str>| parser.word(SECTION, properties, key, default);
                 let (cluster, zone) = (word("name", None), word("zone", None));
                 let region = word("region", Some("region"));
-                let (listen, origins) = addresses(&mut reading, told);
+                let (listen, origins) = addresses(&mut parser, properties);
                 if origins.is_empty() {
-                    reading
-                        .say(SECTION, "sources is missing: ADDRESS:PORT of each source, with commas between");
+                    parser.report(
+                        SECTION,
+                        "sources is missing: ADDRESS:PORT of each source, with commas between",
+                    );
                 }
-                let config = distribution_config(&mut reading, told);
+                let config = distribution_config(&mut parser, properties);
                 listener = Some(Listener { cluster, listen, zone, region, origins, config });
             }
-            Some(SECTION) => reading.say(SECTION, "stands there twice"),
-            Some(section) => reading.say(section, "is no section here; [changes] is"),
+            Some(SECTION) => parser.report(SECTION, "stands there twice"),
+            Some(section) => parser.report(section, "is no section here; [changes] is"),
         }
     }
     match listener {
-        Some(listener) => reading.done(listener),
+        Some(listener) => parser.finish(listener),
         None => {
-            reading.say(SECTION, "is missing");
-            Err(Wrong(reading.wrong))
+            parser.report(SECTION, "is missing");
+            Err(Wrong(parser.errors))
         }
     }
 }
 
-/// Reads the section of an origin.
-pub(crate) fn origin(reading: &mut Reading<'_>, told: &Properties) -> Origin {
-    reading.check_keys(SECTION, told, &ORIGIN_KEYS);
-    let (listen, origins) = addresses(reading, told);
-    let tenants = reading.path(SECTION, told, "tenants");
-    Origin { listen, origins, tenants, config: distribution_config(reading, told) }
+/// Reads the section `[changes]` of an origin.
+pub(crate) fn origin(parser: &mut FileParser<'_>, properties: &Properties) -> Origin {
+    parser.check_keys(SECTION, properties, &ORIGIN_KEYS);
+    let (listen, origins) = addresses(parser, properties);
+    let tenants = parser.path(SECTION, properties, "tenants");
+    Origin { listen, origins, tenants, config: distribution_config(parser, properties) }
 }
 
-fn addresses(reading: &mut Reading<'_>, told: &Properties) -> (SocketAddr, Vec<SocketAddr>) {
-    let listen = reading.reached_at(SECTION, told, "listen");
+fn addresses(parser: &mut FileParser<'_>, properties: &Properties) -> (SocketAddr, Vec<SocketAddr>) {
+    let listen = parser.advertised_address(SECTION, properties, "listen");
     let mut origins: Vec<SocketAddr> = Vec::new();
-    for word in told.get("sources").unwrap_or("").split(',').map(str::trim).filter(|word| !word.is_empty()) {
+    for word in
+        properties.get("sources").unwrap_or("").split(',').map(str::trim).filter(|word| !word.is_empty())
+    {
         match word.parse() {
-            Ok(at) if origins.contains(&at) => reading.say(SECTION, &format!("sources names {word} twice")),
-            Ok(at) => origins.push(at),
+            Ok(address) if origins.contains(&address) => {
+                parser.report(SECTION, &format!("sources names {word} twice"))
+            }
+            Ok(address) => origins.push(address),
             Err(_) => {
-                reading.say(SECTION, &format!("sources: {word:?}: ADDRESS:PORT, with commas between"));
+                parser.report(SECTION, &format!("sources: {word:?}: ADDRESS:PORT, with commas between"));
             }
         }
     }
     if origins.len() > MAX_ORIGINS {
-        reading.say(SECTION, &format!("sources names {}: {MAX_ORIGINS} at most", origins.len()));
+        parser.report(SECTION, &format!("sources names {}: {MAX_ORIGINS} at most", origins.len()));
     }
     (listen, origins)
 }
 
-fn distribution_config(reading: &mut Reading<'_>, told: &Properties) -> DistributionConfig {
+fn distribution_config(parser: &mut FileParser<'_>, properties: &Properties) -> DistributionConfig {
     let mut config = DistributionConfig::default();
     let mut number =
-        |key: &str, range: [f64; 2], otherwise: f64| reading.number(SECTION, told, key, range, otherwise);
-    // Those that lost their parent may double it.
+        |key: &str, range: [f64; 2], default: f64| parser.number(SECTION, properties, key, range, default);
+    // The fan-out may double after failures, to adopt listeners that lost their parent.
     let fan_outs = |number: f64| (number as usize, 2 * number as usize);
     (config.fan_out, config.failover_fan_out) =
         fan_outs(number("fan_out", [1.0, 64.0], config.fan_out as f64));
@@ -182,75 +189,79 @@
     config.child_timeout_ms = config.child_timeout_ms.max(config.aggregate_interval_ms * 2.5);
     config.stale_after_ms = config.stale_after_ms.max(config.heartbeat_interval_ms * 5.0);
     if config.heartbeat_interval_ms * 2.0 > silent_ms {
-        reading
-            .say(SECTION, "beat_ms is more than half of silent_ms: one beat lost would have a parent left");
+        parser.report(
+            SECTION,
+            "beat_ms is more than half of silent_ms: one beat lost would have a parent left",
+        );
     }
     config
 }
 
-/// A list NAME = quota a second, as what all begin from.
+/// Reads the initial list of tenants, lines of NAME = requests per second.
 ///
-/// Errors: all that is wrong with the file.
+/// # Errors
+/// Returns all errors of the file, or the first of them if there are very many.
 pub fn tenants(file: &str, text: &str) -> Result<QuotaTable, Wrong> {
-    let (mut reading, ini) = Reading::up_to(file, text, MAX_LIST_BYTES)?;
+    let (mut parser, ini) = FileParser::with_max_bytes(file, text, MAX_LIST_BYTES)?;
     let mut list: BTreeMap<Box<str>, f64> = BTreeMap::new();
-    for (section, told) in ini.iter() {
+    for (section, properties) in ini.iter() {
         match section {
-            None => reading.outside(told, "[tenants]"),
+            None => parser.report_keys_outside_sections(properties, "[tenants]"),
             Some("tenants") => {
-                for (name, value) in told.iter() {
-                    let quota = reading.quota("tenants", name, value);
+                for (name, value) in properties.iter() {
+                    let quota = parser.quota("tenants", name, value);
                     if list.insert(name.into(), quota.unwrap_or(0.0)).is_some() {
-                        reading.say("tenants", &format!("{name} stands there twice"));
+                        parser.report("tenants", &format!("{name} stands there twice"));
                     }
                 }
             }
-            Some(section) => reading.say(section, "is no section here; [tenants] is"),
+            Some(section) => parser.report(section, "is no section here; [tenants] is"),
         }
-        if reading.wrong.len() > MAX_ERRORS_TOLD {
+        if parser.errors.len() > MAX_REPORTED_ERRORS {
             break;
         }
     }
     if list.len() > MAX_TENANTS {
-        reading.say("tenants", &format!("names {}: {MAX_TENANTS} at most", list.len()));
-        return Err(Wrong(reading.wrong));
+        parser.report("tenants", &format!("names {}: {MAX_TENANTS} at most", list.len()));
+        return Err(Wrong(parser.errors));
     }
     let table = match QuotaTable::initial(list) {
         Ok(table) => table,
-        Err(why) => {
-            reading.say("tenants", &why.to_string());
+        Err(error) => {
+            parser.report("tenants", &error.to_string());
             QuotaTable::default()
         }
     };
-    reading.done(table)
+    parser.finish(table)
 }
 
-/// Errors that are told of a list that is all wrong, at most.
-const MAX_ERRORS_TOLD: usize = 64;
+/// Number of errors after which no further section of a list is read.
+const MAX_REPORTED_ERRORS: usize = 64;
 
-/// A change as a file tells it: `[set]` and `[add]` with NAME = quota a second, `[remove]` with NAME =.
+/// Reads a change from a file: `[set]` and `[add]` with NAME = requests per second, `[remove]` with NAME =.
 ///
-/// Errors: all that is wrong with the file. Whether tenants are known is found where it is proposed.
+/// # Errors
+/// Returns all errors of the file. Whether the tenants exist is checked when the change is proposed.
 pub fn edits(file: &str, text: &str) -> Result<Vec<Edit>, Wrong> {
-    let (mut reading, ini) = Reading::of(file, text)?;
+    let (mut parser, ini) = FileParser::new(file, text)?;
     let mut edits: Vec<Edit> = Vec::new();
-    for (section, told) in ini.iter() {
+    for (section, properties) in ini.iter() {
         let Some(section) = section else {
-            reading.outside(told, "[set], [add] or [remove]");
+            parser.report_keys_outside_sections(properties, "[set], [add] or [remove]");
             continue;
         };
-        for (name, value) in told.iter() {
+        for (name, value) in properties.iter() {
             let tenant = name.to_string();
             let edit = match section {
                 "set" => {
-                    reading.quota(section, name, value).map(|quota_per_s| Edit::Set { tenant, quota_per_s })
+                    parser.quota(section, name, value).map(|quota_per_s| Edit::Set { tenant, quota_per_s })
                 }
                 "add" => {
-                    reading.quota(section, name, value).map(|quota_per_s| Edit::Add { tenant, quota_per_s })
+                    parser.quota(section, name, value).map(|quota_per_s| Edit::Add { tenant, quota_per_s })
                 }
                 "remove" if value.trim().is_empty() => Some(Edit::Remove { tenant }),
                 "remove" => {
-                    reading.say(section, &format!("{name} = {value:?}: NAME = and nothing after it"));
+                    parser.report(section, &format!("{name} = {value:?}: NAME = and nothing after it"));
                     None
                 }
                 _ => None,
@@ -258,22 +269,22 @@
             edits.extend(edit);
         }
         if !["set", "add", "remove"].contains(&section) {
-            reading.say(section, "is no section here; [set], [add] and [remove] are");
+            parser.report(section, "is no section here; [set], [add] and [remove] are");
         }
     }
-    if edits.is_empty() && reading.wrong.is_empty() {
-        reading.say("set", "nothing is changed: [set], [add] or [remove] name tenants");
+    if edits.is_empty() && parser.errors.is_empty() {
+        parser.report("set", "nothing is changed: [set], [add] or [remove] name tenants");
     }
-    reading.done(edits)
+    parser.finish(edits)
 }
 
-impl Reading<'_> {
+impl FileParser<'_> {
     fn quota(&mut self, section: &str, name: &str, value: &str) -> Option<f64> {
-        let most = MAX_QUOTA_PER_S;
+        let max = MAX_QUOTA_PER_S;
         match value.trim().parse::<f64>() {
-            Ok(quota) if (0.0..=most).contains(&quota) => Some(quota),
+            Ok(quota) if (0.0..=max).contains(&quota) => Some(quota),
             _ => {
-                self.say(section, &format!("{name} = {value:?}: requests a second, from 0 to {most}"));
+                self.report(section, &format!("{name} = {value:?}: requests a second, from 0 to {max}"));
                 None
             }
         }
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -1,4 +1,5 @@
-//! `group.ini`: who this member is, where the others are, how many vote, and how patient all are.
+//! `group.ini`: the cluster's name, this member's address and zone, the initial voters, timeouts, replication and
+//! failover.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,40 +11,49 @@
 };
 use plovershelf_replication::ReplicationConfig;
 
-use crate::{Reading, Wrong};
+use crate::{FileParser, Wrong};
 
-/// All of the file, checked.
+/// Contents of a valid `group.ini`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
+    /// Name of the cluster.
     pub name: String,
+    /// Address at which other members reach this one.
     pub listen: SocketAddr,
+    /// Zone of this member.
     pub zone: String,
+    /// Region of the zone.
     pub region: String,
+    /// Addresses of members through which this member joins.
     pub seeds: Vec<SocketAddr>,
-    /// Names of the first voters; the first founds the group.
+    /// Names of the initial voters; the first one creates the group.
     pub council: Vec<String>,
-    /// Where votes and the log are kept; in memory alone without it.
+    /// Folder of the votes and the log; without it they are in memory only.
     pub folder: Option<PathBuf>,
+    /// Timeouts of membership and consensus, and the number of voters.
     pub config: NodeConfig,
-    /// Others, by name, that are reached at another address than they say.
+    /// Addresses of other members that are reached at another address than they announce, by member name.
     pub ways: BTreeMap<String, SocketAddr>,
-    /// Replication of deduplication records, where it is on.
+    /// Replication of deduplication records, if enabled.
     pub replication: Option<ReplicationConfig>,
-    /// Zones with a plan of what goes where, where sections tell any.
+    /// Failover between zones, if the file has sections for it.
     pub zones: Option<Zones>,
-    /// Changes that are agreed on here and carried outward, where a section tells of it.
+    /// Configuration distribution from this member as an origin, if the file has its section.
     pub changes: Option<crate::config_distribution::Origin>,
 }
 
-/// The zones that a plan is made for.
+/// Zones and settings of the failover planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zones {
+    /// Zones and the latencies between them.
     pub topology: Topology,
+    /// Settings of the planner.
     pub planner: PlannerConfig,
+    /// Limits on the age and the weight of load reports.
     pub report_limits: ReportLimits,
 }
 
-const KEYS: [&str; 16] = [
+const GROUP_KEYS: [&str; 16] = [
     "name",
     "listen",
     "zone",
@@ -76,11 +86,12 @@
     "way_most_ms",
 ];
 
-/// Reads the file's text.
+/// Reads the text of the file.
 ///
-/// Errors: all that is wrong with the file.
+/// # Errors
+/// Returns all errors of the file.
 pub fn read(file: &str, text: &str) -> Result<Group, Wrong> {
-    let (mut reading, ini) = Reading::of(file, text)?;
+    let (mut parser, ini) = FileParser::new(file, text)?;
     let config = NodeConfig::default();
     let mut group = Group {
         name: String::new(),
@@ -96,118 +107,119 @@
         zones: None,
         changes: None,
     };
-    let (mut zones, mut ways, mut planner_config) = (Vec::new(), Vec::new(), PlannerConfig::default());
+    let (mut zones, mut latencies, mut planner_config) = (Vec::new(), Vec::new(), PlannerConfig::default());
     let mut seen: Vec<&str> = Vec::new();
-    for (section, told) in ini.iter() {
+    for (section, properties) in ini.iter() {
         let Some(section) = section else {
-            reading.outside(told, "[group]");
+            parser.report_keys_outside_sections(properties, "[group]");
             continue;
         };
         if seen.contains(&section) {
-            reading.say(section, "stands there twice");
+            parser.report(section, "stands there twice");
             continue;
         }
         seen.push(section);
         match section {
             "group" => {
-                reading.check_keys(section, told, &KEYS);
-                own(&mut reading, told, &mut group);
+                parser.check_keys(section, properties, &GROUP_KEYS);
+                read_group_section(&mut parser, properties, &mut group);
             }
             "copies" => {
-                reading.check_keys(section, told, &COPIES_KEYS);
-                group.replication = Some(replication(&mut reading, told));
+                parser.check_keys(section, properties, &COPIES_KEYS);
+                group.replication = Some(read_replication(&mut parser, properties));
             }
             crate::config_distribution::SECTION => {
-                group.changes = Some(crate::config_distribution::origin(&mut reading, told));
+                group.changes = Some(crate::config_distribution::origin(&mut parser, properties));
             }
             "ways" => {
-                for (from, to) in told.iter() {
+                for (from, to) in properties.iter() {
                     match to.trim().parse() {
                         Ok(to) if group.ways.insert(from.trim().to_string(), to).is_none() => {}
-                        Ok(_) => reading.say(section, &format!("{from} stands there twice")),
-                        Err(_) => reading.say(section, &format!("{from} = {to:?}: NAME = ADDRESS:PORT")),
+                        Ok(_) => parser.report(section, &format!("{from} stands there twice")),
+                        Err(_) => parser.report(section, &format!("{from} = {to:?}: NAME = ADDRESS:PORT")),
                     }
                 }
             }
             "zones" => {
-                reading.check_keys(section, told, &ZONES_KEYS);
-                read_planner(&mut reading, told, &mut planner_config);
+                parser.check_keys(section, properties, &ZONES_KEYS);
+                read_planner(&mut parser, properties, &mut planner_config);
             }
             _ if section.starts_with("zone ") => {
-                reading.check_keys(section, told, &["region"]);
+                parser.check_keys(section, properties, &["region"]);
                 let name = section["zone ".len()..].trim().to_string();
-                let region = reading.word(section, told, "region", Some("region"));
+                let region = parser.word(section, properties, "region", Some("region"));
                 zones.push(Zone { name, region });
             }
             _ if section.starts_with("way ") => {
-                reading.check_keys(section, told, &["ms"]);
-                let ms =
-                    reading.number(section, told, "ms", [0.0, 60_000.0], DEFAULT_BETWEEN_REGIONS_MS);
-                let ends: Vec<String> =
+                parser.check_keys(section, properties, &["ms"]);
+                let latency_ms =
+                    parser.number(section, properties, "ms", [0.0, 60_000.0], DEFAULT_BETWEEN_REGIONS_MS);
+                let zone_names: Vec<String> =
                     section["way ".len()..].split_whitespace().map(str::to_string).collect();
-                ways.push((section.to_string(), ends, ms));
+                latencies.push((section.to_string(), zone_names, latency_ms));
             }
-            _ => reading.say(
+            _ => parser.report(
                 section,
                 "is no section here; [group], [ways], [copies], [changes], [zones], [zone NAME] and [way ONE OTHER] are",
             ),
         }
     }
     if !seen.contains(&"group") {
-        reading.say("group", "is missing");
+        parser.report("group", "is missing");
     }
     if let Some(changes) = &group.changes {
         if group.folder.is_none() {
-            let why = "what was agreed on would be lost when all sources start anew";
-            reading.say("group", &format!("folder is missing, and [changes] needs it: {why}"));
+            let reason = "what was agreed on would be lost when all sources start anew";
+            parser.report("group", &format!("folder is missing, and [changes] needs it: {reason}"));
         }
         if changes.listen == group.listen && changes.listen.port() != 0 {
-            reading.say(
+            parser.report(
                 "changes",
                 &format!("listen = {}: [group] has it; changes have one of their own", group.listen),
             );
         }
     }
-    group.zones = topology(&mut reading, zones, &ways, &group.zone).map(|topology| Zones {
+    group.zones = topology(&mut parser, zones, &latencies, &group.zone).map(|topology| Zones {
         topology,
         planner: planner_config,
         report_limits: ReportLimits::default(),
     });
-    reading.done(group)
+    parser.finish(group)
 }
 
-/// The zones with the ways between them, where any are told.
+/// Returns the zones and the latencies between them, if the file has any.
 fn topology(
-    reading: &mut Reading<'_>,
+    parser: &mut FileParser<'_>,
     zones: Vec<Zone>,
-    ways: &[(String, Vec<String>, f64)],
-    own: &str,
+    latencies: &[(String, Vec<String>, f64)],
+    own_zone: &str,
 ) -> Option<Topology> {
     if zones.is_empty() {
-        ways.iter().for_each(|(section, ..)| reading.say(section, "is told, but no [zone NAME]"));
+        latencies.iter().for_each(|(section, ..)| parser.report(section, "is told, but no [zone NAME]"));
         return None;
     }
     if zones.len() > MAX_ZONES {
-        reading.say("zones", &format!("{} zones: {MAX_ZONES} at most", zones.len()));
+        parser.report("zones", &format!("{} zones: {MAX_ZONES} at most", zones.len()));
         return None;
     }
     let mut topology = Topology::new(zones);
-    if topology.index_of(own).is_none() {
-        reading.say("group", &format!("zone = {own:?} has no section [zone {own}]"));
+    if topology.index_of(own_zone).is_none() {
+        parser.report("group", &format!("zone = {own_zone:?} has no section [zone {own_zone}]"));
     }
-    for (section, ends, ms) in ways {
-        match ends.iter().map(|name| topology.index_of(name)).collect::<Option<Vec<usize>>>().as_deref() {
-            Some([one, other]) if one != other => topology.set_latency(*one, *other, *ms),
-            _ => reading.say(section, "names two zones that have sections of their own"),
+    for (section, zone_names, latency_ms) in latencies {
+        match zone_names.iter().map(|name| topology.index_of(name)).collect::<Option<Vec<usize>>>().as_deref()
+        {
+            Some([from, to]) if from != to => topology.set_latency(*from, *to, *latency_ms),
+            _ => parser.report(section, "names two zones that have sections of their own"),
         }
     }
     Some(topology)
 }
 
-fn read_planner(reading: &mut Reading<'_>, told: &ini::Properties, config: &mut PlannerConfig) {
+fn read_planner(parser: &mut FileParser<'_>, properties: &ini::Properties, config: &mut PlannerConfig) {
     let section = "zones";
     let mut number =
-        |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
+        |key: &str, range: [f64; 2], default: f64| parser.number(section, properties, key, range, default);
     config.period_ms = number("period_ms", [50.0, 10_000.0], config.period_ms);
     config.valid_ms = number("valid_ms", [500.0, 600_000.0], config.valid_ms);
     config.renew_interval_ms =
@@ -222,24 +234,24 @@
     config.max_recovery_wait_ms = config.max_recovery_wait_ms.max(config.recovery_wait_ms);
     config.max_latency_ms = number("way_most_ms", [0.0, 60_000.0], config.max_latency_ms);
     if config.renew_interval_ms * 2.0 > config.valid_ms {
-        reading.say(section, "renew_ms is more than half of valid_ms: one word lost would end the plan");
+        parser.report(section, "renew_ms is more than half of valid_ms: one word lost would end the plan");
     }
 }
 
-/// The section `[copies]`.
-fn replication(reading: &mut Reading<'_>, told: &ini::Properties) -> ReplicationConfig {
+/// Reads the section `[copies]`.
+fn read_replication(parser: &mut FileParser<'_>, properties: &ini::Properties) -> ReplicationConfig {
     const BYTES_PER_MB: f64 = 1_048_576.0;
     let section = "copies";
     let mut config = ReplicationConfig::default();
-    config.replication_factor = reading.count(section, told, "copies", config.replication_factor);
+    config.replication_factor = parser.count(section, properties, "copies", config.replication_factor);
     config.min_replicas =
-        reading.count(section, told, "least", config.min_replicas.min(config.replication_factor));
-    let (factor, least) = (config.replication_factor, config.min_replicas);
-    if !(2..=7).contains(&factor) || least == 0 || least > factor {
-        reading.say(section, "copies is from 2 to 7, and least from 1 to copies");
+        parser.count(section, properties, "least", config.min_replicas.min(config.replication_factor));
+    let (factor, min) = (config.replication_factor, config.min_replicas);
+    if !(2..=7).contains(&factor) || min == 0 || min > factor {
+        parser.report(section, "copies is from 2 to 7, and least from 1 to copies");
     }
     let mut number =
-        |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
+        |key: &str, range: [f64; 2], default: f64| parser.number(section, properties, key, range, default);
     config.max_records = number("tickets", [100.0, 10_000_000.0], config.max_records as f64) as usize;
     let megabytes = config.max_outcome_bytes as f64 / BYTES_PER_MB;
     config.max_outcome_bytes = (number("memory_mb", [1.0, 65_536.0], megabytes) * BYTES_PER_MB) as usize;
@@ -250,50 +262,50 @@
     config
 }
 
-fn own(reading: &mut Reading<'_>, told: &ini::Properties, group: &mut Group) {
+fn read_group_section(parser: &mut FileParser<'_>, properties: &ini::Properties, group: &mut Group) {
     let section = "group";
-    let words = |key: &str| -> Vec<String> {
-        let value = told.get(key).unwrap_or("");
-        value.split(',').map(str::trim).filter(|word| !word.is_empty()).map(str::to_string).collect()
+    let list = |key: &str| -> Vec<String> {
+        let value = properties.get(key).unwrap_or("");
+        value.split(',').map(str::trim).filter(|item| !item.is_empty()).map(str::to_string).collect()
     };
-    group.name = reading.word(section, told, "name", None);
-    group.zone = reading.word(section, told, "zone", Some("zone"));
-    group.region = reading.word(section, told, "region", Some("region"));
-    group.listen = reading.reached_at(section, told, "listen");
-    for seed in words("seeds") {
+    group.name = parser.word(section, properties, "name", None);
+    group.zone = parser.word(section, properties, "zone", Some("zone"));
+    group.region = parser.word(section, properties, "region", Some("region"));
+    group.listen = parser.advertised_address(section, properties, "listen");
+    for seed in list("seeds") {
         match seed.parse() {
             Ok(seed) => group.seeds.push(seed),
-            Err(_) => reading.say(section, &format!("seeds: {seed:?}: ADDRESS:PORT, with commas between")),
+            Err(_) => parser.report(section, &format!("seeds: {seed:?}: ADDRESS:PORT, with commas between")),
         }
     }
-    group.council = words("council");
+    group.council = list("council");
     if group.council.is_empty() {
-        reading.say(
+        parser.report(
             section,
             "council is missing: names of the first voters, of which the first founds the group",
         );
     }
     for name in group.council.iter().filter(|name| name.contains(char::is_whitespace)) {
-        reading.say(section, &format!("council: {name:?}: one word a name, with commas between"));
+        parser.report(section, &format!("council: {name:?}: one word a name, with commas between"));
     }
     let mut names = group.council.clone();
     names.sort();
     names.dedup();
     if names.len() < group.council.len() {
-        reading.say(section, "council names one twice");
+        parser.report(section, "council names one twice");
     }
-    let most = plovershelf_cluster::consensus::MAX_VOTERS;
-    let voters = reading.count(section, told, "voters", group.council.len().max(1));
-    if voters.is_multiple_of(2) || voters > most {
-        reading.say(section, &format!("voters = {voters}: 1, 3, 5 or {most}"));
+    let max_voters = plovershelf_cluster::consensus::MAX_VOTERS;
+    let voters = parser.count(section, properties, "voters", group.council.len().max(1));
+    if voters.is_multiple_of(2) || voters > max_voters {
+        parser.report(section, &format!("voters = {voters}: 1, 3, 5 or {max_voters}"));
     }
-    if group.council.len() > most {
-        reading.say(section, &format!("council names {}: {most} at most", group.council.len()));
+    if group.council.len() > max_voters {
+        parser.report(section, &format!("council names {}: {max_voters} at most", group.council.len()));
     }
     group.config.voters = voters;
-    group.folder = reading.path(section, told, "folder");
+    group.folder = parser.path(section, properties, "folder");
     let mut number =
-        |key: &str, range: [f64; 2], otherwise: f64| reading.number(section, told, key, range, otherwise);
+        |key: &str, range: [f64; 2], default: f64| parser.number(section, properties, key, range, default);
     let config = &mut group.config;
     let gossip = &mut config.gossip;
     gossip.probe_interval_ms = number("probe_period_ms", [50.0, 60_000.0], gossip.probe_interval_ms);
@@ -310,13 +322,13 @@
     raft.heartbeat_interval_ms = raft.heartbeat_interval_ms.min(raft.election_timeout_ms[0] / 4.0);
     config.lease_renew_interval_ms = config.lease_renew_interval_ms.min(config.lease_duration_ms / 4.0);
     if gossip.probe_timeout_ms * 2.0 > gossip.probe_interval_ms {
-        reading.say(
+        parser.report(
             section,
             "probe_answer_ms is more than half of probe_period_ms: no time is left to ask others",
         );
     }
     if group.config.raft.election_timeout_ms[1] < group.config.raft.election_timeout_ms[0] * 1.5 {
-        reading.say(
+        parser.report(
             section,
             "election_most_ms is less than one and a half times election_least_ms: votes would split",
         );
--- a/crates/plovershelf-config/src/lib.rs
+++ b/crates/plovershelf-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Operators' files to checked values. A file is taken whole or not at all, and all that is wrong with it is told in one
-//! go: each error names the file, the section, the key, the value, and what would be right.
+//! Parses and validates operators' files. A file is accepted as a whole or rejected with all of its errors: each error names
+//! the file, the section, the key, the value, and the valid values.
 
 pub mod config_distribution;
 pub mod group;
@@ -10,7 +10,7 @@
 
 use ini::{Ini, Properties};
 
-/// What is wrong with a file, a line each.
+/// All errors of a file, one line each.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Wrong(pub Vec<String>);
 
@@ -20,130 +20,134 @@
     }
 }
 
-/// The longest file that is read.
-const LONGEST: usize = 256 << 10;
+/// Maximum length of a file in bytes.
+const MAX_FILE_BYTES: usize = 256 << 10;
 
-/// Collects what is wrong while a file is read.
-struct Reading<'a> {
+/// Parser of one file that collects its errors.
+struct FileParser<'a> {
     file: &'a str,
-    wrong: Vec<String>,
+    errors: Vec<String>,
 }
 
-impl<'a> Reading<'a> {
-    fn of(file: &'a str, text: &str) -> Result<(Self, Ini), Wrong> {
-        Reading::up_to(file, text, LONGEST)
+impl<'a> FileParser<'a> {
+    fn new(file: &'a str, text: &str) -> Result<(Self, Ini), Wrong> {
+        FileParser::with_max_bytes(file, text, MAX_FILE_BYTES)
     }
 
-    fn up_to(file: &'a str, text: &str, longest: usize) -> Result<(Self, Ini), Wrong> {
-        if text.len() > longest {
-            return Err(Wrong(vec![format!("{file}: longer than {longest} bytes")]));
+    fn with_max_bytes(file: &'a str, text: &str, max_bytes: usize) -> Result<(Self, Ini), Wrong> {
+        if text.len() > max_bytes {
+            return Err(Wrong(vec![format!("{file}: longer than {max_bytes} bytes")]));
         }
         match Ini::load_from_str_noescape(text) {
-            Ok(ini) => Ok((Reading { file, wrong: Vec::new() }, ini)),
+            Ok(ini) => Ok((FileParser { file, errors: Vec::new() }, ini)),
             Err(error) => Err(Wrong(vec![format!("{file}: line {}: {}", error.line + 1, error.msg)])),
         }
     }
 
-    fn say(&mut self, section: &str, what: &str) {
-        self.wrong.push(format!("{}: [{section}] {what}", self.file));
+    fn report(&mut self, section: &str, message: &str) {
+        self.errors.push(format!("{}: [{section}] {message}", self.file));
     }
 
-    /// Keys before the first section.
-    fn outside(&mut self, told: &Properties, sections: &str) {
-        for (key, _) in told.iter() {
-            self.say("", &format!("{key} stands before any section; {sections} begins one"));
+    /// Reports keys before the first section.
+    fn report_keys_outside_sections(&mut self, properties: &Properties, sections: &str) {
+        for (key, _) in properties.iter() {
+            self.report("", &format!("{key} stands before any section; {sections} begins one"));
         }
     }
 
-    fn word(&mut self, section: &str, told: &Properties, key: &str, otherwise: Option<&str>) -> String {
-        let value = told.get(key).map(str::trim).or(otherwise).unwrap_or("");
+    fn word(&mut self, section: &str, properties: &Properties, key: &str, default: Option<&str>) -> String {
+        let value = properties.get(key).map(str::trim).or(default).unwrap_or("");
         if value.is_empty()
             || value.len() > 64
             || value.contains(|c: char| c.is_whitespace() || c.is_control() || c == ',')
         {
-            self.say(section, &format!("{key} = {value:?}: one word of at most 64 bytes"));
+            self.report(section, &format!("{key} = {value:?}: one word of at most 64 bytes"));
         }
         value.to_string()
     }
 
-    /// A file or folder, where one is told.
-    fn path(&mut self, section: &str, told: &Properties, key: &str) -> Option<PathBuf> {
-        let value = told.get(key)?.trim();
+    /// Reads the path of a file or folder, if the key is present.
+    fn path(&mut self, section: &str, properties: &Properties, key: &str) -> Option<PathBuf> {
+        let value = properties.get(key)?.trim();
         if value.is_empty() {
-            self.say(section, &format!("{key} = \"\": a path"));
+            self.report(section, &format!("{key} = \"\": a path"));
         }
         Some(PathBuf::from(value))
     }
 
-    /// Where others reach this process.
-    fn reached_at(&mut self, section: &str, told: &Properties, key: &str) -> SocketAddr {
-        let value = told.get(key).unwrap_or("");
+    /// Reads the address at which other processes reach this one.
+    fn advertised_address(&mut self, section: &str, properties: &Properties, key: &str) -> SocketAddr {
+        let value = properties.get(key).unwrap_or("");
         match value.trim().parse::<SocketAddr>() {
-            Ok(at) if at.port() != 0 && !at.ip().is_unspecified() => at,
+            Ok(address) if address.port() != 0 && !address.ip().is_unspecified() => address,
             _ => {
-                let what = "the ADDRESS:PORT at which others reach this member";
-                self.say(section, &format!("{key} = {value:?}: {what}"));
+                let expected = "the ADDRESS:PORT at which others reach this member";
+                self.report(section, &format!("{key} = {value:?}: {expected}"));
                 SocketAddr::from(([0, 0, 0, 0], 0))
             }
         }
     }
 
-    /// Keys that are not known, or stand there twice.
-    fn check_keys(&mut self, section: &str, told: &Properties, known: &[&str]) {
+    /// Reports unknown and duplicate keys.
+    fn check_keys(&mut self, section: &str, properties: &Properties, known: &[&str]) {
         let mut seen: Vec<&str> = Vec::new();
-        for (key, _) in told.iter() {
+        for (key, _) in properties.iter() {
             if seen.contains(&key) {
-                self.say(section, &format!("{key} stands there twice"));
+                self.report(section, &format!("{key} stands there twice"));
             } else if !known.contains(&key) {
-                let what = format!("{key} is no key here{}", nearest(key, known.iter().copied()));
-                self.say(section, &what);
+                let message = format!("{key} is no key here{}", suggestion(key, known.iter().copied()));
+                self.report(section, &message);
             }
             seen.push(key);
         }
     }
 
-    /// A number in its range, or the default where none is told.
+    /// Reads a number in a range; returns the default if the key is missing.
     fn number(
         &mut self,
         section: &str,
-        told: &Properties,
+        properties: &Properties,
         key: &str,
         range: [f64; 2],
-        otherwise: f64,
+        default: f64,
     ) -> f64 {
-        let Some(value) = told.get(key) else { return otherwise };
+        let Some(value) = properties.get(key) else { return default };
         match value.trim().parse::<f64>() {
             Ok(number) if (range[0]..=range[1]).contains(&number) => number,
             _ => {
-                self.say(section, &format!("{key} = {value:?}: a number from {} to {}", range[0], range[1]));
-                otherwise
+                self.report(
+                    section,
+                    &format!("{key} = {value:?}: a number from {} to {}", range[0], range[1]),
+                );
+                default
             }
         }
     }
 
-    fn count(&mut self, section: &str, told: &Properties, key: &str, otherwise: usize) -> usize {
-        let Some(value) = told.get(key) else { return otherwise };
+    fn count(&mut self, section: &str, properties: &Properties, key: &str, default: usize) -> usize {
+        let Some(value) = properties.get(key) else { return default };
         match value.trim().parse::<usize>() {
             Ok(number) if number <= 10_000 => number,
             _ => {
-                self.say(section, &format!("{key} = {value:?}: a whole number from 0 to 10000"));
-                otherwise
+                self.report(section, &format!("{key} = {value:?}: a whole number from 0 to 10000"));
+                default
             }
         }
     }
 
-    fn done<T>(self, value: T) -> Result<T, Wrong> {
-        if self.wrong.is_empty() {
+    fn finish<T>(self, value: T) -> Result<T, Wrong> {
+        if self.errors.is_empty() {
             Ok(value)
         } else {
-            Err(Wrong(self.wrong))
+            Err(Wrong(self.errors))
         }
     }
 }
 
-/// The known name that is most like this one, as the end of a sentence.
-fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let near = known.map(|other| (strsim::damerau_levenshtein(name, other), other)).min();
-    near.filter(|(far, other)| *far <= 2.max(other.len() / 3))
+/// Returns a suggestion of the most similar known name, as the end of a message, or an empty string.
+fn suggestion<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
+    let similar = known.map(|other| (strsim::damerau_levenshtein(name, other), other)).min();
+    similar
+        .filter(|(distance, other)| *distance <= 2.max(other.len() / 3))
         .map_or(String::new(), |(_, other)| format!("; did you mean {other:?}?"))
 }
--- a/crates/plovershelf-config/src/pools/tests.rs
+++ b/crates/plovershelf-config/src/pools/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn file_becomes_a_plan_with_defaults_for_missing_keys() {
-    let text = "# ours\n[pool cheap]\nofferings = quote, usage-check\n[pool dear]\nofferings = plan-apply\nweight = 10\n\
+    let text = "# comment\n[pool cheap]\nofferings = quote, usage-check\n[pool valuable]\nofferings = plan-apply\nweight = 10\n\
                 least_runs = 4\n[reserve]\npool = cheap\nshare = 0.1\n";
     let plan = read("pools.ini", text, &names()).expect("a plan");
     assert_eq!((plan.bulkheads[0].classes.clone(), plan.bulkheads[0].reserved_runs), (vec![0, 1], 1));
@@ -18,7 +18,7 @@
 fn all_errors_are_reported_at_once_by_section_key_and_value() {
     let text = "[pool a]\nofferings = qoute\nleast_runs = many\nwieght = 2\nweight = 0\n[pool a]\nofferings = quote\n\
                 [poool b]\nx = 1\n[reserve]\npool = aa\nshare = 0.9\n";
-    let errors = read("pools.ini", text, &names()).expect_err("wrong");
+    let errors = read("pools.ini", text, &names()).expect_err("errors");
     let expected = [
         "pools.ini: [pool a] wieght is no key here; did you mean \"weight\"?",
         "pools.ini: [pool a] offerings: there is no \"qoute\"; did you mean \"quote\"?",
@@ -31,5 +31,5 @@
     ];
     assert_eq!(errors.0, expected);
     assert!(read("pools.ini", "", &names()).is_err());
-    assert!(read("pools.ini", "[pool", &names()).expect_err("wrong").0[0].contains("line"));
+    assert!(read("pools.ini", "[pool", &names()).expect_err("a syntax error").0[0].contains("line"));
 }
--- a/crates/plovershelf-config/tests/invalid_files.rs
+++ b/crates/plovershelf-config/tests/invalid_files.rs
@@ -1,4 +1,4 @@
-//! Operators' files with nonsense in them: each key with a value that it can't have is named, and nothing panics.
+//! Invalid operators' files: each key with an invalid value is reported, and nothing panics.
 
 use plovershelf_config::{config_distribution, group, pools, Wrong};
 use rand::seq::IndexedRandom;
@@ -9,7 +9,7 @@
 const FILES: usize = 3000;
 
 const POOLS: &str = "[pool cheap]\nofferings = quote\nleast_runs = 1\nmost_runs = 5\nleast_calls = 0\n\
-    most_calls = 9\nweight = 2\n[pool dear]\nofferings = book\n[reserve]\npool = dear\nshare = 0.1\n";
+    most_calls = 9\nweight = 2\n[pool valuable]\nofferings = book\n[reserve]\npool = valuable\nshare = 0.1\n";
 
 const CHANGES: &str = "[changes]\nname = fleet\nzone = a\nregion = north\nlisten = 127.0.0.1:7400\n\
     sources = 127.0.0.1:7401, 127.0.0.1:7402\nfan_out = 4\nsource_fan_out = 8\nbeat_ms = 500\nsilent_ms = 2000\n\
@@ -25,7 +25,8 @@
     near_fill_percent = 90\nleave_percent = 20\nreturn_percent = 10\nwell_ms = 1000\nway_most_ms = 100\n\
     [zone a]\nregion = north\n[zone b]\nregion = south\n[way a b]\nms = 12\n";
 
-const NONSENSE: [&str; 8] = ["", "-1", "1e308", "NaN", "9223372036854775808", "two words, x", "{}", "0x10"];
+const INVALID_VALUES: [&str; 8] =
+    ["", "-1", "1e308", "NaN", "9223372036854775808", "two words, x", "{}", "0x10"];
 
 fn read(file: &str, text: &str) -> Result<(), Wrong> {
     let classes = ["quote".to_string(), "book".to_string()];
@@ -40,7 +41,7 @@
     [("pools.ini", POOLS), ("changes.ini", CHANGES), ("group.ini", GROUP)]
 }
 
-/// A path may be any text, a word any text without blanks, a list may name anything, and one of others in the group may be empty.
+/// Returns whether a value is valid after all: paths and words may be any text, and a member may have no seeds or origins.
 fn is_allowed(file: &str, key: &str, value: &str) -> bool {
     let is_word = !value.is_empty() && !value.contains([' ', ',']);
     match key {
@@ -52,63 +53,66 @@
     }
 }
 
-/// One value of a file is a slip: the file must be refused with a line that names file, section and key.
+/// Guards against a file accepted with an invalid value: the error must name file, section and key.
 #[test]
-fn each_key_with_a_value_that_it_can_not_have_is_named() {
-    let mut refused = 0;
+fn each_key_with_an_invalid_value_is_reported() {
+    let mut rejected = 0;
     for (file, text) in files() {
         assert_eq!(read(file, text), Ok(()), "{file}");
         let lines: Vec<&str> = text.lines().collect();
-        for (place, line) in lines.iter().enumerate() {
+        for (index, line) in lines.iter().enumerate() {
             let Some((key, _)) = line.split_once(" = ") else { continue };
-            for value in NONSENSE.into_iter().filter(|value| !is_allowed(file, key, value)) {
+            for value in INVALID_VALUES.into_iter().filter(|value| !is_allowed(file, key, value)) {
                 let mut changed: Vec<String> = lines.iter().map(|line| line.to_string()).collect();
-                changed[place] = format!("{key} = {value}");
+                changed[index] = format!("{key} = {value}");
                 let Err(wrong) = read(file, &changed.join("\n")) else {
-                    panic!("{file}: {key} = {value:?} was taken");
+                    panic!("{file}: {key} = {value:?} was accepted");
                 };
                 let names_key = |line: &String| line.starts_with(&format!("{file}: [")) && line.contains(key);
                 assert!(wrong.0.iter().any(names_key), "{file}: {key} = {value:?}: {wrong}");
-                refused += 1;
+                rejected += 1;
             }
         }
     }
-    assert!(refused > 300, "{refused} refused");
+    assert!(rejected > 300, "{rejected} rejected");
 }
 
-/// A key that stands there twice must be named: which of the two counts can't be known.
+/// Guards against a duplicate key, whose intended value cannot be known.
 #[test]
-fn each_key_that_stands_twice_is_named() {
+fn each_duplicate_key_is_reported() {
     for (file, text) in files() {
         let lines: Vec<&str> = text.lines().collect();
-        for (place, line) in lines.iter().enumerate() {
+        for (index, line) in lines.iter().enumerate() {
             let Some((key, _)) = line.split_once(" = ") else { continue };
             let mut doubled = lines.clone();
-            doubled.insert(place, line);
-            let Err(wrong) = read(file, &doubled.join("\n")) else { panic!("{file}: {key} twice was taken") };
+            doubled.insert(index, line);
+            let Err(wrong) = read(file, &doubled.join("\n")) else {
+                panic!("{file}: duplicate {key} was accepted")
+            };
             assert!(wrong.to_string().contains(&format!("{key} stands there twice")), "{wrong}");
         }
     }
 }
 
-/// Files with lines left out, doubled, swapped and changed: an error or a value, never a panic.
+/// Guards against panics: files with lines removed, duplicated, swapped and changed are read or rejected.
 #[test]
-fn files_of_any_kind_are_refused_or_read() {
+fn random_files_are_read_or_rejected() {
     let mut random = Pcg64::seed_from_u64(SEED);
     let mut accepted = 0;
     for _ in 0..FILES {
         let (file, text) = *files().choose(&mut random).expect("a file");
         let mut lines: Vec<String> = text.lines().map(str::to_string).collect();
         for _ in 0..random.random_range(1..4) {
-            let place = random.random_range(0..lines.len());
+            let index = random.random_range(0..lines.len());
             let other = random.random_range(0..lines.len());
             match random.random_range(0..4) {
-                0 => drop(lines.remove(place)),
-                1 => lines.insert(place, lines[other].clone()),
-                2 => lines.swap(place, other),
+                0 => drop(lines.remove(index)),
+                1 => lines.insert(index, lines[other].clone()),
+                2 => lines.swap(index, other),
                 _ => {
-                    let key = lines[place].split(" = ").next().unwrap_or_default().to_string();
-                    lines[place] = format!("{key} = {}", NONSENSE.choose(&mut random).expect("a value"));
+                    let key = lines[index].split(" = ").next().unwrap_or_default().to_string();
+                    lines[index] =
+                        format!("{key} = {}", INVALID_VALUES.choose(&mut random).expect("a value"));
                 }
             }
         }
