--- a/crates/plovershelf-bulkhead/examples/compare.rs
+++ b/crates/plovershelf-bulkhead/examples/compare.rs
@@ -182,7 +182,9 @@
         for (name, algorithm) in ALGORITHMS {
             let outcomes: Vec<Outcome> =
                 SEEDS.map(|seed| Simulation::new(algorithm, scenario, seed).run()).collect();
-            let mean = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
+            let mean = |metric: fn(&Outcome) -> f64| {
+                outcomes.iter().map(metric).sum::<f64>() / outcomes.len() as f64
+            };
             println!(
                 "{:18} {:10} {:>10.3} {:>9.1} {:>8.1} {:>7.3}",
                 scenario.name,
--- a/src/admission/bulkhead.rs
+++ b/src/admission/bulkhead.rs
@@ -1,6 +1,6 @@
 //! Bulkheads: capacity reserved for, and limited to, groups of request classes.
 //!
-//! *Decides*: the admitted fraction of one bulkhead's arrivals, and whether it may index an outbound call.
+//! *Decides*: the admitted fraction of one bulkhead's arrivals, and whether it may place an outbound call.
 //! *Inputs*: each bulkhead's capacity (reserved executions, maximum executions and calls), the admitted
 //! fraction of the backend.
 //! *Rule*: a bulkhead at its maximum admits nothing; one below its reservation admits everything while the
--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -10,7 +10,7 @@
 
 use crate::api::ClassConfig;
 
-/// Rank of a class among all classes.
+/// Rank and quantile range of a class among all classes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Priority {
     /// Index of the class's value among the distinct values, in ascending order.
@@ -20,7 +20,7 @@
     pub(super) quantile_to: f64,
 }
 
-/// The priorities of all classes, in the order of the settings.
+/// Priorities of all classes, in the order of the settings.
 pub(super) struct Priorities {
     classes: Vec<Priority>,
     ranks: usize,
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -6,7 +6,7 @@
 //! *Rule*: the admitted fraction falls in [`STEPS`] equal steps from 1 at the soft limit to 0 at the hard
 //! limit; the lower of the fractions for executions and for requests awaiting calls applies. While the cores are
 //! less than [`MIN_BUSY_UTILIZATION`] utilized, executions below the hard limit shed nothing. Decayed
-//! tallies of arrivals key the fraction into a cut through the levels: lower levels are shed, higher levels
+//! tallies of arrivals turn the fraction into a cut through the levels: lower levels are shed, higher levels
 //! are admitted, and the level at the cut is admitted in part by a cycling counter.
 //! *Why*: load falls gradually instead of all callers being rejected at once, and the most valuable requests are
 //! shed last. The tallies include rejected arrivals, or the cut would move as soon as it takes effect. Requests
--- a/src/admission/tenant_quota.rs
+++ b/src/admission/tenant_quota.rs
@@ -15,7 +15,7 @@
 use crate::admission::statistics::DecayedCount;
 use crate::api::BackendConfig;
 
-/// Errors for which new quotas are not applied.
+/// Error of an update with an invalid quota.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub(super) enum TenantQuotaError {
     #[error(
