--- a/crates/plovershelf-cluster/benches/decision.rs
+++ b/crates/plovershelf-cluster/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What a proposal costs: from the leader's appending it to its being committed at the leader, without the network.
+//! Measures the CPU time from the proposal of a command until its commit on the leader, without the network.
 
 use std::collections::BTreeSet;
 
@@ -17,18 +17,18 @@
     }
 }
 
-/// Delivers all messages until none is left.
+/// Delivers messages between the nodes until none is left.
 fn deliver_all(nodes: &mut [Raft<Count>], now: f64) {
     loop {
-        let mut all = Vec::new();
+        let mut messages = Vec::new();
         for node in nodes.iter_mut() {
             let from = node.id();
-            all.extend(node.poll_actions().send.into_iter().map(|(to, message)| (from, to, message)));
+            messages.extend(node.poll_actions().send.into_iter().map(|(to, message)| (from, to, message)));
         }
-        if all.is_empty() {
+        if messages.is_empty() {
             return;
         }
-        for (from, to, message) in all {
+        for (from, to, message) in messages {
             nodes[to.0 as usize - 1].handle_message(now, from, message);
         }
     }
--- a/crates/plovershelf-cluster/src/broken.rs
+++ b/crates/plovershelf-cluster/src/broken.rs
@@ -1,34 +1,36 @@
-//! Rules that are broken on purpose, so that tests can show that breaking them is caught. Only with the feature `broken`,
-//! which nothing that serves is built with; set for the whole process, so such tests stand in files of their own.
+//! Fault injection: rules that a test disables to show that the checks detect their violation.
+//!
+//! Rules can be broken only with the feature `broken`, which no production binary enables. The setting applies to the
+//! whole process, so each test that uses it is in a test file of its own.
 
-/// Which rule is broken.
+/// A rule that can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum BrokenRule {
-    /// A restarted voter votes and acknowledges without asking what it may have forgotten.
+    /// A restarted voter votes and acknowledges entries without recovering from the other voters.
     VoteWithoutRecovery = 1,
-    /// A member acts whether its lease has expired or not, and is removed without waiting for that.
+    /// A member acts without a valid lease, and the leader removes members without waiting for their leases to expire.
     LeaseNotChecked,
-    /// A view's number is not checked against the one before.
+    /// The number of a new view is not checked to follow that of the previous one.
     DuplicateViewNumber,
 }
 
 #[cfg(feature = "broken")]
 static RULE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Breaks a rule from now on in this process, or none.
+/// Sets the rule that is broken in this process from now on, or none.
 #[cfg(feature = "broken")]
 pub fn set(rule: Option<BrokenRule>) {
     RULE.store(rule.map_or(0, |rule| rule as u8), std::sync::atomic::Ordering::Relaxed);
 }
 
-/// Whether a rule is broken.
+/// Returns whether a rule is broken.
 #[cfg(feature = "broken")]
 pub(crate) fn is(rule: BrokenRule) -> bool {
     RULE.load(std::sync::atomic::Ordering::Relaxed) == rule as u8
 }
 
-/// Whether a rule is broken: never, in what serves.
+/// Returns whether a rule is broken, which is always false without the feature `broken`.
 #[cfg(not(feature = "broken"))]
 pub(crate) fn is(_: BrokenRule) -> bool {
     false
--- a/crates/plovershelf-cluster/src/consensus/election.rs
+++ b/crates/plovershelf-cluster/src/consensus/election.rs
@@ -1,8 +1,8 @@
-//! Elections: when a voter campaigns, and whom it votes for.
+//! Elections: the election timeout and the rule for granting votes.
 //!
-//! A voter that hears no leader for an election timeout campaigns. One that hears a leader gives no vote within the
-//! shortest timeout, which is what makes a leader's lease good (Raft, section 6; leases:
-//! Ongaro's dissertation, section 6.4.1).
+//! A voter that receives no message from a leader within its election timeout starts an election. A voter that received
+//! one grants no vote until the shortest election timeout has passed, which is what makes a leader's lease valid (Raft,
+//! section 6; leases: Ongaro's dissertation, section 6.4.1).
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
@@ -11,14 +11,14 @@
 use super::message::Ballot;
 use crate::identity::NodeId;
 
-/// A leader that was heard last so many of the longest election timeouts ago counts as lost, and so does a leader's own majority: by
-/// then another could have been elected.
+/// Time without contact, in multiples of the longest election timeout, after which a follower considers its leader lost
+/// and a leader considers its majority lost: by then another leader could have been elected.
 pub(super) const LOST_CONTACT_TIMEOUTS: f64 = 2.0;
 
-/// The election timeout, drawn anew each time it starts, and when a leader was last heard.
+/// The election timer, whose timeout is redrawn at each reset, and the time of the last message from a leader.
 #[derive(Clone, Debug)]
 pub(super) struct ElectionTimer {
-    /// Shortest and longest timeout.
+    /// Shortest and longest election timeout.
     timeout_ms: [f64; 2],
     deadline_ms: f64,
     leader_contact_ms: f64,
@@ -46,12 +46,14 @@
         self.leader_contact_ms = now_ms;
     }
 
-    /// A leader was heard so recently that its lease may hold: no vote against it.
-    pub(super) fn must_keep_leader(&self, now_ms: f64) -> bool {
+    /// Returns whether the last message from a leader is so recent that the leader's lease may still be valid. The
+    /// voter must then vote for nobody else.
+    pub(super) fn has_recent_leader_contact(&self, now_ms: f64) -> bool {
         now_ms < self.leader_contact_ms + self.timeout_ms[0]
     }
 
-    /// No leader was heard for so long that none will bring what was committed.
+    /// Returns whether there was no message from a leader for so long that none can be expected to send committed
+    /// entries.
     pub(super) fn has_lost_leader(&self, now_ms: f64) -> bool {
         now_ms > self.leader_contact_ms + LOST_CONTACT_TIMEOUTS * self.timeout_ms[1]
     }
@@ -65,23 +67,26 @@
     pub(super) ballot: Ballot,
 }
 
-/// What a voter decides by.
+/// The state by which a voter decides on a request for a vote.
 pub(super) struct Voter {
     pub(super) term: Term,
     pub(super) vote: Option<NodeId>,
-    /// The earliest end of a log that it may vote for: of its own, and of what it may have acknowledged and forgotten.
+    /// Least last position of a candidate's log: that of the voter's own log, or the position up to which it may have
+    /// acknowledged entries before a restart if that is later.
     pub(super) min_last: LogPosition,
 }
 
 impl Voter {
-    /// One vote a term, and only for a log at least as up to date (Raft, sections 5.2 and 5.4.1).
+    /// Returns whether the request gets the vote: at most one candidate per term, and only one whose log is at least as
+    /// up to date (Raft, sections 5.2 and 5.4.1).
     ///
-    /// A voter has joined the term of a request for a vote before this is asked; a pre-vote leaves its term alone.
+    /// For a vote the voter has joined the term of the request before the call. A pre-vote does not change the voter's
+    /// term.
     pub(super) fn grants(&self, request: &VoteRequest) -> bool {
-        let free_to_vote = request.term > self.term
+        let has_no_other_vote = request.term > self.term
             || request.term == self.term && self.vote.is_none_or(|id| id == request.candidate);
         let in_term = request.ballot == Ballot::PreVote || request.term == self.term;
-        request.last >= self.min_last && free_to_vote && in_term
+        request.last >= self.min_last && has_no_other_vote && in_term
     }
 }
 
--- a/crates/plovershelf-cluster/src/consensus/election/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/election/tests.rs
@@ -10,8 +10,8 @@
     VoteRequest { candidate: NodeId(1), term: Term(term), last, ballot }
 }
 
-/// Two candidates of one term: a voter that gave both its vote could elect two leaders. It votes once a term, and for the
-/// same candidate again where the answer was lost.
+/// Guards against two leaders in one term, which a voter that votes for two candidates could elect. A voter votes once
+/// per term, and again only for the same candidate, whose response may have been lost.
 #[test]
 fn a_voter_votes_once_a_term() {
     assert!(voter(None).grants(&request(4, LAST, Ballot::Vote)));
@@ -20,8 +20,8 @@
     assert!(!voter(None).grants(&request(3, LAST, Ballot::Vote)));
 }
 
-/// A candidate lacks an entry that this voter has, and which may be committed: elected, it would replace the entry. So it
-/// gets no vote, however long its log is in an earlier term.
+/// Guards against the loss of a committed entry: a candidate that lacks an entry of this voter would replace it if
+/// elected. The candidate gets no vote, however long its log is in an earlier term.
 #[test]
 fn a_candidate_with_a_log_less_up_to_date_gets_no_vote() {
     let shorter = LogPosition { index: 6, ..LAST };
@@ -32,21 +32,21 @@
     }
 }
 
-/// A node that was partitioned asks whether it would be elected in the next term. The answer is for that term, though the
-/// voter stays in its own and has voted there.
+/// A node that returns from a partition requests a pre-vote for the next term. The vote of the voter in its current
+/// term does not matter, and the voter stays in that term.
 #[test]
-fn a_pre_vote_is_granted_for_a_later_term_whatever_the_vote_in_this_one() {
+fn a_pre_vote_for_a_later_term_is_independent_of_the_vote_in_the_current_term() {
     assert!(voter(Some(2)).grants(&request(5, LAST, Ballot::PreVote)));
     assert!(!voter(Some(2)).grants(&request(4, LAST, Ballot::PreVote)));
 }
 
-/// The leader's lease rests on voters that keep to it for the shortest timeout after they heard it; what is committed is
-/// taken from others only after much longer.
+/// The leader's lease relies on voters granting no vote for the shortest timeout after the leader's last message. A
+/// voter considers its leader lost, and accepts relayed entries, only after twice the longest timeout.
 #[test]
-fn a_leader_is_kept_for_the_shortest_timeout_and_given_up_after_two_of_the_longest() {
+fn a_leader_may_hold_its_lease_for_the_shortest_timeout_and_is_lost_after_two_of_the_longest() {
     let mut timer = ElectionTimer::new([100.0, 200.0]);
-    assert!(!timer.must_keep_leader(0.0) && timer.has_lost_leader(0.0));
+    assert!(!timer.has_recent_leader_contact(0.0) && timer.has_lost_leader(0.0));
     timer.record_leader_contact(1000.0);
-    assert!(timer.must_keep_leader(1099.0) && !timer.must_keep_leader(1100.0));
+    assert!(timer.has_recent_leader_contact(1099.0) && !timer.has_recent_leader_contact(1100.0));
     assert!(!timer.has_lost_leader(1400.0) && timer.has_lost_leader(1401.0));
 }
--- a/crates/plovershelf-cluster/src/consensus/entry.rs
+++ b/crates/plovershelf-cluster/src/consensus/entry.rs
@@ -1,4 +1,4 @@
-//! What the replicated log consists of: terms, positions, entries, snapshots, and the state machine that they drive.
+//! Types of the replicated log: terms, positions, entries, snapshots and the replicated state machine.
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -8,73 +8,74 @@
 
 use crate::identity::NodeId;
 
-/// A leader's term: at most one leader is elected in each.
+/// A Raft term. At most one leader is elected in each term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term that follows.
+    /// Returns the next term.
     pub fn next(self) -> Self {
         Term(self.0 + 1)
     }
 }
 
-/// A position in the log. Of two logs the one that ends in the later term is more up to date, then the longer one
-/// (Raft, section 5.4.1); the order of the fields says so.
+/// The position of an entry in the log. The order of the fields makes the derived `Ord` compare logs as Raft requires:
+/// the log whose last entry has the later term is more up to date, and of two with equal terms the longer one (section
+/// 5.4.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// Term in which the entry was appended.
     pub term: Term,
-    /// Index of the entry; the first has 1.
+    /// Index of the entry, starting at 1.
     pub index: u64,
 }
 
-/// What committed commands are applied to.
+/// The replicated state machine to which committed commands are applied.
 pub trait StateMachine: Clone + Debug + PartialEq {
-    /// What entries carry.
+    /// The command type stored in log entries.
     type Command: Clone + Debug + Eq + Hash + Serialize;
-    /// Applies a committed command. It must come to the same state on every node.
+    /// Applies a committed command. Must be deterministic, so that every node reaches the same state.
     fn apply(&mut self, command: &Self::Command);
 }
 
-/// What an entry carries.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload<C> {
-    /// Appended by a new leader, so that it may commit what earlier terms left.
+    /// Appended by a new leader so that it can commit entries of earlier terms.
     Noop,
-    /// All voters from this entry on; they differ from those before by one.
+    /// The full set of voters from this entry on. Differs from the previous set by one node.
     Voters(BTreeSet<NodeId>),
     /// A command for the state machine.
     Command(C),
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry<C> {
     /// Term of the leader that appended it.
     pub term: Term,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: Payload<C>,
 }
 
-/// The state that all entries up to a position come to.
+/// The voters and the state machine after all entries up to a position, replacing those entries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot<S> {
-    /// The last entry that it includes.
+    /// Position of the last entry that the snapshot includes.
     pub last: LogPosition,
-    /// The voters at that position.
+    /// Voters in force at that position.
     pub voters: BTreeSet<NodeId>,
-    /// Index of the entry that named the voters.
+    /// Index of the entry that set the voters.
     pub voters_index: u64,
-    /// The state machine.
+    /// State machine at that position.
     pub state: S,
 }
 
-/// Voters and the index of the entry that named them.
+/// A set of voters and the index of the entry that set it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterConfig {
-    /// Index of the entry that named them.
+    /// Index of the log entry that set the voters.
     pub index: u64,
-    /// The voters.
+    /// Voters of the consensus group.
     pub voters: BTreeSet<NodeId>,
 }
--- a/crates/plovershelf-cluster/src/consensus/follower.rs
+++ b/crates/plovershelf-cluster/src/consensus/follower.rs
@@ -1,4 +1,5 @@
-//! What a follower does: it follows a leader, waits for one, votes, and takes over the leader's log.
+//! Follower state and rules: the current leader, the election timer, the voting restriction and the appending of the
+//! leader's entries.
 
 use rand_pcg::Pcg32;
 
@@ -7,26 +8,27 @@
 use super::log::ReplicatedLog;
 use crate::identity::NodeId;
 
-/// Whether a log contains the entry that precedes those sent, and up to where it matches or ends.
+/// The result of appending a leader's entries; see [`Message::AppendResponse`](super::Message::AppendResponse).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppendOutcome {
     pub(super) matches: bool,
     pub(super) last_index: u64,
 }
 
-/// State of a follower, kept in all roles: whom it follows, when it campaigns, and what it may vote for.
+/// The state of a follower, maintained in all roles: current leader, election timer and voting restriction.
 #[derive(Clone, Debug)]
-pub(super) struct Following {
+pub(super) struct FollowerState {
     leader: Option<NodeId>,
     election: ElectionTimer,
-    /// A recovered voter may have acknowledged logs up to here: it votes for none that ends before, nor campaigns.
+    /// Position up to which a recovered voter may have acknowledged entries. The voter votes for no log that ends
+    /// before it, and does not campaign until its own log reaches it.
     min_log: LogPosition,
 }
 
-impl Following {
+impl FollowerState {
     pub(super) fn new(election_timeout_ms: [f64; 2]) -> Self {
         let election = ElectionTimer::new(election_timeout_ms);
-        Following { leader: None, election, min_log: LogPosition::default() }
+        FollowerState { leader: None, election, min_log: LogPosition::default() }
     }
 
     pub(super) fn leader(&self) -> Option<NodeId> {
@@ -45,7 +47,7 @@
         self.election.reset(now_ms, rng);
     }
 
-    /// A message of the leader came.
+    /// Records a message from the leader and restarts the election timer.
     pub(super) fn follow(&mut self, leader: NodeId, now_ms: f64, rng: &mut Pcg32) {
         self.leader = Some(leader);
         self.election.record_leader_contact(now_ms);
@@ -56,29 +58,30 @@
         self.min_log
     }
 
-    /// Logs up to there may have been acknowledged.
-    pub(super) fn require_log(&mut self, position: LogPosition) {
+    /// Raises the minimum log position to one up to which entries may have been acknowledged.
+    pub(super) fn raise_min_log(&mut self, position: LogPosition) {
         self.min_log = self.min_log.max(position);
     }
 
-    /// No log needs to be waited for any more.
-    pub(super) fn require_no_log(&mut self) {
+    /// Removes the minimum log position.
+    pub(super) fn clear_min_log(&mut self) {
         self.min_log = LogPosition::default();
     }
 
-    /// Whether a log reaches as far as what may have been acknowledged.
-    pub(super) fn is_reached_by(&self, last: LogPosition) -> bool {
+    /// Returns whether a log that ends at `last` reaches the minimum log position.
+    pub(super) fn satisfies_min_log(&self, last: LogPosition) -> bool {
         last >= self.min_log
     }
 
-    /// Whether the request gets this node's vote.
+    /// Returns whether the request gets this node's vote.
     pub(super) fn grants<S: StateMachine>(&self, request: &VoteRequest, log: &ReplicatedLog<S>) -> bool {
         let (vote, min_last) = (log.persistent().vote, log.last().max(self.min_log));
         Voter { term: log.term(), vote, min_last }.grants(request)
     }
 }
 
-/// Takes the leader's entries into the log and commits as far as the leader did.
+/// Appends the leader's entries to the log and advances the commit index to the leader's, at most to the last entry
+/// known to match.
 pub(super) fn append<S: StateMachine>(
     log: &mut ReplicatedLog<S>,
     previous: LogPosition,
--- a/crates/plovershelf-cluster/src/consensus/follower/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/follower/tests.rs
@@ -21,7 +21,7 @@
     LogPosition { term: Term(term), index }
 }
 
-/// A log of three entries of term 1, of which one is committed.
+/// Returns a log of three entries of term 1, of which the first is committed.
 fn log() -> ReplicatedLog<Applied> {
     let mut log = ReplicatedLog::new(PersistentState::empty(Applied::default()));
     log.set_term(Term(1), None);
@@ -30,8 +30,9 @@
     log
 }
 
-/// A leader's message names a preceding entry that this log lacks, or has of another term. Nothing may be taken over behind
-/// it; the answer says from where the leader is to try again, never before what is committed.
+/// Guards against a gap or a divergence in the log: the preceding entry of a leader's message is missing or has another
+/// term. Nothing is appended, and the response names the index from which the leader retries, at least the commit
+/// index.
 #[test]
 fn entries_after_an_unknown_one_are_refused() {
     let mut log = log();
@@ -42,7 +43,7 @@
     assert_eq!((log.last(), log.commit_index()), (position(1, 3), 1));
 }
 
-/// The leader has committed more than it sent. This node commits only what is known to match.
+/// The leader's commit index is beyond the entries that it sent. The follower commits only entries known to match.
 #[test]
 fn no_entry_is_committed_beyond_those_that_match() {
     let mut log = log();
@@ -51,16 +52,16 @@
     assert_eq!(log.commit_index(), 2);
 }
 
-/// A recovered voter may have acknowledged a longer log than its disk still has. It must not help to elect a leader without
+/// A recovered voter may have acknowledged a longer log than the one on its disk. It must not vote for a leader without
 /// that log.
 #[test]
-fn a_recovered_voter_votes_for_no_log_shorter_than_it_may_have_acknowledged() {
-    let (log, mut following) = (log(), Following::new([100.0, 200.0]));
+fn a_recovered_voter_votes_for_no_log_shorter_than_the_one_it_may_have_acknowledged() {
+    let (log, mut state) = (log(), FollowerState::new([100.0, 200.0]));
     let request = |last| VoteRequest { candidate: NodeId(2), term: Term(1), last, ballot: Ballot::Vote };
-    assert!(following.grants(&request(position(1, 3)), &log));
-    following.require_log(position(1, 5));
-    assert!(!following.grants(&request(position(1, 4)), &log) && !following.is_reached_by(log.last()));
-    assert!(following.grants(&request(position(1, 5)), &log));
-    following.require_no_log();
-    assert!(following.grants(&request(position(1, 3)), &log));
+    assert!(state.grants(&request(position(1, 3)), &log));
+    state.raise_min_log(position(1, 5));
+    assert!(!state.grants(&request(position(1, 4)), &log) && !state.satisfies_min_log(log.last()));
+    assert!(state.grants(&request(position(1, 5)), &log));
+    state.clear_min_log();
+    assert!(state.grants(&request(position(1, 3)), &log));
 }
--- a/crates/plovershelf-cluster/src/consensus/leader.rs
+++ b/crates/plovershelf-cluster/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: it replicates its log, commits what a majority has, and knows for how long it leads for certain.
+//! Leader state and rules: messages to followers, the commit index, the lease and the loss of contact with a majority.
 
 use std::collections::BTreeSet;
 
@@ -10,20 +10,20 @@
 use super::role::RaftConfig;
 use crate::identity::NodeId;
 
-/// A leader's clock as it travels with its messages.
+/// Converts a leader's clock to the microseconds carried in its messages.
 fn to_us(now_ms: f64) -> u64 {
     (now_ms.max(0.0) * 1000.0) as u64
 }
 
-/// A follower's answer in the leader's term.
-pub(super) struct AppendAnswer {
+/// A follower's response in the leader's term.
+pub(super) struct AppendResponse {
     pub(super) from: NodeId,
     pub(super) matches: bool,
     pub(super) last_index: u64,
     pub(super) sent_at_us: u64,
 }
 
-/// State of a leader; without meaning on all others.
+/// The state of a leader. Has no meaning in other roles.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
     own: NodeId,
@@ -65,24 +65,24 @@
         self.tracker.set_learner(learner, voters);
     }
 
-    pub(super) fn matched(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
-        self.tracker.matched()
+    pub(super) fn match_indices(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
+        self.tracker.match_indices()
     }
 
-    /// No majority has answered for [`LOST_CONTACT_TIMEOUTS`].
+    /// Returns whether no majority has responded for [`LOST_CONTACT_TIMEOUTS`] election timeouts.
     pub(super) fn has_lost_quorum(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> bool {
         let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters).max(self.since_ms);
         contact_ms + LOST_CONTACT_TIMEOUTS * self.config.election_timeout_ms[1] < now_ms
     }
 
-    /// Until when no majority votes for another, by what the voters promised when they last answered.
+    /// Returns the time until which no majority can vote for another leader, given the times of the last responses.
     pub(super) fn lease_until_ms(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
         let drift = 2.0 * self.config.clock_drift_fraction;
         let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters);
         contact_ms + self.config.election_timeout_ms[0] * (1.0 - drift)
     }
 
-    /// What each follower is to be sent now.
+    /// Returns the messages that are due to each follower.
     pub(super) fn messages<'a, S: StateMachine>(
         &'a mut self,
         log: &'a ReplicatedLog<S>,
@@ -93,7 +93,7 @@
         followers.into_iter().filter_map(move |id| Some((id, self.message(id, log, now_ms, mode)?)))
     }
 
-    /// What one follower is to be sent now.
+    /// Returns the message that is due to one follower, if any.
     pub(super) fn message<S: StateMachine>(
         &mut self,
         to: NodeId,
@@ -118,33 +118,33 @@
         })
     }
 
-    /// Takes an answer in; false where its sender is sent nothing.
-    pub(super) fn handle_answer(&mut self, answer: &AppendAnswer, own_last: u64, now_ms: f64) -> bool {
-        if !self.tracker.record_contact(answer.from, answer.sent_at_us.min(to_us(now_ms))) {
+    /// Records a response. Returns false if the sender's progress is not tracked.
+    pub(super) fn handle_response(&mut self, response: &AppendResponse, own_last: u64, now_ms: f64) -> bool {
+        if !self.tracker.record_contact(response.from, response.sent_at_us.min(to_us(now_ms))) {
             return false;
         }
-        if answer.matches {
-            self.tracker.acknowledge(answer.from, answer.last_index.min(own_last));
+        if response.matches {
+            self.tracker.acknowledge(response.from, response.last_index.min(own_last));
         } else {
-            self.tracker.reject(answer.from, answer.last_index);
+            self.tracker.reject(response.from, response.last_index);
         }
         true
     }
 
-    /// A follower restarted.
-    pub(super) fn forget(&mut self, follower: NodeId) {
-        self.tracker.forget(follower);
+    /// Discards the acknowledgements of a follower that restarted.
+    pub(super) fn reset_progress(&mut self, follower: NodeId) {
+        self.tracker.reset_progress(follower);
     }
 
-    /// What may be committed now: what a majority has, once that includes an entry of the leader's own term (Raft, section
-    /// 5.4.2). Nothing where that is committed already.
+    /// Returns the highest index that a majority has stored if it can be committed now: its entry must be of the
+    /// leader's own term (Raft, section 5.4.2). Returns `None` if it is committed already.
     pub(super) fn new_commit_index<S: StateMachine>(&self, log: &ReplicatedLog<S>) -> Option<u64> {
         let index = self.tracker.quorum_index(self.own, log.last().index, log.voters())?;
         let in_term = log.term_at(index) == Some(log.term());
         (index > log.commit_index() && in_term).then_some(index)
     }
 
-    /// Followers that have the whole log learn of a new commit index with the next messages.
+    /// Makes the next message to each up-to-date follower carry the new commit index at once.
     pub(super) fn expedite_commit(&mut self, last_index: u64) {
         self.tracker.expedite_up_to_date(last_index);
     }
--- a/crates/plovershelf-cluster/src/consensus/log.rs
+++ b/crates/plovershelf-cluster/src/consensus/log.rs
@@ -1,7 +1,8 @@
-//! The replicated log with its commit index and state machine, and the records that bring it to the disk.
+//! The replicated log with its commit index, its state machine and the records that persist it.
 //!
-//! It keeps two promises whatever it is told, but that who installs a snapshot sees to it that it is later: the commit index never goes back but with a new epoch, and no entry at or
-//! before it is ever replaced. Elections and replication decide what is appended and committed; this module only does it.
+//! The log guarantees two invariants for any sequence of calls, provided that the caller installs only snapshots later
+//! than the commit index: the commit index decreases only with a new epoch, and no entry at or before it is ever
+//! replaced. Elections and replication decide which entries are appended and committed.
 
 use std::collections::BTreeSet;
 
@@ -9,12 +10,13 @@
 use super::persistent::{PersistentState, Record};
 use crate::identity::{Epoch, NodeId};
 
-/// Committed entries that the log keeps for nodes that lag, before it is compacted into a snapshot.
+/// Maximum number of committed entries in the log before it is compacted into a snapshot. While entries are in the log,
+/// lagging nodes can receive them instead of a snapshot.
 const RETAINED_ENTRIES: usize = 128;
-/// Entries in one message.
+/// Maximum number of entries in a message.
 pub(super) const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
-/// What the log asks of the driver, as in [`Actions`](super::Actions).
+/// Actions that the log requires of the driver; see [`Actions`](super::Actions).
 #[derive(Clone, Debug)]
 pub(super) struct LogActions<S: StateMachine> {
     pub(super) save: Vec<Record<S>>,
@@ -32,7 +34,7 @@
 pub(super) struct ReplicatedLog<S: StateMachine> {
     persistent: PersistentState<S>,
     commit_index: u64,
-    /// What all committed commands come to.
+    /// State machine after all committed commands.
     state: S,
     actions: LogActions<S>,
 }
@@ -83,43 +85,44 @@
         self.voters_index() <= self.commit_index
     }
 
-    /// Whether an entry of the current term is committed. By then a new leader knows everything that was committed in
-    /// earlier terms (Raft, section 5.4.2).
+    /// Returns whether an entry of the current term is committed. From then on a new leader's commit index covers all
+    /// entries committed in earlier terms (Raft, section 5.4.2).
     pub(super) fn has_committed_in_term(&self) -> bool {
         self.term_at(self.commit_index) == Some(self.term())
     }
 
-    /// Whether this log has that entry. What is committed is the same everywhere and needs no look.
+    /// Returns whether the log contains the entry at a position. Committed entries are the same on all nodes, so their
+    /// terms are not compared.
     pub(super) fn contains(&self, position: LogPosition) -> bool {
         position.index < self.commit_index || self.term_at(position.index) == Some(position.term)
     }
 
-    /// What is in the log and not committed, as far as this node knows.
+    /// Returns the payloads of the entries that are not known to be committed.
     pub(super) fn uncommitted(&self) -> impl Iterator<Item = &Payload<S::Command>> {
         let committed = (self.commit_index - self.persistent.snapshot.last.index) as usize;
         self.persistent.log.iter().skip(committed).map(|entry| &entry.payload)
     }
 
-    /// The entries from one index to another, both included.
+    /// Returns the entries from one index to another, both inclusive.
     pub(super) fn entries(&self, from: u64, until: u64) -> Vec<Entry<S::Command>> {
         (from..=until).filter_map(|index| self.persistent.entry(index).cloned()).collect()
     }
 
-    /// Committed entries after an index and the position of that index, where the log still has it.
+    /// Returns the position of an index and the committed entries after it, or `None` if the index is compacted.
     pub(super) fn committed_after(&self, index: u64) -> Option<(LogPosition, Vec<Entry<S::Command>>)> {
         let term = self.term_at(index)?;
         let until = self.commit_index.min(index + MAX_ENTRIES_PER_MESSAGE as u64);
         Some((LogPosition { term, index }, self.entries(index + 1, until)))
     }
 
-    /// The committed state.
+    /// Returns a snapshot at the commit index.
     pub(super) fn snapshot(&self) -> Snapshot<S> {
         let base = &self.persistent.snapshot;
         let term = self.term_at(self.commit_index).unwrap_or(base.last.term);
         let (mut voters, mut voters_index) = (base.voters.clone(), base.voters_index);
         for index in base.last.index + 1..=self.commit_index {
-            if let Some(Entry { payload: Payload::Voters(named), .. }) = self.persistent.entry(index) {
-                (voters, voters_index) = (named.clone(), index);
+            if let Some(Entry { payload: Payload::Voters(new_voters), .. }) = self.persistent.entry(index) {
+                (voters, voters_index) = (new_voters.clone(), index);
             }
         }
         let last = LogPosition { term, index: self.commit_index };
@@ -138,8 +141,9 @@
         self.last().index
     }
 
-    /// Takes entries over that follow on an index which this log has. An entry that is there already stays, with all that
-    /// follows it: it may have been acknowledged, and a message that was late must not cut it off.
+    /// Merges the leader's entries into the log after index `after`, which the log must contain. The log is truncated
+    /// only at the first entry whose term differs: entries that match and those after them may have been acknowledged,
+    /// and a delayed message must not remove them.
     pub(super) fn merge(&mut self, after: u64, entries: &[Entry<S::Command>]) {
         let differs = (after + 1..)
             .zip(entries)
@@ -150,7 +154,8 @@
         }
     }
 
-    /// Commits and applies up to an index, as far as the log goes, and compacts the log once enough is committed.
+    /// Commits and applies all entries up to an index or the end of the log, and compacts the log once more than
+    /// [`RETAINED_ENTRIES`] are committed.
     pub(super) fn commit_to(&mut self, index: u64) {
         let index = index.min(self.last().index);
         while self.commit_index < index {
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Replaces what is committed by a later committed state.
+    /// Replaces the committed state with a snapshot, which must be later than the commit index.
     pub(super) fn install(&mut self, snapshot: Snapshot<S>) {
         if snapshot.last.term > self.term() {
             self.set_term(snapshot.last.term, None);
@@ -177,7 +182,7 @@
         self.reset_to_snapshot();
     }
 
-    /// Replaces everything by the state that a later epoch begins with.
+    /// Replaces the log and the state with the snapshot of a later epoch.
     pub(super) fn adopt_epoch(&mut self, epoch: Epoch, snapshot: Snapshot<S>) {
         let (term, promised_epoch) = (snapshot.last.term, self.persistent.promised_epoch);
         self.persistent = PersistentState {
@@ -194,7 +199,7 @@
         self.reset_to_snapshot();
     }
 
-    /// From now on this node waits for that later epoch; the promise outlives a restart.
+    /// Records the promise to wait for a later epoch. The promise survives a restart.
     pub(super) fn promise_epoch(&mut self, epoch: Epoch) {
         if self.persistent.promised_epoch != epoch {
             self.save(Record::PromisedEpoch(epoch));
--- a/crates/plovershelf-cluster/src/consensus/log/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/log/tests.rs
@@ -22,18 +22,18 @@
     log
 }
 
-/// A message of the same leader comes late, after a longer one was acknowledged. What follows on it may be committed
-/// already, so it must not be cut off.
+/// A delayed message of the same leader arrives after a longer one was acknowledged. The entries after it may be
+/// committed already, so it must not truncate the log.
 #[test]
-fn a_late_message_does_not_cut_off_what_follows() {
+fn a_delayed_message_does_not_truncate_the_log() {
     let mut log = log();
     log.merge(0, &[command(1, 1)]);
     assert_eq!(log.last(), LogPosition { term: Term(1), index: 3 });
 }
 
-/// A new leader's log differs after the commit index: what was never committed is replaced, with all that follows it.
+/// A new leader's log differs after the commit index: the first differing entry and all after it are replaced.
 #[test]
-fn entries_of_another_term_replace_the_log_from_there() {
+fn entries_of_another_term_replace_the_rest_of_the_log() {
     let mut log = log();
     log.merge(2, &[command(2, 9)]);
     assert_eq!(log.last(), LogPosition { term: Term(2), index: 3 });
@@ -41,7 +41,7 @@
     assert_eq!(log.state(), &Applied(vec![1, 2, 9]));
 }
 
-/// A faulty message names other entries at committed places. What is committed stays.
+/// A faulty message contains other entries at committed indices. Committed entries stay.
 #[test]
 fn committed_entries_are_never_replaced() {
     let mut log = log();
@@ -50,9 +50,9 @@
     assert_eq!(log.state(), &Applied(vec![1, 2]));
 }
 
-/// The records of any history come to the same state on disk as in memory, also over a compaction.
+/// Replaying the records gives the same state as in memory, also across a compaction.
 #[test]
-fn records_come_to_the_state_in_memory() {
+fn replayed_records_give_the_state_in_memory() {
     let mut log = log();
     let mut disk = PersistentState::empty(Applied::default());
     for index in 0..300u64 {
@@ -61,5 +61,5 @@
     }
     log.poll_actions().save.into_iter().for_each(|record| disk.apply(record));
     assert_eq!(&disk, log.persistent());
-    assert!(disk.snapshot.last.index > 100, "compacted");
+    assert!(disk.snapshot.last.index > 100, "the log was not compacted");
 }
--- a/crates/plovershelf-cluster/src/consensus/message.rs
+++ b/crates/plovershelf-cluster/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! What nodes of a consensus group send to each other, and what a call asks its driver to do.
+//! Messages between the nodes of a consensus group, and the actions that a call returns to the driver.
 
 use std::collections::BTreeSet;
 
@@ -8,107 +8,112 @@
 use super::persistent::Record;
 use crate::identity::NodeId;
 
-/// Which of an election's two rounds a vote belongs to. On the wire it is what a flag `pre_vote` would be.
+/// The round of an election that a vote belongs to. Encoded on the wire exactly as a boolean `pre_vote` would be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Ballot {
-    /// A vote that binds the voter in its term.
+    /// A binding vote: the voter grants at most one per term.
     Vote,
-    /// Whether there would be a vote; nobody's term changes by it (Ongaro's dissertation, section 9.6).
+    /// A non-binding vote that asks whether a vote would be granted. Changes no node's term (Ongaro's dissertation,
+    /// section 9.6).
     PreVote,
 }
 
-/// Messages between nodes. All of them travel with the epoch; what is of another epoch never reaches the state machine.
+/// Messages between nodes. The envelope of each message carries the epoch, and messages of another epoch are discarded
+/// before they reach the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound(serialize = "S: Serialize, S::Command: Serialize"))]
 #[serde(bound(deserialize = "S: serde::de::DeserializeOwned, S::Command: serde::de::DeserializeOwned"))]
 pub enum Message<S: StateMachine> {
-    /// A candidate asks for a vote.
+    /// Sent by a candidate to request a vote.
     RequestVote {
-        /// The term that it campaigns for.
+        /// Term in which the candidate wants to lead.
         term: Term,
-        /// Where its log ends.
+        /// Last position of the candidate's log.
         last: LogPosition,
         /// Pre-vote or vote.
         ballot: Ballot,
     },
-    /// The answer to a request for a vote.
+    /// Response to `RequestVote`.
     Vote {
-        /// The term that the vote is for; where it is refused, the voter's own.
+        /// Term of the request if the vote is granted, otherwise the voter's current term.
         term: Term,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
         /// Pre-vote or vote.
         ballot: Ballot,
     },
-    /// A leader's entries, or its heartbeat where there are none.
+    /// Sent by the leader to replicate entries. A message without entries is a heartbeat.
     AppendEntries {
-        /// The leader's term.
+        /// Term of the leader.
         term: Term,
-        /// The entry that precedes these.
+        /// Position of the entry immediately before `entries`.
         previous: LogPosition,
-        /// What follows it.
+        /// Entries to append after `previous`.
         entries: Vec<Entry<S::Command>>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit_index: u64,
-        /// The leader's clock in microseconds. It comes back with the answer, so the leader knows since when it was
-        /// still followed.
+        /// Time of sending in microseconds of the leader's clock. The response echoes it, so that the leader knows at
+        /// which time the follower still recognized it.
         sent_at_us: u64,
     },
-    /// The committed state, for a node that lags behind the leader's log.
+    /// Sent by the leader to a follower that lags behind the start of the leader's log.
     InstallSnapshot {
-        /// The leader's term.
+        /// Term of the leader.
         term: Term,
-        /// The state.
+        /// Committed state of the leader.
         snapshot: Snapshot<S>,
-        /// As in [`Message::AppendEntries`].
+        /// Time of sending, as in [`Message::AppendEntries`].
         sent_at_us: u64,
     },
-    /// The answer to both of the above.
+    /// Response to `AppendEntries` and `InstallSnapshot`.
     AppendResponse {
-        /// The answering node's term.
+        /// Term of the responding node.
         term: Term,
-        /// Whether its log contains the entry that precedes those sent.
+        /// Whether the log of the responding node contains the entry before those sent.
         matches: bool,
-        /// Up to where its log matches the leader's, or where it ends.
+        /// Last index at which the log matches the leader's if `matches`, otherwise the last index at which it may
+        /// match.
         last_index: u64,
-        /// As it came.
+        /// `sent_at_us` of the message that this one answers.
         sent_at_us: u64,
     },
-    /// A voter that restarted asks what it may have forgotten. Whoever answers is in a term of at least `min_term`.
+    /// Sent by a restarted voter to learn the state that it may have forgotten. A voter joins term `min_term` before it
+    /// responds if its own term is older.
     RecoveryRequest {
-        /// Comes back with the answer.
+        /// Identifies the round of requests. The response echoes it.
         nonce: u64,
-        /// The earliest term that the answer may be of.
+        /// Earliest term from which a response counts.
         min_term: Term,
     },
-    /// The answer to it.
+    /// Response to `RecoveryRequest`.
     RecoveryResponse {
-        /// As it came.
+        /// Nonce of the request.
         nonce: u64,
-        /// The answering node's term.
+        /// Term of the responding node.
         term: Term,
-        /// Where its log ends.
+        /// Last position of its log, or the position up to which it may have acknowledged entries if that is later.
         last: LogPosition,
-        /// Index of the entry that named its voters.
+        /// Index of the entry that set `voters`.
         voters_index: u64,
-        /// Its voters.
+        /// Voters in force at the responding node.
         voters: BTreeSet<NodeId>,
-        /// Whether it is a voter that is not recovering itself.
+        /// Whether the responding node is a voter and not recovering itself.
         active: bool,
-        /// Whether it leads.
+        /// Whether the responding node is the leader of `term`.
         leads: bool,
     },
 }
 
-/// What a call asks of the driver. `save` must be on disk before anything of `send` leaves.
+/// Actions that a call requires of the driver. All records in `save` must be on disk before any message in `send` is
+/// sent.
 #[derive(Clone, Debug)]
 pub struct Actions<S: StateMachine> {
-    /// Records to write, in order.
+    /// Records to write to disk, in this order.
     pub save: Vec<Record<S>>,
-    /// Messages to send.
+    /// Messages to send, with their receivers.
     pub send: Vec<(NodeId, Message<S>)>,
-    /// Newly committed, in order, with their indices.
+    /// Newly committed payloads with their indices, in log order.
     pub committed: Vec<(u64, Payload<S::Command>)>,
-    /// A snapshot was installed: the entries that it includes were not seen one by one.
+    /// Whether a snapshot was installed. The entries that it includes do not appear in `committed`.
     pub snapshot_installed: bool,
 }
--- a/crates/plovershelf-cluster/src/consensus/mod.rs
+++ b/crates/plovershelf-cluster/src/consensus/mod.rs
@@ -1,47 +1,48 @@
-//! Consensus: a few voters keep one replicated log, to which the leader of a term appends and of which a majority decides
-//! what is committed (Raft).
+//! Consensus by Raft: a small group of voters replicates one log. The leader of a term appends entries to it, and an
+//! entry is committed once a majority of the voters has stored it.
 //!
-//! A driver calls [`Raft`]'s inputs ([`Raft::handle_message`], [`Raft::handle_timeout`], [`Raft::propose`]), and after each
-//! carries out [`Raft::poll_actions`] and asks for [`Raft::poll_timeout`]. The ordinary path: the leader appends a command
-//! to its log, sends it to the followers ([`Message::AppendEntries`]), counts who has it ([`Message::AppendResponse`]), and
-//! commits it once that is a majority, which the next message tells the followers.
+//! After each input to [`Raft`] ([`Raft::handle_message`], [`Raft::handle_timeout`], [`Raft::propose`]) the driver
+//! executes [`Raft::poll_actions`] and schedules a timer for [`Raft::poll_timeout`]. In normal operation the leader
+//! appends a command to its log, sends it to the followers ([`Message::AppendEntries`]), counts the acknowledgements
+//! ([`Message::AppendResponse`]) and commits the command once a majority has acknowledged it. The next message carries
+//! the new commit index to the followers.
 //!
-//! What differs from Raft, and why:
+//! Differences from Raft:
 //!
-//! - A voter is its state on disk ([`NodeId`](crate::NodeId)), not its name: one that lost its disk is another node, whose
-//!   votes and acknowledgements do not count for the old one.
-//! - A voter that restarts does not trust its disk, which may be an older copy; it recovers as in viewstamped replication
-//!   (module `recovery`).
-//! - Committed entries reach nodes that are no voters from any node ([`Raft::handle_relayed_entries`]), the leader among them,
-//!   and not by `AppendEntries`, unless they are learners.
+//! - A voter is identified by its state on disk ([`NodeId`](crate::NodeId)), not by its name. A node that lost its disk
+//!   gets a new id, so votes and acknowledgements given under the old id are not attributed to it.
+//! - A restarted voter does not trust its disk, which may have been restored from an older copy. It recovers from the
+//!   other voters as in viewstamped replication (module `recovery`).
+//! - Non-voters receive committed entries from any node ([`Raft::handle_relayed_entries`]), including the leader. Only
+//!   voters and learners receive `AppendEntries`.
 //!
 //! | role | event | next role |
 //! | --- | --- | --- |
-//! | `NonVoter` | an entry that names it a voter | `Follower` |
-//! | `Recovering` | reports of enough others | `Follower` |
+//! | `NonVoter` | an entry makes this node a voter | `Follower` |
+//! | `Recovering` | enough other voters have reported | `Follower` |
 //! | `Follower` | election timeout | `PreCandidate` |
-//! | `PreCandidate` | a majority would vote for it | `Candidate` |
-//! | `Candidate` | votes of a majority | `Leader` |
-//! | `PreCandidate`, `Candidate` | a leader, or a newer term | `Follower` |
-//! | `PreCandidate`, `Candidate` | election timeout | `PreCandidate`, anew |
-//! | `Leader` | a newer term; no majority answers | `Follower` |
-//! | `Leader` | a committed entry that names it no voter | `NonVoter` |
-//! | `Follower`, `PreCandidate`, `Candidate`, `Recovering` | an entry that names it no voter | `NonVoter` |
-//! | any | its storage fails | `StorageFailed` |
-//! | `StorageFailed` | its storage works again | `Recovering`, or `NonVoter` |
+//! | `PreCandidate` | a majority grants its pre-vote | `Candidate` |
+//! | `Candidate` | a majority grants its vote | `Leader` |
+//! | `PreCandidate`, `Candidate` | message from a leader, or a newer term | `Follower` |
+//! | `PreCandidate`, `Candidate` | election timeout | `PreCandidate` again |
+//! | `Leader` | a newer term, or contact with a majority lost | `Follower` |
+//! | `Leader` | a committed entry removes it from the voters | `NonVoter` |
+//! | `Follower`, `PreCandidate`, `Candidate`, `Recovering` | an entry removes it from the voters | `NonVoter` |
+//! | any | storage fails | `StorageFailed` |
+//! | `StorageFailed` | storage works again | `Recovering` if a voter, else `NonVoter` |
 //!
-//! | module | owns |
+//! | module | contents |
 //! | --- | --- |
 //! | `entry`, `message` | types of the log and of the protocol |
 //! | `persistent` | state on disk and its records |
-//! | `log` | log, commit index, state machine |
-//! | `election` | election timeout, and whom a voter votes for |
-//! | `follower` | whom a node follows, what it may vote for, how it takes over the leader's log |
-//! | `leader` | a leader's term: heartbeats, lease, what it sends and commits |
-//! | `replication` | progress of each follower |
-//! | `membership` | which changes of voters are safe; majorities |
-//! | `recovery` | what a restarted voter waits for |
-//! | `role`, `raft` | roles, and the state machine that joins the modules |
+//! | `log` | log, commit index and state machine |
+//! | `election` | election timeout and the rule for granting votes |
+//! | `follower` | current leader, voting restriction and appending of the leader's entries |
+//! | `leader` | heartbeats, lease, messages to followers and the commit rule |
+//! | `replication` | replication progress of each follower |
+//! | `membership` | quorum sizes and safe changes of the voters |
+//! | `recovery` | recovery of a restarted voter |
+//! | `role`, `raft` | roles and the state machine that combines the modules |
 
 mod election;
 mod entry;
--- a/crates/plovershelf-cluster/src/consensus/persistent.rs
+++ b/crates/plovershelf-cluster/src/consensus/persistent.rs
@@ -1,4 +1,4 @@
-//! What a node keeps on disk, and the records by which it changes.
+//! State that a node stores on disk, and the records that change it.
 
 use std::collections::BTreeSet;
 
@@ -7,27 +7,27 @@
 use super::entry::{Entry, LogPosition, Payload, Snapshot, StateMachine, Term};
 use crate::identity::{Epoch, NodeId};
 
-/// A node's state on disk.
+/// The consensus state that a node stores on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound(serialize = "S: Serialize, S::Command: Serialize"))]
 #[serde(bound(deserialize = "S: serde::de::DeserializeOwned, S::Command: serde::de::DeserializeOwned"))]
 pub struct PersistentState<S: StateMachine> {
-    /// The epoch that this node is part of; a later one fences everything of an older one off.
+    /// Epoch that this node belongs to. A later epoch fences off all messages and state of older ones.
     pub epoch: Epoch,
     /// Latest term that this node has seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// Candidate that this node voted for in `term`.
     pub vote: Option<NodeId>,
-    /// A later epoch that this node has promised to wait for; [`Epoch::NONE`] for none.
+    /// Later epoch that this node has promised to wait for, or [`Epoch::NONE`].
     pub promised_epoch: Epoch,
-    /// What precedes the log.
+    /// Snapshot of the entries before `log`.
     pub snapshot: Snapshot<S>,
-    /// The entries after the snapshot.
+    /// Entries after the snapshot.
     pub log: Vec<Entry<S::Command>>,
 }
 
 impl<S: StateMachine> PersistentState<S> {
-    /// Of a node that knows of no consensus group.
+    /// Returns the state of a node that belongs to no consensus group yet.
     pub fn empty(state: S) -> Self {
         let snapshot =
             Snapshot { last: LogPosition::default(), voters: BTreeSet::new(), voters_index: 0, state };
@@ -41,38 +41,38 @@
         }
     }
 
-    /// The last entry's position, or the snapshot's where the log is empty.
+    /// Returns the position of the last entry, or of the snapshot if the log is empty.
     pub fn last(&self) -> LogPosition {
         let index = self.snapshot.last.index + self.log.len() as u64;
         self.log.last().map_or(self.snapshot.last, |entry| LogPosition { term: entry.term, index })
     }
 
-    /// The term of the entry at an index, where the log still has it.
+    /// Returns the term of the entry at an index, or `None` if the entry is compacted or past the end of the log.
     pub(crate) fn term_at(&self, index: u64) -> Option<Term> {
         let snapshot = self.snapshot.last;
         match index.checked_sub(snapshot.index)? {
             0 => Some(snapshot.term),
-            behind => self.log.get(behind as usize - 1).map(|entry| entry.term),
+            offset => self.log.get(offset as usize - 1).map(|entry| entry.term),
         }
     }
 
-    /// The entry at an index, where the log still has it.
+    /// Returns the entry at an index, or `None` if it is compacted or past the end of the log.
     pub(crate) fn entry(&self, index: u64) -> Option<&Entry<S::Command>> {
         self.log.get(index.checked_sub(self.snapshot.last.index + 1)? as usize)
     }
 
-    /// The voters in force, which are the newest that the log names, committed or not (Raft, section 6), and the index
-    /// that named them.
+    /// Returns the index of the entry that set the voters in force, and the voters. The newest voters in the log are in
+    /// force, committed or not (Raft, section 6).
     pub(crate) fn voters(&self) -> (u64, &BTreeSet<NodeId>) {
         let first = self.snapshot.last.index + 1;
-        let named = self.log.iter().enumerate().rev().find_map(|(offset, entry)| match &entry.payload {
+        let newest = self.log.iter().enumerate().rev().find_map(|(offset, entry)| match &entry.payload {
             Payload::Voters(voters) => Some((first + offset as u64, voters)),
             _ => None,
         });
-        named.unwrap_or((self.snapshot.voters_index, &self.snapshot.voters))
+        newest.unwrap_or((self.snapshot.voters_index, &self.snapshot.voters))
     }
 
-    /// Applies one record. Whoever reads the file applies the records that the node wrote, in their order.
+    /// Applies a record. Applying all records of a file in the order in which they were written restores the state.
     pub fn apply(&mut self, record: Record<S>) {
         match record {
             Record::HardState { epoch, term, vote } => {
@@ -80,8 +80,8 @@
             }
             Record::PromisedEpoch(epoch) => self.promised_epoch = epoch,
             Record::Append { from, entries } => {
-                let keep = (from - 1).saturating_sub(self.snapshot.last.index) as usize;
-                self.log.truncate(keep);
+                let preceding = (from - 1).saturating_sub(self.snapshot.last.index) as usize;
+                self.log.truncate(preceding);
                 self.log.extend(entries);
             }
             Record::Snapshot(snapshot) => {
@@ -95,29 +95,29 @@
     }
 }
 
-/// One change of the state on disk.
+/// A change of the state on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(bound(serialize = "S: Serialize, S::Command: Serialize"))]
 #[serde(bound(deserialize = "S: serde::de::DeserializeOwned, S::Command: serde::de::DeserializeOwned"))]
 pub enum Record<S: StateMachine> {
-    /// Term and vote.
+    /// Sets the epoch, the term and the vote.
     HardState {
-        /// The epoch that both belong to.
+        /// Epoch that the term and the vote belong to.
         epoch: Epoch,
-        /// The latest term seen.
+        /// Latest term that the node has seen.
         term: Term,
-        /// Whom the node voted for in it.
+        /// Candidate that the node voted for in `term`.
         vote: Option<NodeId>,
     },
-    /// The log is truncated before `from` and goes on with these entries.
+    /// Removes all entries from index `from` on and appends `entries` there.
     Append {
-        /// Index of the first of the entries.
+        /// Index of the first appended entry.
         from: u64,
-        /// What follows there.
+        /// Entries to append.
         entries: Vec<Entry<S::Command>>,
     },
-    /// What precedes the log from now on.
+    /// Replaces the snapshot and removes the entries that it includes.
     Snapshot(Snapshot<S>),
-    /// A later epoch that the node waits for.
+    /// Sets the later epoch that the node has promised to wait for.
     PromisedEpoch(Epoch),
 }
--- a/crates/plovershelf-cluster/src/consensus/raft.rs
+++ b/crates/plovershelf-cluster/src/consensus/raft.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node of a consensus group; see the [module](super) for its states.
+//! The Raft state machine of one node. The [module documentation](super) describes its roles and transitions.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,8 @@
 
 use super::election::VoteRequest;
 use super::entry::{Entry, LogPosition, Payload, Snapshot, StateMachine, Term, VoterConfig};
-use super::follower::{self, AppendOutcome, Following};
-use super::leader::{AppendAnswer, Leadership};
+use super::follower::{self, AppendOutcome, FollowerState};
+use super::leader::{AppendResponse, Leadership};
 use super::log::ReplicatedLog;
 use super::membership::{is_safe_change, majority};
 use super::message::{Actions, Ballot, Message};
@@ -19,22 +19,22 @@
 use crate::broken::{self, BrokenRule};
 use crate::identity::{Epoch, NodeId};
 
-/// Stands in place of a vote that may have been given and is not remembered.
+/// The recorded vote of a recovered voter, which may have voted before its restart and does not know for whom.
 const UNKNOWN_VOTE: NodeId = NodeId(0);
-/// Proposals that wait for a majority. More are refused.
+/// Maximum number of uncommitted entries. Further proposals are refused.
 const MAX_UNCOMMITTED: u64 = 256;
 
-/// One node of a consensus group. It owns no clock, socket or file: each call takes the present time in milliseconds of any
-/// clock that never goes back, and what follows stands in [`Raft::poll_actions`].
+/// A node of a consensus group. Performs no I/O: each input takes the current time in milliseconds of a monotonic
+/// clock, and the resulting actions are returned by [`Raft::poll_actions`].
 #[derive(Clone, Debug)]
 pub struct Raft<S: StateMachine> {
     id: NodeId,
     config: RaftConfig,
     log: ReplicatedLog<S>,
     role: Role,
-    following: Following,
+    follower_state: FollowerState,
     leadership: Leadership,
-    /// Nodes that are lost for good, as their names are back under other ids.
+    /// Nodes that are permanently lost because their names have returned under other ids.
     lost: BTreeSet<NodeId>,
     rng: Pcg32,
     send: Vec<(NodeId, Message<S>)>,
@@ -42,7 +42,8 @@
 }
 
 impl<S: StateMachine> Raft<S> {
-    /// A node that knows of no consensus group, or that has kept its part in one. `empty` is what no commands come to.
+    /// Creates a node from its state on disk, or a node without a consensus group if there is none. `empty` is the
+    /// state machine before the first command.
     pub fn new(
         id: NodeId,
         config: RaftConfig,
@@ -57,7 +58,7 @@
             config,
             log: ReplicatedLog::new(persistent),
             role: Role::NonVoter,
-            following: Following::new(config.election_timeout_ms),
+            follower_state: FollowerState::new(config.election_timeout_ms),
             leadership: Leadership::new(id, config),
             lost: BTreeSet::new(),
             rng: Pcg32::seed_from_u64(seed),
@@ -75,31 +76,32 @@
 
     // ---- inputs ------------------------------------------------------------------------------------
 
-    /// The first node of a new group: these are its voters, and this is the state that it begins with.
+    /// Starts a new consensus group with these voters and this initial state.
     pub fn bootstrap(&mut self, now_ms: f64, epoch: Epoch, voters: BTreeSet<NodeId>, state: S) {
         self.now_ms = now_ms;
         let last = LogPosition { term: Term(1), index: 1 };
         self.adopt_epoch(epoch, Snapshot { last, voters, voters_index: 1, state });
     }
 
-    /// Joins a later epoch with the state that it begins with, or that it has come to.
+    /// Joins a later epoch with its initial state or a later snapshot of it. Does nothing for an epoch that is not
+    /// later.
     pub fn adopt_epoch(&mut self, epoch: Epoch, snapshot: Snapshot<S>) {
         if epoch <= self.log.epoch() || self.role == Role::StorageFailed {
             return;
         }
         self.log.adopt_epoch(epoch, snapshot);
-        self.following.set_leader(None);
-        self.following.require_no_log();
+        self.follower_state.set_leader(None);
+        self.follower_state.clear_min_log();
         self.set_role(Role::NonVoter);
         self.reconcile_role();
     }
 
-    /// From now on this node waits for that later epoch; the promise outlives a restart.
+    /// Records the promise to wait for a later epoch. The promise survives a restart.
     pub fn promise_epoch(&mut self, epoch: Epoch) {
         self.log.promise_epoch(epoch);
     }
 
-    /// A message of another node of the same epoch.
+    /// Handles a message from another node of the same epoch.
     pub fn handle_message(&mut self, now_ms: f64, from: NodeId, message: Message<S>) {
         self.now_ms = now_ms;
         if self.role == Role::StorageFailed {
@@ -121,7 +123,7 @@
                 }
             }
             Message::AppendResponse { term, matches, last_index, sent_at_us } => {
-                self.handle_append_response(term, &AppendAnswer { from, matches, last_index, sent_at_us })
+                self.handle_append_response(term, &AppendResponse { from, matches, last_index, sent_at_us })
             }
             Message::RecoveryRequest { nonce, min_term } => {
                 self.handle_recovery_request(from, nonce, min_term)
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Time has come to [`Raft::poll_timeout`].
+    /// Handles the timeout that is due at [`Raft::poll_timeout`].
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         match &self.role {
@@ -141,7 +143,7 @@
                 self.start_recovery(recovery.min_term)
             }
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. }
-                if self.following.election().is_expired(now_ms) =>
+                if self.follower_state.election().is_expired(now_ms) =>
             {
                 self.campaign(if self.config.pre_vote { Ballot::PreVote } else { Ballot::Vote })
             }
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Appends an entry, where this node leads and the entry is allowed. Returns its index.
+    /// Appends an entry and returns its index. Returns `None` if this node is not the leader, too many entries are
+    /// uncommitted or the change of voters is not allowed now.
     pub fn propose(&mut self, now_ms: f64, payload: Payload<S::Command>) -> Option<u64> {
         self.now_ms = now_ms;
         let uncommitted = self.log.last().index - self.log.commit_index();
@@ -164,7 +167,7 @@
         Some(index)
     }
 
-    /// The committed state as a node tells it that does not lead: for nodes that no leader brings it to.
+    /// Handles a committed state relayed by any node, for nodes that no leader replicates to.
     pub fn handle_relayed_snapshot(&mut self, now_ms: f64, epoch: Epoch, snapshot: &Snapshot<S>) {
         self.now_ms = now_ms;
         if epoch > self.log.epoch() {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Committed entries as a node tells them that does not lead; see [`Raft::handle_relayed_snapshot`].
+    /// Handles committed entries relayed by any node; see [`Raft::handle_relayed_snapshot`].
     pub fn handle_relayed_entries(
         &mut self,
         now_ms: f64,
@@ -201,35 +204,39 @@
         self.reconcile_role();
     }
 
-    /// A node that the leader should bring up to date though it is no voter yet; [`Raft::matched`] says how far it is.
+    /// Sets the learner, a non-voter to which the leader replicates its log. [`Raft::match_indices`] returns its
+    /// progress.
     pub fn set_learner(&mut self, learner: Option<NodeId>) {
         self.leadership.set_learner(learner, self.log.voters());
     }
 
-    /// These nodes will never speak again, so a recovering voter need not wait for their reports: theirs is the one loss
-    /// that is promised to be borne, so the storage here is no second one.
+    /// Sets the permanently lost nodes, whose reports a recovering voter does not wait for. The group is guaranteed to
+    /// tolerate only one loss of storage, and the lost node is that one. The storage of the recovering voter is
+    /// therefore assumed to be intact.
     pub fn set_lost_nodes(&mut self, now_ms: f64, lost: BTreeSet<NodeId>) {
         self.now_ms = now_ms;
         if lost == self.lost {
             return;
         }
         self.lost = lost;
-        // What a lost node reported may be kept by nobody now, and would be waited for for ever.
+        // Entries that a lost node reported may no longer exist on any node. Waiting for them would block elections
+        // forever.
         if self.log.voters().iter().any(|id| self.lost.contains(id)) {
-            self.following.require_no_log();
+            self.follower_state.clear_min_log();
         }
         self.maybe_finish_recovery();
     }
 
-    /// The storage takes nothing: what was to be saved is not, so nothing of it may be sent.
+    /// Handles a failure of the storage. Discards the pending actions: their records are not saved, so their messages
+    /// must not be sent.
     pub fn handle_storage_failed(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         drop(self.poll_actions());
-        self.following.set_leader(None);
+        self.follower_state.set_leader(None);
         self.set_role(Role::StorageFailed);
     }
 
-    /// The storage works again and holds all of [`Raft::persistent`] by now.
+    /// Handles the end of a storage failure. The driver must have stored all of [`Raft::persistent`] before this call.
     pub fn handle_storage_restored(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         if self.role == Role::StorageFailed {
@@ -240,19 +247,19 @@
         }
     }
 
-    /// When [`Raft::handle_timeout`] has something to do.
+    /// Returns the time at which to call [`Raft::handle_timeout`], or infinity.
     pub fn poll_timeout(&self) -> f64 {
         match &self.role {
             Role::NonVoter | Role::StorageFailed => f64::INFINITY,
             Role::Recovering(recovery) => recovery.retry_at_ms,
             Role::Leader => self.leadership.heartbeat_at_ms(),
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
-                self.following.election().deadline_ms()
+                self.follower_state.election().deadline_ms()
             }
         }
     }
 
-    /// What the calls since the last poll ask for.
+    /// Returns the actions from all calls since the last poll.
     pub fn poll_actions(&mut self) -> Actions<S> {
         let log = self.log.poll_actions();
         Actions {
@@ -265,76 +272,77 @@
 
     // ---- queries -----------------------------------------------------------------------------------
 
-    /// This node.
+    /// Returns the id of this node.
     pub fn id(&self) -> NodeId {
         self.id
     }
-    /// The epoch that it is part of.
+    /// Returns the epoch that this node belongs to.
     pub fn epoch(&self) -> Epoch {
         self.log.epoch()
     }
-    /// A later epoch that it has promised to wait for.
+    /// Returns the later epoch that this node has promised to wait for, or [`Epoch::NONE`].
     pub fn promised_epoch(&self) -> Epoch {
         self.log.persistent().promised_epoch
     }
-    /// Its term.
+    /// Returns the latest term that this node has seen.
     pub fn term(&self) -> Term {
         self.log.term()
     }
-    /// Its role.
+    /// Returns the role of this node.
     pub fn role(&self) -> &Role {
         &self.role
     }
-    /// The leader of its term, where it knows one.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
-        self.following.leader()
+        self.follower_state.leader()
     }
-    /// Whether it leads.
+    /// Returns whether this node is the leader.
     pub fn leads(&self) -> bool {
         self.role == Role::Leader
     }
-    /// Since when it leads without a break.
+    /// Returns the time at which the current leadership of this node began.
     pub fn leader_since_ms(&self) -> Option<f64> {
         self.leads().then(|| self.leadership.since_ms())
     }
-    /// Index of the last committed entry.
+    /// Returns the index of the last committed entry.
     pub fn commit_index(&self) -> u64 {
         self.log.commit_index()
     }
-    /// What all committed commands come to.
+    /// Returns the state machine after all committed commands.
     pub fn state(&self) -> &S {
         self.log.state()
     }
-    /// What its storage is to hold.
+    /// Returns the state that must be on disk.
     pub fn persistent(&self) -> &PersistentState<S> {
         self.log.persistent()
     }
-    /// The voters in force.
+    /// Returns the voters in force.
     pub fn voters(&self) -> &BTreeSet<NodeId> {
         self.log.voters()
     }
-    /// What is in the log and not committed, as far as this node knows.
+    /// Returns the payloads of the entries that are not known to be committed.
     pub fn uncommitted(&self) -> impl Iterator<Item = &Payload<S::Command>> {
         self.log.uncommitted()
     }
-    /// Up to where each voter's log is known to match, where this node leads; its own too.
-    pub fn matched(&self) -> Vec<(NodeId, u64)> {
+    /// Returns the match index of this node, and on the leader also of the other voters and of the learner.
+    pub fn match_indices(&self) -> Vec<(NodeId, u64)> {
         let own = (self.id, self.log.last().index);
-        std::iter::once(own).chain(self.leadership.matched()).collect()
+        std::iter::once(own).chain(self.leadership.match_indices()).collect()
     }
-    /// The committed state, for a node that wants all of it.
+    /// Returns a snapshot at the commit index.
     pub fn snapshot(&self) -> Snapshot<S> {
         self.log.snapshot()
     }
-    /// Committed entries after an index with that index's position, as far as the log still has them.
+    /// Returns the position of an index and the committed entries after it, or `None` if the index is compacted.
     pub fn committed_after(&self, index: u64) -> Option<(LogPosition, Vec<Entry<S::Command>>)> {
         self.log.committed_after(index)
     }
 
-    /// Until when no other node can lead, on this node's clock; the past where it does not lead.
+    /// Returns the time on this node's clock until which no other node can become leader, or negative infinity if this
+    /// node is not the leader or has committed no entry in its term.
     ///
-    /// Voters that hear a leader refuse their vote for the shortest election timeout. Counted from when the leader sent what
-    /// they answered, and shortened by what their clocks may drift apart, that time is the leader's alone.
+    /// A voter that received a leader's message grants no vote for the shortest election timeout. The lease lasts that
+    /// long from the sending of the messages that a majority answered, shortened by the largest drift between clocks.
     pub fn leader_lease_until_ms(&self) -> f64 {
         if !self.leads() || !self.log.has_committed_in_term() {
             return f64::NEG_INFINITY;
@@ -342,13 +350,14 @@
         self.leadership.lease_until_ms(self.now_ms, self.voters())
     }
 
-    /// Whether committed entries may come from any node: where no leader will bring them, as to a node that is no voter, or
-    /// that does not know that it no longer is one. The log of a voter with a leader grows by that leader alone.
+    /// Returns whether this node accepts committed entries relayed by any node. This is the case if no leader sends
+    /// them: on a non-voter, and on a node that lost its leader, possibly because it has not learned that it is no
+    /// voter any more. A voter with a leader takes entries from that leader only.
     pub fn accepts_relayed(&self) -> bool {
         match self.role {
             Role::NonVoter => true,
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
-                self.following.election().has_lost_leader(self.now_ms)
+                self.follower_state.election().has_lost_leader(self.now_ms)
             }
             Role::Leader | Role::Recovering(_) | Role::StorageFailed => false,
         }
@@ -366,10 +375,10 @@
 
     fn campaign(&mut self, ballot: Ballot) {
         self.reset_election_timer();
-        if !self.is_voter() || !self.following.is_reached_by(self.log.last()) {
+        if !self.is_voter() || !self.follower_state.satisfies_min_log(self.log.last()) {
             return;
         }
-        self.following.set_leader(None);
+        self.follower_state.set_leader(None);
         let term = self.log.term().next();
         match ballot {
             Ballot::PreVote => self.become_pre_candidate(),
@@ -384,16 +393,17 @@
 
     fn handle_vote_request(&mut self, request: &VoteRequest) {
         let (candidate, ballot) = (request.candidate, request.ballot);
-        // A leader's lease holds as long as the voters that it hears from keep to this.
-        let has_leader = self.leads() || self.following.election().must_keep_leader(self.now_ms);
-        // A node that does not know yet that it is a voter votes too: the entry that makes it one may need its vote.
+        // The leader's lease relies on this refusal by the voters that answered it.
+        let has_leader =
+            self.leads() || self.follower_state.election().has_recent_leader_contact(self.now_ms);
+        // A non-voter votes too: committing the entry that makes it a voter may require its vote.
         if has_leader || matches!(self.role, Role::Recovering(_) | Role::StorageFailed) {
             return self.send(candidate, Message::Vote { term: self.log.term(), granted: false, ballot });
         }
         if request.term > self.log.term() && ballot == Ballot::Vote {
             self.step_down(request.term);
         }
-        let granted = self.following.grants(request, &self.log);
+        let granted = self.follower_state.grants(request, &self.log);
         if granted && ballot == Ballot::Vote {
             if self.log.persistent().vote.is_none() {
                 self.log.set_term(request.term, Some(candidate));
@@ -406,8 +416,8 @@
 
     fn handle_vote(&mut self, from: NodeId, term: Term, granted: bool, ballot: Ballot) {
         if !granted {
-            // Also of a pre-vote: else a node whose log is longer but whose term is older would campaign for a term that
-            // is over, again and again.
+            // A refused pre-vote updates the term as well. Otherwise a node with a longer log but an older term would
+            // keep campaigning for a term that is already over.
             if term > self.log.term() && self.is_active_voter() {
                 self.step_down(term);
             }
@@ -447,7 +457,7 @@
 
     fn become_leader(&mut self) {
         self.set_role(Role::Leader);
-        self.following.set_leader(Some(self.id));
+        self.follower_state.set_leader(Some(self.id));
         self.leadership.begin(self.now_ms);
         self.log.append(Payload::Noop);
         self.maybe_commit();
@@ -459,20 +469,20 @@
         self.set_role(Role::Follower);
     }
 
-    // ---- replication, of the leader ----------------------------------------------------------------
+    // ---- replication, leader side ------------------------------------------------------------------
 
-    /// A change of voters waits for the one before, and for an entry of this term: what an earlier leader left may be another
-    /// change of voters.
+    /// Returns whether an entry may be appended now. A change of voters requires that the previous change is committed,
+    /// and that an entry of this term is: entries of an earlier leader may include another change of voters.
     fn may_append(&self, payload: &Payload<S::Command>) -> bool {
         let Payload::Voters(voters) = payload else { return true };
         let ready = self.log.has_committed_in_term() && self.log.has_committed_voters();
         ready && is_safe_change(self.voters(), voters)
     }
 
-    /// A leader that no majority answers steps down.
+    /// Sends heartbeats, or steps down if the leader has lost contact with a majority.
     fn handle_heartbeat_due(&mut self) {
         if self.leadership.has_lost_quorum(self.now_ms, self.log.voters()) {
-            self.following.set_leader(None);
+            self.follower_state.set_leader(None);
             return self.set_role(Role::Follower);
         }
         self.leadership.schedule_heartbeat(self.now_ms);
@@ -483,16 +493,16 @@
         self.send.extend(self.leadership.messages(&self.log, self.now_ms, mode));
     }
 
-    fn handle_append_response(&mut self, term: Term, answer: &AppendAnswer) {
+    fn handle_append_response(&mut self, term: Term, response: &AppendResponse) {
         if term > self.log.term() {
             return self.step_down(term);
         }
-        let (from, last) = (answer.from, self.log.last().index);
+        let (from, last) = (response.from, self.log.last().index);
         let in_term = self.leads() && term == self.log.term();
-        if !in_term || !self.leadership.handle_answer(answer, last, self.now_ms) {
+        if !in_term || !self.leadership.handle_response(response, last, self.now_ms) {
             return;
         }
-        if answer.matches {
+        if response.matches {
             self.maybe_commit();
         }
         if self.leads() {
@@ -511,16 +521,17 @@
         }
     }
 
-    // ---- replication, of a follower ----------------------------------------------------------------
+    // ---- replication, follower side ----------------------------------------------------------------
 
-    /// Whether a leader's message is heeded. An older one's is answered with the newer term.
+    /// Returns whether to process a message from a leader, and follows that leader if so. The message of an older
+    /// leader is answered with the newer term.
     fn accept_leader(&mut self, from: NodeId, term: Term, sent_at_us: u64) -> bool {
         if term < self.log.term() || self.leads() && term == self.log.term() {
             let (term, last_index) = (self.log.term(), self.log.last().index);
             self.send(from, Message::AppendResponse { term, matches: false, last_index, sent_at_us });
             return false;
         }
-        // A recovering voter's acknowledgement must not count before it knows what it may have forgotten.
+        // A recovering voter must not acknowledge entries before it knows which state it may have forgotten.
         if matches!(self.role, Role::Recovering(_)) {
             return false;
         }
@@ -530,7 +541,7 @@
         if !matches!(self.role, Role::Follower | Role::NonVoter) {
             self.set_role(Role::Follower);
         }
-        self.following.follow(from, self.now_ms, &mut self.rng);
+        self.follower_state.follow(from, self.now_ms, &mut self.rng);
         true
     }
 
@@ -564,7 +575,7 @@
     // ---- recovery ----------------------------------------------------------------------------------
 
     fn start_recovery(&mut self, min_term: Term) {
-        // A single voter has nobody to ask: then its disk must do.
+        // A single voter has no other voters to ask and must trust its disk.
         if self.voters().len() == 1 {
             return self.become_follower();
         }
@@ -585,7 +596,8 @@
         }
         recovery.retry_at_ms = self.now_ms + self.config.recovery_retry_ms;
         let (nonce, min_term) = (recovery.nonce, recovery.min_term);
-        let others: Vec<NodeId> = recovery.asked.voters.iter().copied().filter(|id| *id != self.id).collect();
+        let others: Vec<NodeId> =
+            recovery.voter_config.voters.iter().copied().filter(|id| *id != self.id).collect();
         self.set_role(Role::Recovering(recovery));
         others.into_iter().for_each(|id| self.send(id, Message::RecoveryRequest { nonce, min_term }));
     }
@@ -594,11 +606,11 @@
         if min_term > self.log.term() && !matches!(self.role, Role::NonVoter) {
             self.step_down(min_term);
         }
-        self.leadership.forget(from);
+        self.leadership.reset_progress(from);
         let response = Message::RecoveryResponse {
             nonce,
             term: self.log.term(),
-            last: self.log.last().max(self.following.min_log()),
+            last: self.log.last().max(self.follower_state.min_log()),
             voters_index: self.log.voters_index(),
             voters: self.voters().clone(),
             active: self.is_active_voter(),
@@ -618,9 +630,9 @@
         if recovery.nonce != nonce {
             return;
         }
-        if config.index > recovery.asked.index {
-            // The voters have changed meanwhile: those in force now are to be asked.
-            self.following.require_log(report.last);
+        if config.index > recovery.voter_config.index {
+            // The voters have changed in the meantime: restart the recovery with those now in force.
+            self.follower_state.raise_min_log(report.last);
             if !config.voters.contains(&self.id) {
                 return self.set_role(Role::NonVoter);
             }
@@ -637,7 +649,7 @@
             RecoveryOutcome::Waiting => {}
             RecoveryOutcome::AskInLaterTerm(term) => self.start_recovery(term),
             RecoveryOutcome::Recovered { term, min_log } => {
-                self.following.require_log(min_log);
+                self.follower_state.raise_min_log(min_log);
                 self.log.set_term(term, Some(UNKNOWN_VOTE));
                 self.become_follower();
             }
@@ -646,23 +658,26 @@
 
     // ---- roles -------------------------------------------------------------------------------------
 
-    /// A newer term ends a campaign or a leadership.
+    /// Joins a newer term and ends a campaign or leadership.
     fn step_down(&mut self, term: Term) {
         if term > self.log.term() {
             self.log.set_term(term, None);
         }
         if matches!(self.role, Role::PreCandidate { .. } | Role::Candidate { .. } | Role::Leader) {
-            self.following.set_leader(None);
+            self.follower_state.set_leader(None);
             self.become_follower();
         }
     }
 
-    /// A node's role follows from who the voters are.
+    /// Updates the role after a possible change of the voters.
     fn reconcile_role(&mut self) {
         match (&self.role, self.is_voter()) {
-            // A node that was told of newer voters without it stays out until its log says otherwise.
-            (Role::NonVoter, true) if self.following.is_reached_by(self.log.last()) => self.become_follower(),
-            // A leader that is no voter any more leads until that is committed (Raft, section 6).
+            // A node that learned from a report that it is no voter any more becomes a follower only once its log
+            // reaches the reported position.
+            (Role::NonVoter, true) if self.follower_state.satisfies_min_log(self.log.last()) => {
+                self.become_follower()
+            }
+            // A leader that is removed from the voters leads until the removal is committed (Raft, section 6).
             (Role::Leader, false) if self.log.has_committed_voters() => self.set_role(Role::NonVoter),
             (
                 Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } | Role::Recovering(_),
@@ -672,17 +687,17 @@
         }
     }
 
-    /// The one place where the role changes.
+    /// Changes the role. All role changes go through this function.
     fn set_role(&mut self, role: Role) {
         if self.role == Role::Leader && role != Role::Leader {
             self.leadership.end();
-            self.following.set_leader(None);
+            self.follower_state.set_leader(None);
         }
         self.role = role;
     }
 
     fn reset_election_timer(&mut self) {
-        self.following.reset_election_timer(self.now_ms, &mut self.rng);
+        self.follower_state.reset_election_timer(self.now_ms, &mut self.rng);
     }
 
     fn other_voters(&self) -> Vec<NodeId> {
--- a/crates/plovershelf-cluster/src/consensus/recovery.rs
+++ b/crates/plovershelf-cluster/src/consensus/recovery.rs
@@ -1,9 +1,10 @@
-//! A voter that restarted does not trust its disk, which may have been restored from an older copy: it takes no part until
-//! others have told what they keep.
+//! Recovery of a restarted voter. Its disk may have been restored from an older copy, so it neither votes nor
+//! acknowledges entries until enough other voters have reported their state.
 //!
-//! Guards against a vote given twice in a term and an acknowledgement forgotten: without it two leaders of one term, or a
-//! committed entry that is lost, as the checker shows with the rule `VoteWithoutRecovery` broken. It holds because the
-//! reports of [`recovery_quorum`] active voters include one of each majority that this voter may have been part of.
+//! Recovery prevents a second vote in the same term and the loss of an acknowledged entry. Without it two leaders of
+//! one term can be elected or a committed entry lost, as the model checker shows with the rule `VoteWithoutRecovery`
+//! broken. It is sufficient because the reports of [`recovery_quorum`] active voters include one from each majority
+//! that this voter may have belonged to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,71 +12,73 @@
 use super::membership::recovery_quorum;
 use crate::identity::NodeId;
 
-/// What another voter told of itself.
+/// The state that another voter reported to a recovering one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterReport {
-    /// Its term.
+    /// Term of the reporting voter.
     pub term: Term,
-    /// Where its log ends, or must end by what it has acknowledged.
+    /// Last position of its log, or the position up to which it may have acknowledged entries if that is later.
     pub last: LogPosition,
-    /// Whether it is a voter that is not recovering itself.
+    /// Whether it is a voter and not recovering itself.
     pub active: bool,
-    /// Whether it leads.
+    /// Whether it is the leader of `term`.
     pub leads: bool,
 }
 
-/// A recovery under way.
+/// The state of a recovery in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovery {
-    /// Tells this round of requests from those before.
+    /// Identifies the current round of requests, so that responses to earlier rounds are ignored.
     pub nonce: u64,
-    /// Reports of an earlier term do not count.
+    /// Earliest term from which reports count.
     pub min_term: Term,
-    /// The newest voters that this node was told of: those it asks.
-    pub asked: VoterConfig,
-    /// What came so far.
+    /// Newest voters known to this node, which it asks for reports.
+    pub voter_config: VoterConfig,
+    /// Reports received so far.
     pub reports: BTreeMap<NodeId, VoterReport>,
     pub(super) retry_at_ms: f64,
 }
 
-/// What the reports so far come to.
+/// The conclusion from the reports received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecoveryOutcome {
     /// More reports are needed.
     Waiting,
-    /// Nobody who leads the newest term knows of the restart: an acknowledgement from before might count in a term up to
-    /// this one, so all must report once more from a later term.
+    /// No leader of the newest term has learned of the restart, so an acknowledgement from before it may still be
+    /// counted in a term up to the newest. All voters must report again from this later term.
     AskInLaterTerm(Term),
-    /// The voter may take part again: in this term without a vote, and only with logs that reach as far.
+    /// The voter becomes a follower. It casts no vote in `term` and votes only for candidates whose log reaches
+    /// `min_log`.
     Recovered { term: Term, min_log: LogPosition },
 }
 
 impl Recovery {
-    pub(super) fn new(asked: VoterConfig, min_term: Term) -> Self {
-        Recovery { nonce: 0, min_term, asked, reports: BTreeMap::new(), retry_at_ms: 0.0 }
+    pub(super) fn new(voter_config: VoterConfig, min_term: Term) -> Self {
+        Recovery { nonce: 0, min_term, voter_config, reports: BTreeMap::new(), retry_at_ms: 0.0 }
     }
 
-    /// The next round of the same recovery: what came counts on unless a later term is needed.
+    /// Returns the next round of this recovery. The reports received so far still count unless a later term is
+    /// required.
     pub(super) fn retry(&self, min_term: Term) -> Self {
         if self.min_term == min_term {
             return self.clone();
         }
-        Recovery::new(self.asked.clone(), min_term)
+        Recovery::new(self.voter_config.clone(), min_term)
     }
 
-    /// Takes a report in; false where it does not count.
+    /// Records a report. Returns false if the report does not count.
     pub(super) fn record(&mut self, from: NodeId, report: VoterReport) -> bool {
-        let counts = self.asked.voters.contains(&from) && report.term >= self.min_term;
+        let counts = self.voter_config.voters.contains(&from) && report.term >= self.min_term;
         if counts {
             self.reports.insert(from, report);
         }
         counts
     }
 
-    /// What the reports come to for a node of this term. Nodes that are lost for good need not report.
+    /// Evaluates the reports for a node in term `own_term`. Permanently lost nodes do not have to report.
     pub(super) fn outcome(&self, own_term: Term, lost: &BTreeSet<NodeId>) -> RecoveryOutcome {
-        let count = self.asked.voters.len();
-        let lost = self.asked.voters.intersection(lost).count();
+        let count = self.voter_config.voters.len();
+        let lost = self.voter_config.voters.intersection(lost).count();
         let active = self.reports.values().filter(|report| report.active).count();
         let enough_active = active + lost >= recovery_quorum(count);
         if !enough_active && self.reports.len() + lost + 1 < count {
@@ -83,9 +86,9 @@
         }
         let newest = self.reports.values().map(|report| report.term).max().unwrap_or_default();
         let min_log = self.reports.values().map(|report| report.last).max().unwrap_or_default();
-        let leader_knows = self.reports.values().any(|report| report.leads && report.term == newest);
+        let leader_reported = self.reports.values().any(|report| report.leads && report.term == newest);
         let term = newest.max(own_term);
-        if !leader_knows && self.min_term == Term::default() && !self.reports.is_empty() {
+        if !leader_reported && self.min_term == Term::default() && !self.reports.is_empty() {
             return RecoveryOutcome::AskInLaterTerm(term.next());
         }
         RecoveryOutcome::Recovered { term, min_log }
--- a/crates/plovershelf-cluster/src/consensus/replication.rs
+++ b/crates/plovershelf-cluster/src/consensus/replication.rs
@@ -1,7 +1,7 @@
-//! How far each follower's log is known to match the leader's, and what it is sent next.
+//! Replication progress of each follower, and the choice of what to send to it next.
 //!
-//! The tracker knows indices and times alone, no entries and no terms: the leader asks it what to send and reads the
-//! entries from its log.
+//! The tracker handles only indices and times, not entries or terms. The leader asks it which range to send and reads
+//! the entries from its log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,48 +9,48 @@
 use super::membership::majority;
 use crate::identity::NodeId;
 
-/// One follower's progress, as its leader knows it.
+/// A follower's replication progress as known to the leader.
 #[derive(Clone, Debug, PartialEq)]
 struct Progress {
-    /// Up to here its log matches.
+    /// Highest index known to match the leader's log.
     match_index: u64,
-    /// The first entry to send again where something was lost.
+    /// First index to resend when messages seem lost.
     next_index: u64,
-    /// Up to here entries are under way.
+    /// Highest index sent so far.
     sent_index: u64,
     sent_at_ms: f64,
-    /// When the latest message that it answered was sent, in microseconds.
+    /// Time of sending, in microseconds, of the latest message that the follower answered.
     acknowledged_us: u64,
 }
 
-/// Whether a message goes out though there is nothing new.
+/// Whether to send a message even if there are no new entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendMode {
     OnlyEntries,
     Heartbeat,
 }
 
-/// What to send to a follower.
+/// The content of the next message to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Batch {
-    /// The entries after one index up to another, maybe none.
+    /// Entries after `previous_index` up to and including `until`. Empty for a heartbeat.
     Entries { previous_index: u64, until: u64 },
-    /// The log no longer has what the follower lacks.
+    /// A snapshot, because the entries that the follower lacks are compacted.
     Snapshot,
 }
 
-/// What the leader's log offers at this moment.
+/// The range of indices in the leader's log.
 pub(super) struct LogRange {
     pub(super) last_index: u64,
-    /// The earliest index whose term the log still knows.
+    /// Earliest index whose term the log still has.
     pub(super) first_known_index: u64,
 }
 
-/// Progress of all voters and of the learner, of a leader; empty on all others.
+/// Progress of all other voters and of the learner. Filled only on a leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProgressTracker {
     progress: BTreeMap<NodeId, Progress>,
-    /// Nodes that are brought up to date though they are no voters yet.
+    /// Nodes that receive entries although they are not voters yet.
     learners: BTreeSet<NodeId>,
 }
 
@@ -65,8 +65,8 @@
         self.progress.retain(|id, _| voters.contains(id) || self.learners.contains(id));
     }
 
-    /// The nodes that are sent entries. Those that are new among them are taken to have all up to `last_index`, until they
-    /// say otherwise.
+    /// Starts to track the voters and learners that are not tracked yet and returns all tracked nodes. A new one is
+    /// assumed to have all entries up to `last_index` until it rejects them.
     pub(super) fn track(&mut self, own: NodeId, voters: &BTreeSet<NodeId>, last_index: u64) -> Vec<NodeId> {
         let followers: Vec<NodeId> = voters.union(&self.learners).copied().filter(|id| *id != own).collect();
         for id in &followers {
@@ -81,11 +81,11 @@
         followers
     }
 
-    pub(super) fn matched(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
+    pub(super) fn match_indices(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
         self.progress.iter().map(|(id, progress)| (*id, progress.match_index))
     }
 
-    /// What to send to one follower now. Entries under way are sent again only when they seem lost.
+    /// Returns what to send to a follower now. Unacknowledged entries are sent again only after `resend_ms`.
     pub(super) fn next_batch(
         &mut self,
         to: NodeId,
@@ -115,14 +115,15 @@
         Some(Batch::Entries { previous_index, until })
     }
 
-    /// The follower answered a message that the leader sent then: it followed it at that time. False where it is sent nothing.
+    /// Records that the follower answered a message sent at `sent_at_us`, when it thus still followed this leader.
+    /// Returns false if the node is not tracked.
     pub(super) fn record_contact(&mut self, from: NodeId, sent_at_us: u64) -> bool {
         let Some(progress) = self.progress.get_mut(&from) else { return false };
         progress.acknowledged_us = progress.acknowledged_us.max(sent_at_us);
         true
     }
 
-    /// The follower's log matches up to there.
+    /// Records that the follower's log matches up to `match_index`.
     pub(super) fn acknowledge(&mut self, from: NodeId, match_index: u64) {
         if let Some(progress) = self.progress.get_mut(&from) {
             progress.match_index = progress.match_index.max(match_index);
@@ -131,30 +132,31 @@
         }
     }
 
-    /// The follower's log does not match, and ends there as far as it may match.
+    /// Records that the follower's log does not match, and that it can match up to `last_index` at most.
     pub(super) fn reject(&mut self, from: NodeId, last_index: u64) {
         if let Some(progress) = self.progress.get_mut(&from) {
             (progress.next_index, progress.sent_index) = (last_index + 1, last_index);
-            // What matched goes back only where the follower forgot it.
+            // The match index decreases only if the follower lost entries that it had acknowledged.
             progress.match_index = progress.match_index.min(last_index);
         }
     }
 
-    /// The follower restarted: what it acknowledged before is void until it says so again.
-    pub(super) fn forget(&mut self, id: NodeId) {
+    /// Discards the acknowledgements of a follower that restarted, until it acknowledges the entries again.
+    pub(super) fn reset_progress(&mut self, id: NodeId) {
         if let Some(progress) = self.progress.get_mut(&id) {
             (progress.match_index, progress.sent_index, progress.sent_at_ms) = (0, 0, f64::NEG_INFINITY);
         }
     }
 
-    /// Those that have the whole log are sent the new commit index at once: what waits on it waits on them.
+    /// Marks the followers that have the whole log as due, so that they receive the new commit index at once: whatever
+    /// waits for the commit waits for these followers.
     pub(super) fn expedite_up_to_date(&mut self, last_index: u64) {
         for progress in self.progress.values_mut().filter(|progress| progress.match_index >= last_index) {
             progress.sent_at_ms = f64::NEG_INFINITY;
         }
     }
 
-    /// The last index that a majority of voters has.
+    /// Returns the highest index that a majority of the voters has stored.
     pub(super) fn quorum_index(&self, own: NodeId, own_last: u64, voters: &BTreeSet<NodeId>) -> Option<u64> {
         let match_index = |id: &NodeId| self.progress.get(id).map_or(0, |progress| progress.match_index);
         let index = |id: &NodeId| if *id == own { own_last } else { match_index(id) };
@@ -163,7 +165,8 @@
         matched.get(majority(matched.len()) - 1).copied()
     }
 
-    /// When a majority of voters last followed this leader, which counts itself where it is one of them.
+    /// Returns the latest time at which a majority of the voters is known to have followed this leader. The leader
+    /// counts itself if it is a voter.
     pub(super) fn quorum_contact_ms(&self, own: NodeId, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
         let contact = |id: &NodeId| {
             let progress = self.progress.get(id);
--- a/crates/plovershelf-cluster/src/consensus/replication/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/replication/tests.rs
@@ -19,9 +19,9 @@
     tracker.next_batch(FOLLOWER, now_ms, RESEND_MS, mode, &log)
 }
 
-/// Entries are under way. They are not sent again with each heartbeat, but once they seem lost.
+/// Unacknowledged entries are not sent again with each heartbeat, only after the resend interval.
 #[test]
-fn entries_under_way_are_sent_again_only_when_they_seem_lost() {
+fn unacknowledged_entries_are_sent_again_only_after_the_resend_interval() {
     let mut tracker = tracker();
     let entries = Some(Batch::Entries { previous_index: 4, until: 5 });
     assert_eq!(next(&mut tracker, 0.0, SendMode::OnlyEntries), entries);
@@ -31,7 +31,8 @@
     assert_eq!(next(&mut tracker, 201.0, SendMode::OnlyEntries), entries);
 }
 
-/// A follower lags behind what the log retains: it gets a snapshot, not entries that follow on nothing it has.
+/// A follower lags behind the start of the leader's log. It receives a snapshot, because it lacks the entry that the
+/// first retained one follows.
 #[test]
 fn a_follower_behind_the_log_gets_a_snapshot() {
     let mut tracker = tracker();
@@ -42,19 +43,21 @@
     assert_eq!(next(&mut tracker, 1.0, SendMode::OnlyEntries), rest);
 }
 
-/// A follower acknowledges and then restarts with an older disk. Its acknowledgement must not count towards a majority.
+/// A follower acknowledges an entry and then restarts with an older disk. The acknowledgement must not count towards a
+/// majority.
 #[test]
 fn an_acknowledgement_is_void_after_a_restart() {
     let mut tracker = tracker();
     tracker.acknowledge(FOLLOWER, 5);
     assert_eq!(tracker.quorum_index(OWN, 5, &voters()), Some(5));
-    tracker.forget(FOLLOWER);
+    tracker.reset_progress(FOLLOWER);
     assert_eq!(tracker.quorum_index(OWN, 5, &voters()), Some(0));
 }
 
-/// The lease counts from the message that a majority answered, the leader itself being one of it where it is a voter.
+/// The lease starts at the sending of the latest message that a majority has answered. The leader counts itself towards
+/// the majority if it is a voter.
 #[test]
-fn contact_with_a_majority_is_that_of_its_last_member() {
+fn the_time_of_contact_with_a_majority_is_that_of_its_slowest_member() {
     let mut tracker = tracker();
     assert_eq!(tracker.quorum_contact_ms(OWN, 50.0, &voters()), 0.0);
     tracker.record_contact(FOLLOWER, 30_000);
--- a/crates/plovershelf-cluster/src/consensus/role.rs
+++ b/crates/plovershelf-cluster/src/consensus/role.rs
@@ -1,23 +1,23 @@
-//! What a node of a consensus group is configured with, and what it can be.
+//! Configuration and roles of a node of a consensus group.
 
 use std::collections::BTreeSet;
 
 use super::recovery::Recovery;
 use crate::identity::NodeId;
 
-/// Times of the consensus group.
+/// Timing parameters of the consensus group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RaftConfig {
-    /// Between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader, in milliseconds.
     pub heartbeat_interval_ms: f64,
-    /// Shortest and longest election timeout; each is drawn between them.
+    /// Shortest and longest election timeout, in milliseconds. Each timeout is drawn uniformly from this range.
     pub election_timeout_ms: [f64; 2],
-    /// Between two requests of a recovering voter.
+    /// Interval between two rounds of requests of a recovering voter, in milliseconds.
     pub recovery_retry_ms: f64,
-    /// By how much of the time a clock may run faster or slower than another.
+    /// Largest fraction of elapsed time by which a clock may run faster or slower than another.
     pub clock_drift_fraction: f64,
-    /// Whether a pre-vote precedes each vote. Without it a node that was cut off unseats the leader when it is back;
-    /// safety does not depend on it.
+    /// Whether each vote is preceded by a pre-vote. Without pre-votes a node that returns from a partition deposes the
+    /// leader. Safety does not depend on them.
     pub pre_vote: bool,
 }
 
@@ -33,27 +33,27 @@
     }
 }
 
-/// What a node is in its consensus group; the [module](super) says what leads from one to another.
+/// The role of a node in its consensus group. The [module documentation](super) lists the transitions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// No voter: it learns what was committed, as far as it is told.
+    /// Not a voter. Receives committed entries from other nodes.
     NonVoter,
-    /// A voter that has not heard yet what it may have forgotten.
+    /// A restarted voter that waits for the reports of other voters on state it may have forgotten.
     Recovering(Recovery),
-    /// A voter that follows a leader, or waits for one.
+    /// A voter that follows a leader or waits for one.
     Follower,
-    /// Asks whether a majority would vote for it.
+    /// A voter that requests pre-votes.
     PreCandidate {
-        /// Who would.
+        /// Nodes that granted the pre-vote, including this one.
         granted: BTreeSet<NodeId>,
     },
-    /// Has voted for itself in a new term and asks the others.
+    /// A voter that has voted for itself in a new term and requests the votes of the others.
     Candidate {
-        /// Who has voted for it.
+        /// Nodes that granted the vote, including this one.
         granted: BTreeSet<NodeId>,
     },
-    /// Was elected in its term.
+    /// The elected leader of its term.
     Leader,
-    /// Its storage takes nothing, so it confirms nothing.
+    /// A node whose storage fails. Acknowledges nothing and ignores messages.
     StorageFailed,
 }
--- a/crates/plovershelf-cluster/src/gossip/config.rs
+++ b/crates/plovershelf-cluster/src/gossip/config.rs
@@ -1,38 +1,39 @@
-//! Settings of gossip.
+//! Configuration of gossip.
 
-/// Times and limits of gossip.
+/// Timing parameters and limits of gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipConfig {
-    /// Between two probes.
+    /// Interval between two probes, in milliseconds.
     pub probe_interval_ms: f64,
-    /// After this an acknowledgement is late, and others are asked to probe.
+    /// Time without an acknowledgement after which a probe is late and indirect probes are requested, in milliseconds.
     pub probe_timeout_ms: f64,
-    /// How many are asked.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// How long a suspicion lasts that nobody shares, among ten members.
+    /// Duration of an unconfirmed suspicion in a cluster of at most ten members, in milliseconds. Larger clusters
+    /// extend it with the logarithm of their size.
     pub suspicion_timeout_ms: f64,
-    /// The fraction of it that a suspicion lasts which as many share as count.
+    /// Duration of a suspicion with the maximum number of confirmations, as a fraction of an unconfirmed one.
     pub confirmed_suspicion_fraction: f64,
-    /// The highest score of local health; timeouts get `1 + score / 2` times longer, so 2.5 times with 3.
+    /// Maximum score of local health. Timeouts are multiplied by `1 + score / 2`, which is 2.5 for a score of 3.
     pub max_health_score: f64,
-    /// Updates carried along with one message.
+    /// Maximum number of queued updates piggybacked on a message.
     pub updates_per_message: usize,
-    /// Members that are known at once.
+    /// Maximum number of other members in the table.
     pub max_members: usize,
-    /// Between two comparisons of digests with one other member.
+    /// Mean interval between two digests sent to random members, in milliseconds.
     pub sync_interval_ms: f64,
-    /// The same where much differed.
+    /// Mean delay of the next digest if the previous exchange found many differences, in milliseconds.
     pub sync_retry_interval_ms: f64,
-    /// Updates in one message that answers a digest.
+    /// Maximum number of updates in a message that answers a digest.
     pub updates_per_sync: usize,
-    /// How many are sent at once what changed.
+    /// Number of members to which a change is broadcast at once.
     pub broadcast_fanout: usize,
-    /// Between two such broadcasts.
+    /// Minimum interval between two broadcasts, in milliseconds.
     pub broadcast_interval_ms: f64,
-    /// Between two tries to reach a seed, or a member that is held for dead.
+    /// Interval between two attempts to reach a seed or a dead member, in milliseconds.
     pub reconnect_interval_ms: f64,
-    /// After this a member that is dead or left is forgotten.
-    pub forget_after_ms: f64,
+    /// Time after which a member that is dead or has left is removed from the table, in milliseconds.
+    pub removal_delay_ms: f64,
 }
 
 impl Default for GossipConfig {
@@ -52,7 +53,7 @@
             broadcast_fanout: 3,
             broadcast_interval_ms: 200.0,
             reconnect_interval_ms: 500.0,
-            forget_after_ms: 600_000.0,
+            removal_delay_ms: 600_000.0,
         }
     }
 }
--- a/crates/plovershelf-cluster/src/gossip/member.rs
+++ b/crates/plovershelf-cluster/src/gossip/member.rs
@@ -1,4 +1,4 @@
-//! What members know of each other.
+//! Types that describe members and updates on them.
 
 use std::net::SocketAddr;
 
@@ -6,67 +6,70 @@
 
 use crate::identity::NodeId;
 
-/// Longest name, zone or region that is believed of another member, in bytes.
+/// Maximum length of the name, zone or region accepted from another member, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// What a node says of itself; it never changes while its id lasts.
+/// The immutable description of a node. It is constant for the lifetime of the node's id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Its id.
+    /// Id of the node's state on disk.
     pub id: NodeId,
-    /// Its name, which another id may have had before.
+    /// Configured name. A node whose storage is replaced keeps its name under a new id.
     pub name: String,
-    /// The zone that it runs in.
+    /// Zone that the node runs in.
     pub zone: String,
-    /// The region of that zone.
+    /// Region of that zone.
     pub region: String,
-    /// Where it is reached.
+    /// Address on which the node receives messages.
     pub address: SocketAddr,
-    /// When its id was drawn, in Unix milliseconds: tells the newer of two ids of one name.
+    /// Creation time of the id, in Unix milliseconds. Determines which of two ids with the same name is newer.
     pub created_at_ms: u64,
 }
 
-/// Whether a member is there, as others see it. Later states supersede earlier ones of the same incarnation.
+/// The state of a member as seen by others. Within an incarnation a later state in this order supersedes an earlier
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It acknowledges probes.
+    /// The member acknowledges probes.
     Alive,
-    /// It did not, and may refute that.
+    /// The member failed to acknowledge a probe and may refute the suspicion.
     Suspect,
-    /// It did not refute it in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it goes.
+    /// The member announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// Whether it is taken to be there: alive, or merely suspected.
+    /// Returns whether the member is considered present: alive or suspect.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
 }
 
-/// What is known of one member.
+/// An update on a member: its description, versioned status and state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Whom it is about.
+    /// Description of the member.
     pub node: NodeInfo,
-    /// Raised by the member itself, to refute what is said of it or to change what it says (SWIM, section 4.2).
+    /// Version of the update. Only the member itself raises it, to refute a report on it or to change its own status
+    /// (SWIM, section 4.2).
     pub incarnation: u32,
-    /// It does its work, not only answers probes.
+    /// Whether the member processes requests, rather than only answering probes.
     pub ready: bool,
-    /// It is about to go, and hands off what it holds.
+    /// Whether the member is about to leave and hands off its data.
     pub draining: bool,
-    /// Drawn at each start: what the process alone held is gone with the boot before, though its storage is kept.
+    /// Random id of the process, drawn at each start. A new one means that the state in memory is lost, although the
+    /// storage is not.
     pub boot_id: u64,
-    /// Whether it is there.
+    /// State of the member.
     pub state: MemberState,
-    /// Who says so, where it does not say so itself.
+    /// Node that reported the state, which is the member itself for its own updates.
     pub reported_by: NodeId,
 }
 
 impl MemberUpdate {
-    /// What a node says of itself at its start.
+    /// Returns the update of a node on itself at its start.
     pub(super) fn initial(node: NodeInfo) -> Self {
         let reported_by = node.id;
         MemberUpdate {
@@ -80,12 +83,13 @@
         }
     }
 
-    /// The same member in another state, as this node reports it.
+    /// Returns this update with another state, reported by the given node.
     pub(super) fn reported(&self, state: MemberState, reported_by: NodeId) -> Self {
         MemberUpdate { state, reported_by, ..self.clone() }
     }
 
-    /// What of two updates of one member is newer.
+    /// Returns the version of the update. Of two updates on a member the one with the greater version supersedes the
+    /// other.
     pub(super) fn precedence(&self) -> (u32, MemberState) {
         (self.incarnation, self.state)
     }
--- a/crates/plovershelf-cluster/src/gossip/message.rs
+++ b/crates/plovershelf-cluster/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! What members send to each other.
+//! Gossip messages between members.
 
 use std::net::SocketAddr;
 
@@ -7,65 +7,65 @@
 use super::member::MemberUpdate;
 use crate::identity::NodeId;
 
-/// Messages between members; most carry updates along.
+/// A gossip message. Most variants piggyback membership updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A probe.
+    /// Probes the receiver.
     Ping {
-        /// Comes back with the acknowledgement.
+        /// Identifies the ping. The acknowledgement echoes it.
         nonce: u64,
-        /// Updates carried along.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
     /// Acknowledges a ping.
     Ack {
-        /// As it came.
+        /// Nonce of the ping.
         nonce: u64,
-        /// Updates carried along.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Asks a third member to ping the target (SWIM's ping-req).
+    /// Asks the receiver to ping a target (SWIM's ping-req).
     PingRequest {
-        /// Comes back with [`Message::IndirectAck`].
+        /// Identifies the request. [`Message::IndirectAck`] echoes it.
         nonce: u64,
-        /// Whom to ping.
+        /// Member to ping.
         target: NodeId,
-        /// Where it is reached.
+        /// Address of the target.
         address: SocketAddr,
-        /// Updates carried along.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// The target of a ping request acknowledged.
+    /// Reports that the target of a ping request acknowledged.
     IndirectAck {
-        /// As it came.
+        /// Nonce of the ping request.
         nonce: u64,
-        /// Updates carried along.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Something changed just now.
+    /// Disseminates a recent change of state.
     Broadcast {
-        /// What did, and other updates along with it.
+        /// The change and other queued updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Checksums of what is known of present members, by buckets. Where they differ the receiver sends what it knows.
+    /// Checksums of the sender's present members. The receiver answers with the entries of the buckets that differ.
     Digest {
-        /// One a bucket.
+        /// Checksums, one per bucket.
         checksums: Vec<u32>,
-        /// Whether the receiver's digest is wanted in return.
+        /// Whether the receiver should answer with its own digest.
         reply: bool,
     },
-    /// What is known in buckets whose checksums differ.
+    /// Entries of the buckets whose checksums differ.
     Sync {
-        /// All or some of it.
+        /// All or some of those entries.
         updates: Vec<MemberUpdate>,
     },
 }
 
-/// Where a message goes: to a node, where it is known who is meant, at an address.
+/// The destination of a message: an address and, if known, the node expected there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination {
-    /// Who is meant; whoever else is at the address ignores the message.
+    /// Intended receiver. Any other node at the address ignores the message.
     pub id: Option<NodeId>,
-    /// Where.
+    /// Address to send to.
     pub address: SocketAddr,
 }
--- a/crates/plovershelf-cluster/src/gossip/mod.rs
+++ b/crates/plovershelf-cluster/src/gossip/mod.rs
@@ -1,43 +1,48 @@
-//! Membership by gossip: which nodes are there, found out by probes and disseminated along with them (SWIM, Lifeguard).
+//! Membership by gossip: probes detect failed members, and their messages piggyback membership updates (SWIM,
+//! Lifeguard).
 //!
-//! A driver calls [`Swim::handle_message`] and [`Swim::handle_timeout`], and after each sends what [`Swim::poll_messages`]
-//! returns; [`Swim::poll_timeout`] says when it is to call again. The ordinary path: every probe interval one other member
-//! is pinged ([`Message::Ping`]) in a shuffled round; it acknowledges, and both carry a few member updates along. A member
-//! that does not acknowledge is pinged through others; one that none of them reaches is suspected, and dead when it has not
-//! refuted that in time. From SWIM: rounds, indirect probes, updates carried along, refutation by a higher incarnation. From
-//! Lifeguard: a member that fails to reach many takes its own health for poor and waits longer, and a suspicion that several
-//! members share ends sooner.
+//! The driver calls [`Swim::handle_message`] and [`Swim::handle_timeout`], sends the messages that
+//! [`Swim::poll_messages`] returns, and schedules a timer for [`Swim::poll_timeout`]. Every probe interval a member
+//! pings one other member ([`Message::Ping`]) in a shuffled round-robin order. The target acknowledges, and both
+//! messages piggyback a few membership updates. A member that does not acknowledge is pinged indirectly through others.
+//! If none of them reaches it, it becomes suspect, and dead if it does not refute the suspicion in time.
+//!
+//! The probe rounds, indirect probes, piggybacked updates and refutation by a higher incarnation are those of SWIM.
+//! From Lifeguard are local health, by which a member whose probes fail often extends its own timeouts, and the shorter
+//! timeout of a suspicion that several members confirm.
 //!
 //! | state of a member | event | next state |
 //! | --- | --- | --- |
 //! | `Alive` | no acknowledgement, direct or indirect | `Suspect` |
-//! | `Alive`, `Suspect` | its own update that it leaves | `Left` |
+//! | `Alive`, `Suspect` | its own update that it has left | `Left` |
 //! | `Suspect` | its own update with a higher incarnation | `Alive` |
 //! | `Suspect` | suspicion timeout | `Dead` |
 //! | `Dead` | its own update with a higher incarnation | `Alive` |
-//! | `Dead`, `Left` | [`GossipConfig::forget_after_ms`] | forgotten |
+//! | `Dead`, `Left` | [`GossipConfig::removal_delay_ms`] elapsed | removed from the table |
 //!
-//! Updates travel three ways, each for what the others are bad at:
+//! Updates are disseminated by three mechanisms that complement each other:
 //!
-//! 1. What changed is sent at once to a few ([`Message::Broadcast`]), who do the same: a death is known within moments.
-//! 2. It goes along with probes, least transmitted first and deaths before joins: so it comes to those that the first way
-//!    missed, also while hundreds join.
-//! 3. A member compares digests with another now and then ([`Message::Digest`]) and hands over what differs (anti-entropy):
-//!    one that joins has all within moments, and what both other ways lost is put right. What came so is not disseminated
-//!    further: else hundreds of joins would be on their way for minutes, and a death would have to wait among them.
+//! 1. Broadcast: a change of state is sent at once to a few members ([`Message::Broadcast`]), which do the same, so that
+//!    a death becomes known quickly.
+//! 2. Piggybacking: probe messages carry updates, those of members that are not alive first and then the least
+//!    transmitted ones. This reaches members that the broadcast missed, also while hundreds of members join.
+//! 3. Anti-entropy: members periodically compare digests ([`Message::Digest`]) and exchange the entries that differ. A
+//!    new member receives the whole table in a few exchanges, and updates that the other mechanisms lost are repaired.
+//!    Updates received this way are queued for dissemination only if they change a known state: otherwise hundreds of
+//!    joins would fill the queue for minutes and delay the updates on deaths.
 //!
-//! Updates of one member are ordered by its incarnation, which it alone raises, then by state, so all members come to hold the
-//! same.
+//! Updates of a member are ordered by its incarnation, which only the member itself raises, and then by state, so that
+//! all members converge to the same table.
 //!
-//! | module | owns |
+//! | module | contents |
 //! | --- | --- |
 //! | `member`, `message`, `config` | types |
-//! | `table` | what is known of all others |
-//! | `probe` | pending probes, the round, local health |
-//! | `suspicion` | how long a suspicion lasts |
-//! | `dissemination` | updates under way |
+//! | `table` | table of all other members |
+//! | `probe` | pending probes, probe order, local health |
+//! | `suspicion` | suspicion timeout |
+//! | `dissemination` | queue of updates to piggyback |
 //! | `digest` | checksums for anti-entropy |
-//! | `swim` | the state machine that joins them |
+//! | `swim` | the state machine that combines the modules |
 
 mod config;
 mod digest;
--- a/crates/plovershelf-cluster/src/gossip/probe.rs
+++ b/crates/plovershelf-cluster/src/gossip/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: whom to ping next, which pings are unanswered, and what that says of this member's own health.
+//! Probes: the order of targets, the unacknowledged pings and the local health derived from them.
 
 use std::collections::BTreeMap;
 
@@ -9,36 +9,36 @@
 use super::table::MemberTable;
 use crate::identity::NodeId;
 
-/// Probes that are unanswered at once, own and others'.
+/// Maximum number of unacknowledged probes, including those sent for other members.
 const MAX_PENDING: usize = 256;
 
-/// Who asked for a probe of a third member, and the nonce that it waits for.
+/// The member that requested an indirect probe, and the nonce of its request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Requester {
     pub(super) id: NodeId,
     pub(super) nonce: u64,
 }
 
-/// A ping that was not acknowledged yet.
+/// An unacknowledged ping.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: NodeId,
     pub(super) sent_at_ms: f64,
-    /// None for this member's own probe.
+    /// Member on whose behalf the target was pinged, or `None` for this member's own probe.
     pub(super) requester: Option<Requester>,
-    /// Others have been asked to ping the target.
-    asked_others: bool,
+    /// Whether indirect probes of the target were requested.
+    requested_indirect: bool,
 }
 
-/// What became of pending probes.
+/// Probes whose timeout or interval has elapsed.
 pub(super) struct Overdue {
-    /// Late for the first time: others are to be asked to ping the target.
+    /// Nonces and targets of the probes that became late and need indirect probes.
     pub(super) late: Vec<(u64, NodeId)>,
-    /// Targets that nobody reached in time.
+    /// Targets that acknowledged neither direct nor indirect probes.
     pub(super) failed: Vec<NodeId>,
 }
 
-/// Probes that were not acknowledged yet, by nonce.
+/// All unacknowledged probes by nonce.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingProbes {
     probes: BTreeMap<u64, Probe>,
@@ -56,15 +56,15 @@
         sent_at_ms: f64,
         requester: Option<Requester>,
     ) {
-        self.probes.insert(nonce, Probe { target, sent_at_ms, requester, asked_others: false });
+        self.probes.insert(nonce, Probe { target, sent_at_ms, requester, requested_indirect: false });
     }
 
     pub(super) fn remove(&mut self, nonce: u64) -> Option<Probe> {
         self.probes.remove(&nonce)
     }
 
-    /// The probe that its own target acknowledges. Another node's word, as of one that has taken over the target's address,
-    /// leaves it pending.
+    /// Removes and returns a probe that its target acknowledged. An acknowledgement by another node, such as one that
+    /// has taken over the target's address, leaves the probe pending.
     pub(super) fn remove_acknowledged(&mut self, nonce: u64, by: NodeId) -> Option<Probe> {
         self.probes.get(&nonce).filter(|probe| probe.target == by)?;
         self.probes.remove(&nonce)
@@ -74,17 +74,17 @@
         self.probes.clear();
     }
 
-    /// When something is to be done for the first of them: others are asked, or its interval is over.
+    /// Returns the earliest time at which a probe needs indirect probes or its interval ends.
     pub(super) fn poll_timeout(&self, timeout_ms: f64, interval_ms: f64) -> f64 {
         let due_ms = |probe: &Probe| {
-            let waits_for_interval = probe.asked_others || probe.requester.is_some();
+            let waits_for_interval = probe.requested_indirect || probe.requester.is_some();
             probe.sent_at_ms + if waits_for_interval { interval_ms } else { timeout_ms }
         };
         self.probes.values().map(due_ms).fold(f64::INFINITY, f64::min)
     }
 
-    /// Finds those that are late, and removes those for which the whole interval is over. Probes for others end silently:
-    /// whoever asked waits itself.
+    /// Returns the overdue probes and removes those whose interval has elapsed. A probe for another member is removed
+    /// without a failure, because the requester times out on its own.
     pub(super) fn take_overdue(&mut self, now_ms: f64, timeout_ms: f64, interval_ms: f64) -> Overdue {
         let mut overdue = Overdue { late: Vec::new(), failed: Vec::new() };
         self.probes.retain(|nonce, probe| {
@@ -93,8 +93,8 @@
                 overdue.failed.extend(own.then_some(probe.target));
                 return false;
             }
-            if now_ms >= probe.sent_at_ms + timeout_ms && !probe.asked_others && own {
-                probe.asked_others = true;
+            if now_ms >= probe.sent_at_ms + timeout_ms && !probe.requested_indirect && own {
+                probe.requested_indirect = true;
                 overdue.late.push((*nonce, probe.target));
             }
             true
@@ -103,14 +103,14 @@
     }
 }
 
-/// The order in which members are probed: all of them once, shuffled, then anew (SWIM, section 4.3).
+/// The order in which members are probed: round-robin, reshuffled after each round (SWIM, section 4.3).
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeRound {
     remaining: Vec<NodeId>,
 }
 
 impl ProbeRound {
-    /// The next member to probe, where any is present.
+    /// Returns the next present member to probe, if any.
     pub(super) fn next(&mut self, table: &MemberTable, rng: &mut Pcg32) -> Option<NodeId> {
         for _ in 0..2 {
             while let Some(id) = self.remaining.pop() {
@@ -124,18 +124,18 @@
         None
     }
 
-    /// A new member comes anywhere in the round.
+    /// Inserts a new member at a random position of the current round.
     pub(super) fn insert(&mut self, id: NodeId, rng: &mut Pcg32) {
-        let place = rng.random_range(0..=self.remaining.len());
-        self.remaining.insert(place, id);
+        let position = rng.random_range(0..=self.remaining.len());
+        self.remaining.insert(position, id);
     }
 }
 
-/// How far this member's own probes can be trusted (Lifeguard's local health): where many fail it is likely itself that
-/// is slow or cut off, so it waits longer before it suspects others.
+/// Local health of this member (Lifeguard). If many of its probes fail, the member itself is probably slow or
+/// partitioned, so it waits longer before it suspects others.
 #[derive(Clone, Debug)]
 pub(super) struct LocalHealth {
-    /// 0 while probes are acknowledged; each that is not adds one.
+    /// Score from 0, healthy, to `max_score`. Each failed probe adds 1, each acknowledged one subtracts 1.
     score: f64,
     max_score: f64,
 }
@@ -145,7 +145,7 @@
         LocalHealth { score: 0.0, max_score }
     }
 
-    /// By how much timeouts are longer.
+    /// Returns the factor by which timeouts are extended.
     pub(super) fn multiplier(&self) -> f64 {
         1.0 + self.score / 2.0
     }
@@ -154,7 +154,8 @@
         self.score = (self.score - 1.0).max(0.0);
     }
 
-    /// Others reach the target: then it is the path from here that is bad, or this member that is slow.
+    /// Records an indirect acknowledgement. It improves the score by less than a direct one, because the failure of the
+    /// direct probe means that the path from here is bad or that this member is slow.
     pub(super) fn record_indirect_ack(&mut self) {
         self.score = (self.score - 0.5).max(0.0);
     }
@@ -163,7 +164,7 @@
         self.score = (self.score + 1.0).min(self.max_score);
     }
 
-    /// The process was paused: what it takes for late was not.
+    /// Records a pause of the process, after which acknowledgements seem late that were not.
     pub(super) fn record_pause(&mut self) {
         self.score = self.max_score;
     }
--- a/crates/plovershelf-cluster/src/gossip/suspicion.rs
+++ b/crates/plovershelf-cluster/src/gossip/suspicion.rs
@@ -1,15 +1,15 @@
-//! How long a suspicion lasts before its member is held for dead (Lifeguard, section IV-B).
+//! The suspicion timeout after which a suspect member is declared dead (Lifeguard, section IV-B).
 
 use super::config::GossipConfig;
 
-/// Members that share a suspicion beyond the first, up to which it gets shorter.
+/// Maximum number of confirmations, by members other than the first suspector, that shorten a suspicion.
 pub(super) const MAX_CONFIRMATIONS: usize = 3;
 
-/// When a suspicion that began at `since_ms` ends in death.
+/// Returns the time at which a suspicion that began at `since_ms` ends with the member declared dead.
 ///
-/// Its span grows with the logarithm of the members, as updates take longer to reach all and a refutation longer to come
-/// back, and with `health_multiplier` while local health is poor. It shrinks from there to
-/// [`GossipConfig::confirmed_suspicion_fraction`] of it, with the logarithm of the members that share the suspicion.
+/// The timeout grows with the logarithm of the number of members, because updates and refutations take longer to reach
+/// all of them, and with `health_multiplier` while local health is poor. It shrinks with the logarithm of the number of
+/// confirmations, down to [`GossipConfig::confirmed_suspicion_fraction`] of its full length.
 pub(super) fn suspicion_deadline_ms(
     config: &GossipConfig,
     since_ms: f64,
--- a/crates/plovershelf-cluster/src/gossip/swim.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member; see the [module](super).
+//! The gossip state machine of one member; see the [module documentation](super).
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -17,22 +17,23 @@
 use super::table::{MemberEntry, MemberTable};
 use crate::identity::NodeId;
 
-/// Messages that answer one digest. What they have no room for the next comparison brings.
+/// Maximum number of `Sync` messages that answer a digest. Entries that do not fit are sent in later exchanges.
 const MAX_SYNC_MESSAGES: usize = 8;
-/// Where more buckets differ the next comparison follows soon, as it does while they bring members that were not known.
-const MANY_BUCKETS: usize = BUCKETS / 4;
-/// How many are told at once that this member is about to go, or goes.
-const FAREWELL_FANOUT: usize = 8;
+/// Number of differing buckets above which the next digest is sent early. It is also sent early while exchanges add
+/// members.
+const EARLY_SYNC_BUCKETS: usize = BUCKETS / 4;
+/// Number of members to which this member announces at once that it drains or leaves.
+const LEAVE_FANOUT: usize = 8;
 
-/// Whether an update is disseminated further though it changes no state.
+/// Whether an update that changes no state is disseminated further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Relay {
     Always,
-    WhereStateChanges,
+    OnStateChange,
 }
 
-/// One member. It owns no clock or socket: each call takes the present time in milliseconds, and messages to send stand in
-/// [`Swim::poll_messages`].
+/// A member of the cluster. Performs no I/O: each input takes the current time in milliseconds, and
+/// [`Swim::poll_messages`] returns the messages to send.
 #[derive(Clone, Debug)]
 pub struct Swim {
     own: MemberUpdate,
@@ -46,8 +47,9 @@
     probe_at_ms: f64,
     sync_at_ms: f64,
     reconnect_at_ms: f64,
-    /// When others are sent what changed, where something did; and when they were last.
+    /// Time of the next broadcast, or infinity if no change is pending.
     broadcast_at_ms: f64,
+    /// Time of the last broadcast.
     last_broadcast_ms: f64,
     rng: Pcg32,
     send: Vec<(Destination, Message)>,
@@ -55,10 +57,10 @@
 }
 
 impl Swim {
-    /// A member that has heard of nobody. `seeds` are addresses where others may be found.
+    /// Creates a member that knows no others. `seeds` are addresses of members to contact.
     pub fn new(node: NodeInfo, config: GossipConfig, seeds: Vec<SocketAddr>, seed: u64, now_ms: f64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
-        // Members that start at once do not probe at once.
+        // A random phase keeps members that start simultaneously from probing simultaneously.
         let phase = rng.random::<f64>();
         let mut own = MemberUpdate::initial(node);
         own.boot_id = rng.random();
@@ -84,8 +86,8 @@
 
     // ---- inputs ------------------------------------------------------------------------------------
 
-    /// A message from a node at an address. Updates of it count whoever it is; that it sent something proves nothing but
-    /// that it was there.
+    /// Handles a message from a node at an address. Its updates are applied whoever the sender is. The message itself
+    /// does not change the sender's state and only records the contact.
     pub fn handle_message(&mut self, now_ms: f64, from: NodeId, address: SocketAddr, message: Message) {
         self.now_ms = now_ms;
         if from == self.own.node.id || self.own.state == MemberState::Left {
@@ -97,7 +99,7 @@
         match message {
             Message::Ping { nonce, updates } => {
                 self.apply_updates(updates);
-                // A sender that is held for dead, or is unknown, learns of that and can refute it.
+                // Includes the entry of a sender considered suspect or dead, so that the sender can refute it.
                 let updates = self.updates_for(Some(from));
                 self.send.push((sender, Message::Ack { nonce, updates }));
             }
@@ -124,12 +126,12 @@
         }
     }
 
-    /// Time has come to [`Swim::poll_timeout`].
+    /// Handles the timeouts that are due at [`Swim::poll_timeout`].
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         self.handle_overdue_probes();
         self.expire_suspicions();
-        self.forget_gone();
+        self.remove_expired_members();
         if self.probe_at_ms <= now_ms {
             let next_ms = self.probe_at_ms + self.config.probe_interval_ms * self.health.multiplier();
             self.probe_at_ms = next_ms.max(now_ms + 1.0);
@@ -150,7 +152,8 @@
         }
     }
 
-    /// The process was paused: what seems late was not, and those whose time ran out meanwhile get it anew.
+    /// Handles the end of a pause of the process. Acknowledgements that seem late may not be, so pending probes are
+    /// discarded and the timeouts of suspicions restart.
     pub fn handle_resume(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         self.probes.clear();
@@ -159,7 +162,7 @@
         self.probe_at_ms = now_ms;
     }
 
-    /// Whether this member does its work.
+    /// Sets whether this member processes requests.
     pub fn set_ready(&mut self, now_ms: f64, ready: bool) {
         self.now_ms = now_ms;
         if self.own.ready != ready {
@@ -168,7 +171,7 @@
         }
     }
 
-    /// This member is about to go; it stays until [`Swim::leave`].
+    /// Announces that this member is about to leave. It remains a member until [`Swim::leave`].
     pub fn drain(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         if !self.own.draining {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// This member goes, and says so to some.
+    /// Leaves the cluster and announces that to a few members.
     pub fn leave(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         self.own.state = MemberState::Left;
@@ -187,7 +190,7 @@
         self.announce_own();
     }
 
-    /// When [`Swim::handle_timeout`] has something to do.
+    /// Returns the time at which to call [`Swim::handle_timeout`].
     pub fn poll_timeout(&self) -> f64 {
         let (timeout_ms, interval_ms) = self.probe_times();
         let probes = self.probes.poll_timeout(timeout_ms, interval_ms);
@@ -195,24 +198,25 @@
         own.min(probes.max(self.now_ms + 1.0))
     }
 
-    /// What the calls since the last poll ask to send.
+    /// Returns the messages to send from all calls since the last poll.
     pub fn poll_messages(&mut self) -> Vec<(Destination, Message)> {
         std::mem::take(&mut self.send)
     }
 
     // ---- queries -----------------------------------------------------------------------------------
 
-    /// What this member says of itself.
+    /// Returns the update of this member on itself.
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
-    /// All others that are known, the dead among them, and since when each is in its state here.
+    /// Returns all other known members, including dead ones, and the time at which this node recorded the state of
+    /// each.
     pub fn others(&self) -> impl Iterator<Item = (&MemberUpdate, f64)> {
         self.table.entries().map(|entry| (&entry.update, entry.since_ms))
     }
 
-    /// What is known of a member, this one included.
+    /// Returns the latest update on a member, which may be this one.
     pub fn find(&self, id: NodeId) -> Option<&MemberUpdate> {
         if id == self.own.node.id {
             return Some(&self.own);
@@ -220,25 +224,25 @@
         self.table.get(id).map(|entry| &entry.update)
     }
 
-    /// When something came from another member by itself.
-    pub fn heard_at_ms(&self, id: NodeId) -> Option<f64> {
-        self.table.get(id).map(|entry| entry.heard_at_ms)
+    /// Returns the time of the last message received directly from another member.
+    pub fn last_contact_ms(&self, id: NodeId) -> Option<f64> {
+        self.table.get(id).map(|entry| entry.last_contact_ms)
     }
 
-    /// Members that are taken to be there, this one first.
+    /// Returns the present members, this one first.
     pub fn present(&self) -> impl Iterator<Item = &MemberUpdate> {
         let others = self.table.entries().map(|entry| &entry.update);
         std::iter::once(&self.own).chain(others).filter(|update| update.state.is_present())
     }
 
-    /// The same at one address.
+    /// Returns the present members at an address.
     pub fn present_at(&self, address: SocketAddr) -> impl Iterator<Item = &MemberUpdate> {
         let others = self.table.at_address(address).map(|entry| &entry.update);
         let own = Some(&self.own).filter(|own| own.node.address == address);
         own.into_iter().chain(others).filter(|update| update.state.is_present())
     }
 
-    /// Updates that this member still disseminates.
+    /// Returns the number of updates in the dissemination queue.
     pub fn pending_updates(&self) -> usize {
         self.queue.len()
     }
@@ -277,7 +281,7 @@
         self.send.push((Destination { id: Some(id), address }, message));
     }
 
-    /// How long a probe waits before others are asked, and in all.
+    /// Returns the time until a probe is late and the time until it fails.
     fn probe_times(&self) -> (f64, f64) {
         let multiplier = self.health.multiplier();
         (self.config.probe_timeout_ms * multiplier, self.config.probe_interval_ms * multiplier)
@@ -310,7 +314,8 @@
         }
     }
 
-    /// Pings one that is held for dead, or a seed that is not known, so that halves that were partitioned find each other.
+    /// Pings a dead member or a seed without a known member, so that the two sides of a healed partition find each
+    /// other.
     fn reconnect(&mut self) {
         let known = |address: SocketAddr| self.present_at(address).next().is_some();
         let dead = self.table.not_alive().filter(|entry| entry.update.state == MemberState::Dead);
@@ -320,17 +325,17 @@
         candidates.extend(seeds.map(|seed| Destination { id: None, address: *seed }));
         let chosen = self.rng.random_range(0..candidates.len().max(1));
         let Some(candidate) = candidates.get(chosen) else { return };
-        self.ping_unknown(*candidate);
-        let alone = self.present().nth(1).is_none();
-        if alone {
+        self.ping_without_probe(*candidate);
+        let is_alone = self.present().nth(1).is_none();
+        if is_alone {
             for candidate in candidates {
-                self.ping_unknown(Destination { id: None, ..candidate });
+                self.ping_without_probe(Destination { id: None, ..candidate });
             }
         }
     }
 
-    /// A ping that is no probe: nothing follows where no acknowledgement comes.
-    fn ping_unknown(&mut self, destination: Destination) {
+    /// Pings without a pending probe: a missing acknowledgement has no consequence.
+    fn ping_without_probe(&mut self, destination: Destination) {
         let nonce = self.rng.random();
         self.ping(destination, nonce, None);
     }
@@ -356,27 +361,27 @@
         dead.into_iter().for_each(|update| self.apply(update, Relay::Always));
     }
 
-    fn forget_gone(&mut self) {
-        let before_ms = self.now_ms - self.config.forget_after_ms;
-        let gone = |entry: &&MemberEntry| !entry.update.state.is_present() && entry.since_ms <= before_ms;
-        let forgotten: Vec<NodeId> =
-            self.table.not_alive().filter(gone).map(|entry| entry.update.node.id).collect();
-        forgotten.into_iter().for_each(|id| self.table.remove(id));
+    fn remove_expired_members(&mut self) {
+        let before_ms = self.now_ms - self.config.removal_delay_ms;
+        let expired = |entry: &&MemberEntry| !entry.update.state.is_present() && entry.since_ms <= before_ms;
+        let removed: Vec<NodeId> =
+            self.table.not_alive().filter(expired).map(|entry| entry.update.node.id).collect();
+        removed.into_iter().for_each(|id| self.table.remove(id));
     }
 
     // ---- dissemination -----------------------------------------------------------------------------
 
-    /// A few others hear of this member at once, not only with its next probes.
+    /// Sends this member's own update to a few others at once, instead of only with its next probes.
     fn announce_own(&mut self) {
         let mut others = self.other_destinations();
         others.shuffle(&mut self.rng);
-        for destination in others.into_iter().take(FAREWELL_FANOUT) {
+        for destination in others.into_iter().take(LEAVE_FANOUT) {
             let updates = vec![self.own.clone()];
             self.send.push((destination, Message::Broadcast { updates }));
         }
     }
 
-    /// What changed goes to a few others. They do the same, so it is everywhere after a few such steps.
+    /// Sends queued updates to a few members. They do the same, so a change reaches all members after a few such steps.
     fn broadcast(&mut self) {
         let mut others = self.other_destinations();
         let (chosen, _) = others.partial_shuffle(&mut self.rng, self.config.broadcast_fanout);
@@ -386,14 +391,15 @@
         }
     }
 
-    /// Others hear of a change soon; of many in a row together, so that a zone that dies is no flood.
+    /// Schedules a broadcast as early as the broadcast interval allows. Changes in quick succession share a broadcast,
+    /// so that the failure of a zone does not cause a flood of messages.
     fn schedule_broadcast(&mut self) {
         let next_ms = self.last_broadcast_ms + self.config.broadcast_interval_ms;
         self.broadcast_at_ms = self.broadcast_at_ms.min(next_ms.max(self.now_ms));
     }
 
-    /// What goes along with a message: this member, what is said of the receiver so that it can refute it, then what is
-    /// under way.
+    /// Returns the updates to piggyback on a message: this member's own, the receiver's if it is not alive, so that it
+    /// can refute it, and queued ones.
     fn updates_for(&mut self, receiver: Option<NodeId>) -> Vec<MemberUpdate> {
         let table = &self.table;
         let is_alive =
@@ -409,11 +415,11 @@
     }
 
     fn apply_updates(&mut self, updates: Vec<MemberUpdate>) {
-        let most = self.config.updates_per_sync + self.config.updates_per_message + 2;
-        updates.into_iter().take(most).for_each(|update| self.apply(update, Relay::Always));
+        let limit = self.config.updates_per_sync + self.config.updates_per_message + 2;
+        updates.into_iter().take(limit).for_each(|update| self.apply(update, Relay::Always));
     }
 
-    /// The one place where a member's state changes.
+    /// Applies an update. All changes of other members' states go through this function.
     fn apply(&mut self, update: MemberUpdate, relay: Relay) {
         let (id, alive) = (update.node.id, update.state == MemberState::Alive);
         if id == self.own.node.id {
@@ -431,7 +437,7 @@
         }
     }
 
-    /// Whether the update changed the member's state; nothing where it is not newer than what is known.
+    /// Applies an update on a known member. Returns whether its state changed, or `None` if the update is not newer.
     fn apply_to_known(&mut self, update: MemberUpdate, known: (u32, MemberState)) -> Option<bool> {
         match update.precedence().cmp(&known) {
             Ordering::Less => None,
@@ -451,46 +457,47 @@
         }
     }
 
-    /// Whether the member was added. The long dead are of no use to a member that never knew them.
+    /// Adds an unknown member. Returns false if it is refused, for example because it is not present.
     fn add_member(&mut self, update: MemberUpdate) -> bool {
         let full = self.table.len() >= self.config.max_members;
         let refused = !update.state.is_present() || full || update.has_overlong_name();
-        if refused || self.is_older_namesake(&update) {
+        if refused || self.is_replaced_id(&update) {
             return false;
         }
-        self.replace_namesake(&update);
+        self.declare_replaced_ids_dead(&update);
         let id = update.node.id;
         self.table.insert(update, self.now_ms);
         self.round.insert(id, &mut self.rng);
         if self.table.len() == 1 {
-            // The first one that this member knows tells it of all others.
-            self.sync_soon();
+            // Fetch the whole table from the first member that becomes known.
+            self.schedule_early_sync();
         }
         true
     }
 
-    /// A name that comes back under another id at the same address has lost its storage, or never had any: the old id is
-    /// dead.
-    fn replace_namesake(&mut self, new: &MemberUpdate) {
-        let same =
+    /// Declares the older ids with the same name and address dead. A name that returns under another id has lost its
+    /// storage or never had any.
+    fn declare_replaced_ids_dead(&mut self, new: &MemberUpdate) {
+        let is_replaced =
             |update: &&MemberUpdate| update.node.name == new.node.name && update.node.id != self.own.node.id;
-        let old: Vec<MemberUpdate> = self
+        let replaced: Vec<MemberUpdate> = self
             .present_at(new.node.address)
-            .filter(same)
+            .filter(is_replaced)
             .map(|update| update.reported(MemberState::Dead, new.node.id))
             .collect();
-        old.into_iter().for_each(|update| self.apply(update, Relay::Always));
+        replaced.into_iter().for_each(|update| self.apply(update, Relay::Always));
     }
 
-    /// The update is about an id whose place a newer one has taken that is there. Guards against an old update that would
-    /// make the newer one dead; where a clock went back, the newer one waits until the older is found dead.
-    fn is_older_namesake(&self, update: &MemberUpdate) -> bool {
+    /// Returns whether a present member has the same name and address and a newer id. Guards against a delayed update
+    /// on the old id, which would declare the newer id dead. If a clock was set back, the new id seems older and is
+    /// refused until the old one is dead.
+    fn is_replaced_id(&self, update: &MemberUpdate) -> bool {
         self.present_at(update.node.address).any(|other| {
             other.node.name == update.node.name && other.node.created_at_ms > update.node.created_at_ms
         })
     }
 
-    /// What is said of this member and is not so gets a higher incarnation against it.
+    /// Refutes an incorrect update on this member by raising the incarnation.
     fn refute(&mut self, update: &MemberUpdate) {
         let correct = update.state == MemberState::Alive && update.boot_id == self.own.boot_id;
         let newer = update.incarnation >= self.own.incarnation;
@@ -499,8 +506,8 @@
         }
     }
 
-    fn raise_incarnation(&mut self, over: u32) {
-        self.own.incarnation = self.own.incarnation.max(over) + 1;
+    fn raise_incarnation(&mut self, above: u32) {
+        self.own.incarnation = self.own.incarnation.max(above) + 1;
         self.queue.enqueue(self.own.node.id);
         self.schedule_broadcast();
     }
@@ -519,29 +526,29 @@
         self.send.push((*other, Message::Digest { checksums, reply: true }));
     }
 
-    fn sync_soon(&mut self) {
-        let soon_ms = self.config.sync_retry_interval_ms * (0.5 + self.rng.random::<f64>());
-        self.sync_at_ms = self.sync_at_ms.min(self.now_ms + soon_ms);
+    fn schedule_early_sync(&mut self) {
+        let delay_ms = self.config.sync_retry_interval_ms * (0.5 + self.rng.random::<f64>());
+        self.sync_at_ms = self.sync_at_ms.min(self.now_ms + delay_ms);
     }
 
-    /// Hands over what differs, as far as a few messages hold it, in no order: of several that are asked each tells something
-    /// else.
-    fn handle_digest(&mut self, sender: Destination, theirs: &[u32], reply: bool) {
+    /// Answers a digest with the entries of differing buckets, as far as they fit in a few messages. The entries are
+    /// shuffled, so that several members asked by the same sender answer with different ones.
+    fn handle_digest(&mut self, sender: Destination, remote: &[u32], reply: bool) {
         let own = self.checksums();
-        if theirs.len() != BUCKETS || theirs == own {
+        if remote.len() != BUCKETS || remote == own {
             return;
         }
-        let differs: Vec<bool> = own.iter().zip(theirs).map(|(own, theirs)| own != theirs).collect();
-        if differs.iter().filter(|differs| **differs).count() > MANY_BUCKETS {
-            self.sync_soon();
+        let differs: Vec<bool> = own.iter().zip(remote).map(|(own, remote)| own != remote).collect();
+        if differs.iter().filter(|differs| **differs).count() > EARLY_SYNC_BUCKETS {
+            self.schedule_early_sync();
         }
         let known = self.table.entries().map(|entry| &entry.update).chain([&self.own]);
         let mut updates: Vec<&MemberUpdate> =
             known.filter(|update| differs[bucket(update.node.id)]).collect();
-        let most = self.config.updates_per_sync * MAX_SYNC_MESSAGES;
-        let (chosen, _) = updates.partial_shuffle(&mut self.rng, most);
-        for part in chosen.chunks(self.config.updates_per_sync.max(1)) {
-            let updates = part.iter().copied().cloned().collect();
+        let limit = self.config.updates_per_sync * MAX_SYNC_MESSAGES;
+        let (chosen, _) = updates.partial_shuffle(&mut self.rng, limit);
+        for chunk in chosen.chunks(self.config.updates_per_sync.max(1)) {
+            let updates = chunk.iter().copied().cloned().collect();
             self.send.push((sender, Message::Sync { updates }));
         }
         if reply {
@@ -552,10 +559,10 @@
     fn handle_sync(&mut self, updates: Vec<MemberUpdate>) {
         let before = self.table.len();
         for update in updates.into_iter().take(self.config.updates_per_sync) {
-            self.apply(update, Relay::WhereStateChanges);
+            self.apply(update, Relay::OnStateChange);
         }
         if self.table.len() > before {
-            self.sync_soon();
+            self.schedule_early_sync();
         }
     }
 }
--- a/crates/plovershelf-cluster/src/gossip/table.rs
+++ b/crates/plovershelf-cluster/src/gossip/table.rs
@@ -1,4 +1,4 @@
-//! What this member knows of all others, with the indices that what is done often needs.
+//! The membership table of all other members, with indices for frequent queries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,24 +7,24 @@
 use super::suspicion::MAX_CONFIRMATIONS;
 use crate::identity::NodeId;
 
-/// One other member.
+/// The entry of another member.
 #[derive(Clone, Debug)]
 pub(super) struct MemberEntry {
     pub(super) update: MemberUpdate,
-    /// Since when it is in its state, here.
+    /// Time at which this node recorded the member's current state.
     pub(super) since_ms: f64,
-    /// When something came from it by itself; at first, when it was heard of.
-    pub(super) heard_at_ms: f64,
-    /// Who suspects it, as far as that matters.
+    /// Time of the last message received directly from the member, initially the time at which the entry was added.
+    pub(super) last_contact_ms: f64,
+    /// Members that suspect it, as far as they shorten the suspicion.
     pub(super) suspected_by: BTreeSet<NodeId>,
 }
 
-/// All others, the dead among them until they are forgotten.
+/// All other members, including dead ones until they are removed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     entries: BTreeMap<NodeId, MemberEntry>,
     by_address: BTreeSet<(SocketAddr, NodeId)>,
-    /// Those that are not `Alive`: few, and what is due for them is looked for often.
+    /// Members that are not `Alive`. They are few, and their deadlines are checked often.
     not_alive: BTreeSet<NodeId>,
 }
 
@@ -54,47 +54,50 @@
     }
 
     pub(super) fn at_address(&self, address: SocketAddr) -> impl Iterator<Item = &MemberEntry> {
-        let there = self.by_address.range((address, NodeId(0))..=(address, NodeId(u64::MAX)));
-        there.filter_map(|(_, id)| self.entries.get(id))
+        let indexed = self.by_address.range((address, NodeId(0))..=(address, NodeId(u64::MAX)));
+        indexed.filter_map(|(_, id)| self.entries.get(id))
     }
 
     pub(super) fn record_contact(&mut self, id: NodeId, now_ms: f64) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.heard_at_ms = now_ms;
+            entry.last_contact_ms = now_ms;
         }
     }
 
-    /// Suspicions begin anew.
+    /// Restarts the timeouts of all suspicions.
     pub(super) fn restart_suspicions(&mut self, now_ms: f64) {
         for entry in self.entries.values_mut().filter(|entry| entry.update.state == MemberState::Suspect) {
             entry.since_ms = now_ms;
         }
     }
 
-    /// Counts a member that shares a suspicion. True where that ends the suspicion sooner.
+    /// Records the confirmation of a suspicion by another member. Returns whether it shortens the suspicion.
     pub(super) fn confirm_suspicion(&mut self, update: &MemberUpdate) -> bool {
         let Some(entry) = self.entries.get_mut(&update.node.id) else { return false };
-        let same = entry.update.precedence() == update.precedence();
-        if !same || update.state != MemberState::Suspect || !entry.suspected_by.insert(update.reported_by) {
+        let same_version = entry.update.precedence() == update.precedence();
+        if !same_version
+            || update.state != MemberState::Suspect
+            || !entry.suspected_by.insert(update.reported_by)
+        {
             return false;
         }
-        let counts = entry.suspected_by.len() <= MAX_CONFIRMATIONS;
-        if counts {
+        let shortens = entry.suspected_by.len() <= MAX_CONFIRMATIONS;
+        if shortens {
             entry.update.reported_by = update.reported_by;
         }
-        counts
+        shortens
     }
 
     pub(super) fn insert(&mut self, update: MemberUpdate, now_ms: f64) {
         let id = update.node.id;
         self.by_address.insert((update.node.address, id));
         self.index_state(id, update.state);
-        let suspected_by = first_suspector(&update);
-        let entry = MemberEntry { update, since_ms: now_ms, heard_at_ms: now_ms, suspected_by };
+        let suspected_by = initial_suspectors(&update);
+        let entry = MemberEntry { update, since_ms: now_ms, last_contact_ms: now_ms, suspected_by };
         self.entries.insert(id, entry);
     }
 
-    /// Replaces what is known of a member by something newer. True where its state is another one now.
+    /// Replaces the entry of a member with a newer update. Returns whether the member's state changed.
     pub(super) fn replace(&mut self, update: MemberUpdate, now_ms: f64) -> bool {
         let id = update.node.id;
         self.index_state(id, update.state);
@@ -105,7 +108,7 @@
             self.by_address.insert((new, id));
         }
         let changed = entry.update.state != update.state;
-        entry.suspected_by = first_suspector(&update);
+        entry.suspected_by = initial_suspectors(&update);
         if changed {
             entry.since_ms = now_ms;
         }
@@ -129,7 +132,7 @@
     }
 }
 
-fn first_suspector(update: &MemberUpdate) -> BTreeSet<NodeId> {
+fn initial_suspectors(update: &MemberUpdate) -> BTreeSet<NodeId> {
     let suspect = update.state == MemberState::Suspect;
     suspect.then_some(update.reported_by).into_iter().collect()
 }
--- a/crates/plovershelf-cluster/src/lease/mod.rs
+++ b/crates/plovershelf-cluster/src/lease/mod.rs
@@ -1,26 +1,26 @@
-//! Leases: for how long a member may act by a view.
+//! Leases, which limit how long a member may act on a view.
 //!
-//! The leader grants a lease for a short time to members of the view that it does not mean to remove, and only while no other
-//! node can lead. The lease runs from when it was asked for, on the asker's own clock, shortened by what clocks may drift;
-//! the leader counts it from when it granted it, lengthened by twice as much. So what the member takes for valid ends before what
-//! the leader waits for, and a process that was paused finds its lease expired when it wakes.
+//! The leader grants short leases to members of the view that it is not about to remove, and only while no other node
+//! can lead. The member counts its lease from the time of its request on its own clock, shortened by the largest clock
+//! drift. The leader counts it from the time of the grant, extended by twice the drift. The lease thus ends for the
+//! member before it ends for the leader, and a process that resumes after a pause finds its lease expired.
 
 use std::collections::BTreeMap;
 
 use crate::identity::{Epoch, NodeId};
 
-/// How long leases last.
+/// The duration of leases and the clock drift that they allow for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseTiming {
     pub(crate) duration_ms: f64,
-    /// By how much of the time a clock may run faster or slower than another.
+    /// Largest fraction of elapsed time by which a clock may run faster or slower than another.
     pub(crate) clock_drift_fraction: f64,
 }
 
-/// A lease as it comes from the leader.
+/// A lease granted by the leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
-    /// When it was asked for, on this member's clock.
+    /// Time of the request on this member's clock.
     pub(crate) requested_at_ms: f64,
     pub(crate) epoch: Epoch,
     pub(crate) view: u64,
@@ -34,15 +34,15 @@
     until_ms: f64,
 }
 
-/// The lease of this member.
+/// The current lease of this member.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LeaseHolder {
+pub(crate) struct MemberLease {
     lease: Option<Lease>,
 }
 
-impl LeaseHolder {
-    /// Takes a grant of the epoch that this member is part of. False where it is no longer than what there is, or was never
-    /// asked for.
+impl MemberLease {
+    /// Accepts a grant of the epoch that this member belongs to. Returns false if it does not extend the current lease
+    /// or its request time is in the future.
     pub(crate) fn accept(&mut self, now_ms: f64, grant: Grant, timing: &LeaseTiming) -> bool {
         let duration_ms = grant.duration_ms.min(timing.duration_ms) * (1.0 - timing.clock_drift_fraction);
         let until_ms = grant.requested_at_ms + duration_ms;
@@ -54,7 +54,7 @@
         accepted
     }
 
-    /// The view by which the lease was granted, where it is valid.
+    /// Returns the number of the view under which the lease was granted, if the lease is valid.
     pub(crate) fn valid_view(&self, now_ms: f64, epoch: Epoch) -> Option<u64> {
         let lease = self.lease.filter(|lease| now_ms < lease.until_ms && lease.epoch == epoch);
         lease.map(|lease| lease.view)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Of the leader: until when each member may act.
+/// The leader's record of the times at which the granted leases expire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseGrants {
     until_ms: BTreeMap<NodeId, f64>,
@@ -81,14 +81,14 @@
         self.until_ms.insert(id, until_ms);
     }
 
-    /// No lease that this leader granted is valid.
+    /// Returns whether no lease that this leader granted to a member is valid any more.
     pub(crate) fn has_expired(&self, id: NodeId, now_ms: f64) -> bool {
         self.until_ms.get(&id).is_none_or(|until_ms| *until_ms < now_ms)
     }
 }
 
-/// No lease that an earlier leader granted is valid, nor is that leader's own. Guards against a member that a new leader
-/// removes while it still acts by a lease that this leader knows nothing of.
+/// Returns whether all leases granted by earlier leaders and the earlier leaders' own leases have expired. Prevents a
+/// new leader from removing a member that still acts under a lease unknown to it.
 pub(crate) fn earlier_leases_expired(
     now_ms: f64,
     leader_since_ms: f64,
--- a/crates/plovershelf-cluster/src/lib.rs
+++ b/crates/plovershelf-cluster/src/lib.rs
@@ -1,20 +1,20 @@
-//! What backends agree on among themselves: who belongs, in numbered views, and a few values more.
+//! Cluster coordination among backends: agreement on numbered membership views and on a small set of versioned values.
 //!
-//! Everything here is told the time, messages and timeouts, and returns what to save, to send and to tell; it owns no clock,
-//! socket or file.
+//! The state machines in this crate perform no I/O and read no clock. The driver passes in the time, messages and
+//! timeouts, and receives the records to save, the messages to send and the events to report.
 //!
-//! | module | its job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`consensus`] | a replicated log among a few voters (Raft) |
+//! | [`consensus`] | replicated log among a few voters (Raft) |
 //! | [`gossip`] | failure detection and dissemination among all members (SWIM, Lifeguard) |
-//! | `view` | membership views, and how the next one is found |
-//! | `lease` | for how long a member may act by a view |
-//! | `state` | what the replicated log drives: the view, and values under keys |
-//! | `node` | one node of the cluster, which joins all of these |
-//! | [`storage`] | a node's file |
+//! | `view` | membership views and the computation of the next one |
+//! | `lease` | leases under which members act on a view |
+//! | `state` | replicated state machine: the view and a key-value store |
+//! | `node` | node of the cluster, which combines the modules above |
+//! | [`storage`] | format of a node's storage file |
 //! | [`wire`] | frames and messages on connections |
-//! | [`status`] | what people may ask of a member |
-//! | [`broken`] | rules that tests break on purpose |
+//! | [`status`] | operators' queries and commands, and their answers |
+//! | [`broken`] | fault injection for tests |
 
 pub mod broken;
 pub mod consensus;
--- a/crates/plovershelf-cluster/src/node/bootstrap.rs
+++ b/crates/plovershelf-cluster/src/node/bootstrap.rs
@@ -1,14 +1,15 @@
-//! How a cluster begins: the first of the initial voters bootstraps it when all of them are there and none knows of one.
+//! Bootstrap of a new cluster by the first of the initial voters, once all of them are present and no node belongs to a
+//! cluster.
 //!
-//! Guards against two clusters of one name: the other initial voters never bootstrap, and a node that comes back without its
-//! storage hears of the cluster from them.
+//! Guards against two clusters of the same name: the other initial voters never bootstrap, and a first voter that
+//! returns without its storage learns of the existing cluster from them.
 
 use super::digests::DigestTable;
 use crate::gossip::Swim;
 use crate::state::ClusterState;
 use crate::view::ViewMember;
 
-/// What the cluster begins with, once all initial voters are there and nobody knows of an epoch.
+/// Returns the initial state of a cluster, or `None` unless all initial voters are present and no node knows an epoch.
 pub(super) fn initial_state(
     initial_voters: &[String],
     swim: &Swim,
@@ -17,13 +18,12 @@
     let own = swim.own().node.id;
     let mut state = ClusterState::default();
     for name in initial_voters {
-        let found = swim.present().find(|update| {
+        let update = swim.present().find(|update| {
             let id = update.node.id;
-            update.node.name == *name && (digests.is_blank(id) || id == own)
-        });
-        let update = found?;
+            update.node.name == *name && (digests.reports_no_epoch(id) || id == own)
+        })?;
         state.view.members.insert(update.node.id, ViewMember::of(update));
     }
     state.view.number = 1;
-    digests.are_all_blank().then_some(state)
+    digests.all_report_no_epoch().then_some(state)
 }
--- a/crates/plovershelf-cluster/src/node/catch_up.rs
+++ b/crates/plovershelf-cluster/src/node/catch_up.rs
@@ -1,4 +1,4 @@
-//! When a node asks another for what was committed, and whose committed state it takes over.
+//! Decides when a node fetches committed state from another node, and from which epochs it accepts state.
 
 use std::collections::BTreeSet;
 
@@ -7,28 +7,28 @@
 use crate::state::ClusterState;
 use crate::wire::StateDigest;
 
-/// Epochs of other clusters that are remembered, so that each is noticed once.
+/// Maximum number of remembered epochs of other clusters. Each remembered epoch is reported once.
 const MAX_FOREIGN_EPOCHS: usize = 64;
 
-/// Whether what is of an epoch may be taken over.
+/// Whether state of an epoch may be adopted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Adoption {
-    /// It may.
+    /// The state may be adopted.
     Allowed,
-    /// This node has promised to wait for a later epoch.
+    /// Refused: this node has promised to wait for a later epoch.
     Promised,
-    /// It is another cluster's of the same name, met for the first time.
+    /// Refused: the epoch belongs to another cluster of the same name that was not seen before.
     NewForeignCluster,
-    /// It is another cluster's that was met before.
+    /// Refused: the epoch belongs to another cluster of the same name that was seen before.
     ForeignCluster,
 }
 
-/// State of catching up.
+/// The state of fetching and adopting committed state.
 #[derive(Clone, Debug)]
 pub(super) struct CatchUp {
     fetch_at_ms: f64,
     fetch_interval_ms: f64,
-    /// Epochs of other clusters of this name.
+    /// Epochs of other clusters with the same name.
     foreign_epochs: BTreeSet<Epoch>,
 }
 
@@ -37,24 +37,26 @@
         CatchUp { fetch_at_ms: now_ms, fetch_interval_ms, foreign_epochs: BTreeSet::new() }
     }
 
-    /// Another node is further, and no leader will bring what this one lacks; and it is time to ask once more.
-    pub(super) fn should_fetch(&self, now_ms: f64, raft: &Raft<ClusterState>, theirs: &StateDigest) -> bool {
-        let behind = (theirs.epoch, theirs.commit_index) > (raft.epoch(), raft.commit_index());
-        let by_leader = theirs.epoch == raft.epoch() && !raft.accepts_relayed();
-        behind && !by_leader && self.fetch_at_ms <= now_ms
+    /// Returns whether to fetch committed state now: the node with this digest has more, no leader replicates it to
+    /// this node, and the fetch interval has elapsed.
+    pub(super) fn should_fetch(&self, now_ms: f64, raft: &Raft<ClusterState>, remote: &StateDigest) -> bool {
+        let behind = (remote.epoch, remote.commit_index) > (raft.epoch(), raft.commit_index());
+        let replicated = remote.epoch == raft.epoch() && !raft.accepts_relayed();
+        behind && !replicated && self.fetch_at_ms <= now_ms
     }
 
     pub(super) fn record_fetch(&mut self, now_ms: f64) {
         self.fetch_at_ms = now_ms + self.fetch_interval_ms;
     }
 
-    /// Two clusters of one name have epochs of one number with different tags. Guards against a node that joins the other one,
-    /// whose views and commits contradict its own's; the promise, against one that goes back to an epoch that it has left.
+    /// Returns whether state of an epoch may be adopted. Two clusters of the same name have epochs with equal numbers
+    /// and different tags; adopting state of the other one would contradict the views and commits of this node's own
+    /// cluster. A promise prevents the return to an epoch that the node has already left.
     pub(super) fn adoption(&mut self, epoch: Epoch, raft: &Raft<ClusterState>) -> Adoption {
         let own = raft.epoch();
         if epoch.number() == own.number() && epoch != own {
-            let room = self.foreign_epochs.len() < MAX_FOREIGN_EPOCHS;
-            let new = room && self.foreign_epochs.insert(epoch);
+            let has_capacity = self.foreign_epochs.len() < MAX_FOREIGN_EPOCHS;
+            let new = has_capacity && self.foreign_epochs.insert(epoch);
             return if new { Adoption::NewForeignCluster } else { Adoption::ForeignCluster };
         }
         match awaited_epoch(raft) {
@@ -64,7 +66,7 @@
     }
 }
 
-/// A later epoch that this node has promised to wait for.
+/// Returns the later epoch that this node has promised to wait for, if it has not joined it yet.
 pub(super) fn awaited_epoch(raft: &Raft<ClusterState>) -> Option<Epoch> {
     Some(raft.promised_epoch()).filter(|epoch| *epoch > raft.epoch())
 }
--- a/crates/plovershelf-cluster/src/node/catch_up/tests.rs
+++ b/crates/plovershelf-cluster/src/node/catch_up/tests.rs
@@ -4,7 +4,7 @@
 
 const EPOCH: Epoch = Epoch(1 << 40 | 7);
 
-/// A node that is no voter, in [`EPOCH`] with an entry committed.
+/// Returns a non-voter in [`EPOCH`] with one committed entry.
 fn raft() -> Raft<ClusterState> {
     let mut raft = Raft::new(NodeId(1), RaftConfig::default(), None, ClusterState::default(), 1, 0.0);
     let last = LogPosition { term: Term(1), index: 1 };
@@ -17,21 +17,21 @@
     StateDigest { epoch, commit_index, ..StateDigest::default() }
 }
 
-/// Many nodes tell that they are further. One is asked, the next only after the interval, so that a node that lags is not
-/// sent the same by all.
+/// Guards against the same state being fetched from many nodes: the digests of many nodes show a higher commit index.
+/// The lagging node fetches from one of them, and from the next one only after the interval.
 #[test]
-fn a_node_that_lags_asks_once_an_interval() {
+fn a_lagging_node_fetches_once_per_interval() {
     let (mut catch_up, raft) = (CatchUp::new(0.0, 200.0), raft());
     assert!(catch_up.should_fetch(0.0, &raft, &digest(EPOCH, 2)));
-    assert!(!catch_up.should_fetch(0.0, &raft, &digest(EPOCH, 1)), "not behind");
+    assert!(!catch_up.should_fetch(0.0, &raft, &digest(EPOCH, 1)), "fetched without being behind");
     catch_up.record_fetch(0.0);
     assert!(!catch_up.should_fetch(199.0, &raft, &digest(EPOCH, 2)));
     assert!(catch_up.should_fetch(200.0, &raft, &digest(EPOCH, 2)));
 }
 
-/// Another cluster of the same name is met. Nothing of it is taken over, and people see it once.
+/// State of another cluster with the same name arrives. It is refused, and reported as new only the first time.
 #[test]
-fn another_cluster_of_the_name_is_refused_and_noticed_once() {
+fn another_cluster_of_the_same_name_is_refused_and_reported_once() {
     let (mut catch_up, raft) = (CatchUp::new(0.0, 200.0), raft());
     let foreign = Epoch(1 << 40 | 9);
     assert_eq!(catch_up.adoption(foreign, &raft), Adoption::NewForeignCluster);
@@ -39,10 +39,10 @@
     assert_eq!(catch_up.adoption(EPOCH, &raft), Adoption::Allowed);
 }
 
-/// A node has consented to an epoch. What is of an older one must not bring it back, or a majority of the old one could
-/// still commit.
+/// A node has consented to a later epoch. It must not adopt state of an older one, or a majority of the older epoch
+/// could still commit entries.
 #[test]
-fn after_a_promise_nothing_older_is_taken_over() {
+fn state_of_an_older_epoch_is_refused_after_a_promise() {
     let (mut catch_up, mut raft) = (CatchUp::new(0.0, 200.0), raft());
     raft.promise_epoch(Epoch(3 << 40));
     assert_eq!(awaited_epoch(&raft), Some(Epoch(3 << 40)));
