--- a/crates/plovershelf-cluster/src/node/cluster_node.rs
+++ b/crates/plovershelf-cluster/src/node/cluster_node.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node; see the [module](super).
+//! The state machine of a cluster node; see the [module documentation](super).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,32 +10,33 @@
 use super::catch_up::{awaited_epoch, Adoption, CatchUp};
 use super::config::{NodeConfig, Startup};
 use super::digests::DigestTable;
-use super::epoch_recovery::{EpochRecovery, RecoverError, RecoveryStep, Survey};
+use super::epoch_recovery::{EpochRecovery, RecoverError, RecoveryMembership, RecoveryStep};
 use super::event::{Actions, Event, Notice};
-use super::leader_duties::{LeaderDuties, Surroundings};
+use super::leader_duties::{LeaderContext, LeaderDuties};
 use super::voters::{is_superseded, ReplaceError};
 use crate::broken::{self, BrokenRule};
 use crate::consensus::{self, Payload, PersistentState, Raft};
 use crate::gossip::{Destination, MemberState, NodeInfo, Swim};
 use crate::identity::{Epoch, NodeId};
-use crate::lease::{Grant, LeaseHolder};
+use crate::lease::{Grant, MemberLease};
 use crate::state::{ClusterState, Command, VersionedValue, MAX_VALUE_BYTES};
 use crate::view::View;
 use crate::wire::{Envelope, NodeMessage, StateDigest};
 
-/// Between two looks at who is there and who votes.
+/// Interval between two reconciliations of the view and the voters.
 const RECONCILE_INTERVAL_MS: f64 = 50.0;
-/// A leader sends what was committed to so many members that are no voters at once; all others hear of it with probes.
+/// Number of non-voters to which the leader sends a committed entry at once. All others learn of it from digests.
 const COMMIT_FANOUT: usize = 16;
-/// Proposals of values that wait for a majority. More are refused.
+/// Number of uncommitted entries above which proposals of values are refused.
 const MAX_UNCOMMITTED_VALUES: u64 = 64;
-/// Longest key of a value, in bytes.
+/// Maximum length of a key, in bytes.
 const MAX_KEY_BYTES: usize = 64;
-/// So many of the longest election timeouts without a leader's word: more than an election takes.
+/// Time without a message from a leader, in multiples of the longest election timeout, after which there is considered
+/// to be no leader. Longer than an election takes.
 const NO_LEADER_TIMEOUTS: f64 = 3.0;
 
-/// One node of the cluster. It owns no clock, socket or file: each call takes the present time in milliseconds of any clock
-/// that never goes back, and what follows stands in [`ClusterNode::poll_actions`].
+/// A node of the cluster. Performs no I/O: each input takes the current time in milliseconds of a monotonic clock, and
+/// [`ClusterNode::poll_actions`] returns the resulting actions.
 #[derive(Clone, Debug)]
 pub struct ClusterNode {
     node: NodeInfo,
@@ -44,19 +45,20 @@
     swim: Swim,
     raft: Raft<ClusterState>,
     digests: DigestTable,
-    lease: LeaseHolder,
+    lease: MemberLease,
     duties: LeaderDuties,
     catch_up: CatchUp,
     recovery: Option<EpochRecovery>,
-    /// This node goes for good.
-    leaving: bool,
-    /// What the driver was told last.
+    /// Whether this node has left the cluster.
+    has_left: bool,
+    /// Value of the last [`Event::Lease`].
     reported_lease: Option<u64>,
+    /// Value of the last [`Event::Leader`].
     reported_leader: Option<NodeId>,
     renew_at_ms: f64,
     reconcile_at_ms: f64,
-    /// When a leader's word came last.
-    leader_heard_ms: f64,
+    /// Time of the last message from a leader.
+    leader_contact_ms: f64,
     last_timeout_ms: f64,
     now_ms: f64,
     rng: Pcg32,
@@ -64,7 +66,7 @@
 }
 
 impl ClusterNode {
-    /// A node at its start.
+    /// Creates a node from its startup parameters.
     pub fn new(startup: Startup, now_ms: f64) -> Self {
         let Startup { node, config, seeds, initial_voters, persistent, seed } = startup;
         let (raft_seed, gossip_seed) = (seed ^ 0x5bd1_e995, seed ^ 0x9e37_79b9);
@@ -77,16 +79,16 @@
             config,
             initial_voters,
             digests: DigestTable::default(),
-            lease: LeaseHolder::default(),
+            lease: MemberLease::default(),
             duties: LeaderDuties::default(),
             catch_up,
             recovery: None,
-            leaving: false,
+            has_left: false,
             reported_lease: None,
             reported_leader: None,
             renew_at_ms: now_ms,
             reconcile_at_ms: now_ms,
-            leader_heard_ms: f64::NEG_INFINITY,
+            leader_contact_ms: f64::NEG_INFINITY,
             last_timeout_ms: now_ms,
             now_ms,
             rng: Pcg32::seed_from_u64(seed),
@@ -96,7 +98,7 @@
 
     // ---- inputs ------------------------------------------------------------------------------------
 
-    /// A message of another node.
+    /// Handles a message from another node.
     pub fn handle_message(&mut self, now_ms: f64, envelope: Envelope) {
         self.now_ms = self.now_ms.max(now_ms);
         let Envelope { from, address, to, message } = envelope;
@@ -143,7 +145,7 @@
         self.collect_actions();
     }
 
-    /// Time has come to [`ClusterNode::poll_timeout`].
+    /// Handles the timeouts that are due at [`ClusterNode::poll_timeout`].
     pub fn handle_timeout(&mut self, now_ms: f64) {
         let paused = now_ms - self.last_timeout_ms > self.config.pause_threshold_ms;
         (self.now_ms, self.last_timeout_ms) = (now_ms, now_ms);
@@ -164,29 +166,30 @@
         self.collect_actions();
     }
 
-    /// Whether this process does its work.
+    /// Sets whether this process handles requests.
     pub fn set_ready(&mut self, now_ms: f64, ready: bool) {
         self.now_ms = self.now_ms.max(now_ms);
         self.swim.set_ready(now_ms, ready);
     }
 
-    /// This node is about to go: the next view has it as draining, so that nothing new is given to it while it hands off.
+    /// Announces that this node is about to leave. The next view marks it as draining, so that it gets no new work
+    /// while it hands off its data.
     pub fn drain(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         self.swim.drain(now_ms);
         self.collect_actions();
     }
 
-    /// This node goes for good: it says so, and acts no longer.
+    /// Leaves the cluster for good, announces that and releases the lease.
     pub fn leave(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
-        self.leaving = true;
+        self.has_left = true;
         self.lease.release();
         self.swim.leave(now_ms);
         self.collect_actions();
     }
 
-    /// The storage takes nothing: nothing that depends on it may leave.
+    /// Handles a failure of the storage. Discards all pending messages that depend on it and releases the lease.
     pub fn handle_storage_failed(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         self.raft.handle_storage_failed(now_ms);
@@ -195,14 +198,14 @@
         self.lease.release();
     }
 
-    /// The storage works again and holds all that is to be kept.
+    /// Handles the end of a storage failure. The driver must have stored the whole state before this call.
     pub fn handle_storage_restored(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         self.raft.handle_storage_restored(now_ms);
     }
 
-    /// Asks for a value under a key to be committed; `version` is one more than that of the value there is. Returns the nonce
-    /// of [`Event::ProposalAnswered`].
+    /// Proposes a value for a key. `version` must be greater than that of the current value. Returns the nonce of the
+    /// [`Event::ProposalAnswered`] that follows.
     pub fn propose(&mut self, now_ms: f64, key: &str, version: u64, bytes: Vec<u8>) -> u64 {
         self.now_ms = self.now_ms.max(now_ms);
         let nonce = self.rng.random();
@@ -218,17 +221,19 @@
         nonce
     }
 
-    /// Has a voter replaced without waiting, where this node leads.
+    /// Requests the replacement of a voter without waiting for it to be lost.
     ///
-    /// Errors: it does not lead, or the name is no other voter's.
+    /// # Errors
+    ///
+    /// Returns an error if this node is not the leader or the name is not that of another voter.
     pub fn replace_voter(&mut self, now_ms: f64, name: &str) -> Result<(), ReplaceError> {
         self.now_ms = self.now_ms.max(now_ms);
         if !self.raft.leads() {
             let leader = self.leader().and_then(|id| self.name_of(id));
             return Err(leader.map_or(ReplaceError::NoLeader, |leader| ReplaceError::NotLeader { leader }));
         }
-        let named = |id: &NodeId| self.name_of(*id).as_deref() == Some(name);
-        let Some(id) = self.raft.voters().iter().copied().find(named) else {
+        let has_name = |id: &NodeId| self.name_of(*id).as_deref() == Some(name);
+        let Some(id) = self.raft.voters().iter().copied().find(has_name) else {
             let voters = self.raft.voters().iter().filter_map(|id| self.name_of(*id)).collect();
             return Err(ReplaceError::NoVoter { name: name.to_string(), voters });
         };
@@ -239,39 +244,41 @@
         Ok(())
     }
 
-    /// Begins a new epoch without those that are named lost; [`Event::RecoveryEnded`] tells what came of it.
+    /// Starts the recovery into a new epoch without the lost nodes. [`Event::RecoveryEnded`] reports its result.
+    ///
+    /// # Errors
     ///
-    /// Errors: why it can't begin.
+    /// Returns an error if the recovery cannot start.
     pub fn recover(&mut self, now_ms: f64, lost: &[String]) -> Result<(), RecoverError> {
         self.now_ms = self.now_ms.max(now_ms);
         if self.raft.epoch() == Epoch::NONE {
             return Err(RecoverError::NoEpoch);
         }
         let voters = self.raft.voters();
-        let survey = Survey::of(lost, self.view(), voters)?;
-        let remaining = voters.iter().filter(|id| !survey.lost.contains(id)).count();
+        let membership = RecoveryMembership::of(lost, self.view(), voters)?;
+        let remaining = voters.iter().filter(|id| !membership.lost.contains(id)).count();
         if remaining > voters.len() / 2 && self.no_leader_since_ms().is_none() {
             return Err(RecoverError::HasMajority { remaining, voters: voters.len() });
         }
-        if !survey.survivors.contains(&self.node.id) {
+        if !membership.survivors.contains(&self.node.id) {
             return Err(RecoverError::NoSurvivor);
         }
-        let epoch = survey.next_epoch(self.raft.epoch().max(self.raft.promised_epoch()));
+        let epoch = membership.next_epoch(self.raft.epoch().max(self.raft.promised_epoch()));
         self.consent(epoch)?;
         let persistent = self.raft.persistent().clone();
-        self.recovery = Some(EpochRecovery::new(now_ms, epoch, survey, self.node.id, persistent));
+        self.recovery = Some(EpochRecovery::new(now_ms, epoch, membership, self.node.id, persistent));
         self.continue_recovery();
         self.collect_actions();
         Ok(())
     }
 
-    /// When [`ClusterNode::handle_timeout`] has something to do.
+    /// Returns the time at which to call [`ClusterNode::handle_timeout`].
     pub fn poll_timeout(&self) -> f64 {
         let parts = self.reconcile_at_ms.min(self.swim.poll_timeout()).min(self.raft.poll_timeout());
         parts.min(self.renew_at_ms).max(self.now_ms + 1.0)
     }
 
-    /// What the calls since the last poll ask for.
+    /// Returns the actions from all calls since the last poll.
     pub fn poll_actions(&mut self) -> Actions {
         self.collect_actions();
         std::mem::take(&mut self.actions)
@@ -279,35 +286,37 @@
 
     // ---- queries -----------------------------------------------------------------------------------
 
-    /// This node.
+    /// Returns the description of this node.
     pub fn node(&self) -> &NodeInfo {
         &self.node
     }
-    /// Its gossip.
+    /// Returns the gossip state machine.
     pub fn swim(&self) -> &Swim {
         &self.swim
     }
-    /// Its consensus.
+    /// Returns the consensus state machine.
     pub fn raft(&self) -> &Raft<ClusterState> {
         &self.raft
     }
-    /// The view in force, as far as it is known here.
+    /// Returns the latest view known to this node.
     pub fn view(&self) -> &View {
         &self.raft.state().view
     }
-    /// The value under a key, as far as it is known here.
+    /// Returns the latest value of a key known to this node.
     pub fn value(&self, key: &str) -> Option<&VersionedValue> {
         self.raft.state().values.get(key)
     }
-    /// Of the leader: members that differ from the view, and since when.
+    /// Returns the nodes whose presence differs from the view, and the time since which it does. Empty unless this node
+    /// is the leader.
     pub fn differing(&self) -> &BTreeMap<NodeId, f64> {
         self.duties.differing()
     }
 
-    /// The number of the view by which this node may act now, or none: it belongs to it, and its lease is valid.
+    /// Returns the number of the view by which this node may act now, or `None` if it is not in the view or has no
+    /// valid lease.
     pub fn may_act(&self, now_ms: f64) -> Option<u64> {
         let view = self.view();
-        if !view.members.contains_key(&self.node.id) || self.leaving {
+        if !view.members.contains_key(&self.node.id) || self.has_left {
             return None;
         }
         if broken::is(BrokenRule::LeaseNotChecked) {
@@ -319,37 +328,37 @@
         if self.raft.leads() {
             return (now_ms < self.raft.leader_lease_until_ms()).then_some(view.number);
         }
-        // A lease granted under a view holds for the later ones that this node has seen.
+        // A lease granted under a view is also valid for the later views that this node has seen.
         self.lease.valid_view(now_ms, self.raft.epoch()).map(|granted| granted.max(view.number))
     }
 
-    /// The leader, as far as it is known here: the newest of what this node and others know.
+    /// Returns the leader of the newest term among those known to this node and those in other nodes' digests.
     pub fn leader(&self) -> Option<NodeId> {
         let own = self.raft.leader().map(|id| (self.raft.term(), id));
         let others = self.digests.leader(self.raft.epoch());
         others.into_iter().chain(own).max_by_key(|(term, _)| *term).map(|(_, id)| id)
     }
 
-    /// Since when no leader's word has come here, where that is longer than elections take.
+    /// Returns the time of the last message from a leader if it is longer ago than an election takes, otherwise `None`.
     pub fn no_leader_since_ms(&self) -> Option<f64> {
-        let late_ms = self.config.raft.election_timeout_ms[1] * NO_LEADER_TIMEOUTS;
-        (self.now_ms - self.leader_heard_ms > late_ms).then_some(self.leader_heard_ms)
+        let timeout_ms = self.config.raft.election_timeout_ms[1] * NO_LEADER_TIMEOUTS;
+        (self.now_ms - self.leader_contact_ms > timeout_ms).then_some(self.leader_contact_ms)
     }
 
-    /// Members of the view that may be gone, as far as this node hears.
+    /// Returns the members of the view that gossip considers suspect, dead or left.
     pub fn suspected(&self) -> BTreeSet<NodeId> {
-        let gone =
+        let not_alive =
             |id: &&NodeId| self.swim.find(**id).is_some_and(|update| update.state != MemberState::Alive);
-        self.view().members.keys().filter(gone).copied().collect()
+        self.view().members.keys().filter(not_alive).copied().collect()
     }
 
-    /// The name of a node, as far as anything here tells it.
+    /// Returns the name of a node from gossip, the view or earlier view changes.
     pub fn name_of(&self, id: NodeId) -> Option<String> {
         let known = self.swim.find(id).map(|update| &update.node.name);
         let member = self.view().members.get(&id).map(|member| &member.name);
         let changes = self.raft.state().view_changes.iter();
-        let mut named = changes.flat_map(|change| change.left.iter().chain(&change.joined));
-        let past = || named.find(|(other, _)| *other == id).map(|(_, name)| name);
+        let mut changed = changes.flat_map(|change| change.left.iter().chain(&change.joined));
+        let past = || changed.find(|(other, _)| *other == id).map(|(_, name)| name);
         known.or(member).or_else(past).cloned()
     }
 
@@ -366,7 +375,7 @@
         self.leader().and_then(|id| self.destination_of(id))
     }
 
-    // ---- what is due -------------------------------------------------------------------------------
+    // ---- periodic work -----------------------------------------------------------------------------
 
     fn reconcile(&mut self) {
         self.bootstrap_if_first();
@@ -374,16 +383,16 @@
         let superseded = |id: &NodeId| is_superseded(*id, &self.swim, state);
         let lost = self.raft.voters().iter().copied().filter(superseded).collect();
         self.raft.set_lost_nodes(self.now_ms, lost);
-        let around =
-            Surroundings { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
-        self.duties.reconcile(&around, &mut self.raft);
+        let context =
+            LeaderContext { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
+        self.duties.reconcile(&context, &mut self.raft);
         self.continue_recovery();
     }
 
     fn bootstrap_if_first(&mut self) {
         let first = self.initial_voters.first() == Some(&self.node.name);
-        let blank = self.raft.epoch() == Epoch::NONE && self.raft.promised_epoch() == Epoch::NONE;
-        if !first || !blank {
+        let without_epoch = self.raft.epoch() == Epoch::NONE && self.raft.promised_epoch() == Epoch::NONE;
+        if !first || !without_epoch {
             return;
         }
         let state = bootstrap::initial_state(&self.initial_voters, &self.swim, &self.digests);
@@ -394,7 +403,7 @@
         self.raft.bootstrap(self.now_ms, epoch, voters, state);
     }
 
-    // ---- consensus, and what was committed ---------------------------------------------------------
+    // ---- consensus and committed state -------------------------------------------------------------
 
     fn handle_consensus(
         &mut self,
@@ -408,11 +417,11 @@
         if epoch == own && awaited_epoch(&self.raft).is_none() {
             use consensus::Message::{AppendEntries, InstallSnapshot};
             if matches!(message, AppendEntries { .. } | InstallSnapshot { .. }) {
-                self.leader_heard_ms = now_ms;
+                self.leader_contact_ms = now_ms;
             }
             self.raft.handle_message(now_ms, from, message);
         } else if epoch < own && epoch != Epoch::NONE {
-            // A node of an older epoch is told that there is a newer one.
+            // Bring a node of an older epoch into the current one.
             self.send_snapshot(sender);
         }
     }
@@ -434,8 +443,8 @@
         }
     }
 
-    fn fetch_if_behind(&mut self, sender: Destination, theirs: StateDigest) {
-        if self.catch_up.should_fetch(self.now_ms, &self.raft, &theirs) && self.may_adopt(theirs.epoch) {
+    fn fetch_if_behind(&mut self, sender: Destination, remote: StateDigest) {
+        if self.catch_up.should_fetch(self.now_ms, &self.raft, &remote) && self.may_adopt(remote.epoch) {
             self.catch_up.record_fetch(self.now_ms);
             let (epoch, index) = (self.raft.epoch(), self.raft.commit_index());
             self.send(sender, NodeMessage::FetchCommitted { epoch, index });
@@ -461,7 +470,7 @@
         }
     }
 
-    /// The leader sends the last commit to some members that are no voters, so that few have to wait for a probe.
+    /// Sends the last committed entry from the leader to some non-voters, so that few have to wait for a digest.
     fn relay_commit(&mut self) {
         if !self.raft.leads() {
             return;
@@ -479,12 +488,12 @@
         }
     }
 
-    /// Whether the proposal was taken into the log.
+    /// Appends a value to the log. Returns whether it was accepted.
     fn propose_value(&mut self, key: &str, version: u64, bytes: Vec<u8>) -> bool {
         let before = self.value(key).map_or(0, |value| value.version);
         let uncommitted = self.raft.persistent().last().index - self.raft.commit_index();
-        let fits = bytes.len() <= MAX_VALUE_BYTES && key.len() <= MAX_KEY_BYTES && version > before;
-        if !fits || uncommitted > MAX_UNCOMMITTED_VALUES {
+        let valid = bytes.len() <= MAX_VALUE_BYTES && key.len() <= MAX_KEY_BYTES && version > before;
+        if !valid || uncommitted > MAX_UNCOMMITTED_VALUES {
             return false;
         }
         let command = Command::SetValue { key: key.to_string(), version, bytes };
@@ -494,7 +503,7 @@
     // ---- leases ------------------------------------------------------------------------------------
 
     fn request_lease(&mut self) {
-        if self.raft.leads() || self.leaving || self.raft.epoch() == Epoch::NONE {
+        if self.raft.leads() || self.has_left || self.raft.epoch() == Epoch::NONE {
             return;
         }
         if let Some(leader) = self.leader_destination() {
@@ -504,9 +513,9 @@
     }
 
     fn handle_lease_request(&mut self, from: NodeId, sender: Destination, sent_at_us: u64) {
-        let around =
-            Surroundings { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
-        if !self.duties.grant_lease(from, &around, &self.raft) {
+        let context =
+            LeaderContext { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
+        if !self.duties.grant_lease(from, &context, &self.raft) {
             return;
         }
         let message = NodeMessage::LeaseGrant {
@@ -519,16 +528,16 @@
     }
 
     fn handle_lease_grant(&mut self, grant: Grant) {
-        let current = grant.epoch == self.raft.epoch() && !self.leaving;
+        let current = grant.epoch == self.raft.epoch() && !self.has_left;
         if current && self.lease.accept(self.now_ms, grant, &self.config.lease_timing()) {
-            self.leader_heard_ms = self.now_ms;
+            self.leader_contact_ms = self.now_ms;
         }
     }
 
-    // ---- recovery without a majority ---------------------------------------------------------------
+    // ---- recovery from the loss of a majority ------------------------------------------------------
 
-    /// The one place where a promise to wait for a later epoch is given: never to an older one than promised before, nor to
-    /// two of one number.
+    /// Promises to wait for a later epoch. All such promises go through this function: a node never promises an epoch
+    /// older than one promised before, nor two epochs with the same number.
     fn consent(&mut self, epoch: Epoch) -> Result<(), RecoverError> {
         let promised = self.raft.promised_epoch();
         let newest = promised.number().max(self.raft.epoch().number());
@@ -556,8 +565,9 @@
         refusal: Option<String>,
     ) {
         let recovery = self.recovery.as_mut();
-        let asked = recovery.filter(|asked| asked.epoch() == epoch && asked.survivors().contains(&from));
-        let Some(recovery) = asked else { return };
+        let expected =
+            |recovery: &&mut EpochRecovery| recovery.epoch() == epoch && recovery.survivors().contains(&from);
+        let Some(recovery) = recovery.filter(expected) else { return };
         if let Some(why) = refusal {
             return self.end_recovery(Err(RecoverError::Refused(why)));
         }
@@ -579,7 +589,7 @@
                 let missing = names.collect();
                 self.end_recovery(Err(RecoverError::MissingConsent { missing }));
             }
-            RecoveryStep::Ask(missing) => {
+            RecoveryStep::RequestConsent(missing) => {
                 for destination in self.destinations_of(missing) {
                     self.send(destination, NodeMessage::EpochConsentRequest { epoch });
                 }
@@ -609,7 +619,7 @@
         ids.into_iter().filter_map(|id| self.destination_of(id)).collect()
     }
 
-    /// Sends to a node where it is known to be, or else where its message came from.
+    /// Sends a message to a node's known address, or else to the address that its message came from.
     fn send(&mut self, to: Destination, message: NodeMessage) {
         let address = to.id.and_then(|id| self.address_of(id)).unwrap_or(to.address);
         let envelope = self.envelope(to.id, message);
@@ -624,7 +634,7 @@
         self.actions.events.push(Event::Notice(notice));
     }
 
-    /// Collects what the parts ask for, and tells what changed.
+    /// Collects the actions of consensus and gossip, and emits events for changes.
     fn collect_actions(&mut self) {
         self.collect_consensus();
         self.collect_gossip();
@@ -634,7 +644,7 @@
             self.actions.events.push(Event::Leader(leader));
         }
         if self.raft.leads() {
-            self.leader_heard_ms = self.now_ms;
+            self.leader_contact_ms = self.now_ms;
         }
         let may_act = self.may_act(self.now_ms);
         if may_act != self.reported_lease {
@@ -660,8 +670,8 @@
                     self.actions.events.push(Event::ValueCommitted { key, version });
                     self.relay_commit();
                 }
-                // The lost voter is removed as soon as the one in its place is in: with both of them one loss more would be
-                // one too many.
+                // Remove a lost voter as soon as its replacement is a voter: while both are voters, one more loss could
+                // cost the group its majority.
                 Payload::Voters(_) => self.reconcile_at_ms = self.now_ms,
                 Payload::Noop => {}
             }
--- a/crates/plovershelf-cluster/src/node/config.rs
+++ b/crates/plovershelf-cluster/src/node/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, and what it starts with.
+//! Configuration and startup parameters of a node.
 
 use std::net::SocketAddr;
 
@@ -8,28 +8,29 @@
 use crate::state::ClusterState;
 use crate::view::ViewTiming;
 
-/// Times and counts of a node.
+/// Timing parameters and limits of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeConfig {
-    /// Of gossip.
+    /// Configuration of gossip.
     pub gossip: GossipConfig,
-    /// Of consensus.
+    /// Configuration of consensus.
     pub raft: RaftConfig,
-    /// How long a lease lasts.
+    /// Duration of a lease, in milliseconds.
     pub lease_duration_ms: f64,
-    /// Between two requests for a lease.
+    /// Interval between two requests for a lease, in milliseconds.
     pub lease_renew_interval_ms: f64,
-    /// A difference between the view and who is there must last so long before the next view.
+    /// Time for which a difference between the view and the present members must last before the view changes, in
+    /// milliseconds.
     pub view_settle_ms: f64,
-    /// A member that acknowledges probes but is not ready for so long is removed from the view.
+    /// Time after which a member that acknowledges probes but is not ready is removed from the view, in milliseconds.
     pub unready_grace_ms: f64,
-    /// A voter that is out of the view for so long is replaced.
+    /// Time after which a voter that is not in the view is replaced, in milliseconds.
     pub replace_voter_after_ms: f64,
-    /// How many voters there should be, an odd number.
+    /// Target number of voters, which is odd.
     pub voters: usize,
-    /// Without a timeout handled for so long the process was paused.
+    /// Time without a handled timeout after which the process is assumed to have been paused, in milliseconds.
     pub pause_threshold_ms: f64,
-    /// Between two requests for what was committed.
+    /// Interval between two requests for committed state, in milliseconds.
     pub fetch_interval_ms: f64,
 }
 
@@ -67,19 +68,20 @@
     }
 }
 
-/// What a node starts with.
+/// Startup parameters of a node.
 #[derive(Clone, Debug)]
 pub struct Startup {
-    /// The node.
+    /// Description of the node.
     pub node: NodeInfo,
-    /// Its settings.
+    /// Configuration of the node.
     pub config: NodeConfig,
-    /// Where others may be found.
+    /// Addresses of other nodes to contact.
     pub seeds: Vec<SocketAddr>,
-    /// Names of the first voters. The first of them bootstraps the cluster once all are there and none knows of one.
+    /// Names of the initial voters. The first of them bootstraps the cluster once all are present and no node belongs
+    /// to one.
     pub initial_voters: Vec<String>,
-    /// What its storage holds.
+    /// State read from the storage, if any.
     pub persistent: Option<PersistentState<ClusterState>>,
-    /// Seeds its random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
--- a/crates/plovershelf-cluster/src/node/digests.rs
+++ b/crates/plovershelf-cluster/src/node/digests.rs
@@ -1,4 +1,4 @@
-//! How far others are, by what goes along with gossip.
+//! State digests of other nodes, which they piggyback on gossip messages.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 /// A leader and its term.
 pub(super) type TermLeader = (Term, NodeId);
 
-/// The last digest of each node.
+/// The last digest received from each node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DigestTable {
     digests: BTreeMap<NodeId, StateDigest>,
-    /// The newest leader that digests of an epoch tell of: found anew only where what they say of leaders changed.
+    /// Cached newest leader among the digests of an epoch. Recomputed only when a leader in the digests changes.
     newest_leader: (Epoch, Option<TermLeader>),
 }
 
 impl DigestTable {
-    /// Takes a digest in, of at most so many nodes. `epoch` is this node's.
+    /// Records a digest, in a table of at most `max_nodes` nodes. `epoch` is this node's epoch.
     pub(super) fn record(&mut self, from: NodeId, digest: StateDigest, max_nodes: usize, epoch: Epoch) {
         let leader_of = |digest: &StateDigest| (digest.epoch, digest.term, digest.leader);
         let before = self.digests.insert(from, digest);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The newest leader of an epoch.
+    /// Returns the newest leader of an epoch that the digests contain, with its term.
     pub(super) fn leader(&self, epoch: Epoch) -> Option<TermLeader> {
         if self.newest_leader.0 == epoch {
             return self.newest_leader.1;
@@ -40,13 +40,13 @@
         self.find_leader(epoch)
     }
 
-    /// The node has said that it knows of no epoch.
-    pub(super) fn is_blank(&self, id: NodeId) -> bool {
+    /// Returns whether the node has reported that it belongs to no epoch.
+    pub(super) fn reports_no_epoch(&self, id: NodeId) -> bool {
         self.digests.get(&id).is_some_and(|digest| digest.epoch == Epoch::NONE)
     }
 
-    /// None has said that it knows of an epoch.
-    pub(super) fn are_all_blank(&self) -> bool {
+    /// Returns whether no node has reported that it belongs to an epoch.
+    pub(super) fn all_report_no_epoch(&self) -> bool {
         self.digests.values().all(|digest| digest.epoch == Epoch::NONE)
     }
 
--- a/crates/plovershelf-cluster/src/node/digests/tests.rs
+++ b/crates/plovershelf-cluster/src/node/digests/tests.rs
@@ -6,10 +6,10 @@
     StateDigest { epoch, commit_index: 0, term: Term(term), leader: Some(NodeId(leader)) }
 }
 
-/// A leader is replaced. Some nodes still tell of the old one; the leader of the newest term counts, and none of another
-/// epoch.
+/// Guards against a stale leader: after a change of leaders some digests still contain the old one. The leader of the
+/// newest term is returned, and leaders of other epochs are ignored.
 #[test]
-fn the_leader_of_the_newest_term_of_the_epoch_counts() {
+fn the_leader_of_the_newest_term_of_the_epoch_is_returned() {
     let mut table = DigestTable::default();
     table.record(NodeId(1), digest(EPOCH, 4, 7), 10, EPOCH);
     table.record(NodeId(2), digest(EPOCH, 3, 8), 10, EPOCH);
@@ -18,7 +18,7 @@
     assert_eq!(table.leader(Epoch(2 << 40)), Some((Term(9), NodeId(9))));
 }
 
-/// Nodes come and go without end. The table keeps at most as many as it may.
+/// Guards against unbounded growth while nodes join and leave: the table has at most `max_nodes` entries.
 #[test]
 fn the_table_is_bounded() {
     let mut table = DigestTable::default();
--- a/crates/plovershelf-cluster/src/node/epoch_recovery/tests.rs
+++ b/crates/plovershelf-cluster/src/node/epoch_recovery/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Five members, of which the first three vote.
+/// Returns a view of five members, of which the first three are voters.
 fn view() -> View {
     View { number: 4, members: (1..=5).map(|id| (NodeId(id), member(id))).collect() }
 }
@@ -22,12 +22,12 @@
     (1..=3).map(NodeId).collect()
 }
 
-fn survey(lost: &[&str]) -> Result<Survey, RecoverError> {
+fn membership(lost: &[&str]) -> Result<RecoveryMembership, RecoverError> {
     let lost: Vec<String> = lost.iter().map(|name| name.to_string()).collect();
-    Survey::of(&lost, &view(), &voters())
+    RecoveryMembership::of(&lost, &view(), &voters())
 }
 
-/// The state of a node that has `extra` entries beyond what all have.
+/// Returns the state of a node that has `extra` entries beyond those common to all.
 fn persistent(extra: u8) -> PersistentState<ClusterState> {
     let mut persistent = PersistentState::empty(ClusterState { view: view(), ..ClusterState::default() });
     persistent.log = (0..extra)
@@ -43,30 +43,30 @@
     persistent
 }
 
-/// An operator mistypes a name. Nothing begins, and the names that there are are told.
+/// An operator mistypes a name. No recovery starts, and the error lists the members of the view.
 #[test]
 fn a_name_that_is_not_in_the_view_is_refused() {
-    let why = survey(&["n1", "n9"]).expect_err("no such member").to_string();
+    let why = membership(&["n1", "n9"]).expect_err("no such member").to_string();
     assert_eq!(why, "\"n9\" is not in view 4; in it are n1, n2, n3, n4, n5");
 }
 
-/// Two operators give the command for different nodes at once. The epochs have one number and are told apart.
+/// Two operators start recoveries with different lost nodes at once. The epochs have equal numbers but different tags.
 #[test]
-fn two_recoveries_at_once_have_different_epochs_of_one_number() {
+fn concurrent_recoveries_have_different_epochs_with_equal_numbers() {
     let [one, other] = [&["n1", "n2"][..], &["n2", "n3"][..]]
-        .map(|lost| survey(lost).expect("members").next_epoch(Epoch::new(6, 1)));
+        .map(|lost| membership(lost).expect("members").next_epoch(Epoch::new(6, 1)));
     assert_eq!((one.number(), other.number()), (7, 7));
     assert_ne!(one, other);
 }
 
-/// Two of three voters are lost. All survivors must consent; what the furthest keeps is taken for committed, as it may have
-/// been, and the voters are an odd number spread over zones.
+/// Two of three voters are lost. All survivors must consent. The entries of the survivor with the most recent log are
+/// treated as committed, because they may have been, and the new voters are an odd number spread over zones.
 #[test]
-fn the_new_epoch_begins_with_what_the_furthest_survivor_keeps() {
-    let survey = survey(&["n1", "n2"]).expect("members");
-    let epoch = survey.next_epoch(Epoch::new(1, 1));
-    let mut recovery = EpochRecovery::new(0.0, epoch, survey, NodeId(3), persistent(1));
-    assert_eq!(recovery.next_step(0.0, 200.0), RecoveryStep::Ask(vec![NodeId(4), NodeId(5)]));
+fn the_new_epoch_starts_from_the_survivor_with_the_most_recent_log() {
+    let membership = membership(&["n1", "n2"]).expect("members");
+    let epoch = membership.next_epoch(Epoch::new(1, 1));
+    let mut recovery = EpochRecovery::new(0.0, epoch, membership, NodeId(3), persistent(1));
+    assert_eq!(recovery.next_step(0.0, 200.0), RecoveryStep::RequestConsent(vec![NodeId(4), NodeId(5)]));
     assert_eq!(recovery.next_step(1.0, 200.0), RecoveryStep::Wait);
     recovery.record_consent(NodeId(4), persistent(2));
     recovery.record_consent(NodeId(5), persistent(0));
@@ -79,12 +79,13 @@
     assert_eq!(snapshot.voters.len(), 3);
 }
 
-/// A survivor does not answer. The recovery ends and says who is missing, so that an operator can name it lost too.
+/// A survivor does not answer. The recovery ends with an error that names it, so that an operator can declare it lost
+/// too.
 #[test]
 fn a_recovery_without_all_consents_expires() {
-    let survey = survey(&["n1", "n2"]).expect("members");
-    let epoch = survey.next_epoch(Epoch::new(1, 1));
-    let mut recovery = EpochRecovery::new(0.0, epoch, survey, NodeId(3), persistent(0));
+    let membership = membership(&["n1", "n2"]).expect("members");
+    let epoch = membership.next_epoch(Epoch::new(1, 1));
+    let mut recovery = EpochRecovery::new(0.0, epoch, membership, NodeId(3), persistent(0));
     recovery.record_consent(NodeId(4), persistent(0));
     let expired = RecoveryStep::Expired(vec![NodeId(5)]);
     assert_eq!(recovery.next_step(CONSENT_TIMEOUT_MS, 200.0), expired);
--- a/crates/plovershelf-cluster/src/node/event.rs
+++ b/crates/plovershelf-cluster/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a call asks of the driver, and what it tells it.
+//! Actions and events that a call returns to the driver.
 
 use std::fmt;
 
@@ -10,65 +10,64 @@
 use crate::view::View;
 use crate::wire::Envelope;
 
-/// What the rest of the process should know.
+/// An event for the rest of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Another view is in force here.
+    /// A new view is in force on this node.
     View(View),
-    /// Whether this node may act, and by which view.
+    /// The lease changed. Contains the number of the view by which this node may act, or `None` without a valid lease.
     Lease(Option<u64>),
-    /// Another leader is known, or none.
+    /// The known leader changed. Contains `None` if no leader is known.
     Leader(Option<NodeId>),
     /// A value was committed.
     ValueCommitted {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// Its version.
+        /// Version of the value.
         version: u64,
     },
     /// The leader answered a proposal.
     ProposalAnswered {
-        /// What [`ClusterNode::propose`](super::ClusterNode::propose) returned.
+        /// Nonce returned by [`ClusterNode::propose`](super::ClusterNode::propose).
         nonce: u64,
-        /// Whether it was taken into the log.
+        /// Whether the leader appended the proposal to its log.
         accepted: bool,
     },
-    /// A recovery ended: the new epoch's number, or why there is none.
+    /// A recovery ended with the number of the new epoch or with an error.
     RecoveryEnded(Result<u64, RecoverError>),
-    /// Something that people should see.
+    /// An event to be logged for operators.
     Notice(Notice),
 }
 
-/// Something that people should see.
+/// An event to be logged for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The process was paused.
     ProcessPaused,
-    /// This node bootstraps the cluster.
+    /// This node bootstrapped the cluster.
     Bootstrapped,
-    /// Another cluster of this name was met.
+    /// A message from another cluster of the same name was received.
     OtherClusterMet,
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Notice::ProcessPaused => "stood still for a while; what seemed late meanwhile is asked again",
-            Notice::Bootstrapped => "founds the group",
-            Notice::OtherClusterMet => {
-                "met another group of this name with a council of the same number: it is no part of this one"
-            }
+            Notice::ProcessPaused => "the process was paused; pending probes and suspicions are restarted",
+            Notice::Bootstrapped => "bootstraps the group",
+            Notice::OtherClusterMet => "ignoring another group with the same name and council number",
         })
     }
 }
 
-/// What a call asks of the driver. `save` must be on disk before anything of `send` leaves.
+/// Actions that a call requires of the driver. All records in `save` must be on disk before any message in `send` is
+/// sent.
 #[derive(Clone, Debug, Default)]
 pub struct Actions {
-    /// Records to write, in order.
+    /// Records to write to disk, in this order.
     pub save: Vec<Record<ClusterState>>,
-    /// Messages to send.
+    /// Messages to send, with their destinations.
     pub send: Vec<(Destination, Envelope)>,
-    /// What the process should know.
+    /// Events for the rest of the process, in order.
     pub events: Vec<Event>,
 }
--- a/crates/plovershelf-cluster/src/node/mod.rs
+++ b/crates/plovershelf-cluster/src/node/mod.rs
@@ -1,22 +1,23 @@
-//! One node of the cluster: gossip and consensus joined, with leases, views, and voters that are replaced.
+//! A node of the cluster, which combines gossip, consensus, views, leases and the replacement of voters.
 //!
-//! A driver calls [`ClusterNode::handle_message`], [`ClusterNode::handle_timeout`] and the commands, and after each carries
-//! out [`ClusterNode::poll_actions`] and asks for [`ClusterNode::poll_timeout`]. The ordinary path of a change: gossip finds
-//! that a member came or went; the leader sees that the view differs from who is there, waits until nobody whom it removes
-//! can still act, and has the next view committed; all nodes learn of it from each other.
+//! After each call of [`ClusterNode::handle_message`], [`ClusterNode::handle_timeout`] or a command the driver executes
+//! [`ClusterNode::poll_actions`] and schedules a timer for [`ClusterNode::poll_timeout`]. In normal operation gossip
+//! detects that a member joined or left. The leader compares the view with the present members, waits until the leases
+//! of the members to remove have expired, and commits the next view. All nodes receive it by replication or from each
+//! other.
 //!
-//! What a member does by the cluster's view it does under a lease ([`ClusterNode::may_act`]).
+//! A member acts on the view only while it holds a lease ([`ClusterNode::may_act`]).
 //!
-//! | module | owns |
+//! | module | contents |
 //! | --- | --- |
-//! | `config`, `event` | settings, and what a driver is told |
-//! | `cluster_node` | the state machine that joins the parts |
-//! | `bootstrap` | how a cluster begins |
-//! | `digests` | how far others are, and which leader they know |
-//! | `catch_up` | when committed state is asked for, and whose is taken over |
-//! | `leader_duties` | the leader's view, leases and voters |
-//! | `voters` | voters that are missing, and who replaces them |
-//! | `epoch_recovery` | a recovery without a majority |
+//! | `config`, `event` | configuration, and events for the driver |
+//! | `cluster_node` | the state machine that combines the modules |
+//! | `bootstrap` | bootstrap of a new cluster |
+//! | `digests` | replication progress and known leader of other nodes |
+//! | `catch_up` | when to fetch committed state, and from which epochs to accept it |
+//! | `leader_duties` | views, leases and voters managed by the leader |
+//! | `voters` | detection and replacement of lost voters |
+//! | `epoch_recovery` | recovery from the loss of a majority |
 
 mod bootstrap;
 mod catch_up;
--- a/crates/plovershelf-cluster/src/node/voters.rs
+++ b/crates/plovershelf-cluster/src/node/voters.rs
@@ -1,51 +1,52 @@
-//! The leader keeps the number of voters and replaces those that are lost.
+//! Maintenance of the number of voters by the leader, and replacement of lost voters.
 //!
-//! One change at a time: first a member is brought up to date as a learner and becomes a voter, then the lost one is removed.
-//! The other order would leave a majority of fewer voters, which one loss more could end.
+//! Voters change one at a time: first a member catches up as a learner and becomes a voter, then the lost voter is
+//! removed. In the opposite order the group would temporarily have fewer voters, and one more loss could cost it its
+//! majority.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::leader_duties::Surroundings;
+use super::leader_duties::LeaderContext;
 use crate::consensus::{Payload, Raft, MAX_VOTERS};
 use crate::gossip::{MemberState, Swim};
 use crate::identity::NodeId;
 use crate::state::ClusterState;
 use crate::view::View;
 
-/// Why a voter can't be replaced here.
+/// An error that prevents the replacement of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplaceError {
-    /// This node does not lead, and knows of none that does.
+    /// This node is not the leader and knows no leader.
     #[error("no leader is known")]
     NoLeader,
-    /// Another node leads.
+    /// Another node is the leader.
     #[error("{leader} leads, not this member; ask there")]
     NotLeader {
-        /// That node's name.
+        /// Name of the leader.
         leader: String,
     },
-    /// The name is no voter's.
+    /// No voter has the given name.
     #[error("{name:?} is no voter; {} are", voters.join(", "))]
     NoVoter {
-        /// The name.
+        /// The given name.
         name: String,
         /// Names of the voters.
         voters: Vec<String>,
     },
-    /// The leader was named.
+    /// The voter to replace is the leader itself.
     #[error("{name} leads; it can't replace itself")]
     Leader {
-        /// Its name.
+        /// Name of the leader.
         name: String,
     },
 }
 
-/// Of the leader: voters that are missing, and who is to replace them.
+/// The leader's record of missing voters and of the learner that replaces them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VoterManager {
     missing_since_ms: BTreeMap<NodeId, f64>,
     learner: Option<NodeId>,
-    /// Voters that an operator wants replaced without waiting.
+    /// Voters that an operator has requested to replace without waiting.
     replace_now: BTreeSet<NodeId>,
 }
 
@@ -59,35 +60,35 @@
         self.replace_now.insert(voter);
     }
 
-    /// Takes the next step towards as many voters as there should be, all of them in the view.
-    pub(super) fn reconcile(&mut self, around: &Surroundings<'_>, raft: &mut Raft<ClusterState>) {
+    /// Takes the next step towards the configured number of voters, all of them in the view.
+    pub(super) fn reconcile(&mut self, context: &LeaderContext<'_>, raft: &mut Raft<ClusterState>) {
         let (voters, view) = (raft.voters().clone(), raft.state().view.clone());
-        let lost = self.find_lost(around, &voters, raft.state());
-        let wanted = around.config.voters;
+        let lost = self.find_lost(context, &voters, raft.state());
+        let target = context.config.voters;
         let healthy = voters.iter().filter(|id| self.is_healthy(**id, &view)).count();
         let remaining = voters.len() - usize::from(lost.is_some());
-        let wants_more = healthy < wanted && remaining < wanted && voters.len() <= MAX_VOTERS;
-        let candidate = wants_more.then(|| best_candidate(around.swim, &view, &voters)).flatten();
+        let needs_voter = healthy < target && remaining < target && voters.len() <= MAX_VOTERS;
+        let candidate = needs_voter.then(|| best_candidate(context.swim, &view, &voters)).flatten();
         let learner = self.learner.filter(|id| view.members.contains_key(id) && !voters.contains(id));
         match (learner, candidate) {
-            (Some(learner), Some(_)) => self.promote(around.now_ms, learner, voters, raft),
+            (Some(learner), Some(_)) => self.promote(context.now_ms, learner, voters, raft),
             (None, Some(candidate)) => self.set_learner(Some(candidate), raft),
             (_, None) => {
                 if self.learner.is_some() {
                     self.set_learner(None, raft);
                 }
-                let surplus = voters.len() > wanted || lost.is_some() && healthy >= wanted;
-                let removed = lost.or_else(|| surplus_voter(around.own, &view, &voters));
+                let surplus = voters.len() > target || lost.is_some() && healthy >= target;
+                let removed = lost.or_else(|| surplus_voter(context.own, &view, &voters));
                 if let Some(id) = removed.filter(|_| surplus && healthy > 0) {
                     let mut fewer = voters;
                     fewer.remove(&id);
-                    raft.propose(around.now_ms, Payload::Voters(fewer));
+                    raft.propose(context.now_ms, Payload::Voters(fewer));
                 }
             }
         }
     }
 
-    /// The learner becomes a voter once it has all that is committed.
+    /// Proposes the learner as a voter once it has all committed entries.
     fn promote(
         &mut self,
         now_ms: f64,
@@ -95,8 +96,8 @@
         mut voters: BTreeSet<NodeId>,
         raft: &mut Raft<ClusterState>,
     ) {
-        let matched = raft.matched().into_iter().find(|(id, _)| *id == learner);
-        if matched.map_or(0, |(_, index)| index) < raft.commit_index() {
+        let progress = raft.match_indices().into_iter().find(|(id, _)| *id == learner);
+        if progress.map_or(0, |(_, index)| index) < raft.commit_index() {
             return;
         }
         voters.insert(learner);
@@ -114,10 +115,11 @@
         view.members.contains_key(&voter) && !self.replace_now.contains(&voter)
     }
 
-    /// The first voter that is to be replaced: out of the view for long enough, or gone for good.
+    /// Returns the first voter to replace: one that has been out of the view for too long, is permanently lost, or that
+    /// an operator has requested to replace.
     fn find_lost(
         &mut self,
-        around: &Surroundings<'_>,
+        context: &LeaderContext<'_>,
         voters: &BTreeSet<NodeId>,
         state: &ClusterState,
     ) -> Option<NodeId> {
@@ -129,11 +131,11 @@
                 self.missing_since_ms.remove(id);
                 continue;
             }
-            let since_ms = *self.missing_since_ms.entry(*id).or_insert(around.now_ms);
-            let left = around.swim.find(*id).is_some_and(|update| update.state == MemberState::Left);
-            let for_good = left || is_superseded(*id, around.swim, state);
-            let overdue = around.now_ms - since_ms >= around.config.replace_voter_after_ms;
-            if for_good || overdue || self.replace_now.contains(id) {
+            let since_ms = *self.missing_since_ms.entry(*id).or_insert(context.now_ms);
+            let left = context.swim.find(*id).is_some_and(|update| update.state == MemberState::Left);
+            let permanent = left || is_superseded(*id, context.swim, state);
+            let overdue = context.now_ms - since_ms >= context.config.replace_voter_after_ms;
+            if permanent || overdue || self.replace_now.contains(id) {
                 lost = lost.or(Some(*id));
             }
         }
@@ -141,7 +143,8 @@
     }
 }
 
-/// The node's name is back at its address under another id: its own id will never speak again.
+/// Returns whether the node's name has returned at its address under another id, which means that the old id is
+/// permanently lost.
 pub(super) fn is_superseded(id: NodeId, swim: &Swim, state: &ClusterState) -> bool {
     let view = &state.view;
     let in_view = view.members.get(&id).map(|member| (&member.name, member.address));
@@ -149,7 +152,7 @@
     let superseded = known.is_some_and(|(name, address)| {
         swim.present_at(address).any(|other| other.node.name == *name && other.node.id != id)
     });
-    // Or so it was agreed: it left a view, and its name joined again under another id.
+    // The views show it as well: the node left one, and a member with its name has joined under another id.
     let mut departures = state.view_changes.iter().flat_map(|change| &change.left);
     let departure = departures.find(|(left, _)| *left == id);
     superseded
@@ -158,7 +161,7 @@
         })
 }
 
-/// Of the members in the zone with fewest voters, the one that was created first.
+/// Returns the oldest ready member outside the voters, in the zone with the fewest voters.
 fn best_candidate(swim: &Swim, view: &View, voters: &BTreeSet<NodeId>) -> Option<NodeId> {
     let voters_in = |zone: &str| {
         voters.iter().filter(|id| view.members.get(id).is_some_and(|member| member.zone == zone)).count()
@@ -175,7 +178,7 @@
     best.map(|(id, _)| *id)
 }
 
-/// Of the other voters, one in the zone with most voters.
+/// Returns a voter other than this node, in the zone with the most voters.
 fn surplus_voter(own: NodeId, view: &View, voters: &BTreeSet<NodeId>) -> Option<NodeId> {
     let zone_of = |id: &NodeId| view.members.get(id).map(|member| &member.zone);
     let in_same_zone = |id: &NodeId| voters.iter().filter(|other| zone_of(other) == zone_of(id)).count();
--- a/crates/plovershelf-cluster/src/state.rs
+++ b/crates/plovershelf-cluster/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: who belongs to the cluster, and a few values under keys that other parts of the product agree on.
+//! The replicated state machine: the membership view, and versioned values by which other subsystems reach agreement.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,51 +9,52 @@
 use crate::identity::NodeId;
 use crate::view::{View, ViewChange, ViewMember};
 
-/// Changes of the view that are remembered.
+/// Number of view changes that the state retains.
 const RETAINED_VIEW_CHANGES: usize = 64;
-/// Most keys that may have a value.
+/// Maximum number of keys that can have a value.
 pub const MAX_VALUES: usize = 256;
-/// Most bytes that a value may have.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
 
-/// A value under a key. Its version goes up by one with each change, so that what acts by an older one is known.
+/// The current value of a key. The version increases by one with each change, which identifies readers of an older
+/// value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedValue {
-    /// How many values there were under the key, with this one.
+    /// Version of the value, starting at 1 for the first value of the key.
     pub version: u64,
-    /// The value.
+    /// Encoded value.
     pub bytes: Vec<u8>,
 }
 
-/// What the consensus group commits.
+/// A command of the replicated state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// The next view. Whoever is named among the joined and was a member has changed what it says of itself.
+    /// Changes the view.
     ChangeView {
-        /// The number of the next view.
+        /// Number of the next view.
         number: u64,
-        /// Members that join or have changed.
+        /// Members that join, and existing members whose description has changed.
         joined: Vec<(NodeId, ViewMember)>,
         /// Members that leave.
         left: Vec<NodeId>,
     },
-    /// The next value under a key.
+    /// Sets the value of a key.
     SetValue {
-        /// The key.
+        /// Key of the value.
         key: String,
-        /// One more than the version there is.
+        /// Version of the value, one more than that of the current value.
         version: u64,
-        /// The value.
+        /// Encoded value.
         bytes: Vec<u8>,
     },
 }
 
-/// What all committed commands come to.
+/// The replicated state after all committed commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The view in force.
+    /// View in force.
     pub view: View,
-    /// How it came about, oldest change first.
+    /// Last changes of the view, oldest first.
     pub view_changes: VecDeque<ViewChange>,
     /// Values by key.
     pub values: BTreeMap<String, VersionedValue>,
@@ -62,7 +63,8 @@
 impl StateMachine for ClusterState {
     type Command = Command;
 
-    /// A command that does not follow on the state there is changes nothing, and does so on every node alike.
+    /// Applies a command. A command whose number or version does not follow the current one has no effect, on all nodes
+    /// alike.
     fn apply(&mut self, command: &Command) {
         match command {
             Command::ChangeView { number, joined, left } => {
@@ -73,8 +75,8 @@
             }
             Command::SetValue { key, version, bytes } => {
                 let before = self.values.get(key).map_or(0, |value| value.version);
-                let room = self.values.contains_key(key) || self.values.len() < MAX_VALUES;
-                if *version == before + 1 && room && bytes.len() <= MAX_VALUE_BYTES {
+                let has_capacity = self.values.contains_key(key) || self.values.len() < MAX_VALUES;
+                if *version == before + 1 && has_capacity && bytes.len() <= MAX_VALUE_BYTES {
                     let value = VersionedValue { version: *version, bytes: bytes.clone() };
                     self.values.insert(key.clone(), value);
                 }
@@ -86,12 +88,12 @@
 impl ClusterState {
     fn change_view(&mut self, number: u64, joined: &[(NodeId, ViewMember)], left: &[NodeId]) {
         let members = &mut self.view.members;
-        let gone = left.iter().filter_map(|id| Some((*id, members.remove(id)?.name))).collect();
+        let removed = left.iter().filter_map(|id| Some((*id, members.remove(id)?.name))).collect();
         let new = joined.iter().filter(|(id, _)| !members.contains_key(id));
         let new = new.map(|(id, member)| (*id, member.name.clone())).collect();
         members.extend(joined.iter().cloned());
         self.view.number = number;
-        self.view_changes.push_back(ViewChange { number, joined: new, left: gone });
+        self.view_changes.push_back(ViewChange { number, joined: new, left: removed });
         if self.view_changes.len() > RETAINED_VIEW_CHANGES {
             self.view_changes.pop_front();
         }
--- a/crates/plovershelf-cluster/src/status.rs
+++ b/crates/plovershelf-cluster/src/status.rs
@@ -1,7 +1,7 @@
-//! What a member tells people of itself and the cluster, and what they may ask of it.
+//! Operators' queries and commands to a member, and the member's answers.
 //!
-//! The names of fields are keys of the JSON that commands print, which people and scripts read: they stay as they are, also
-//! where the code has another term. Their documentation says which.
+//! The serialized names are keys of the JSON that the commands print for operators and scripts, so they must not
+//! change. A field whose term in the code differs from its key has a `serde(rename)` attribute.
 
 use std::collections::BTreeSet;
 
@@ -12,263 +12,264 @@
 use crate::node::ClusterNode;
 use crate::view::ViewChange;
 
-/// What a member is asked.
+/// A query or command sent to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
-    /// Its [`Status`].
+    /// Requests the member's [`Status`].
     Status,
-    /// Begins a new epoch without these; see [`ClusterNode::recover`].
+    /// Starts a new epoch without the lost nodes; see [`ClusterNode::recover`].
     Recover {
-        /// Names of the nodes that are lost for good.
+        /// Names of the permanently lost nodes.
         lost: Vec<String>,
     },
-    /// Has a voter replaced at once; see [`ClusterNode::replace_voter`].
+    /// Requests the replacement of a voter without waiting; see [`ClusterNode::replace_voter`].
     Replace {
-        /// The voter's name.
+        /// Name of the voter.
         voter: String,
     },
-    /// What another subsystem of the product is asked, in its own encoding.
+    /// Query to another subsystem, in the subsystem's own encoding.
     Part {
-        /// The subsystem.
+        /// Name of the subsystem.
         part: String,
-        /// The question.
+        /// Encoded query.
         bytes: Vec<u8>,
     },
-    /// Its [`ReplicationStatus`].
+    /// Requests the member's [`ReplicationStatus`].
     Copies,
-    /// What it holds of one idempotency key of a request class: [`KeyStatus`].
+    /// Requests the [`KeyStatus`] of an idempotency key of a request class.
     Ticket {
-        /// The request class.
+        /// Request class.
         offering: String,
-        /// The idempotency key.
+        /// Idempotency key.
         ticket: String,
     },
-    /// Its [`Brief`], which can be asked of each member of a large cluster often.
+    /// Requests a [`Brief`], which is cheap enough to poll on every member of a large cluster.
     Brief {
-        /// Members that are asked about, at most [`MAX_BRIEF_NAMES`].
+        /// Names of the members to report on, at most [`MAX_BRIEF_NAMES`].
         names: Vec<String>,
     },
 }
 
-/// Members that a question for a [`Brief`] may name.
+/// Maximum number of names in a request for a [`Brief`].
 pub const MAX_BRIEF_NAMES: usize = 256;
 
-/// What stays small however many members there are: its length grows with the names asked about alone.
+/// A short status, whose size grows with the number of requested names but not with the number of members.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Brief {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Its node id.
+    /// Node id of the member.
     #[serde(rename = "memory")]
     pub node_id: u64,
-    /// Its epoch.
+    /// Epoch that the member belongs to.
     #[serde(rename = "era")]
     pub epoch: u64,
-    /// Number of the view that it has.
+    /// Number of the latest view known to the member.
     pub view: u64,
-    /// Whether it leads.
+    /// Whether the member is the leader.
     pub leads: bool,
-    /// The leader's name, where it knows one.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Whether it may act at this moment.
+    /// Whether the member has a valid lease or leads, and so may act now.
     pub may_act: bool,
-    /// Members in the view.
+    /// Number of members in the view.
     pub in_view: u64,
-    /// Members that it takes to be alive or merely suspects.
+    /// Number of members that the member considers alive or suspect.
     pub alive: u64,
-    /// Those of the names asked about that it takes to be alive or merely suspects.
+    /// Requested names of members that the member considers alive or suspect.
     pub alive_of: Vec<String>,
-    /// Committed values: key, version, checksum of the bytes.
+    /// Key, version and CRC-32 of each committed value.
     #[serde(rename = "words")]
     pub values: Vec<(String, u64, u32)>,
 }
 
-/// A member's part in the replication of deduplication records.
+/// The status of a member in the replication of deduplication records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationStatus {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Number of the view that it places replicas by.
+    /// Number of the view by which the member places replicas.
     pub view: u64,
-    /// Whether it has all records that it is the primary of, so that it orders new reservations.
+    /// Whether the member has all records that it is the primary of, and so accepts new reservations.
     #[serde(rename = "settled")]
     pub is_reconciled: bool,
-    /// Replicas that each record should have.
+    /// Target number of replicas of each record.
     #[serde(rename = "copies")]
     pub replication_factor: u64,
-    /// Replicas that must confirm before a request runs.
+    /// Number of replicas that must confirm a reservation before its request runs.
     #[serde(rename = "least")]
     pub min_replicas: u64,
-    /// Records that it holds.
+    /// Number of records stored on the member.
     #[serde(rename = "held")]
     pub records: u64,
-    /// Most records that it may hold.
+    /// Maximum number of records stored on the member.
     #[serde(rename = "held_most")]
     pub max_records: u64,
-    /// Bytes of the records that it holds.
+    /// Total size of the stored records, in bytes.
     #[serde(rename = "held_bytes")]
     pub outcome_bytes: u64,
-    /// Most bytes that they may have.
+    /// Maximum total size of the stored records, in bytes.
     #[serde(rename = "held_bytes_most")]
     pub max_outcome_bytes: u64,
-    /// Records that it is the primary of and that have fewer replicas than they should.
+    /// Number of records that the member is the primary of and that have fewer replicas than the target.
     #[serde(rename = "low")]
     pub under_replicated_records: u64,
-    /// Its own requests that ask for a reservation.
+    /// Number of the member's own requests that wait for a reservation.
     #[serde(rename = "asking")]
     pub reserving: u64,
-    /// Its own requests that wait for another's outcome.
+    /// Number of the member's own requests that wait for the outcome of another attempt.
     pub waiting: u64,
-    /// Its own requests that run.
+    /// Number of the member's own requests that are running.
     pub running: u64,
-    /// Its own requests whose outcome is being replicated.
+    /// Number of the member's own requests whose outcome is being replicated.
     #[serde(rename = "ending")]
     pub completing: u64,
-    /// Members that are suspected and skipped.
+    /// Names of the members that are suspected and skipped.
     #[serde(rename = "doubted")]
     pub suspected: Vec<String>,
-    /// Members of the view that are draining.
+    /// Names of the members of the view that are draining.
     #[serde(rename = "leaving")]
     pub draining: Vec<String>,
 }
 
-/// An idempotency key as one member sees it.
+/// The status of an idempotency key on a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KeyStatus {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Number of the view that it places replicas by.
+    /// Number of the view by which the member places replicas.
     pub view: u64,
-    /// Hash of class and key, by which replicas are placed.
+    /// Hash of request class and idempotency key, which determines the placement of replicas.
     pub hash: String,
-    /// The replica set by the view, the primary first.
+    /// Names of the replicas according to the view, the primary first.
     #[serde(rename = "placed")]
     pub replica_set: Vec<String>,
-    /// The record, where it holds one.
+    /// Record stored on the member, if any.
     #[serde(rename = "held")]
     pub record: Option<RecordStatus>,
 }
 
-/// A deduplication record that a member holds.
+/// A deduplication record stored on a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecordStatus {
-    /// The member that executes the request.
+    /// Name of the member that executes the request.
     #[serde(rename = "runner")]
     pub executor: String,
-    /// The replicas that had to confirm the reservation before anything ran.
+    /// Names of the replicas that had to confirm the reservation before the request ran.
     #[serde(rename = "holders")]
     pub replica_set: Vec<String>,
-    /// `open`, `succeeded` with the length of its result, `failed`, `in doubt`.
+    /// State of the request: `open`, `succeeded` with the length of its result, `failed` or `in doubt`.
     pub state: String,
-    /// Number of the view by which it was reserved.
+    /// Number of the view under which the request was reserved.
     #[serde(rename = "claimed_under_view")]
     pub reserved_in_view: u64,
-    /// For how long the record is kept.
+    /// Retention time of the record, in milliseconds.
     #[serde(rename = "keep_ms")]
     pub retention_ms: u64,
 }
 
-/// What a member answers.
+/// The answer of a member to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To [`Question::Status`].
+    /// Answer to [`Question::Status`].
     Status(Box<Status>),
-    /// To [`Question::Copies`].
+    /// Answer to [`Question::Copies`].
     Copies(Box<ReplicationStatus>),
-    /// To [`Question::Ticket`].
+    /// Answer to [`Question::Ticket`].
     Ticket(Box<KeyStatus>),
-    /// To [`Question::Part`].
+    /// Answer to [`Question::Part`].
     Part(Vec<u8>),
-    /// A command was carried out: what came of it, in a line.
+    /// Result of an executed command, as a line of text.
     Done(String),
-    /// A question or command was refused: why, in a line.
+    /// Reason for refusing a query or command, as a line of text.
     Refused(String),
-    /// To [`Question::Brief`].
+    /// Answer to [`Question::Brief`].
     Brief(Box<Brief>),
 }
 
-/// One member as another sees it.
+/// The status of a member as seen by the answering one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its node id.
+    /// Node id of the member.
     #[serde(rename = "memory")]
     pub node_id: u64,
-    /// The zone that it runs in.
+    /// Zone that the member runs in.
     pub zone: String,
-    /// The region of that zone.
+    /// Region of that zone.
     pub region: String,
-    /// Where it is reached.
+    /// Address on which the member receives messages.
     pub address: String,
-    /// Its state in gossip: `alive`, `suspected`, `dead`, `left`.
+    /// State in gossip: `alive`, `suspected`, `dead` or `left`.
     #[serde(rename = "condition")]
     pub state: String,
-    /// Whether it is ready.
+    /// Whether the member is ready.
     #[serde(rename = "fit")]
     pub is_ready: bool,
-    /// Whether it is draining.
+    /// Whether the member is draining.
     #[serde(rename = "leaving")]
     pub is_draining: bool,
-    /// Whether it is in the view.
+    /// Whether the member is in the view.
     pub in_view: bool,
-    /// Whether it is a voter.
+    /// Whether the member is a voter.
     pub voter: bool,
-    /// For how long it has been in its state, in milliseconds.
+    /// Time since the member entered its state, in milliseconds.
     pub since_ms: f64,
-    /// By how many entries it lags behind the end of the leader's log; known to the leader, of voters alone.
+    /// Number of entries by which a voter lags behind the end of the leader's log. Present only on the leader, for
+    /// voters.
     pub lag: Option<u64>,
 }
 
-/// All that a member knows of the cluster.
+/// The full status of a member and of the cluster as known to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The cluster's name.
+    /// Name of the cluster.
     pub group: String,
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Its node id.
+    /// Node id of the member.
     #[serde(rename = "memory")]
     pub node_id: u64,
-    /// Number of its epoch.
+    /// Sequence number of the epoch that the member belongs to.
     #[serde(rename = "council")]
     pub epoch_number: u64,
-    /// Its epoch.
+    /// Epoch that the member belongs to.
     #[serde(rename = "era")]
     pub epoch: u64,
-    /// Its term.
+    /// Latest term that the member has seen.
     pub term: u64,
-    /// Its role in consensus, in words.
+    /// Role of the member in consensus, as text.
     pub role: String,
-    /// Whether it leads.
+    /// Whether the member is the leader.
     pub leads: bool,
-    /// The leader's name, where it knows one.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Its commit index.
+    /// Commit index of the member.
     #[serde(rename = "decided")]
     pub commit_index: u64,
-    /// Number of the view that it has.
+    /// Number of the latest view known to the member.
     pub view: u64,
-    /// Node ids of the view's members, in order.
+    /// Node ids of the members of the view, in ascending order.
     pub view_members: Vec<u64>,
-    /// By which view it may act at this moment.
+    /// Number of the view by which the member may act now, if any.
     pub may_act: Option<u64>,
-    /// For how long nothing has come from a leader, where that is longer than elections take.
+    /// Time since the last message from a leader, in milliseconds. Present only if it is longer than an election takes.
     #[serde(rename = "undecided_ms")]
     pub no_leader_ms: Option<f64>,
-    /// Whether its storage works.
+    /// Whether the member's storage works.
     #[serde(rename = "keeps")]
     pub is_storage_working: bool,
-    /// All members that it knows.
+    /// Status of all members known to the member.
     pub members: Vec<MemberStatus>,
-    /// The last changes of the view.
+    /// Last changes of the view, oldest first.
     pub history: Vec<ViewChange>,
-    /// Committed values: key and version.
+    /// Key and version of each committed value.
     #[serde(rename = "words")]
     pub values: Vec<(String, u64)>,
 }
 
-fn state_in_words(state: MemberState) -> &'static str {
+fn state_text(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspected",
@@ -277,7 +278,7 @@
     }
 }
 
-fn role_in_words(role: &Role) -> &'static str {
+fn role_text(role: &Role) -> &'static str {
     match role {
         Role::NonVoter => "no voter",
         Role::Recovering(_) => "returning",
@@ -290,12 +291,13 @@
 }
 
 impl Brief {
-    /// Of a node; `names` are those asked about.
+    /// Returns the short status of a node with the presence of the members with these names.
     pub fn of(node: &ClusterNode, names: &[String], now_ms: f64) -> Self {
         let (view, raft) = (node.view(), node.raft());
-        let asked: BTreeSet<&str> = names.iter().take(MAX_BRIEF_NAMES).map(String::as_str).collect();
+        let requested: BTreeSet<&str> = names.iter().take(MAX_BRIEF_NAMES).map(String::as_str).collect();
         let present = || node.swim().present().map(|update| &update.node.name);
-        let alive_of: BTreeSet<&String> = present().filter(|name| asked.contains(name.as_str())).collect();
+        let alive_of: BTreeSet<&String> =
+            present().filter(|name| requested.contains(name.as_str())).collect();
         let values = raft.state().values.iter();
         let values = values.map(|(key, value)| (key.clone(), value.version, crc32fast::hash(&value.bytes)));
         Brief {
@@ -319,14 +321,15 @@
         let (raft, info) = (node.raft(), &update.node);
         let voter = raft.voters().contains(&info.id);
         let last = raft.persistent().last().index;
-        let lag = || raft.matched().into_iter().find(|(id, _)| *id == info.id).map(|(_, index)| last - index);
+        let progress = || raft.match_indices().into_iter().find(|(id, _)| *id == info.id);
+        let lag = || progress().map(|(_, index)| last - index);
         MemberStatus {
             name: info.name.clone(),
             node_id: info.id.0,
             zone: info.zone.clone(),
             region: info.region.clone(),
             address: info.address.to_string(),
-            state: state_in_words(update.state).into(),
+            state: state_text(update.state).into(),
             is_ready: update.ready,
             is_draining: update.draining,
             in_view: node.view().members.contains_key(&info.id),
@@ -338,7 +341,7 @@
 }
 
 impl Status {
-    /// Of a node in the cluster of that name.
+    /// Returns the full status of a node in a cluster with this name.
     pub fn of(node: &ClusterNode, cluster: &str, now_ms: f64) -> Self {
         let (raft, view, info) = (node.raft(), node.view(), node.node());
         let others = node.swim().others();
@@ -353,7 +356,7 @@
             epoch_number: raft.epoch().number(),
             epoch: raft.epoch().0,
             term: raft.term().0,
-            role: role_in_words(raft.role()).into(),
+            role: role_text(raft.role()).into(),
             leads: raft.leads(),
             leader: node.leader().and_then(|id| node.name_of(id)),
             commit_index: raft.commit_index(),
--- a/crates/plovershelf-cluster/src/storage/mod.rs
+++ b/crates/plovershelf-cluster/src/storage/mod.rs
@@ -1,7 +1,8 @@
-//! A node's file as bytes: records, each in a frame, the first of them the header.
+//! Format of a node's storage file: a sequence of framed records, of which the first is the header.
 //!
-//! A file whose last record is truncated was being written when the process ended: what it says was never confirmed, so it
-//! is left out. One that is corrupt before its end is not believed at all: its node is a new one, as if its disk were lost.
+//! A truncated record at the end is the result of a write that the end of the process interrupted. It was never
+//! acknowledged, so it is ignored. A file with a corrupt record before its end is rejected as a whole, and the node
+//! gets a new id as if its disk were lost.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,89 +11,89 @@
 use crate::state::ClusterState;
 use crate::wire::{encode_frame, read_frame};
 
-/// What the header begins with.
+/// Magic bytes at the start of the header.
 pub const MAGIC: [u8; 4] = *b"plvk";
-/// Version of the file's format.
+/// Version of the file format.
 pub const VERSION: u16 = 2;
 
-/// The first record: whose file it is.
+/// The header, which is the first record and identifies the node that the file belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileHeader {
-    /// [`MAGIC`].
+    /// Magic bytes, [`MAGIC`].
     pub magic: [u8; 4],
-    /// Version of the file's format.
+    /// Version of the file format.
     pub version: u16,
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// The node's id.
+    /// Id of the node.
     pub id: NodeId,
-    /// When the id was drawn, in Unix milliseconds.
+    /// Creation time of the id, in Unix milliseconds.
     pub created_at_ms: u64,
 }
 
-/// Why a file is not believed. Its node begins anew under another id.
+/// The reason to reject a file as corrupt. The node starts with empty state under a new id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
-    /// A record that others follow is damaged.
-    #[error("a record in the middle does not fit its checksum")]
+    /// A record that is followed by others does not match its checksum.
+    #[error("a record before the end does not match its checksum")]
     Checksum,
-    /// The format is an older one.
-    #[error("an older version wrote it")]
+    /// The file has an older format version.
+    #[error("the file has an older format version")]
     OlderVersion,
-    /// The first record is something else.
-    #[error("the first record is no identity")]
+    /// The first record is not a header.
+    #[error("the first record is not a file header")]
     NoHeader,
-    /// A record does not decode, or leaves a gap in the log.
-    #[error("a record does not follow on the one before")]
+    /// A record does not decode or leaves a gap in the log.
+    #[error("a record does not follow the one before it")]
     Sequence,
-    /// Not even the header is complete.
-    #[error("it has no whole record")]
+    /// The file does not even contain a complete header.
+    #[error("the file has no complete record")]
     Empty,
 }
 
-/// Why a file is left as it is and the start can't go on.
+/// The reason to leave a file unchanged and fail the start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ForeignFile {
-    /// It is something else.
-    #[error("it is no file of a group")]
+    /// The file has another format.
+    #[error("it is not the file of a group member")]
     OtherFormat,
-    /// The format is a newer one.
-    #[error("a newer version ({found}) wrote it, this one reads up to {}", VERSION)]
+    /// The file has a newer format version.
+    #[error("it has format version {found}, this build reads versions up to {}", VERSION)]
     NewerVersion {
-        /// Its version.
+        /// Format version of the file.
         found: u16,
     },
-    /// It belongs to another node.
+    /// The file belongs to another node.
     #[error("it belongs to {name:?} of the group {cluster:?}")]
     OtherNode {
-        /// That node's name.
+        /// Name of that node.
         name: String,
-        /// That node's cluster.
+        /// Cluster of that node.
         cluster: String,
     },
 }
 
-/// What a file comes to.
+/// The result of reading a file.
 #[derive(Debug, PartialEq)]
 pub enum ReadOutcome {
-    /// A node's state. After `valid_bytes` the file was truncated while it was written.
+    /// The file contains the state of this node. A record after `valid_bytes` is truncated and ignored.
     Restored {
-        /// Whose it is.
+        /// Header of the file.
         header: FileHeader,
-        /// The state.
+        /// State after all complete records.
         persistent: Box<PersistentState<ClusterState>>,
-        /// How much of the file is complete.
+        /// Length of the complete records, in bytes.
         valid_bytes: usize,
     },
-    /// Not to be believed.
+    /// The file is corrupt or of an older version.
     Corrupt(Corruption),
-    /// Not this node's.
+    /// The file belongs to another node, has another format or a newer version.
     Foreign(ForeignFile),
 }
 
-/// Reads the file of a node.
+/// Reads the storage file of a node.
 pub fn read_file(bytes: &[u8], cluster: &str, name: &str) -> ReadOutcome {
     let mut at = 0;
     let mut header: Option<FileHeader> = None;
@@ -101,7 +102,7 @@
         let (payload, length) = match read_frame(&bytes[at..]) {
             Ok(Some(found)) => found,
             Ok(None) => break,
-            // Where nothing valid follows, the last write was cut short; where something does, the middle is corrupt.
+            // If no valid frame follows, the last write was interrupted. Otherwise a record before the end is corrupt.
             Err(_) if header.is_some() && !contains_frame(&bytes[at + 1..]) => break,
             Err(_) => return ReadOutcome::Corrupt(Corruption::Checksum),
         };
@@ -144,7 +145,7 @@
     Ok(header)
 }
 
-/// A frame whose checksum fits stands somewhere in these bytes.
+/// Returns whether the bytes contain a valid frame at any offset.
 fn contains_frame(bytes: &[u8]) -> bool {
     let is_frame =
         |at: usize| matches!(read_frame(&bytes[at..]), Ok(Some((payload, _))) if !payload.is_empty());
@@ -160,7 +161,7 @@
     }
 }
 
-/// A whole file of a state: short again, as it is after many records.
+/// Encodes a state as a whole file, which is shorter than a file to which many records were appended.
 pub fn encode_file(header: &FileHeader, persistent: &PersistentState<ClusterState>) -> Vec<u8> {
     let mut records = vec![
         Record::Snapshot(persistent.snapshot.clone()),
@@ -178,7 +179,7 @@
     file
 }
 
-/// A record as it is appended to the file.
+/// Encodes a record to be appended to the file.
 pub fn encode_record(record: &Record<ClusterState>) -> Vec<u8> {
     encode_frame(record)
 }
--- a/crates/plovershelf-cluster/src/view/mod.rs
+++ b/crates/plovershelf-cluster/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! Membership views: numbered sets of members that the cluster has agreed on, and how the leader decides on the next one.
+//! Membership views, which are numbered sets of members agreed on by consensus, and the leader's computation of the
+//! next one.
 
 mod reconciler;
 
@@ -12,20 +13,20 @@
 
 pub(crate) use reconciler::{NextView, ViewReconciler, ViewTiming};
 
-/// A member as the view has it.
+/// A member's description in a view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ViewMember {
-    /// Its name.
+    /// Configured name of the member.
     pub name: String,
-    /// The zone that it runs in.
+    /// Zone that the member runs in.
     pub zone: String,
-    /// The region of that zone.
+    /// Region of that zone.
     pub region: String,
-    /// Where it is reached.
+    /// Address on which the member receives messages.
     pub address: SocketAddr,
-    /// It still belongs and is about to go: nothing new is given to it.
+    /// Whether the member is about to leave. A draining member still belongs to the view but gets no new work.
     pub draining: bool,
-    /// Of which start of its process; see [`MemberUpdate::boot_id`].
+    /// Random id of the member's process, drawn at each start; see [`MemberUpdate::boot_id`].
     pub boot_id: u64,
 }
 
@@ -43,22 +44,22 @@
     }
 }
 
-/// Who belongs. Numbers go up by one, without gaps.
+/// A membership view. Consecutive views have consecutive numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Which view it is.
+    /// Number of the view.
     pub number: u64,
-    /// Its members.
+    /// Members of the view.
     pub members: BTreeMap<NodeId, ViewMember>,
 }
 
-/// How one view came out of the one before.
+/// The difference between a view and the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ViewChange {
-    /// The number of the view that it led to.
+    /// Number of the new view.
     pub number: u64,
-    /// Who joined, with their names.
+    /// Ids and names of the nodes that joined.
     pub joined: Vec<(NodeId, String)>,
-    /// Who left, with their names.
+    /// Ids and names of the nodes that left.
     pub left: Vec<(NodeId, String)>,
 }
--- a/crates/plovershelf-cluster/src/view/reconciler.rs
+++ b/crates/plovershelf-cluster/src/view/reconciler.rs
@@ -1,7 +1,7 @@
-//! The leader compares the view with who is there and finds the next view.
+//! The leader's comparison of the view with the present members, and its computation of the next view.
 //!
-//! A member belongs while it is present and ready. One that leaves is removed only when no lease that it may hold is valid
-//! any more, which the caller knows.
+//! A member belongs to the view while it is present and ready. It is removed only once none of its leases can be valid
+//! any more, which the caller determines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,18 +9,18 @@
 use crate::gossip::{MemberState, MemberUpdate, Swim};
 use crate::identity::NodeId;
 
-/// Times by which the next view is found.
+/// Timing parameters for changes of the view.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ViewTiming {
-    /// A difference between the view and who is there must last so long.
+    /// Time for which a difference between the view and the present members must last before the view changes.
     pub(crate) settle_ms: f64,
-    /// A present member that is not ready for so long is removed.
+    /// Time after which a present member that is not ready is removed.
     pub(crate) unready_grace_ms: f64,
-    /// Something came from a member within so long: it is about to refute that it is dead.
+    /// Time after its last message during which a member reported dead is expected to refute that.
     pub(crate) recent_contact_ms: f64,
 }
 
-/// Who joins and leaves with the next view.
+/// The members that join and leave with the next view.
 #[derive(Debug, Default)]
 pub(crate) struct NextView {
     pub(crate) joined: Vec<(NodeId, ViewMember)>,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Of the leader: since when what is there differs from the view.
+/// The leader's record of how long the presence and readiness of nodes have differed from the view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ViewReconciler {
     differs_since_ms: BTreeMap<NodeId, f64>,
@@ -46,12 +46,12 @@
         self.unready_since_ms.clear();
     }
 
-    /// Members that differ from the view, and since when.
+    /// Returns the nodes whose presence differs from the view, and the time since which it does.
     pub(crate) fn differing(&self) -> &BTreeMap<NodeId, f64> {
         &self.differs_since_ms
     }
 
-    /// The next view. `may_remove` says of a member whether no lease of it can be valid any more.
+    /// Computes the next view. `may_remove` returns whether no lease of a member can be valid any more.
     pub(crate) fn next_view(
         &mut self,
         now_ms: f64,
@@ -102,13 +102,15 @@
             return now_ms - since_ms < timing.unready_grace_ms && in_view;
         }
         self.unready_since_ms.remove(&id);
-        // Something came from it just now, whatever others say: it refutes them in a moment.
-        let heard = swim.heard_at_ms(id).is_some_and(|at_ms| now_ms - at_ms < timing.recent_contact_ms);
-        present || heard && update.state != MemberState::Left && in_view
+        // A member that sent a message recently is expected to refute the report that it is dead.
+        let contacted =
+            swim.last_contact_ms(id).is_some_and(|at_ms| now_ms - at_ms < timing.recent_contact_ms);
+        present || contacted && update.state != MemberState::Left && in_view
     }
 }
 
-/// That a member is about to go, or was started anew, it says itself and never takes back: that need not settle.
+/// Returns whether a member started to drain or restarted since the view. Such changes take effect without the settle
+/// time, because only the member itself announces them and never takes them back.
 fn has_changed(view: &View, update: &MemberUpdate) -> bool {
     let member = view.members.get(&update.node.id);
     member.is_some_and(|member| (member.draining, member.boot_id) != (update.draining, update.boot_id))
--- a/crates/plovershelf-cluster/src/wire/envelope.rs
+++ b/crates/plovershelf-cluster/src/wire/envelope.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes of a cluster.
+//! Messages between the nodes of a cluster.
 
 use std::net::SocketAddr;
 
@@ -9,111 +9,112 @@
 use crate::identity::{Epoch, NodeId};
 use crate::state::{ClusterState, Command};
 
-/// How far a node is. It goes along with gossip, so that a node that lags asks for what it lacks.
+/// A summary of a node's consensus state. It is piggybacked on gossip, so that lagging nodes fetch the entries that
+/// they lack.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The epoch that it is part of.
+    /// Epoch that the node belongs to.
     pub epoch: Epoch,
-    /// Its commit index.
+    /// Commit index of the node.
     pub commit_index: u64,
-    /// Its term.
+    /// Term of the node.
     pub term: Term,
-    /// The leader that it knows in that term.
+    /// Leader of that term, if the node knows it.
     pub leader: Option<NodeId>,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NodeMessage {
-    /// Of gossip.
+    /// Gossip message.
     Gossip {
-        /// The message.
+        /// Message of the gossip protocol.
         message: gossip::Message,
-        /// How far its sender is.
+        /// Digest of the sender's consensus state.
         digest: StateDigest,
     },
-    /// Of consensus.
+    /// Consensus message.
     Consensus {
-        /// The epoch that it is part of.
+        /// Epoch that the message belongs to.
         epoch: Epoch,
-        /// The message.
+        /// Message of the consensus protocol.
         message: consensus::Message<ClusterState>,
     },
-    /// Asks for what was committed after an index.
+    /// Requests the entries committed after an index.
     FetchCommitted {
-        /// The epoch that the asking node is part of.
+        /// Epoch that the requesting node belongs to.
         epoch: Epoch,
-        /// Its commit index.
+        /// Commit index of the requesting node.
         index: u64,
     },
-    /// Committed entries.
+    /// Committed entries, relayed by any node.
     CommittedEntries {
-        /// The epoch that they are part of.
+        /// Epoch that the entries belong to.
         epoch: Epoch,
-        /// The entry that precedes them.
+        /// Position of the entry immediately before `entries`.
         previous: LogPosition,
-        /// The entries.
+        /// Entries in log order.
         entries: Vec<Entry<Command>>,
     },
-    /// The committed state.
+    /// Committed state, relayed by any node.
     CommittedSnapshot {
-        /// The epoch that it is part of.
+        /// Epoch that the state belongs to.
         epoch: Epoch,
-        /// The state.
+        /// Snapshot at the sender's commit index.
         snapshot: Snapshot<ClusterState>,
     },
-    /// Asks the leader for a lease.
+    /// Requests a lease from the leader.
     LeaseRequest {
-        /// The asking node's clock in microseconds; it comes back with the lease.
+        /// Time of sending in microseconds of the requesting node's clock. The grant echoes it.
         sent_at_us: u64,
     },
-    /// A lease.
+    /// Grants a lease.
     LeaseGrant {
-        /// As it came.
+        /// `sent_at_us` of the request.
         sent_at_us: u64,
-        /// The epoch that the lease is part of.
+        /// Epoch that the lease belongs to.
         epoch: Epoch,
-        /// The view by which it was granted.
+        /// Number of the view under which the lease is granted.
         view: u64,
-        /// How long it lasts.
+        /// Duration of the lease in milliseconds.
         duration_ms: f64,
     },
-    /// Asks the leader to commit a value under a key.
+    /// Requests that the leader commit a value for a key.
     Propose {
-        /// Comes back with [`NodeMessage::ProposeResponse`].
+        /// Identifies the proposal. [`NodeMessage::ProposeResponse`] echoes it.
         nonce: u64,
-        /// The key.
+        /// Key of the value.
         key: String,
-        /// One more than the version there is.
+        /// Version of the value, one more than that of the current value.
         version: u64,
-        /// The value.
+        /// Encoded value.
         bytes: Vec<u8>,
     },
-    /// Whether a proposal was taken into the log; it may still not be committed.
+    /// Response to `Propose`. An accepted proposal may still not be committed.
     ProposeResponse {
-        /// As it came.
+        /// Nonce of the proposal.
         nonce: u64,
-        /// Whether it was.
+        /// Whether the leader appended the proposal to its log.
         accepted: bool,
     },
-    /// Asks for the consent to a new epoch without the lost nodes.
+    /// Requests consent to a new epoch without the lost nodes.
     EpochConsentRequest {
         /// The new epoch.
         epoch: Epoch,
     },
-    /// The consent: its sender follows no older epoch from now on. Or the refusal.
+    /// Response to `EpochConsentRequest`. A node that consents follows no older epoch from then on.
     EpochConsent {
         /// The new epoch.
         epoch: Epoch,
-        /// What the sender keeps, where it consents.
+        /// State on the sender's disk, if it consents.
         persistent: Option<Box<PersistentState<ClusterState>>>,
-        /// Why it refuses, where it does.
+        /// Reason for the refusal, if it refuses.
         refusal: Option<String>,
     },
 }
 
 impl NodeMessage {
-    /// Whether it may leave only when what was to be saved before it is on disk.
+    /// Returns whether the message may be sent only after all records saved before it are on disk.
     pub fn depends_on_storage(&self) -> bool {
         matches!(
             self,
@@ -125,12 +126,12 @@
 /// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it.
+    /// Sender of the message.
     pub from: NodeId,
-    /// Where its sender is reached.
+    /// Address on which the sender receives messages.
     pub address: SocketAddr,
-    /// Whom it is for; another node at that address ignores it. None where that is not known yet.
+    /// Intended receiver, or `None` if its id is not known yet. Any other node at the destination ignores the message.
     pub to: Option<NodeId>,
-    /// What it says.
+    /// Content of the message.
     pub message: NodeMessage,
 }
--- a/crates/plovershelf-cluster/src/wire/hello.rs
+++ b/crates/plovershelf-cluster/src/wire/hello.rs
@@ -1,66 +1,68 @@
-//! The greeting: the first frame on a connection, each way.
+//! The handshake message, which is the first frame that each side sends on a connection.
 
 use serde::{Deserialize, Serialize};
 
-/// Major and minor version of the protocol between members.
+/// Major and minor version of the protocol between members of a cluster.
 pub const VERSION: (u16, u16) = (3, 0);
 
-/// What the greeting begins with.
+/// Magic bytes at the start of the handshake message.
 pub const MAGIC: [u8; 4] = *b"plvg";
 
-/// Who speaks: which protocol, which cluster, which build.
+/// The handshake message, which identifies the sender's protocol, cluster and build.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`MAGIC`].
+    /// Magic bytes, [`MAGIC`].
     pub magic: [u8; 4],
-    /// Nodes of different major versions do not talk to each other.
+    /// Major version of the protocol. Nodes with different major versions refuse each other's connections.
     pub major: u16,
-    /// For people alone.
+    /// Minor version of the protocol. Informational only.
     pub minor: u16,
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// The build's version, for people alone.
+    /// Version of the build. Informational only.
     pub build: String,
 }
 
-/// Why a peer can't be talked to.
+/// The reason to refuse a connection of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HelloError {
-    /// It speaks another protocol.
-    #[error("speaks something else")]
+    /// The peer uses another protocol.
+    #[error("uses another protocol")]
     OtherProtocol,
-    /// It speaks another major version.
+    /// The peer uses another major version of the protocol.
     #[error(
-        "speaks version {major}.{minor} of the group's protocol, here it is {}.{}",
+        "uses version {major}.{minor} of the group's protocol, this member uses {}.{}",
         VERSION.0,
         VERSION.1
     )]
     OtherVersion {
-        /// The peer's major version.
+        /// Major version of the peer.
         major: u16,
-        /// The peer's minor version.
+        /// Minor version of the peer.
         minor: u16,
     },
-    /// It belongs to another cluster.
+    /// The peer belongs to another cluster.
     #[error("belongs to the group {found:?}, not to {expected:?}")]
     OtherCluster {
-        /// The peer's cluster.
+        /// Cluster of the peer.
         found: String,
-        /// This node's cluster.
+        /// Cluster of this node.
         expected: String,
     },
 }
 
 impl Hello {
-    /// This build's greeting in a cluster.
+    /// Returns the handshake message of this build for a cluster.
     pub fn of(cluster: &str) -> Self {
         let build = env!("CARGO_PKG_VERSION").to_string();
         Hello { magic: MAGIC, major: VERSION.0, minor: VERSION.1, cluster: cluster.to_string(), build }
     }
 
-    /// Whether a peer that greets so may be talked to.
+    /// Checks the handshake message of a peer.
     ///
-    /// Errors: it speaks another protocol or version, or belongs to another cluster.
+    /// # Errors
+    ///
+    /// Returns an error if the peer uses another protocol or major version, or belongs to another cluster.
     pub fn check(&self, cluster: &str) -> Result<(), HelloError> {
         if self.magic != MAGIC {
             return Err(HelloError::OtherProtocol);
--- a/crates/plovershelf-cluster/src/wire/mod.rs
+++ b/crates/plovershelf-cluster/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! What goes over connections between members, and from people's commands to members: frames, the greeting, and messages.
+//! The wire format of connections between members, and from operators' commands to members: frames, handshake and
+//! messages.
 
 mod envelope;
 mod frame;
@@ -17,29 +18,29 @@
 use crate::identity::NodeId;
 use crate::status::{Answer, Question};
 
-/// What follows the greeting on a connection, a frame each.
+/// A message on a connection. Each is sent in a frame of its own after the handshake.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Wire {
-    /// A message between nodes of the cluster.
+    /// Message between nodes of the cluster.
     Envelope(Envelope),
-    /// What a person's command asks.
+    /// Query or command from an operator's command.
     Question(Question),
-    /// The answer to it.
+    /// Response to a [`Wire::Question`].
     Answer(Box<Answer>),
-    /// What another subsystem of the product sends to its peer on another node, in its own encoding.
+    /// Message of another subsystem to its peer on another node, in the subsystem's own encoding.
     Subsystem {
-        /// The node that sends it.
+        /// Sending node.
         from: NodeId,
-        /// The node that it is for.
+        /// Receiving node.
         to: NodeId,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// A message of configuration distribution.
+    /// Message of configuration distribution.
     ConfigDistribution {
-        /// Where its sender is reached.
+        /// Address on which the sender receives messages.
         address: SocketAddr,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/plovershelf-cluster/tests/walk/mod.rs
+++ b/crates/plovershelf-cluster/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A few consensus nodes as a model that a checker walks through: each order of messages, elections, crashes, storage lost or
-//! set back, connections that break, within bounds.
+//! A model of a small consensus group for the model checker, which explores all orders of messages, elections, crashes,
+//! lost or restored disks and broken connections within a budget of steps.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use stateright::{Model, Property};
 
-/// Commands in the order in which they were applied.
+/// A state machine that records the commands in the order in which they were applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Applied(Vec<u8>);
 
@@ -24,7 +24,14 @@
     }
 }
 
-/// How often each may still happen.
+/// Violation: two nodes led in the same term.
+const TWO_LEADERS: &str = "two leaders in one term";
+/// Violation: two nodes committed different entries at the same index.
+const COMMITTED_ENTRY_CHANGED: &str = "a committed entry changed";
+/// Property that holds if the exploration reaches the commit of a command.
+pub(crate) const COMMAND_COMMITTED: &str = "a command is committed";
+
+/// The remaining number of steps of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub(crate) elections: u8,
@@ -32,17 +39,18 @@
     pub(crate) crashes: u8,
     pub(crate) commands: u8,
     pub(crate) duplicates: u8,
-    pub(crate) breaks: u8,
+    pub(crate) connection_failures: u8,
 }
 
-/// What becomes of the disk in a crash.
-#[allow(dead_code, reason = "each test takes some of them")]
+/// The effect of a crash on the disk.
+#[allow(dead_code, reason = "each test uses some of the variants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Disk {
-    Kept,
-    /// As it was at the beginning: an older copy was restored.
+    /// The disk is unchanged.
+    Intact,
+    /// The disk is restored from a copy of the initial state.
     Restored,
-    /// Gone: the node is a new one, which is no voter.
+    /// The disk is lost, so the node restarts under a new id and is no voter.
     Lost,
 }
 
@@ -60,15 +68,15 @@
 }
 
 impl Member {
-    /// All that its future hangs on, but for chance.
+    /// Hashes all state that determines the member's future behaviour, except the random number generator.
     fn hash_into<H: Hasher>(&self, hasher: &mut H) {
         (&self.disk, self.starts).hash(hasher);
         let Some(node) = &self.node else { return };
-        (node.commit_index(), node.matched(), node.leader()).hash(hasher);
+        (node.commit_index(), node.match_indices(), node.leader()).hash(hasher);
         match node.role() {
             Role::PreCandidate { granted } | Role::Candidate { granted } => (1, granted).hash(hasher),
             Role::Recovering(recovery) => {
-                (2, recovery.nonce, recovery.min_term, &recovery.asked, &recovery.reports).hash(hasher)
+                (2, recovery.nonce, recovery.min_term, &recovery.voter_config, &recovery.reports).hash(hasher)
             }
             Role::NonVoter => 3.hash(hasher),
             Role::Follower => 4.hash(hasher),
@@ -81,7 +89,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     members: Vec<Member>,
-    /// From whom, to whom: in order, as on a link. What is sent again alike right behind itself is one.
+    /// Messages by sender and receiver, in order as on a connection. Consecutive equal messages are stored once.
     in_flight: BTreeMap<(usize, usize), VecDeque<Arc<Message<Applied>>>>,
     budget: Budget,
     leaders: BTreeMap<Term, usize>,
@@ -91,12 +99,12 @@
 
 impl PartialEq for World {
     fn eq(&self, other: &Self) -> bool {
-        let hashed = |world: &World| {
+        let hash_of = |world: &World| {
             let mut hasher = DefaultHasher::new();
             world.hash(&mut hasher);
             hasher.finish()
         };
-        hashed(self) == hashed(other)
+        hash_of(self) == hash_of(other)
     }
 }
 
@@ -112,10 +120,10 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// The first message of a connection; it may come once more.
+    /// Delivers the first message of a connection and, if the flag is set, leaves it to be delivered again.
     Deliver(usize, usize, bool),
-    /// A connection breaks, and all on it is lost.
-    Break(usize, usize),
+    /// Breaks a connection and loses all messages on it.
+    FailConnection(usize, usize),
     Election(usize),
     Heartbeat(usize),
     Propose(usize),
@@ -126,7 +134,7 @@
     NodeId(member as u64 + 1)
 }
 
-/// Timeouts of nothing: time does not decide anything here, each election is a step of its own.
+/// Timeouts of zero, because the model does not simulate time and each election is a step of its own.
 const CONFIG: RaftConfig = RaftConfig {
     heartbeat_interval_ms: 0.0,
     election_timeout_ms: [0.0, 0.0],
@@ -136,7 +144,7 @@
 };
 
 impl Cluster {
-    fn first(&self) -> PersistentState<Applied> {
+    fn initial_disk(&self) -> PersistentState<Applied> {
         let voters = (0..self.voters).map(id).collect();
         let last = LogPosition { term: Term(1), index: 1 };
         let snapshot = Snapshot { last, voters, voters_index: 1, state: Applied::default() };
@@ -144,25 +152,26 @@
         PersistentState { epoch, term: Term(1), vote: None, promised_epoch, snapshot, log: Vec::new() }
     }
 
-    /// Carries out what a member's call asked for, and looks at what it shows.
-    fn carry_out(&self, world: &mut World, member: usize, actions: Actions<Applied>) {
+    /// Executes the actions of a member and checks the safety properties.
+    fn execute_actions(&self, world: &mut World, member: usize, actions: Actions<Applied>) {
         for record in actions.save {
             world.members[member].disk.apply(record);
         }
         for (to, message) in actions.send {
-            // A refusal may get lost: so may all, and what it tells comes in other ways too.
-            let idle = matches!(message, Message::Vote { granted: false, .. });
-            let link = world.in_flight.entry((member, to.0 as usize - 1)).or_default();
-            if to.0 as usize <= self.voters && !idle && link.back().is_none_or(|last| **last != message) {
-                link.push_back(Arc::new(message));
+            // Refused votes are dropped to limit the state space. Any message may be lost, and the newer term in a
+            // refusal reaches the candidate by other messages too.
+            let refusal = matches!(message, Message::Vote { granted: false, .. });
+            let queue = world.in_flight.entry((member, to.0 as usize - 1)).or_default();
+            if to.0 as usize <= self.voters && !refusal && queue.back().is_none_or(|last| **last != message) {
+                queue.push_back(Arc::new(message));
             }
         }
-        world.in_flight.retain(|_, link| !link.is_empty());
+        world.in_flight.retain(|_, queue| !queue.is_empty());
         let Some(node) = &world.members[member].node else { return };
         if node.leads() {
-            let first = *world.leaders.entry(node.term()).or_insert(member);
-            if first != member {
-                world.violation = Some("two leaders of one term");
+            let first_leader = *world.leaders.entry(node.term()).or_insert(member);
+            if first_leader != member {
+                world.violation = Some(TWO_LEADERS);
             }
         }
         let base = node.persistent().snapshot.last.index;
@@ -170,7 +179,7 @@
             let Some((_, entries)) = node.committed_after(index - 1) else { continue };
             let entry = entries[0].clone();
             if *world.committed.entry(index).or_insert_with(|| entry.clone()) != entry {
-                world.violation = Some("something decided was forgotten");
+                world.violation = Some(COMMITTED_ENTRY_CHANGED);
             }
         }
     }
@@ -181,7 +190,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let disk = self.first();
+        let disk = self.initial_disk();
         let mut world = World {
             members: Vec::new(),
             in_flight: BTreeMap::new(),
@@ -191,7 +200,7 @@
             violation: None,
         };
         for member in 0..self.voters {
-            // All begin as founded, so none has anything to ask.
+            // All nodes start in a bootstrapped group, so none has to recover.
             let mut node = Raft::new(id(member), CONFIG, None, Applied::default(), member as u64, 0.0);
             node.adopt_epoch(Epoch(1), disk.snapshot.clone());
             let _ = node.poll_actions();
@@ -209,27 +218,27 @@
             if world.budget.duplicates > 0 {
                 steps.push(Step::Deliver(*from, *to, true));
             }
-            if world.budget.breaks > 0 {
-                steps.push(Step::Break(*from, *to));
+            if world.budget.connection_failures > 0 {
+                steps.push(Step::FailConnection(*from, *to));
             }
         }
-        // The voters are alike at first, so it is the same whichever of them stands first.
-        let untouched = world.budget == self.budget;
-        let may_stand = |place: usize| world.budget.elections > 0 && !(untouched && place > 0);
-        for (place, member) in world.members.iter().enumerate() {
+        // All voters are equal in the initial state, so only one of them needs to campaign first.
+        let is_initial = world.budget == self.budget;
+        let may_campaign = |index: usize| world.budget.elections > 0 && !(is_initial && index > 0);
+        for (index, member) in world.members.iter().enumerate() {
             let Some(node) = &member.node else { continue };
             if node.leads() {
                 if world.budget.heartbeats > 0 {
-                    steps.push(Step::Heartbeat(place));
+                    steps.push(Step::Heartbeat(index));
                 }
                 if world.budget.commands > 0 {
-                    steps.push(Step::Propose(place));
+                    steps.push(Step::Propose(index));
                 }
-            } else if matches!(node.role(), Role::Follower) && may_stand(place) {
-                steps.push(Step::Election(place));
+            } else if matches!(node.role(), Role::Follower) && may_campaign(index) {
+                steps.push(Step::Election(index));
             }
             if world.budget.crashes > 0 {
-                steps.extend(self.disks.iter().map(|disk| Step::Crash(place, *disk)));
+                steps.extend(self.disks.iter().map(|disk| Step::Crash(index, *disk)));
             }
         }
     }
@@ -237,21 +246,21 @@
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut world = world.clone();
         let member = match &step {
-            Step::Deliver(_, to, _) | Step::Break(_, to) => *to,
+            Step::Deliver(_, to, _) | Step::FailConnection(_, to) => *to,
             Step::Election(member)
             | Step::Heartbeat(member)
             | Step::Propose(member)
             | Step::Crash(member, _) => *member,
         };
         match step {
-            Step::Deliver(from, to, stays) => {
-                let link = world.in_flight.get_mut(&(from, to))?;
-                let message = if stays { link.front().cloned()? } else { link.pop_front()? };
-                world.budget.duplicates -= u8::from(stays);
+            Step::Deliver(from, to, duplicate) => {
+                let queue = world.in_flight.get_mut(&(from, to))?;
+                let message = if duplicate { queue.front().cloned()? } else { queue.pop_front()? };
+                world.budget.duplicates -= u8::from(duplicate);
                 world.members[to].node.as_mut()?.handle_message(0.0, id(from), Message::clone(&message));
             }
-            Step::Break(from, to) => {
-                world.budget.breaks -= 1;
+            Step::FailConnection(from, to) => {
+                world.budget.connection_failures -= 1;
                 world.in_flight.remove(&(from, to));
                 return Some(world);
             }
@@ -273,7 +282,7 @@
                 let own = &mut world.members[member];
                 own.starts += 1;
                 if disk == Disk::Restored {
-                    own.disk = self.first();
+                    own.disk = self.initial_disk();
                 }
                 let seed = own.starts * 100 + member as u64;
                 own.node = (disk != Disk::Lost).then(|| {
@@ -283,20 +292,20 @@
         }
         let actions = world.members[member].node.as_mut().map(Raft::poll_actions);
         if let Some(actions) = actions {
-            self.carry_out(&mut world, member, actions);
+            self.execute_actions(&mut world, member, actions);
         }
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one leader a term", |_, world: &World| {
-                world.violation != Some("two leaders of one term")
+            Property::always("at most one leader per term", |_, world: &World| {
+                world.violation != Some(TWO_LEADERS)
             }),
-            Property::always("nothing decided is forgotten", |_, world: &World| {
-                world.violation != Some("something decided was forgotten")
+            Property::always("committed entries never change", |_, world: &World| {
+                world.violation != Some(COMMITTED_ENTRY_CHANGED)
             }),
-            Property::sometimes("something is decided", |_, world: &World| {
+            Property::sometimes(COMMAND_COMMITTED, |_, world: &World| {
                 world.committed.values().any(|entry| matches!(entry.payload, Payload::Command(_)))
             }),
         ]
--- a/crates/plovershelf-cluster/tests/pins.rs
+++ b/crates/plovershelf-cluster/tests/pins.rs
@@ -1,8 +1,8 @@
-//! The bytes of every message of this package's protocols and of the file that a folder holds, as earlier builds wrote
-//! them. A member of this build talks to members of those builds and opens their folders, so none of these bytes may
-//! change: a field or variant that is moved, added or given another type shows here.
+//! Compatibility tests for the encoding of all messages and of the storage file. Members of this build exchange
+//! messages with members of earlier builds and read their storage files, so the encoding must not change. The tests
+//! fail if a field or variant is moved, added or given another type.
 //!
-//! The fixtures have a line `name hex` for each value. They were written by the build before and are never written anew.
+//! The fixtures have a line `name hex` for each value. An earlier build wrote them, and they are never regenerated.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
@@ -27,30 +27,31 @@
 use serde::Serialize;
 
 const MESSAGES: &str = include_str!("fixtures/cluster.txt");
-const FOLDER: &str = include_str!("fixtures/folder.txt");
+const STORAGE: &str = include_str!("fixtures/folder.txt");
 
-struct Pins {
+/// The expected encodings in a fixture, with the mismatches found so far.
+struct Fixture {
     expected: BTreeMap<&'static str, &'static str>,
     checked: usize,
-    wrong: Vec<String>,
+    mismatches: Vec<String>,
 }
 
-impl Pins {
+impl Fixture {
     fn of(fixture: &'static str) -> Self {
         let lines = fixture.lines().filter(|line| !line.is_empty());
         let expected = lines.map(|line| line.split_once(' ').expect("a name and hex")).collect();
-        Pins { expected, checked: 0, wrong: Vec::new() }
+        Fixture { expected, checked: 0, mismatches: Vec::new() }
     }
 
     fn check_bytes(&mut self, name: &str, bytes: &[u8]) {
         self.checked += 1;
         let hex = to_hex(bytes);
         if self.expected.get(name) != Some(&hex.as_str()) {
-            self.wrong.push(format!("{name} {hex}"));
+            self.mismatches.push(format!("{name} {hex}"));
         }
     }
 
-    /// Encodes to the fixture's bytes, and the fixture's bytes decode to the value.
+    /// Checks that the value encodes to the bytes in the fixture, and that they decode to the value.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         self.check_bytes(name, &encode_payload(value));
         if let Some(hex) = self.expected.get(name) {
@@ -59,10 +60,11 @@
         }
     }
 
-    /// None differs, and none of the fixture was left out.
+    /// Asserts that all encodings matched and that every line of the fixture was checked.
     fn finish(self) {
-        assert!(self.wrong.is_empty(), "these lines are not in the fixture:\n{}", self.wrong.join("\n"));
-        assert_eq!(self.checked, self.expected.len(), "a line of the fixture is checked by nothing");
+        let mismatches = self.mismatches.join("\n");
+        assert!(self.mismatches.is_empty(), "these lines are not in the fixture:\n{mismatches}");
+        assert_eq!(self.checked, self.expected.len(), "not every line of the fixture was checked");
     }
 }
 
@@ -71,7 +73,7 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hex digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -224,13 +226,13 @@
     for (name, message) in consensus_messages() {
         all.push((format!("council-{name}"), NodeMessage::Consensus { epoch: Epoch(60 << 40), message }));
     }
-    for (place, (name, message)) in gossip_messages().into_iter().enumerate() {
-        let leader = (place % 2 == 0).then_some(NodeId(64));
+    for (index, (name, message)) in gossip_messages().into_iter().enumerate() {
+        let leader = (index % 2 == 0).then_some(NodeId(64));
         let digest = StateDigest { epoch: Epoch(61 << 40), commit_index: 62, term: Term(63), leader };
         all.push((format!("probe-{name}"), NodeMessage::Gossip { message, digest }));
     }
     let previous = LogPosition { term: Term(65), index: 66 };
-    let more = [
+    let other_messages = [
         ("want", NodeMessage::FetchCommitted { epoch: Epoch(67), index: 68 }),
         ("more", NodeMessage::CommittedEntries { epoch: Epoch(69), previous, entries: entries() }),
         ("all", NodeMessage::CommittedSnapshot { epoch: Epoch(70), snapshot: snapshot() }),
@@ -258,7 +260,7 @@
             NodeMessage::EpochConsent { epoch: Epoch(83), persistent: None, refusal: Some("why".into()) },
         ),
     ];
-    all.extend(more.map(|(name, message)| (name.to_string(), message)));
+    all.extend(other_messages.map(|(name, message)| (name.to_string(), message)));
     all
 }
 
@@ -316,7 +318,7 @@
 }
 
 fn answers() -> Vec<(&'static str, Answer)> {
-    let copies = ReplicationStatus {
+    let replication = ReplicationStatus {
         name: "name".into(),
         view: 102,
         is_reconciled: true,
@@ -334,19 +336,19 @@
         suspected: vec!["doubted".into()],
         draining: vec!["leaving".into()],
     };
-    let held = RecordStatus {
+    let record = RecordStatus {
         executor: "runner".into(),
         replica_set: vec!["holder".into()],
         state: "open".into(),
         reserved_in_view: 114,
         retention_ms: 115,
     };
-    let ticket = KeyStatus {
+    let key = KeyStatus {
         name: "name".into(),
         view: 116,
         hash: "hash".into(),
         replica_set: vec!["placed".into()],
-        record: Some(held),
+        record: Some(record),
     };
     let brief = Brief {
         name: "name".into(),
@@ -363,8 +365,8 @@
     };
     vec![
         ("status", Answer::Status(Box::new(status()))),
-        ("copies", Answer::Copies(Box::new(copies))),
-        ("ticket", Answer::Ticket(Box::new(ticket))),
+        ("copies", Answer::Copies(Box::new(replication))),
+        ("ticket", Answer::Ticket(Box::new(key))),
         ("part", Answer::Part(vec![124, 125])),
         ("done", Answer::Done("done".into())),
         ("refused", Answer::Refused("refused".into())),
@@ -373,33 +375,34 @@
 }
 
 #[test]
-fn every_message_keeps_its_bytes() {
-    let mut pins = Pins::of(MESSAGES);
+fn the_encoding_of_every_message_is_unchanged() {
+    let mut fixture = Fixture::of(MESSAGES);
     for (name, message) in consensus_messages() {
-        pins.check(&format!("council-message-{name}"), &message);
+        fixture.check(&format!("council-message-{name}"), &message);
     }
     for (name, message) in gossip_messages() {
-        pins.check(&format!("members-message-{name}"), &message);
+        fixture.check(&format!("members-message-{name}"), &message);
     }
-    for (place, (name, message)) in node_messages().into_iter().enumerate() {
-        let to = (place % 2 == 0).then_some(NodeId(126));
+    for (index, (name, message)) in node_messages().into_iter().enumerate() {
+        let to = (index % 2 == 0).then_some(NodeId(126));
         let envelope = Envelope { from: NodeId(127), address: address(128), to, message };
-        pins.check(&format!("envelope-{name}"), &envelope);
-        pins.check(&format!("wire-say-{name}"), &Wire::Envelope(envelope));
+        fixture.check(&format!("envelope-{name}"), &envelope);
+        fixture.check(&format!("wire-say-{name}"), &Wire::Envelope(envelope));
     }
     for (name, question) in questions() {
-        pins.check(&format!("wire-ask-{name}"), &Wire::Question(question));
+        fixture.check(&format!("wire-ask-{name}"), &Wire::Question(question));
     }
     for (name, answer) in answers() {
-        pins.check(&format!("wire-answer-{name}"), &Wire::Answer(Box::new(answer)));
+        fixture.check(&format!("wire-answer-{name}"), &Wire::Answer(Box::new(answer)));
     }
-    pins.check("wire-part", &Wire::Subsystem { from: NodeId(129), to: NodeId(130), bytes: vec![131, 132] });
-    pins.check("wire-carried", &Wire::ConfigDistribution { address: address(133), bytes: vec![134, 135] });
+    fixture
+        .check("wire-part", &Wire::Subsystem { from: NodeId(129), to: NodeId(130), bytes: vec![131, 132] });
+    fixture.check("wire-carried", &Wire::ConfigDistribution { address: address(133), bytes: vec![134, 135] });
     let hello = Hello { magic: MAGIC, major: 3, minor: 1, cluster: "group".into(), build: "build".into() };
-    pins.check("hello", &hello);
-    pins.check_bytes("hello-frame", &encode_frame(&hello));
-    pins.check_bytes("frame", &frame(&[136, 137, 138]));
-    pins.finish();
+    fixture.check("hello", &hello);
+    fixture.check_bytes("hello-frame", &encode_frame(&hello));
+    fixture.check_bytes("frame", &frame(&[136, 137, 138]));
+    fixture.finish();
 }
 
 fn header() -> FileHeader {
@@ -422,7 +425,7 @@
     ]
 }
 
-/// What the file of the fixture `appended` comes to: [`persistent`], and after it the records of [`records`] in their order.
+/// Returns the state in the fixture `file-appended`: [`persistent`] with the records of [`records`] applied in order.
 fn persistent_with_records() -> PersistentState<ClusterState> {
     let mut persistent = persistent();
     records().into_iter().for_each(|(_, record)| persistent.apply(record));
@@ -430,27 +433,27 @@
 }
 
 #[test]
-fn every_record_of_a_folder_keeps_its_bytes() {
-    let mut pins = Pins::of(FOLDER);
-    pins.check_bytes("identity", &encode_frame(&header()));
+fn the_encoding_of_every_storage_record_is_unchanged() {
+    let mut fixture = Fixture::of(STORAGE);
+    fixture.check_bytes("identity", &encode_frame(&header()));
     for (name, record) in records() {
-        pins.check_bytes(&format!("record-{name}"), &storage::encode_record(&record));
+        fixture.check_bytes(&format!("record-{name}"), &storage::encode_record(&record));
     }
-    let nothing = PersistentState::empty(ClusterState::default());
-    pins.check_bytes("file-of-nothing", &storage::encode_file(&header(), &nothing));
+    let empty = PersistentState::empty(ClusterState::default());
+    fixture.check_bytes("file-of-nothing", &storage::encode_file(&header(), &empty));
     let written = storage::encode_file(&header(), &persistent());
-    pins.check_bytes("file-written", &written);
+    fixture.check_bytes("file-written", &written);
     let appended =
         records().iter().flat_map(|(_, record)| storage::encode_record(record)).collect::<Vec<u8>>();
-    pins.check_bytes("file-appended", &[written, appended].concat());
-    pins.finish();
+    fixture.check_bytes("file-appended", &[written, appended].concat());
+    fixture.finish();
 }
 
-/// A member is stopped by a build of before and started by this one: the folder's file must come to the very same memory,
-/// vote, log and state, and no byte of it may be left out as torn.
+/// A member is upgraded from an earlier build. The storage file of that build must restore the same id, vote, log and
+/// state, and no part of it may be ignored as truncated.
 #[test]
-fn a_folder_that_an_earlier_build_wrote_is_read_back_whole() {
-    let fixture = Pins::of(FOLDER).expected;
+fn a_storage_file_of_an_earlier_build_is_restored_completely() {
+    let fixture = Fixture::of(STORAGE).expected;
     let files = [
         ("file-of-nothing", PersistentState::empty(ClusterState::default())),
         ("file-written", persistent()),
@@ -469,11 +472,11 @@
 }
 
 #[test]
-fn a_folder_record_that_an_earlier_build_wrote_decodes_to_its_value() {
-    let fixture = Pins::of(FOLDER).expected;
+fn a_storage_record_of_an_earlier_build_decodes_to_its_value() {
+    let fixture = Fixture::of(STORAGE).expected;
     for (name, record) in records() {
         let bytes = from_hex(fixture[format!("record-{name}").as_str()]);
-        let (payload, length) = read_frame(&bytes).expect("a frame").expect("a whole frame");
+        let (payload, length) = read_frame(&bytes).expect("a valid frame").expect("a complete frame");
         assert_eq!(length, bytes.len());
         assert_eq!(decode::<Record<ClusterState>>(payload), Ok(record), "{name}");
     }
--- a/crates/plovershelf-cluster/tests/properties.rs
+++ b/crates/plovershelf-cluster/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Any messages, in any order, also malformed ones: no panic, no growth without bound. Any bytes where frames or a node's file
-//! are read.
+//! Property tests: arbitrary messages, including malformed ones, cause neither a panic nor unbounded growth, and
+//! arbitrary bytes are handled where frames or a storage file are read.
 
 use std::net::SocketAddr;
 
@@ -27,9 +27,9 @@
     }
 }
 
-fn cluster_node(founded: bool) -> ClusterNode {
+fn cluster_node(bootstrapped: bool) -> ClusterNode {
     let mut persistent = None;
-    if founded {
+    if bootstrapped {
         let mut own = PersistentState::empty(ClusterState::default());
         own.apply(Record::HardState { epoch: Epoch(1 << 40), term: Term(1), vote: None });
         let last = LogPosition { term: Term(1), index: 1 };
@@ -208,14 +208,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A peer of another version, or a hostile one, sends anything. The node answers with few messages, knows few members and
-    /// acts by no view that it is not in.
+    /// Guards against unbounded growth when a peer of another version or a hostile one sends arbitrary messages. The
+    /// node sends a bounded number of messages, has a bounded number of members and acts on no view that it is not in.
     #[test]
     fn any_messages_in_any_state_leave_the_node_bounded(
-        founded in any::<bool>(),
+        bootstrapped in any::<bool>(),
         steps in vec((ids(), node_messages(), 0u32..400), 1..120),
     ) {
-        let mut cluster = cluster_node(founded);
+        let mut cluster = cluster_node(bootstrapped);
         let mut now = 0.0;
         for (from, message, wait) in steps {
             now += f64::from(wait);
@@ -231,9 +231,9 @@
         }
     }
 
-    /// Anything connects to the port, or stands in the file: reading it ends without harm.
+    /// Guards against a panic on arbitrary bytes from a connection or in the storage file.
     #[test]
-    fn any_bytes_are_read_without_harm(bytes in vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_read_without_a_panic(bytes in vec(any::<u8>(), 0..300)) {
         if let Ok(Some((content, used))) = read_frame(&bytes) {
             prop_assert!(used <= bytes.len());
             let _ = decode::<Wire>(content);
@@ -243,10 +243,10 @@
         let _ = storage::read_file(&bytes, "g", "n1");
     }
 
-    /// A write was cut short, or a byte changed on the disk. Cut anywhere, the file holds the records that are complete; a byte
-    /// changed before the end is never believed as something else.
+    /// Guards against reading a wrong state after an interrupted write or a changed byte on the disk. A file truncated
+    /// anywhere gives the state of its complete records, and a changed byte never gives another state.
     #[test]
-    fn a_truncated_file_keeps_its_beginning_and_a_corrupt_one_is_not_believed(
+    fn a_truncated_file_keeps_its_complete_records_and_a_corrupt_one_is_rejected(
         all in vec(entries(), 1..6),
         cut in any::<prop::sample::Index>(),
         flip in any::<prop::sample::Index>(),
@@ -262,36 +262,37 @@
             ends.push((bytes.len(), state.clone()));
         }
         let at = ends[0].0 + cut.index(bytes.len() - ends[0].0 + 1);
-        let held = &ends.iter().rev().find(|(end, _)| *end <= at).expect("the first").1;
+        let complete = ends.iter().rev().find(|(end, _)| *end <= at);
+        let expected = &complete.expect("the header is complete at every offset").1;
         match storage::read_file(&bytes[..at], "g", "n1") {
-            ReadOutcome::Restored { persistent: found, header: whose, .. } => {
-                prop_assert_eq!(&*found, held);
-                prop_assert_eq!(whose, header);
+            ReadOutcome::Restored { persistent: found, header: found_header, .. } => {
+                prop_assert_eq!(&*found, expected);
+                prop_assert_eq!(found_header, header);
             }
             other => prop_assert!(false, "{:?}", other),
         }
         let mut corrupt = bytes.clone();
         let at = flip.index(bytes.len());
         corrupt[at] ^= 0x10;
-        // Either not believed, or believed only as far as before the byte.
+        // The file is either rejected or read only up to a record before the changed byte.
         if let ReadOutcome::Restored { persistent: found, valid_bytes, .. } = storage::read_file(&corrupt, "g", "n1") {
             prop_assert!(valid_bytes <= at);
-            let held = ends.iter().any(|(end, state)| *end == valid_bytes && *state == *found);
-            prop_assert!(held || valid_bytes < ends[0].0);
+            let is_prefix = ends.iter().any(|(end, state)| *end == valid_bytes && *state == *found);
+            prop_assert!(is_prefix || valid_bytes < ends[0].0);
         }
     }
 }
 
 #[test]
-fn a_stranger_another_version_and_another_cluster_are_told_apart() {
+fn hello_check_distinguishes_another_protocol_version_and_cluster() {
     let hello = Hello::of("fleet");
     assert_eq!(hello.check("fleet"), Ok(()));
     assert!(hello.check("other").expect_err("another cluster").to_string().contains("\"fleet\""));
     let newer = Hello { major: 9, ..hello.clone() };
     assert!(newer.check("fleet").expect_err("another version").to_string().contains("version 9."));
     assert!(Hello { magic: *b"HTTP", ..hello }.check("fleet").is_err());
-    let greeting = encode_frame(&Hello::of("fleet"));
-    assert_eq!(read_frame(&greeting[..greeting.len() - 1]), Ok(None));
+    let hello_frame = encode_frame(&Hello::of("fleet"));
+    assert_eq!(read_frame(&hello_frame[..hello_frame.len() - 1]), Ok(None));
     assert!(read_frame(&frame(&[0; 10])).is_ok());
     assert!(read_frame(&[0xff; 20]).is_err());
 }
