--- a/crates/plovershelf-replication/src/broken.rs
+++ b/crates/plovershelf-replication/src/broken.rs
@@ -1,35 +1,36 @@
-//! Variants that break a promise on purpose, so that tests can show that breaking it is caught. Only with the feature
-//! `broken`, which nothing that serves is built with.
+//! Deliberate violations of the protocol's guarantees, which tests enable to verify that the checks detect them.
+//!
+//! Available only with the cargo feature `broken`, which no production binary enables.
 
-/// A variant, and the promise that it breaks.
+/// A guarantee to violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Broken {
-    /// A request is launched when the primary has its reservation, before all replicas have confirmed it.
+pub enum BrokenRule {
+    /// The executor launches a request once the primary has confirmed its reservation, before all replicas have.
     LaunchBeforeReserved = 1,
-    /// A result is answered when the primary has it, before all replicas have confirmed it.
+    /// The executor answers with an outcome once the primary has confirmed it, before all replicas have.
     AnswerBeforeReplicated,
-    /// A replica that stores nothing confirms an outcome of a reservation that it was never sent.
-    BlankReplicaConfirms,
+    /// A replica without a record of a key confirms an outcome of a reservation that it never received.
+    EmptyReplicaConfirms,
 }
 
 #[cfg(feature = "broken")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Selects a variant, or none, for this process from now on.
+/// Selects the rule that this process violates from now on, or none.
 #[cfg(feature = "broken")]
-pub fn set(variant: Option<Broken>) {
-    ACTIVE.store(variant.map_or(0, |variant| variant as u8), std::sync::atomic::Ordering::Relaxed);
+pub fn set(rule: Option<BrokenRule>) {
+    ACTIVE.store(rule.map_or(0, |rule| rule as u8), std::sync::atomic::Ordering::Relaxed);
 }
 
-/// Whether this variant is selected.
+/// Returns whether `rule` is the one selected by [`set`].
 #[cfg(feature = "broken")]
-pub fn is(variant: Broken) -> bool {
-    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == variant as u8
+pub fn is(rule: BrokenRule) -> bool {
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == rule as u8
 }
 
-/// Whether this variant is selected: never without the feature `broken`.
+/// Returns `false`: no rule can be violated without the feature `broken`.
 #[cfg(not(feature = "broken"))]
-pub fn is(_: Broken) -> bool {
+pub fn is(_: BrokenRule) -> bool {
     false
 }
--- a/crates/plovershelf-replication/src/config.rs
+++ b/crates/plovershelf-replication/src/config.rs
@@ -1,29 +1,30 @@
-//! Limits and timeouts of replication.
+//! Limits and timeouts of the replication protocol.
 
-/// Settings of one member; all members of a group have the same ones.
+/// Replication settings, identical on all members of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// Replicas of each record, where there are enough members.
+    /// Number of replicas per record if the view has enough members.
     pub replication_factor: usize,
-    /// With fewer replicas than this in the view, reservations are rejected; with as many, an outcome may be answered at the
-    /// request's deadline.
+    /// Minimum number of replicas. Reservations are rejected if the view offers fewer for the key. An outcome that at least
+    /// this many replicas have confirmed may be answered at the request's deadline.
     pub min_replicas: usize,
-    /// A reservation that is not confirmed within this is released and its request rejected, so that a request whose replica
-    /// is gone does not hold capacity. A request that waits for another attempt's outcome is not subject to it. Milliseconds.
+    /// Time in milliseconds after which an unconfirmed reservation is released and its request rejected, so that a request
+    /// does not occupy capacity while one of its replicas is unreachable. Requests that wait for another attempt's outcome
+    /// are exempt.
     pub reservation_timeout_ms: f64,
-    /// What is not confirmed is sent again after this. Milliseconds.
+    /// Interval in milliseconds after which an unconfirmed message is retransmitted.
     pub retransmit_interval_ms: f64,
-    /// Most records stored at once; further reservations are not confirmed.
+    /// Maximum number of stored records. A full replica does not confirm further reservations.
     pub max_records: usize,
-    /// Most bytes that the stored outcomes take together; further records are not confirmed.
+    /// Maximum total size of the stored outcomes in bytes. A full replica does not confirm further records.
     pub max_outcome_bytes: usize,
-    /// Most records in one message while records are reported or repaired.
+    /// Maximum number of records per message in reports and repairs.
     pub batch_size: usize,
-    /// Most such messages a second.
+    /// Maximum rate of report and repair messages, per second.
     pub max_batches_per_second: f64,
-    /// A reservation is kept this long after its request's deadline before its executor is probed. Milliseconds.
+    /// Time in milliseconds between a request's deadline and the first probe of its executor by a replica.
     pub reservation_grace_ms: f64,
-    /// An outcome in doubt is kept at least this long, for retries that are still to come. Milliseconds.
+    /// Minimum retention in milliseconds of an in-doubt outcome, so that later retries receive it.
     pub in_doubt_retention_ms: f64,
 }
 
@@ -45,12 +46,12 @@
 }
 
 impl ReplicationConfig {
-    /// Replicas in the view without which a request is rejected at once.
+    /// Returns the number of replicas below which a request is rejected immediately; at least 1.
     pub(crate) fn required_replicas(&self) -> usize {
         self.min_replicas.max(1)
     }
 
-    /// Milliseconds between two batches.
+    /// Returns the minimum interval between two batches, in milliseconds.
     pub(crate) fn batch_interval_ms(&self) -> f64 {
         1000.0 / self.max_batches_per_second.max(1.0)
     }
--- a/crates/plovershelf-replication/src/context.rs
+++ b/crates/plovershelf-replication/src/context.rs
@@ -1,4 +1,4 @@
-//! What every role reads and none changes.
+//! State that all roles of a member read. Only the [`Replicator`](crate::Replicator) changes it.
 
 use std::collections::BTreeSet;
 
@@ -7,12 +7,12 @@
 use crate::config::ReplicationConfig;
 use crate::membership::Membership;
 use crate::record::ViewNumber;
-use crate::skipping::SuspectedMembers;
+use crate::replica_substitution::SuspectedMembers;
 
-/// The state that the roles of one member share.
+/// Inputs shared by the executor, primary and replica roles of one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
-    /// The time of the input that is being handled, in milliseconds.
+    /// Time of the input being handled, in milliseconds on the driver's clock.
     pub(crate) now_ms: f64,
     pub(crate) config: ReplicationConfig,
     pub(crate) membership: Membership,
@@ -24,8 +24,8 @@
         self.membership.local()
     }
 
-    /// Replicas but for the local member.
-    pub(crate) fn remote(&self, replica_set: Vec<NodeId>) -> BTreeSet<NodeId> {
+    /// Returns the members of a replica set except the local one.
+    pub(crate) fn remote_replicas(&self, replica_set: Vec<NodeId>) -> BTreeSet<NodeId> {
         replica_set.into_iter().filter(|id| *id != self.local()).collect()
     }
 
--- a/crates/plovershelf-replication/src/effects.rs
+++ b/crates/plovershelf-replication/src/effects.rs
@@ -1,42 +1,44 @@
-//! What an input of the state machine leads to: messages to members and events for the local backend.
+//! Outputs of the state machine: messages to members and events for the local backend.
 
 use plovershelf_cluster::NodeId;
 
 use crate::message::Message;
 use crate::record::{Outcome, RequestId};
 
-/// What the local backend is told of its requests.
+/// Notification to the local backend about one of its requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All replicas have the reservation: launch the request.
+    /// All replicas have confirmed the reservation: the backend may launch the request.
     Launch(RequestId),
-    /// Another attempt held the key: answer with its outcome; nothing was launched here.
+    /// Another attempt with the same key completed: answer with its outcome. This request was never launched.
     AlreadyCompleted(RequestId, Outcome),
-    /// All replicas have the outcome: answer with it. It may be another than the local run's own.
+    /// All replicas have confirmed the outcome: answer with it. It may differ from the result of the local run.
     OutcomeReplicated(RequestId, Outcome),
-    /// At least `min_replicas` have the outcome and others are slow or gone: answer with it if the deadline comes first.
+    /// At least `min_replicas` replicas have confirmed the outcome and others are late or unreachable: answer with it if
+    /// the request's deadline passes before the remaining replicas confirm.
     OutcomeProvisional(RequestId, Outcome),
-    /// No promise can be made now: reject the request; nothing was launched.
+    /// The reservation could not be replicated or was cancelled: reject the request, which was never launched.
     Rejected(RequestId),
 }
 
-/// What the driver carries out, each list in order.
+/// Outputs that the driver must carry out, each list in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
     /// Messages to other members.
     pub messages: Vec<(NodeId, Message)>,
-    /// Events for the local backend.
+    /// Notifications to the local backend.
     pub events: Vec<Event>,
 }
 
+/// A single output of a role.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// To any member, the local one too.
+    /// Sends a message to a member, which may be the local one.
     Send(NodeId, Message),
     Emit(Event),
 }
 
-/// What one step of one role asks for, in order.
+/// Ordered outputs of one step of a role.
 #[derive(Clone, Debug, Default)]
 #[must_use]
 pub(crate) struct Effects(pub(crate) Vec<Effect>);
--- a/crates/plovershelf-replication/src/executor/mod.rs
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -1,25 +1,25 @@
-//! The executor's role: it brings each keyed request of the local backend from its reservation to its answer.
+//! The executor role: drives each keyed request of the local backend from reservation to answer.
 //!
-//! A request is launched only when *all* replicas have confirmed its reservation, and answered only when all have confirmed
-//! its outcome. The first is why a missing record proves that nothing was launched, the second why an answer outlives the
-//! loss of all replicas but one.
+//! The executor launches a request only after *all* replicas have confirmed its reservation and answers it only after all
+//! have confirmed its outcome. Therefore a replica without a record proves that the request was never launched, and an
+//! answered outcome survives the loss of all replicas but one.
 //!
 //! | phase | event | next |
 //! | --- | --- | --- |
-//! | reserving | all replicas confirmed | running, `Launch` |
+//! | reserving | all replicas have confirmed | running, `Launch` |
 //! | reserving | a replica that has not confirmed is suspected | reserving, in the next round |
 //! | reserving | another attempt holds the key | waiting |
-//! | reserving, waiting | another attempt's outcome | `AlreadyCompleted` |
-//! | reserving, waiting | cancelled, or its time is over | released, `Rejected` |
-//! | waiting | the key is free, or the reservation was accepted after all | reserving |
+//! | reserving, waiting | another attempt's outcome arrives | ended, `AlreadyCompleted` |
+//! | reserving, waiting | cancelled or expired | ended, released, `Rejected` |
+//! | waiting | the key is free, or a retransmitted `Reserve` was accepted | reserving |
 //! | running | the backend's run ended | completing |
-//! | running | a replica has another outcome, from reconciliation | completing with that one |
-//! | running | it surely was not launched | released, `Rejected` |
-//! | completing | a replica has another outcome | completing with that one, confirmed anew |
-//! | completing | `min_replicas` confirmed and it is sent again | completing, `OutcomeProvisional` |
-//! | completing | all replicas confirmed | `OutcomeReplicated` |
-//! | completing | the retention is over | `OutcomeReplicated` with in doubt |
-//! | reserving, completing | a new view | the same, confirmed anew |
+//! | running | a replica reports an outcome chosen by reconciliation | completing with that outcome |
+//! | running | launch cancelled | ended, released, `Rejected` |
+//! | completing | a replica reports a different outcome | completing with that outcome; confirmations are discarded |
+//! | completing | retransmission after `min_replicas` have confirmed | completing, `OutcomeProvisional` |
+//! | completing | all replicas have confirmed | ended, `OutcomeReplicated` |
+//! | completing | the retention time has expired | ended, `OutcomeReplicated` with in doubt |
+//! | reserving, completing | view change | the same phase; confirmations are discarded |
 
 mod request;
 
@@ -28,27 +28,27 @@
 use plovershelf_cluster::NodeId;
 
 use self::request::{Deadlines, Phase, Request};
-use crate::broken::{self, Broken};
+use crate::broken::{self, BrokenRule};
 use crate::context::Context;
 use crate::effects::{Effects, Event};
 use crate::message::Message;
 use crate::placement::IdempotencyKey;
 use crate::record::{Outcome, RequestId, Reservation, Round};
 
-/// How many of the local backend's requests are in each phase.
+/// Number of the local backend's requests in each phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Their reservation is being replicated.
+    /// Requests whose reservation is being replicated.
     pub reserving: u64,
-    /// They wait for another attempt's outcome.
+    /// Requests that wait for another attempt's outcome.
     pub waiting: u64,
-    /// They were launched.
+    /// Requests that were launched and have not ended.
     pub running: u64,
-    /// Their outcome is being replicated.
+    /// Requests whose outcome is being replicated.
     pub completing: u64,
 }
 
-/// What a replica confirms of a reservation.
+/// Contents of a replica's `Reserved` message.
 #[derive(Clone, Debug)]
 pub(crate) struct ReservedReply {
     pub(crate) key: IdempotencyKey,
@@ -57,6 +57,7 @@
     pub(crate) replica_set: Vec<NodeId>,
 }
 
+/// Executor role of the local member: the requests of its backend.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Executor {
     requests: BTreeMap<RequestId, Request>,
@@ -65,7 +66,7 @@
 }
 
 impl Executor {
-    // ---- what others may know ------------------------------------------------------------------------
+    // ---- queries -------------------------------------------------------------------------------------
 
     pub(crate) fn is_idle(&self) -> bool {
         self.requests.is_empty()
@@ -88,7 +89,7 @@
         self.requests.values().map(|request| request.key)
     }
 
-    /// Reservations of some keys that this executor has, has launched, or has not completed; not those that only wait.
+    /// Returns the reservations of the given keys that are reserving, running or completing; waiting ones are excluded.
     pub(crate) fn active(&self, keys: &BTreeSet<IdempotencyKey>) -> Vec<(IdempotencyKey, Reservation)> {
         let active = |request: &&Request| request.phase != Phase::Waiting && keys.contains(&request.key);
         self.requests.values().filter(active).map(|request| (request.key, request.reservation)).collect()
@@ -112,7 +113,7 @@
         self.requests.values().map(Request::next_timeout_ms).fold(f64::INFINITY, f64::min)
     }
 
-    // ---- what the backend wants ----------------------------------------------------------------------
+    // ---- inputs of the backend -----------------------------------------------------------------------
 
     pub(crate) fn reserve(
         &mut self,
@@ -127,8 +128,9 @@
         let request = Request::new(ctx, key, reservation, Deadlines { deadline_ms, retention_ms });
         self.requests.insert(id, request);
         self.by_key.entry(key).or_default().insert(id);
-        let enough = ctx.membership.replica_set(key).len() >= ctx.config.required_replicas();
-        let effects = if enough { self.transmit(ctx, id) } else { self.finish(id, Event::Rejected(id)) };
+        let has_enough_replicas = ctx.membership.replica_set(key).len() >= ctx.config.required_replicas();
+        let effects =
+            if has_enough_replicas { self.transmit(ctx, id) } else { self.finish(id, Event::Rejected(id)) };
         (id, effects)
     }
 
@@ -141,26 +143,26 @@
         self.transmit(ctx, id)
     }
 
-    /// It was to be launched and surely was not.
+    /// Releases a request that was reported as `Launch` but that the backend did not launch.
     pub(crate) fn cancel_launch(&mut self, ctx: &Context, id: RequestId) -> Effects {
         match self.requests.get_mut(&id) {
             Some(request) if request.phase == Phase::Running => {
                 request.phase = Phase::Waiting;
-                self.give_up(ctx, id)
+                self.abort(ctx, id)
             }
             _ => Effects::default(),
         }
     }
 
-    /// Nobody waits for it any more: it is released unless it was launched.
+    /// Releases a request whose client no longer waits for it. Launched requests are not affected.
     pub(crate) fn cancel(&mut self, ctx: &Context, id: RequestId) -> Effects {
         match self.requests.get(&id) {
-            Some(request) if request.phase.is_unlaunched() => self.give_up(ctx, id),
+            Some(request) if request.phase.is_unlaunched() => self.abort(ctx, id),
             _ => Effects::default(),
         }
     }
 
-    // ---- what happens to it --------------------------------------------------------------------------
+    // ---- inputs of the group and timeouts ------------------------------------------------------------
 
     pub(crate) fn handle_view_change(&mut self, now_ms: f64) {
         for request in self.requests.values_mut() {
@@ -172,18 +174,18 @@
         let expired =
             |request: &Request| request.expires_at_ms() <= ctx.now_ms && request.phase != Phase::Running;
         if self.requests.get(&id).is_some_and(expired) {
-            self.give_up(ctx, id)
+            self.abort(ctx, id)
         } else {
             self.transmit(ctx, id)
         }
     }
 
-    /// A replica has the reservation.
+    /// Records a replica's confirmation of a reservation and launches the request once all replicas have confirmed.
     pub(crate) fn handle_reserved(&mut self, ctx: &Context, from: NodeId, reply: ReservedReply) -> Effects {
         let ReservedReply { key, reservation, round, replica_set } = reply;
         let valid =
             replica_set.contains(&from) && replica_set.first() == ctx.membership.primary(key).as_ref();
-        let Some(id) = self.request_of(ctx, key, reservation).filter(|_| valid) else {
+        let Some(id) = self.find_request(ctx, key, reservation).filter(|_| valid) else {
             return Effects::default();
         };
         let Some(request) = self.requests.get_mut(&id) else { return Effects::default() };
@@ -191,20 +193,20 @@
             return Effects::default();
         }
         request.assign(ctx.view(), replica_set.clone());
-        // The key came free and the message about it was lost: the reservation was accepted when it was sent again.
+        // The `Released` message was lost, and the primary accepted a retransmitted `Reserve` after the key became free.
         if request.phase == Phase::Waiting {
             request.phase = Phase::reserving();
         }
         let Phase::Reserving { confirmed } = &mut request.phase else { return Effects::default() };
         confirmed.insert(from);
-        if is_confirmed(&replica_set, confirmed, Broken::LaunchBeforeReserved) {
+        if is_confirmed(&replica_set, confirmed, BrokenRule::LaunchBeforeReserved) {
             request.phase = Phase::Running;
             return Effects::event(Event::Launch(id));
         }
         Effects::default()
     }
 
-    /// Another attempt holds the key, or has completed.
+    /// Ends a request with the other attempt's outcome, or lets it wait while that attempt holds the key.
     pub(crate) fn handle_held_by_another(
         &mut self,
         ctx: &Context,
@@ -213,7 +215,7 @@
         outcome: Option<Outcome>,
     ) -> Effects {
         let from_primary = ctx.membership.primary(key) == Some(from);
-        let Some(id) = self.request_of(ctx, key, reservation).filter(|_| from_primary) else {
+        let Some(id) = self.find_request(ctx, key, reservation).filter(|_| from_primary) else {
             return Effects::default();
         };
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase.is_unlaunched()) else {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// The key is free: all that wait for it here reserve it again.
+    /// Restarts the reservation of all local requests that wait for a key that is now free.
     pub(crate) fn handle_released(&mut self, ctx: &Context, from: NodeId, key: IdempotencyKey) -> Effects {
         let mut effects = Effects::default();
         if ctx.membership.primary(key) != Some(from) {
@@ -246,8 +248,8 @@
         effects
     }
 
-    /// A replica has an outcome: the one sent, or another that reconciliation settled on while this member was out of sight.
-    /// That one is the verdict, here too.
+    /// Records a replica's confirmation of an outcome. If the confirmed outcome differs from the local one, reconciliation
+    /// chose it while this member was outside the view, and it replaces the local outcome.
     pub(crate) fn handle_outcome_recorded(
         &mut self,
         ctx: &Context,
@@ -255,7 +257,7 @@
         (key, reservation): (IdempotencyKey, Reservation),
         recorded: Outcome,
     ) -> Effects {
-        let Some(id) = self.request_of(ctx, key, reservation) else { return Effects::default() };
+        let Some(id) = self.find_request(ctx, key, reservation) else { return Effects::default() };
         let Some(request) = self.requests.get_mut(&id) else { return Effects::default() };
         let replica_set = request.replica_set(ctx);
         if !replica_set.contains(&from) {
@@ -267,7 +269,7 @@
                     (*outcome, *confirmed) = (recorded, BTreeSet::new());
                 }
                 confirmed.insert(from);
-                if !is_confirmed(&replica_set, confirmed, Broken::AnswerBeforeReplicated) {
+                if !is_confirmed(&replica_set, confirmed, BrokenRule::AnswerBeforeReplicated) {
                     return Effects::default();
                 }
                 let event = Event::OutcomeReplicated(id, outcome.clone());
@@ -286,7 +288,7 @@
         }
     }
 
-    /// A replica asks whether a reservation is still in use.
+    /// Answers a replica's probe with `Release` if the request no longer exists.
     pub(crate) fn handle_probe(
         &self,
         ctx: &Context,
@@ -294,14 +296,14 @@
         key: IdempotencyKey,
         reservation: Reservation,
     ) -> Effects {
-        if reservation.executor == ctx.local() && self.request_of(ctx, key, reservation).is_none() {
+        if reservation.executor == ctx.local() && self.find_request(ctx, key, reservation).is_none() {
             Effects::message(from, Message::Release { view: ctx.view(), key, reservation })
         } else {
             Effects::default()
         }
     }
 
-    /// Sends what a request's phase asks for to those that have not confirmed it.
+    /// Sends the message of a request's current phase to the members that have not confirmed it.
     pub(crate) fn transmit(&mut self, ctx: &Context, id: RequestId) -> Effects {
         let mut effects = Effects::default();
         let Some(request) = self.requests.get_mut(&id) else { return effects };
@@ -326,18 +328,23 @@
         effects
     }
 
-    // ---- steps ---------------------------------------------------------------------------------------
+    // ---- internal steps ------------------------------------------------------------------------------
 
-    /// The local request that a reservation belongs to, if it is still there.
-    fn request_of(&self, ctx: &Context, key: IdempotencyKey, reservation: Reservation) -> Option<RequestId> {
+    /// Returns the local request that a reservation belongs to, if it still exists.
+    fn find_request(
+        &self,
+        ctx: &Context,
+        key: IdempotencyKey,
+        reservation: Reservation,
+    ) -> Option<RequestId> {
         let request = self.requests.get(&reservation.request)?;
-        let same =
+        let matches =
             reservation.executor == ctx.local() && request.key == key && request.reservation == reservation;
-        same.then_some(reservation.request)
+        matches.then_some(reservation.request)
     }
 
-    /// Its time is over, or nobody waits for it. What was not launched is released at all replicas.
-    fn give_up(&mut self, ctx: &Context, id: RequestId) -> Effects {
+    /// Ends a request that expired or was cancelled. An unlaunched request is released at all replicas.
+    fn abort(&mut self, ctx: &Context, id: RequestId) -> Effects {
         let Some(request) = self.requests.get(&id) else { return Effects::default() };
         match request.phase {
             Phase::Reserving { .. } | Phase::Waiting => {
@@ -348,13 +355,13 @@
                 }
                 effects
             }
-            // Not all replicas could be reached for as long as anybody might have asked.
+            // Not all replicas confirmed within the retention time, after which no client asks for the outcome.
             Phase::Completing { .. } => self.finish(id, Event::OutcomeReplicated(id, Outcome::InDoubt)),
             Phase::Running => Effects::default(),
         }
     }
 
-    /// The one place where a request is forgotten, so that each ends with exactly one event.
+    /// Removes a request and emits its final event. All removals go through here, so each request ends with exactly one event.
     fn finish(&mut self, id: RequestId, event: Event) -> Effects {
         let Some(request) = self.requests.remove(&id) else { return Effects::default() };
         if let Some(ids) = self.by_key.get_mut(&request.key) {
@@ -367,10 +374,10 @@
     }
 }
 
-/// Whether all replicas have confirmed. The variant is content with the primary's word.
-fn is_confirmed(replica_set: &[NodeId], confirmed: &BTreeSet<NodeId>, variant: Broken) -> bool {
+/// Returns whether all replicas have confirmed. If `rule` is violated for a test, the primary's confirmation suffices.
+fn is_confirmed(replica_set: &[NodeId], confirmed: &BTreeSet<NodeId>, rule: BrokenRule) -> bool {
     let by_primary = || replica_set.first().is_some_and(|primary| confirmed.contains(primary));
-    replica_set.iter().all(|replica| confirmed.contains(replica)) || broken::is(variant) && by_primary()
+    replica_set.iter().all(|replica| confirmed.contains(replica)) || broken::is(rule) && by_primary()
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-replication/src/executor/request.rs
+++ b/crates/plovershelf-replication/src/executor/request.rs
@@ -1,4 +1,4 @@
-//! One request of the local backend, from its reservation to its answer.
+//! State of a single request of the local backend, from reservation to answer.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,16 @@
 use crate::placement::IdempotencyKey;
 use crate::record::{Outcome, Reservation, Round, ViewNumber};
 
-/// How far a request is; the table of its changes is in [`executor`](super).
+/// Phase of a request. The transition table is in [`executor`](super).
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The reservation is being replicated; these replicas have confirmed it.
+    /// The reservation is being replicated; `confirmed` lists the replicas that have confirmed it.
     Reserving { confirmed: BTreeSet<NodeId> },
     /// Another attempt holds the key.
     Waiting,
-    /// It was launched.
+    /// The request was launched.
     Running,
-    /// It ended with this outcome, which these replicas have confirmed.
+    /// The request ended with `outcome`; `confirmed` lists the replicas that have confirmed it.
     Completing { outcome: Outcome, confirmed: BTreeSet<NodeId> },
 }
 
@@ -31,34 +31,35 @@
         Phase::Completing { outcome, confirmed: BTreeSet::new() }
     }
 
-    /// Nothing was launched yet.
+    /// Returns whether the request has not been launched yet.
     pub(super) fn is_unlaunched(&self) -> bool {
         matches!(self, Phase::Reserving { .. } | Phase::Waiting)
     }
 }
 
-/// The replicas that the primary gave a reservation, and the view in which they hold it.
+/// The replica set that the primary assigned to a reservation, and the view in which it is valid.
 #[derive(Clone, Debug)]
 struct AssignedReplicas {
     view: ViewNumber,
     replica_set: Vec<NodeId>,
 }
 
-/// What a backend wants of the replicas for a request. Times are in milliseconds.
+/// Time limits that the backend sets for a request, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Deadlines {
-    /// Until when the request may be launched.
+    /// Latest time at which the request may be launched.
     pub(super) deadline_ms: f64,
-    /// How long its outcome is kept.
+    /// Retention time of the outcome.
     pub(super) retention_ms: f64,
 }
 
+/// A request of the local backend. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) key: IdempotencyKey,
     pub(super) reservation: Reservation,
     pub(super) phase: Phase,
-    /// Until when it may be launched; of an outcome, until when it is sent.
+    /// Latest launch time; while completing, the time until which the outcome is retransmitted.
     deadline_ms: f64,
     reserve_by_ms: f64,
     retention_ms: f64,
@@ -93,7 +94,7 @@
         self.round
     }
 
-    /// When it is given up, whatever has been confirmed.
+    /// Returns the time at which the request is aborted in its current phase.
     pub(super) fn expires_at_ms(&self) -> f64 {
         match self.phase {
             Phase::Reserving { .. } => self.deadline_ms.min(self.reserve_by_ms),
@@ -105,7 +106,8 @@
         self.retransmit_at_ms.min(self.expires_at_ms())
     }
 
-    /// Who must confirm what is sent of it: the replicas that its reservation was given, while the view is the same.
+    /// Returns the replicas that must confirm the current phase: those assigned to the reservation in the current view, or
+    /// else those of the view's placement.
     pub(super) fn replica_set(&self, ctx: &Context) -> Vec<NodeId> {
         match &self.assigned {
             Some(assigned) if assigned.view == ctx.view() => assigned.replica_set.clone(),
@@ -113,7 +115,7 @@
         }
     }
 
-    /// All replicas that may store something of it.
+    /// Returns all replicas that may store a record of this request.
     pub(super) fn possible_replicas(&self, ctx: &Context) -> Vec<NodeId> {
         let mut replicas = ctx.membership.replica_set(self.key);
         replicas.extend(self.replica_set(ctx));
@@ -126,20 +128,22 @@
         self.assigned = Some(AssignedReplicas { view, replica_set });
     }
 
-    /// The key came free: it is reserved again, with a full timeout.
+    /// Restarts the reservation with a full timeout after the key became free.
     pub(super) fn restart_reservation(&mut self, ctx: &Context) {
         self.phase = Phase::reserving();
         self.reserve_by_ms = ctx.now_ms + ctx.config.reservation_timeout_ms;
     }
 
-    /// The deadline holds for the launch; an outcome is sent until all replicas have it, or nobody asks for it any more.
+    /// Enters the completing phase. From now on the deadline is the end of the retention time: the outcome is sent until all
+    /// replicas have confirmed it or no client can ask for it any more.
     pub(super) fn start_completing(&mut self, now_ms: f64, phase: Phase) {
         self.phase = phase;
         self.retransmit_at_ms = now_ms;
         self.deadline_ms = now_ms + self.retention_ms;
     }
 
-    /// In a new view all replicas have to confirm anew. What runs goes on if the new primary hears of it.
+    /// Discards all confirmations after a view change, as only those of the current view count. A running request continues
+    /// and is reported to the new primary.
     pub(super) fn discard_confirmations(&mut self, now_ms: f64) {
         self.retransmit_at_ms = now_ms;
         if let Phase::Reserving { confirmed } | Phase::Completing { confirmed, .. } = &mut self.phase {
@@ -151,7 +155,8 @@
         self.retransmit_at_ms = ctx.now_ms + ctx.config.retransmit_interval_ms;
     }
 
-    /// The outcome, once, when it is sent again although enough replicas have it to answer with it at the deadline.
+    /// Returns the outcome, only once, if it has to be retransmitted although enough replicas have confirmed it to answer
+    /// with it at the deadline.
     pub(super) fn provisional_outcome(&mut self, min_replicas: usize) -> Option<Outcome> {
         let Phase::Completing { outcome, confirmed } = &self.phase else { return None };
         let first =
@@ -159,8 +164,8 @@
         first.then(|| outcome.clone())
     }
 
-    /// A reservation that waits for a suspected replica is given up for one with others: a new round. What was confirmed in
-    /// the round before does not count, so at most one of two rounds' replica sets is ever complete.
+    /// Starts a new round with other replicas if the reservation waits for a suspected replica. Confirmations of the previous
+    /// round do not count, so at most one round's replica set can ever be complete.
     pub(super) fn restart_round_if_blocked(&mut self, ctx: &Context) {
         let Phase::Reserving { confirmed } = &mut self.phase else { return };
         let blocked = self.assigned.as_ref().is_some_and(|assigned| {
--- a/crates/plovershelf-replication/src/handoff.rs
+++ b/crates/plovershelf-replication/src/handoff.rs
@@ -1,8 +1,9 @@
-//! Handoff: a member that leaves goes once all others can do without it.
+//! Handoff: a leaving member may stop once its records are replicated on other members.
 //!
-//! It has no weight in the view, so no key is placed on it and reconciliation and repair bring its records elsewhere. It
-//! stays an executor until its requests have ended, and asks each other member until that one says that the keys whose
-//! primary it is have all their replicas. A new view begins the asking anew.
+//! A leaving member has weight 0 in the view, so no key is placed on it, and reconciliation and repair copy its records to
+//! other members. It remains an executor until its requests have ended. It sends `RequestLeave` to each other member until
+//! that member replies `PermitLeave`: all keys whose primary is that member then have all their replicas. A view change
+//! discards the permissions received so far.
 
 use std::collections::BTreeSet;
 
@@ -12,32 +13,35 @@
 use crate::effects::Effects;
 use crate::message::Message;
 
-/// Asked again after this many retransmit intervals.
-const ASK_INTERVALS: f64 = 2.0;
+/// Interval between two `RequestLeave` messages to the same member, in retransmit intervals.
+const REQUEST_INTERVALS: f64 = 2.0;
 
+/// Progress of the local member's handoff.
 #[derive(Clone, Debug)]
 struct Leaving {
     permitted_by: BTreeSet<NodeId>,
-    ask_at_ms: f64,
+    next_request_ms: f64,
 }
 
-/// The local member's own leaving; nothing while it stays.
+/// Handoff state of the local member; empty unless it is leaving.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Handoff {
     leaving: Option<Leaving>,
 }
 
 impl Handoff {
-    /// The local member leaves, or is told so once more: it asks at the next timeout.
+    /// Starts the handoff of the local member; the first `RequestLeave` messages are sent at the next timeout. Calling it
+    /// again makes the next requests due immediately.
     pub(crate) fn start(&mut self, now_ms: f64) {
         let permitted_by = BTreeSet::new();
-        self.leaving.get_or_insert(Leaving { permitted_by, ask_at_ms: now_ms }).ask_at_ms = now_ms;
+        self.leaving.get_or_insert(Leaving { permitted_by, next_request_ms: now_ms }).next_request_ms =
+            now_ms;
     }
 
     pub(crate) fn handle_view_change(&mut self, now_ms: f64) {
         if let Some(leaving) = &mut self.leaving {
             leaving.permitted_by.clear();
-            leaving.ask_at_ms = now_ms;
+            leaving.next_request_ms = now_ms;
         }
     }
 
@@ -49,10 +53,11 @@
 
     pub(crate) fn handle_timeout(&mut self, ctx: &Context) -> Effects {
         let mut effects = Effects::default();
-        let Some(leaving) = self.leaving.as_mut().filter(|leaving| leaving.ask_at_ms <= ctx.now_ms) else {
+        let Some(leaving) = self.leaving.as_mut().filter(|leaving| leaving.next_request_ms <= ctx.now_ms)
+        else {
             return effects;
         };
-        leaving.ask_at_ms = ctx.now_ms + ASK_INTERVALS * ctx.config.retransmit_interval_ms;
+        leaving.next_request_ms = ctx.now_ms + REQUEST_INTERVALS * ctx.config.retransmit_interval_ms;
         for to in ctx.membership.others().filter(|id| !leaving.permitted_by.contains(id)) {
             effects.send(to, Message::RequestLeave { view: ctx.view() });
         }
@@ -60,10 +65,10 @@
     }
 
     pub(crate) fn poll_timeout(&self) -> f64 {
-        self.leaving.as_ref().map_or(f64::INFINITY, |leaving| leaving.ask_at_ms)
+        self.leaving.as_ref().map_or(f64::INFINITY, |leaving| leaving.next_request_ms)
     }
 
-    /// Whether the local member leaves and all others have let it go.
+    /// Returns whether the local member is leaving and all other members have permitted it.
     pub(crate) fn is_permitted(&self, ctx: &Context) -> bool {
         self.leaving
             .as_ref()
--- a/crates/plovershelf-replication/src/lib.rs
+++ b/crates/plovershelf-replication/src/lib.rs
@@ -1,27 +1,28 @@
-//! Replicated deduplication records: each idempotency key is reserved, executed at most once and answered with one outcome,
-//! also when machines are lost with all that they store. No input or output; a driver passes time and messages in.
+//! Replicated idempotency records: each idempotency key is reserved, executed at most once and answered with a single
+//! outcome, even if machines fail and lose everything they store. The crate performs no I/O: a driver passes in the time
+//! and the received messages.
 //!
-//! [`Replicator`] is one member's part. Its pieces, one module each:
+//! [`Replicator`] is the state machine of one member. Modules:
 //!
-//! | module | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`placement`] | idempotency keys, and which members a key's records are placed on |
-//! | `membership` | the current view and the one before it |
+//! | [`placement`] | idempotency keys and the members that replicate each key |
+//! | `membership` | the current and the previous view |
 //! | `record` | the types of a record: reservation, order, outcome |
-//! | `message` | the messages between members |
+//! | `message` | messages between members |
 //! | `config` | limits and timeouts |
-//! | `context` | what all roles read: the time, the settings, the view, who is suspected |
-//! | `effects` | what a role asks for: messages and events, in order |
-//! | `executor` | the executor's role: requests of the local backend from reservation to answer |
-//! | `primary` | the primary's role: the order of reservations of a key, and who waits for its outcome |
-//! | `replica` | the replica's role: the records stored here |
-//! | `skipping` | suspected members, and which members stand in for them |
-//! | `reconciliation` | after a change of view: reports to each new primary, and what it makes of them |
-//! | `repair` | records that lack replicas, and sending them again |
-//! | `handoff` | a member that leaves, until all others can do without it |
-//! | `timers` | a queue of keys by time |
-//! | `replicator` | the inputs, in the order in which a driver calls them |
-//! | [`broken`] | variants that break a promise, for tests |
+//! | `context` | inputs shared by all roles: time, settings, view, suspected members |
+//! | `effects` | outputs of a role: messages and events, in order |
+//! | `executor` | executor role: requests of the local backend from reservation to answer |
+//! | `primary` | primary role: orders the reservations of a key and tracks attempts that wait for its outcome |
+//! | `replica` | replica role: the locally stored records |
+//! | `replica_substitution` | suspected members and the replicas that replace them |
+//! | `reconciliation` | after a view change: reports to each primary and their evaluation |
+//! | `repair` | retransmission of records to replicas that have not confirmed them |
+//! | `handoff` | departure of a leaving member once its records are replicated elsewhere |
+//! | `timers` | a timer queue of keys |
+//! | `replicator` | the public inputs, in the order in which a driver calls them |
+//! | [`broken`] | deliberate violations of guarantees, for tests |
 
 pub mod broken;
 mod config;
@@ -37,8 +38,8 @@
 mod record;
 mod repair;
 mod replica;
+mod replica_substitution;
 mod replicator;
-mod skipping;
 #[cfg(test)]
 mod test_support;
 mod timers;
--- a/crates/plovershelf-replication/src/membership.rs
+++ b/crates/plovershelf-replication/src/membership.rs
@@ -1,19 +1,19 @@
-//! The current view, and where it places keys.
+//! The current view and the placement of keys in it.
 
 use plovershelf_cluster::NodeId;
 
 use crate::placement::{replica_set, IdempotencyKey, Member};
 use crate::record::ViewNumber;
 
-/// The members as the local one knows them.
+/// The local member's current and previous view.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     local: NodeId,
     replication_factor: usize,
     view: ViewNumber,
     members: Vec<Member>,
-    /// Members of the view before, which tell whether the local member was a key's primary there.
-    previous: Vec<Member>,
+    /// Members of the previous view, used to determine whether the local member was a key's primary in it.
+    previous_members: Vec<Member>,
 }
 
 impl Membership {
@@ -23,12 +23,12 @@
             replication_factor,
             view: ViewNumber(0),
             members: Vec::new(),
-            previous: Vec::new(),
+            previous_members: Vec::new(),
         }
     }
 
     pub(crate) fn update(&mut self, view: ViewNumber, members: Vec<Member>) {
-        self.previous = std::mem::replace(&mut self.members, members);
+        self.previous_members = std::mem::replace(&mut self.members, members);
         self.view = view;
     }
 
@@ -52,12 +52,12 @@
         self.ids().filter(|id| *id != self.local)
     }
 
-    /// Whether records may be placed on a member: it belongs to the view and is not leaving.
+    /// Returns whether records may be placed on a member: it belongs to the view and is not leaving.
     pub(crate) fn accepts_records(&self, id: NodeId) -> bool {
         self.members.iter().any(|member| member.id == id && member.weight > 0.0)
     }
 
-    /// A key's replicas, the primary in front.
+    /// Returns a key's replicas in the current view, the primary first.
     pub(crate) fn replica_set(&self, key: IdempotencyKey) -> Vec<NodeId> {
         replica_set(key, &self.members, self.replication_factor)
     }
@@ -71,17 +71,17 @@
     }
 
     pub(crate) fn was_primary(&self, key: IdempotencyKey) -> bool {
-        replica_set(key, &self.previous, self.replication_factor).first() == Some(&self.local)
+        replica_set(key, &self.previous_members, self.replication_factor).first() == Some(&self.local)
     }
 
-    /// The replicas that a key would have without some members.
+    /// Returns the replicas that a key would have if the excluded members were not in the view.
     pub(crate) fn replica_set_without(
         &self,
         key: IdempotencyKey,
         excluded: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
-        let others: Vec<Member> =
+        let remaining: Vec<Member> =
             self.members.iter().filter(|member| !excluded(member.id)).cloned().collect();
-        replica_set(key, &others, self.replication_factor)
+        replica_set(key, &remaining, self.replication_factor)
     }
 }
--- a/crates/plovershelf-replication/src/message.rs
+++ b/crates/plovershelf-replication/src/message.rs
@@ -1,31 +1,31 @@
-//! The messages between members.
+//! Messages between members.
 //!
-//! | sender | message | receiver | answered by |
+//! | sender | message | receiver | reply |
 //! | --- | --- | --- | --- |
 //! | executor | `Reserve` | primary | `Replicate` to the other replicas; `HeldByAnother` |
 //! | primary | `Replicate` | replicas | `Reserved` to the executor |
 //! | replica | `Reserved` | executor | |
-//! | primary | `HeldByAnother`, then `Released` or again `HeldByAnother` | executor that waits | |
-//! | executor, or primary that repairs | `RecordOutcome` | replicas | `OutcomeRecorded` |
+//! | primary | `HeldByAnother`, followed by `Released` or another `HeldByAnother` | waiting executor | |
+//! | executor, or primary during a repair | `RecordOutcome` | replicas | `OutcomeRecorded` |
 //! | executor | `OutcomeReplicated` | primary | |
 //! | executor | `Release` | replicas | |
-//! | replica | `ProbeReservation` | executor | `Release`, if it no longer has the request |
+//! | replica | `ProbeReservation` | executor | `Release`, if it no longer tracks the request |
 //! | member | `Report`, `ReportComplete` | new primary | `ReportAcknowledged` |
 //! | primary | `Repair` | replicas | `Repaired` |
-//! | leaving member | `RequestLeave` | all others | `PermitLeave` |
+//! | leaving member | `RequestLeave` | all other members | `PermitLeave` |
 //!
-//! What a confirmation is word of, each under its own view only:
+//! Guarantees that each confirmation gives, valid only in the view under which it is sent:
 //!
-//! | message | stored at the sender | of which attempt | not |
+//! | message | guarantees | for which attempt | does not guarantee |
 //! | --- | --- | --- | --- |
-//! | `Reserved` | the reservation, in this round and with this replica set | `reservation` | an outcome |
-//! | `OutcomeRecorded` | this outcome | `reservation`; to an executor, in doubt where another attempt's record is stored | |
-//! | `OutcomeReplicated` | nothing: all replicas have confirmed the sender's outcome | `reservation` | that all of a later view have it |
-//! | `Repaired` | a record at least as new as one that a `Repair` of this view brought | not named | an outcome, where one of those had none |
-//! | `ReportAcknowledged` | nothing: all that was reported has come | | that any of it is stored elsewhere |
-//! | `PermitLeave` | nothing: the sender's own keys have all their replicas | | other primaries' keys |
+//! | `Reserved` | the sender stores the reservation with this round and replica set | `reservation` | any outcome |
+//! | `OutcomeRecorded` | the sender stores this outcome | `reservation`; an executor receives in doubt if the sender stores another attempt's record | |
+//! | `OutcomeReplicated` | all replicas have confirmed the sender's outcome | `reservation` | that all replicas of a later view have it |
+//! | `Repaired` | the sender stores a record at least as new as one received in a `Repair` of this view | not named | an outcome, if one of these `Repair` messages had none |
+//! | `ReportAcknowledged` | the sender has received the entire report | | that any reported record is stored elsewhere |
+//! | `PermitLeave` | all keys whose primary is the sender have all their replicas | | the same for other primaries' keys |
 //!
-//! postcard writes the positions of variants and fields, not their names: neither may be reordered.
+//! postcard encodes the positions of variants and fields, not their names: neither may be reordered.
 
 use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
@@ -33,63 +33,63 @@
 use crate::placement::IdempotencyKey;
 use crate::record::{Outcome, Record, Reservation, Round, ViewNumber};
 
-/// A message; each carries the view under which it is sent, and a member in another view drops it.
+/// A message between members. Each includes the sender's view, and a receiver in a different view drops it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Executor to primary: reserve this key.
+    /// Executor to primary: requests a reservation of a key.
     Reserve {
         /// The sender's view.
         view: ViewNumber,
         /// The key to reserve.
         key: IdempotencyKey,
-        /// The attempt that reserves it.
+        /// The attempt that reserves the key.
         reservation: Reservation,
-        /// How often it has begun anew.
+        /// The current round of the reservation.
         round: Round,
-        /// How long to keep the record without an outcome, in milliseconds.
+        /// How long to retain the record while it has no outcome, in milliseconds.
         retention_ms: u64,
     },
-    /// Primary to the other replicas: store this reservation.
+    /// Primary to the other replicas: requests that a reservation be stored.
     Replicate {
         /// The sender's view.
         view: ViewNumber,
         /// The reserved key.
         key: IdempotencyKey,
-        /// What to store.
+        /// The record to store.
         record: Record,
     },
-    /// Replica to executor: the reservation is stored here, and must be stored at all of these.
+    /// Replica to executor: confirms that the sender stores the reservation.
     Reserved {
         /// The sender's view.
         view: ViewNumber,
         /// The reserved key.
         key: IdempotencyKey,
-        /// The attempt that holds it.
+        /// The attempt that holds the key.
         reservation: Reservation,
-        /// The round that is stored.
+        /// The stored round.
         round: Round,
-        /// Who must confirm it before the launch.
+        /// The replicas that must all confirm the reservation before the launch.
         replica_set: Vec<NodeId>,
     },
-    /// Primary to executor: another attempt holds the key, or has completed.
+    /// Primary to executor: another attempt holds the key or has completed.
     HeldByAnother {
         /// The sender's view.
         view: ViewNumber,
-        /// The key asked for.
+        /// The requested key.
         key: IdempotencyKey,
-        /// The attempt that asked.
+        /// The attempt that requested the key.
         reservation: Reservation,
-        /// The other attempt's outcome, once all replicas have it.
+        /// The other attempt's outcome, present once all replicas have it.
         outcome: Option<Outcome>,
     },
-    /// Primary to an executor that waited: the key is free, reserve it again.
+    /// Primary to a waiting executor: the key is free and may be reserved again.
     Released {
         /// The sender's view.
         view: ViewNumber,
         /// The free key.
         key: IdempotencyKey,
     },
-    /// Executor to all replicas, or primary to those that it repairs: this is the outcome.
+    /// Executor to all replicas, or primary to replicas under repair: requests that an outcome be stored.
     RecordOutcome {
         /// The sender's view.
         view: ViewNumber,
@@ -97,90 +97,90 @@
         key: IdempotencyKey,
         /// The attempt that completed.
         reservation: Reservation,
-        /// How it ended.
+        /// The outcome of that attempt.
         outcome: Outcome,
-        /// How long to keep the outcome, in milliseconds.
+        /// How long to retain the outcome, in milliseconds.
         retention_ms: u64,
     },
-    /// Replica to the sender of an outcome: this outcome is stored here, which may be another than the one sent.
+    /// Replica to the sender of a `RecordOutcome`: reports the stored outcome, which may differ from the one received.
     OutcomeRecorded {
         /// The sender's view.
         view: ViewNumber,
-        /// The key.
+        /// The key of the recorded outcome.
         key: IdempotencyKey,
-        /// The attempt that sent its outcome.
+        /// The attempt named in the `RecordOutcome`.
         reservation: Reservation,
-        /// The outcome stored here.
+        /// The outcome that the sender stores.
         outcome: Outcome,
     },
     /// Executor to primary: all replicas have the outcome, so other attempts may be answered with it.
     OutcomeReplicated {
         /// The sender's view.
         view: ViewNumber,
-        /// The key.
+        /// The key of the replicated outcome.
         key: IdempotencyKey,
         /// The attempt that completed.
         reservation: Reservation,
     },
-    /// Executor to all replicas: nothing was launched, drop the reservation.
+    /// Executor to all replicas: the request was never launched and its reservation must be dropped.
     Release {
         /// The sender's view.
         view: ViewNumber,
         /// The reserved key.
         key: IdempotencyKey,
-        /// The attempt that gives it up.
+        /// The attempt that releases the key.
         reservation: Reservation,
     },
-    /// Member to a primary after a change of view: what the sender stores of the primary's keys, and what it executes of them.
+    /// Member to a primary after a view change: the sender's records and active requests for that primary's keys.
     Report {
         /// The sender's view.
         view: ViewNumber,
-        /// Records that the sender stores.
+        /// Records stored by the sender.
         records: Vec<(IdempotencyKey, Record)>,
-        /// Reservations of the sender's own requests.
+        /// Reservations of the sender's active requests.
         active: Vec<(IdempotencyKey, Reservation)>,
     },
-    /// Member to a primary: the report is complete.
+    /// Member to a primary: marks the end of a report.
     ReportComplete {
         /// The sender's view.
         view: ViewNumber,
-        /// Keys that were reported.
+        /// Number of distinct keys in the report.
         count: u64,
     },
-    /// Primary to replicas after a change of view: store these from now on.
+    /// Primary to replicas, after a view change or for an unconfirmed outcome: requests that records be stored.
     Repair {
         /// The sender's view.
         view: ViewNumber,
-        /// What to store.
+        /// The records to store.
         records: Vec<(IdempotencyKey, Record)>,
     },
-    /// Replica to primary: records of these keys are stored, with an outcome or without.
+    /// Replica to primary: confirms that records of these keys are stored, with or without an outcome.
     Repaired {
         /// The sender's view.
         view: ViewNumber,
-        /// The keys that are stored.
+        /// The keys of the stored records.
         keys: Vec<IdempotencyKey>,
     },
-    /// Primary to member: its whole report has come.
+    /// Primary to member: confirms that the entire report was received.
     ReportAcknowledged {
         /// The sender's view.
         view: ViewNumber,
     },
-    /// Replica to executor: is this request still there?
+    /// Replica to executor: asks whether a request still exists.
     ProbeReservation {
         /// The sender's view.
         view: ViewNumber,
         /// The reserved key.
         key: IdempotencyKey,
-        /// The attempt that holds it.
+        /// The attempt that holds the key.
         reservation: Reservation,
     },
-    /// Leaving member to all others: may it go?
+    /// Leaving member to all other members: asks for permission to leave.
     RequestLeave {
         /// The sender's view.
         view: ViewNumber,
     },
-    /// All keys whose primary the sender is have their replicas without the receiver.
+    /// Member to leaving member: all keys whose primary is the sender have all replicas without the receiver.
     PermitLeave {
         /// The sender's view.
         view: ViewNumber,
@@ -188,7 +188,7 @@
 }
 
 impl Message {
-    /// The view under which it is sent.
+    /// Returns the view under which the message was sent.
     pub fn view(&self) -> ViewNumber {
         match self {
             Message::Reserve { view, .. }
--- a/crates/plovershelf-replication/src/placement.rs
+++ b/crates/plovershelf-replication/src/placement.rs
@@ -1,24 +1,25 @@
-//! Placement of idempotency keys: a key's replicas are the members that draw highest for it, each in a zone of its own as far
-//! as there are zones, and no two on one machine.
+//! Placement of idempotency keys: a key's replicas are the members with the highest scores for it, in distinct zones as far
+//! as there are enough zones, and never two on the same machine.
 //!
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): a member's draw depends on it and the key alone, so one that comes or
-//! goes moves no more than its share. A weight raises the draw by the usual logarithm, so shares follow weights.
+//! Weighted rendezvous hashing (Thaler and Ravishankar, 1998): a member's score depends only on the member and the key, so
+//! a member that joins or leaves moves no more keys than its own share. The score is `-weight / ln(hash)`, which makes each
+//! member's share of the keys proportional to its weight.
 
 use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// The hash of a request's idempotency key: 128 bits, so that of a thousand million keys in a window two are alike once in 10^20
-/// windows.
+/// The hash of a request's idempotency key. With 128 bits, two of 10^9 keys in one retention window collide about once in
+/// 10^20 windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IdempotencyKey(pub u128);
 
-/// FNV-1a, 64 bits: its prime, and the offset basis of the upper half; the lower half begins with another.
+/// Parameters of 64-bit FNV-1a. The upper half of a key uses the standard offset basis, the lower half a different one.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 const UPPER_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const LOWER_OFFSET_BASIS: u64 = 0x6c62_272e_07bb_0142;
 
 impl IdempotencyKey {
-    /// Of a request class and the client's own key.
+    /// Hashes a request class together with the idempotency key supplied by the client.
     pub fn new(class: &str, client_key: &[u8]) -> Self {
         let half = |basis: u64| {
             let bytes = class.bytes().chain(std::iter::once(0)).chain(client_key.iter().copied());
@@ -27,12 +28,12 @@
         IdempotencyKey(u128::from(half(UPPER_OFFSET_BASIS)) << 64 | u128::from(half(LOWER_OFFSET_BASIS)))
     }
 
-    fn folded(self) -> u64 {
+    fn fold(self) -> u64 {
         (self.0 >> 64) as u64 ^ (self.0 as u64).rotate_left(17)
     }
 }
 
-/// The finalizer of MurmurHash3.
+/// Applies the 64-bit finalizer of MurmurHash3.
 fn mix(mut value: u64) -> u64 {
     value = (value ^ value >> 33).wrapping_mul(0xff51_afd7_ed55_8ccd);
     value = (value ^ value >> 33).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -42,33 +43,37 @@
 /// A member of a view that keys may be placed on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Names the member.
+    /// Unique id of the member.
     pub id: NodeId,
-    /// Replicas of a key are spread over zones.
+    /// Zone of the member. Replicas of a key are placed in distinct zones where possible.
     pub zone: String,
-    /// Names a machine: no two replicas of a key are placed on one.
+    /// Machine of the member. No two replicas of a key are placed on the same machine.
     pub machine: String,
-    /// Its share of the keys in relation to others'. With 0 no key is placed on it: it leaves, and only executes what it has begun.
+    /// Relative share of keys placed on the member. A weight of 0 marks a leaving member: no key is placed on it, and it
+    /// only completes the requests that it already executes.
     pub weight: f64,
 }
 
-fn draw(key: IdempotencyKey, member: &Member) -> f64 {
-    let hash = mix(key.folded() ^ mix(member.id.0));
+/// Returns the rendezvous score of a member for a key.
+fn score(key: IdempotencyKey, member: &Member) -> f64 {
+    let hash = mix(key.fold() ^ mix(member.id.0));
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -member.weight / unit.ln()
 }
 
-/// A key's replicas, the primary in front: the highest draws, first one of each zone, then more.
+/// Returns a key's replicas, the primary first: the members with the highest scores, first at most one per zone, then
+/// further members if there are fewer zones than replicas.
 pub fn replica_set(key: IdempotencyKey, members: &[Member], replication_factor: usize) -> Vec<NodeId> {
-    let able = members.iter().filter(|member| member.weight > 0.0);
-    let mut drawn: Vec<(f64, &Member)> = able.map(|member| (draw(key, member), member)).collect();
-    drawn.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
+    let eligible = members.iter().filter(|member| member.weight > 0.0);
+    let mut ranked: Vec<(f64, &Member)> = eligible.map(|member| (score(key, member), member)).collect();
+    ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
     let mut chosen: Vec<&Member> = Vec::with_capacity(replication_factor);
-    for only_fresh_zones in [true, false] {
-        for (_, member) in &drawn {
-            let taken = chosen.iter().any(|one| one.id == member.id || one.machine == member.machine);
-            let zone_taken = chosen.iter().any(|one| one.zone == member.zone);
-            if chosen.len() < replication_factor && !taken && !(only_fresh_zones && zone_taken) {
+    for require_new_zone in [true, false] {
+        for (_, member) in &ranked {
+            let machine_used =
+                chosen.iter().any(|other| other.id == member.id || other.machine == member.machine);
+            let zone_used = chosen.iter().any(|other| other.zone == member.zone);
+            if chosen.len() < replication_factor && !machine_used && !(require_new_zone && zone_used) {
                 chosen.push(member);
             }
         }
--- a/crates/plovershelf-replication/src/placement/tests.rs
+++ b/crates/plovershelf-replication/src/placement/tests.rs
@@ -19,37 +19,38 @@
 
 #[test]
 fn replicas_are_in_different_zones_and_on_different_machines() {
-    let mut all = members(9);
-    all[3].machine = all[0].machine.clone();
+    let mut all_members = members(9);
+    all_members[3].machine = all_members[0].machine.clone();
     for n in 0..500 {
-        let placed = replica_set(key(n), &all, 3);
+        let placed = replica_set(key(n), &all_members, 3);
         let zones: BTreeSet<&str> = placed
             .iter()
-            .filter_map(|id| all.iter().find(|member| member.id == *id))
+            .filter_map(|id| all_members.iter().find(|member| member.id == *id))
             .map(|member| member.zone.as_str())
             .collect();
         assert_eq!((placed.len(), zones.len()), (3, 3));
-        let most = replica_set(key(n), &all, 9);
-        assert_eq!(most.len(), 8, "two members of one machine hold one replica");
+        let all_replicas = replica_set(key(n), &all_members, 9);
+        assert_eq!(all_replicas.len(), 8, "two members on one machine get one replica");
     }
 }
 
 #[test]
-fn lost_member_moves_its_share_and_no_more_and_shares_follow_weights() {
-    let (all, mut fewer) = (members(9), members(9));
-    fewer.remove(4);
-    let gone = all[4].id;
-    let (mut had, mut moved) = (0, 0);
+fn removing_a_member_moves_only_its_share_and_shares_are_proportional_to_weights() {
+    let (all_members, mut remaining_members) = (members(9), members(9));
+    remaining_members.remove(4);
+    let removed = all_members[4].id;
+    let (mut placed_on_removed, mut moved) = (0, 0);
     for n in 0..3000 {
-        let (before, after) = (replica_set(key(n), &all, 3), replica_set(key(n), &fewer, 3));
-        had += usize::from(before.contains(&gone));
-        moved += before.iter().filter(|id| **id != gone && !after.contains(id)).count();
+        let (before, after) =
+            (replica_set(key(n), &all_members, 3), replica_set(key(n), &remaining_members, 3));
+        placed_on_removed += usize::from(before.contains(&removed));
+        moved += before.iter().filter(|id| **id != removed && !after.contains(id)).count();
     }
-    assert!((900..1100).contains(&had), "{had}");
-    // Beside its own keys, its zone's choice may change few others.
+    assert!((900..1100).contains(&placed_on_removed), "{placed_on_removed}");
+    // Besides the removed member's keys, a few others may move because the selection within its zone changes.
     assert!(moved < 60, "{moved}");
     let mut heavy = members(9);
     heavy[0].weight = 2.0;
     let placed = (0..3000).filter(|n| replica_set(key(*n), &heavy, 3).contains(&heavy[0].id)).count();
-    assert!((1350..1650).contains(&placed), "half of its zone's with a weight of two: {placed}");
+    assert!((1350..1650).contains(&placed), "a weight of two gets half of the zone's keys: {placed}");
 }
--- a/crates/plovershelf-replication/src/primary.rs
+++ b/crates/plovershelf-replication/src/primary.rs
@@ -1,17 +1,18 @@
-//! The primary's role: the first member of a key's replica set orders the attempts to reserve it.
+//! The primary role: the first member of a key's replica set orders the attempts to reserve the key.
 //!
 //! | key | event | next |
 //! | --- | --- | --- |
 //! | free | `Reserve` | reserved: `Replicate` to the other replicas |
-//! | reserved | `Reserve` of the same attempt | the same; under a new view or in a new round with a new place in the order |
-//! | reserved | `Reserve` of another attempt | that one waits: `HeldByAnother` |
-//! | reserved | released | free: `Released` to all that wait |
-//! | completed | `Reserve` of another attempt | that one waits; repair asks the replicas whether all have the outcome |
-//! | completed | `OutcomeReplicated` by its executor, or repaired | replicated: `HeldByAnother` with the outcome to all that wait |
-//! | replicated | `Reserve` of another attempt | `HeldByAnother` with the outcome |
+//! | reserved | `Reserve` from the same attempt | reserved; reordered if the view or the round has changed |
+//! | reserved | `Reserve` from another attempt | reserved; the other attempt waits: `HeldByAnother` |
+//! | reserved | `Release` | free: `Released` to all waiting attempts |
+//! | completed | `Reserve` from another attempt | completed; the other attempt waits while repair has all replicas confirm the outcome |
+//! | completed | `OutcomeReplicated` from the executor, or repair complete | replicated: `HeldByAnother` with the outcome to all waiting attempts |
+//! | replicated | `Reserve` from another attempt | replicated; `HeldByAnother` with the outcome |
 //!
-//! An outcome is told to others only when all replicas have it. Before that the loss of machines could still take it along,
-//! and a later reconciliation settle on another. What exactly each confirmation is word of stands in [`message`](crate::message).
+//! The primary sends an outcome to other attempts only after all replicas have stored it. Before that, machine failures
+//! could still lose it, and a later reconciliation could choose a different outcome. [`message`](crate::message) lists what
+//! each confirmation guarantees.
 
 use std::collections::BTreeMap;
 
@@ -21,9 +22,9 @@
 use crate::placement::IdempotencyKey;
 use crate::record::{OutcomeVersion, Record, Reservation, ReservationOrder, Round};
 use crate::repair::{Repair, RepairContent};
-use crate::replica::{Replica, Stored};
+use crate::replica::{Replica, StoreResult};
 
-/// Attempts that wait for one key; further ones ask again by themselves.
+/// Maximum number of waiting attempts recorded per key. Further attempts retransmit their `Reserve` periodically.
 const MAX_WAITERS: usize = 64;
 
 /// An executor's attempt to reserve a key.
@@ -35,15 +36,16 @@
     pub(crate) retention_ms: u64,
 }
 
+/// Primary role of the local member for all keys whose primary it is.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Primary {
-    /// By key, the attempts that wait for another's.
+    /// Per key, the attempts that wait for another attempt's outcome, in order of arrival.
     waiters: BTreeMap<IdempotencyKey, Vec<Reservation>>,
     last_sequence: u64,
 }
 
 impl Primary {
-    /// Orders an attempt of a key whose primary the local member is, and of which it knows all earlier reservations.
+    /// Orders an attempt to reserve a key. The local member must be the key's primary and know all earlier reservations.
     pub(crate) fn handle_reserve(
         &mut self,
         ctx: &Context,
@@ -55,11 +57,11 @@
         if stored.reservation == request.reservation && stored.outcome.is_none() {
             self.accept_again(ctx, request, replica)
         } else {
-            self.refuse(ctx, request, replica, repair)
+            self.reject(ctx, request, replica, repair)
         }
     }
 
-    /// All replicas have a key's outcome: those that wait are told.
+    /// Marks a key's outcome as stored by all replicas and sends it to all waiting attempts.
     pub(crate) fn handle_outcome_replicated(
         &mut self,
         ctx: &Context,
@@ -68,7 +70,7 @@
     ) -> Effects {
         let mut effects = Effects::default();
         let Some(outcome) = replica.mark_outcome_replicated(key) else { return effects };
-        for reservation in self.forget(key) {
+        for reservation in self.take_waiters(key) {
             let outcome = Some(outcome.clone());
             let message = Message::HeldByAnother { view: ctx.view(), key, reservation, outcome };
             effects.send(reservation.executor, message);
@@ -76,19 +78,19 @@
         effects
     }
 
-    /// A key's record is gone, or its outcome is told. Its waiters, in the order in which they came.
-    pub(crate) fn forget(&mut self, key: IdempotencyKey) -> Vec<Reservation> {
+    /// Removes and returns the attempts that wait for a key, in order of arrival.
+    pub(crate) fn take_waiters(&mut self, key: IdempotencyKey) -> Vec<Reservation> {
         self.waiters.remove(&key).unwrap_or_default()
     }
 
-    // ---- steps ---------------------------------------------------------------------------------------
+    // ---- internal steps ------------------------------------------------------------------------------
 
     fn next_order(&mut self, ctx: &Context) -> ReservationOrder {
         self.last_sequence += 1;
         ReservationOrder { view: ctx.view(), sequence: self.last_sequence }
     }
 
-    /// What finds no room here is not confirmed, so it is not launched.
+    /// Stores a new reservation. If the local replica is full, nothing is replicated, so the request is never launched.
     fn accept(&mut self, ctx: &Context, request: ReserveRequest, replica: &mut Replica) -> Effects {
         let record = Record {
             reservation: request.reservation,
@@ -100,11 +102,12 @@
             retention_ms: request.retention_ms,
         };
         match replica.store(ctx, request.key, record) {
-            Stored::Yes => replicate(ctx, request.key, replica),
-            Stored::Full => Effects::default(),
+            StoreResult::Stored => replicate(ctx, request.key, replica),
+            StoreResult::Full => Effects::default(),
         }
     }
 
+    /// Replicates a stored reservation again, with a new order if its view or round is outdated.
     fn accept_again(&mut self, ctx: &Context, request: ReserveRequest, replica: &mut Replica) -> Effects {
         let key = request.key;
         let outdated =
@@ -116,7 +119,8 @@
         replicate(ctx, key, replica)
     }
 
-    fn refuse(
+    /// Rejects an attempt because another holds the key, and records it as waiting unless the outcome is already replicated.
+    fn reject(
         &mut self,
         ctx: &Context,
         request: ReserveRequest,
@@ -133,12 +137,12 @@
                 waiters.push(reservation);
             }
         }
-        // Against an outcome that stays unknown because the executor's message that all have it was lost, or the executor is.
+        // Without this repair the outcome would stay unconfirmed if the executor failed or its `OutcomeReplicated` was lost.
         if is_completed && outcome.is_none() && !repair.is_repairing_outcome(key) {
             repair.start(
                 key,
                 RepairContent::Outcome,
-                ctx.remote(ctx.suspected.replica_set(&ctx.membership, key)),
+                ctx.remote_replicas(ctx.suspected.replica_set(&ctx.membership, key)),
             );
             repair.schedule(ctx.now_ms + ctx.config.retransmit_interval_ms, key);
         }
@@ -147,7 +151,7 @@
     }
 }
 
-/// The reservation to the other replicas; all confirm to the executor, the local one at once.
+/// Sends a reservation to the other replicas, and the local replica's confirmation to the executor.
 fn replicate(ctx: &Context, key: IdempotencyKey, replica: &Replica) -> Effects {
     let (view, mut effects) = (ctx.view(), Effects::default());
     let Some(record) = replica.record(key, ctx.now_ms) else { return effects };
--- a/crates/plovershelf-replication/src/reconciliation/collector.rs
+++ b/crates/plovershelf-replication/src/reconciliation/collector.rs
@@ -1,7 +1,7 @@
-//! What other members report of the keys whose primary the local member is.
+//! Collector of all members' reports on the keys whose primary is the local member.
 //!
-//! A report comes in batches and ends with a count. It is complete once as many keys have come as it counts, in whatever
-//! order: a batch that was lost comes again with the whole report.
+//! A report arrives in batches followed by a count of its keys. It is complete once that many distinct keys have arrived, in
+//! any order: a lost batch arrives again when the whole report is retransmitted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,16 +11,16 @@
 use crate::placement::IdempotencyKey;
 use crate::record::{Record, Reservation};
 
-/// All that was reported.
+/// Contents of all reports received so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Collected {
-    /// By key, who stores which record.
+pub(crate) struct CollectedReports {
+    /// Per key, the reported records and the members that store them.
     pub(crate) records: BTreeMap<IdempotencyKey, Vec<(NodeId, Record)>>,
-    /// Reservations that their executors still have.
+    /// Reservations that their executors reported as active.
     pub(crate) active: BTreeSet<(IdempotencyKey, Reservation)>,
 }
 
-/// Whether a report is complete, and so to be acknowledged.
+/// Whether a report is complete and must be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum ReportStatus {
@@ -28,11 +28,15 @@
     Complete,
 }
 
+/// Collector of the reports for one view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportCollector {
+    /// Members whose report is complete.
     complete: BTreeSet<NodeId>,
-    collected: Collected,
-    announced: BTreeMap<NodeId, u64>,
+    collected: CollectedReports,
+    /// Per member, the number of distinct keys in its report.
+    expected: BTreeMap<NodeId, u64>,
+    /// Per member, the keys received so far.
     received: BTreeMap<NodeId, BTreeSet<IdempotencyKey>>,
     reconciled: bool,
 }
@@ -42,7 +46,7 @@
         self.reconciled
     }
 
-    /// What the local member itself stores and executes.
+    /// Adds the local member's own records and active reservations as a complete report.
     pub(crate) fn add_local(
         &mut self,
         local: NodeId,
@@ -69,14 +73,15 @@
     }
 
     pub(crate) fn handle_report_complete(&mut self, from: NodeId, count: u64) -> ReportStatus {
-        self.announced.insert(from, count);
+        self.expected.insert(from, count);
         self.status(from)
     }
 
-    /// All that was reported, once, when every member of the view has reported completely and the local one belongs to it.
-    pub(crate) fn finish(&mut self, membership: &Membership) -> Option<Collected> {
-        let all = membership.ids().all(|id| self.complete.contains(&id));
-        if self.reconciled || !all || !membership.contains(membership.local()) {
+    /// Returns the collected reports, only once, when the reports of all members of the view are complete and the local member
+    /// belongs to the view.
+    pub(crate) fn finish(&mut self, membership: &Membership) -> Option<CollectedReports> {
+        let all_complete = membership.ids().all(|id| self.complete.contains(&id));
+        if self.reconciled || !all_complete || !membership.contains(membership.local()) {
             return None;
         }
         self.reconciled = true;
@@ -98,9 +103,9 @@
     }
 
     fn status(&mut self, from: NodeId) -> ReportStatus {
-        let Some(announced) = self.announced.get(&from).copied() else { return ReportStatus::Partial };
+        let Some(expected) = self.expected.get(&from).copied() else { return ReportStatus::Partial };
         let received = self.received.get(&from).map_or(0, BTreeSet::len) as u64;
-        if received < announced && !self.reconciled {
+        if received < expected && !self.reconciled {
             return ReportStatus::Partial;
         }
         self.complete.insert(from);
@@ -108,7 +113,7 @@
     }
 }
 
-/// Keys of which a batch says anything.
+/// Returns the distinct keys in a batch.
 pub(super) fn reported_keys(
     records: &[(IdempotencyKey, Record)],
     active: &[(IdempotencyKey, Reservation)],
--- a/crates/plovershelf-replication/src/reconciliation/mod.rs
+++ b/crates/plovershelf-replication/src/reconciliation/mod.rs
@@ -1,32 +1,32 @@
-//! Reconciliation: after a change of view each primary learns what all members store and execute of its keys, and determines
-//! what became of each before it orders anything new.
+//! Reconciliation: after a view change, each primary collects what all members store and execute for its keys and resolves
+//! the state of each key before it accepts new reservations.
 //!
 //! | state of the local member as a primary | event | next |
 //! | --- | --- | --- |
-//! | collecting | a new view, at any time | collecting; all others are sent reports |
-//! | collecting | all members have reported completely | reconciled: each key resolved ([`resolution`]), repair begins |
+//! | any | view change | collecting; reports are sent to all other members |
+//! | collecting | all members' reports are complete | reconciled; each key is resolved ([`resolution`]) and repair starts |
 //!
-//! While it collects it orders only keys whose primary it was in the view right before, and only if it was reconciled there:
-//! those reservations it knows all itself.
+//! While collecting, a primary orders reservations only of keys whose primary it also was in the immediately preceding view,
+//! and only if it was reconciled in that view: it then knows all reservations of these keys.
 
 mod collector;
 mod resolution;
 mod sender;
 
-pub(crate) use collector::{Collected, ReportCollector, ReportStatus};
-pub(crate) use resolution::{resolve, Evidence, Resolution};
+pub(crate) use collector::{CollectedReports, ReportCollector, ReportStatus};
+pub(crate) use resolution::{resolve, KeyState, Resolution};
 pub(crate) use sender::ReportSender;
 
 use crate::membership::Membership;
 use crate::placement::IdempotencyKey;
 
-/// Whether the local member knows the reservations of its keys.
+/// Reconciliation state of the local member.
 #[derive(Clone, Debug)]
 pub(crate) struct Reconciliation {
     pub(crate) collector: ReportCollector,
     pub(crate) sender: ReportSender,
-    /// It was reconciled in the view right before this one.
-    continuous: bool,
+    /// Whether the local member was reconciled in the immediately preceding view.
+    was_reconciled: bool,
 }
 
 impl Reconciliation {
@@ -34,22 +34,23 @@
         Reconciliation {
             collector: ReportCollector::default(),
             sender: ReportSender::new(now_ms),
-            continuous: false,
+            was_reconciled: false,
         }
     }
 
-    /// Called before the membership is updated; `consecutive` where the new view is the one right after the current one.
+    /// Starts collecting for a new view. Must be called before the membership is updated; `consecutive` means that the new
+    /// view is the immediate successor of the current one.
     pub(crate) fn handle_view_change(&mut self, consecutive: bool) {
-        self.continuous = self.collector.is_reconciled() && consecutive;
+        self.was_reconciled = self.collector.is_reconciled() && consecutive;
         self.collector = ReportCollector::default();
     }
 
-    /// Whether the local member knows all earlier reservations of a key whose primary it is.
+    /// Returns whether the local member knows all earlier reservations of a key whose primary it is, and so may order more.
     pub(crate) fn may_order(&self, membership: &Membership, key: IdempotencyKey) -> bool {
-        self.collector.is_reconciled() || self.continuous && membership.was_primary(key)
+        self.collector.is_reconciled() || self.was_reconciled && membership.was_primary(key)
     }
 
-    /// Nothing is left to report or to be reported.
+    /// Returns whether all reports have been received and all own reports acknowledged.
     pub(crate) fn is_complete(&self) -> bool {
         self.collector.is_reconciled() && self.sender.is_acknowledged()
     }
--- a/crates/plovershelf-replication/src/reconciliation/resolution.rs
+++ b/crates/plovershelf-replication/src/reconciliation/resolution.rs
@@ -1,14 +1,14 @@
-//! What became of one key, by all that members reported of it.
+//! Resolution of a key's state from all members' reports.
 //!
 //! | reported | resolution |
 //! | --- | --- |
-//! | an outcome | that outcome, stored anew |
-//! | a reservation whose executor is a member and has it | it goes on |
-//! | a reservation whose executor is a member and does not have it | released |
-//! | a reservation whose executor is gone, stored by all of its replicas that are left | in doubt: it may have run |
-//! | a reservation whose executor is gone, not stored by one of its replicas that are left | released: it never ran, as no launch precedes the confirmation of all |
+//! | an outcome | the outcome is stored again with a new version |
+//! | a reservation that its executor, a member, reports as active | the reservation remains |
+//! | a reservation that its executor, a member, does not report | released |
+//! | a reservation whose executor left the view, stored by all of its remaining replicas | in doubt: the request may have run |
+//! | a reservation whose executor left the view, missing at a remaining replica | released: the request never ran, as a launch requires the confirmation of all replicas |
 //!
-//! In doubt is a failure for every attempt: the request is never run again, as it may have had its effect.
+//! In doubt is a failure for every attempt: the request is never run again because it may have had side effects.
 
 use std::collections::BTreeSet;
 
@@ -18,43 +18,45 @@
 use crate::placement::IdempotencyKey;
 use crate::record::{Outcome, OutcomeOrigin, OutcomeVersion, Record, Reservation};
 
-/// All that is known of a key.
+/// Everything that is known about a key when it is resolved.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Evidence<'a> {
+pub(crate) struct KeyState<'a> {
     pub(crate) key: IdempotencyKey,
-    /// Who stores which record, the local member among them.
+    /// The reported records and the members that store them, including the local member.
     pub(crate) reports: &'a [(NodeId, Record)],
-    /// What the local member stores now, which may be more than when it reported to itself.
+    /// The record that the local member stores now, which may be newer than the one in its own report.
     pub(crate) stored: Option<&'a Record>,
-    /// Reservations that their executors still have.
+    /// Reservations that their executors reported as active.
     pub(crate) active: &'a BTreeSet<(IdempotencyKey, Reservation)>,
 }
 
+/// Result of resolving a key.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Resolution {
-    /// Nothing is known of it, or it was reserved under this view already.
+    /// No record exists, or the key has already been reserved in the current view.
     Unchanged,
-    /// Nothing was launched: the key is free.
+    /// The request was never launched: the reservation is removed and the key becomes free.
     Release,
-    /// This is to be stored at all of its replicas.
+    /// This record must be stored at all replicas of the key.
     Store(Record),
 }
 
-pub(crate) fn resolve(ctx: &Context, evidence: Evidence<'_>) -> Resolution {
-    if evidence.stored.is_some_and(|record| record.order.view == ctx.view()) {
+/// Resolves the state of a key after a view change.
+pub(crate) fn resolve(ctx: &Context, state: KeyState<'_>) -> Resolution {
+    if state.stored.is_some_and(|record| record.order.view == ctx.view()) {
         return Resolution::Unchanged;
     }
-    let reported = evidence.reports.iter().map(|(_, record)| record);
-    let Some(newest) = reported.clone().chain(evidence.stored).max_by_key(|record| record.version()) else {
+    let reported = state.reports.iter().map(|(_, record)| record);
+    let Some(newest) = reported.clone().chain(state.stored).max_by_key(|record| record.version()) else {
         return Resolution::Unchanged;
     };
     let mut record = newest.clone();
     record.retention_ms = reported.map(|record| record.retention_ms).fold(record.retention_ms, u64::max);
     if record.outcome.is_none() {
-        match fate_of(ctx, &evidence, &record) {
-            Fate::Executing => {}
-            Fate::NeverLaunched => return Resolution::Release,
-            Fate::InDoubt => {
+        match reservation_status(ctx, &state, &record) {
+            ReservationStatus::Executing => {}
+            ReservationStatus::NeverLaunched => return Resolution::Release,
+            ReservationStatus::InDoubt => {
                 record.outcome = Some(Outcome::InDoubt);
                 record.retention_ms = record.retention_ms.max(ctx.config.in_doubt_retention_ms as u64);
             }
@@ -66,28 +68,29 @@
     Resolution::Store(record)
 }
 
-/// What became of a reservation without an outcome.
-enum Fate {
+/// Status of a reservation without an outcome.
+enum ReservationStatus {
     Executing,
     NeverLaunched,
     InDoubt,
 }
 
-fn fate_of(ctx: &Context, evidence: &Evidence<'_>, record: &Record) -> Fate {
+/// Determines the status of a reservation without an outcome from the members' reports.
+fn reservation_status(ctx: &Context, state: &KeyState<'_>, record: &Record) -> ReservationStatus {
     let reservation = record.reservation;
     if ctx.membership.contains(reservation.executor) {
-        // An executor that does not have it any more has given it up.
-        let active = evidence.active.contains(&(evidence.key, reservation));
-        return if active { Fate::Executing } else { Fate::NeverLaunched };
+        // An executor that no longer tracks a reservation has released it.
+        let active = state.active.contains(&(state.key, reservation));
+        return if active { ReservationStatus::Executing } else { ReservationStatus::NeverLaunched };
     }
     let stores = |id: NodeId| {
-        evidence.reports.iter().any(|(from, report)| *from == id && report.reservation == reservation)
+        state.reports.iter().any(|(from, report)| *from == id && report.reservation == reservation)
     };
-    let mut left = record.replica_set.iter().copied().filter(|id| ctx.membership.contains(*id));
-    if left.all(stores) {
-        Fate::InDoubt
+    let mut remaining = record.replica_set.iter().copied().filter(|id| ctx.membership.contains(*id));
+    if remaining.all(stores) {
+        ReservationStatus::InDoubt
     } else {
-        Fate::NeverLaunched
+        ReservationStatus::NeverLaunched
     }
 }
 
--- a/crates/plovershelf-replication/src/reconciliation/sender.rs
+++ b/crates/plovershelf-replication/src/reconciliation/sender.rs
@@ -1,5 +1,7 @@
-//! What the local member reports to each primary after a change of view: in batches at a bounded rate, so that reports do not
-//! take the links from service, and again as a whole until the primary has acknowledged it.
+//! Sender of the local member's reports to each primary after a view change.
+//!
+//! Reports are sent in batches at a bounded rate, so that they do not displace request traffic on the network, and are
+//! retransmitted in full until the primary has acknowledged them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,18 +16,19 @@
 use crate::record::Record;
 use crate::replica::Replica;
 
-/// A report that is not acknowledged is sent again after this many retransmit intervals.
+/// Interval between retransmissions of an unacknowledged report, in retransmit intervals.
 const RESEND_INTERVALS: f64 = 4.0;
-/// Batches that were not sent while there was nothing to send may be made up for this long.
+/// Maximum idle time, in milliseconds, whose unused batch quota may be spent in one burst.
 const MAX_BURST_MS: f64 = 1000.0;
 
-/// A report on its way to one primary.
+/// Unsent part of a report to one primary.
 #[derive(Clone, Debug, Default)]
 struct PendingReport {
     keys: Vec<IdempotencyKey>,
-    sent: u64,
+    sent_count: u64,
 }
 
+/// Reports that the local member has not finished sending or that are not acknowledged. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportSender {
     pending: BTreeMap<NodeId, PendingReport>,
@@ -54,7 +57,7 @@
         batch.min(resend)
     }
 
-    /// All other members of a new view are owed a report.
+    /// Starts the reports to all other members of a new view.
     pub(crate) fn handle_view_change(
         &mut self,
         ctx: &Context,
@@ -82,12 +85,13 @@
         effects
     }
 
-    /// Begins the report to each member that has not acknowledged one: the keys whose primary it is.
+    /// Restarts the report to each member that has not acknowledged one. A report covers the keys whose primary is that
+    /// member.
     fn restart(&mut self, ctx: &Context, replica: &Replica, executor: &Executor) -> Effects {
         self.resend_at_ms = ctx.now_ms + RESEND_INTERVALS * ctx.config.retransmit_interval_ms;
         self.pending = self.unacknowledged.iter().map(|id| (*id, PendingReport::default())).collect();
-        let known: BTreeSet<IdempotencyKey> = replica.keys().chain(executor.keys()).collect();
-        for key in known {
+        let local_keys: BTreeSet<IdempotencyKey> = replica.keys().chain(executor.keys()).collect();
+        for key in local_keys {
             let primary = ctx.membership.primary(key);
             if let Some(report) = primary.and_then(|primary| self.pending.get_mut(&primary)) {
                 report.keys.push(key);
@@ -108,7 +112,7 @@
         effects
     }
 
-    /// One batch to one member; after the last one the count of all, and the report is no longer pending.
+    /// Sends the next batch to a member. The last batch is followed by the total count, which ends the report.
     fn send_batch(&mut self, ctx: &Context, to: NodeId, replica: &Replica, executor: &Executor) -> Effects {
         let mut effects = Effects::default();
         let Some(report) = self.pending.get_mut(&to) else { return effects };
@@ -119,8 +123,8 @@
             batch.iter().filter_map(|key| Some((*key, replica.record(*key, ctx.now_ms)?))).collect();
         let active = executor.active(&batch.into_iter().collect());
         let reported = reported_keys(&records, &active).len() as u64;
-        report.sent += reported;
-        let (count, is_last) = (report.sent, report.keys.is_empty());
+        report.sent_count += reported;
+        let (count, is_last) = (report.sent_count, report.keys.is_empty());
         if reported > 0 {
             self.next_batch_at_ms += ctx.config.batch_interval_ms();
             effects.send(to, Message::Report { view, records, active });
--- a/crates/plovershelf-replication/src/reconciliation/sender/tests.rs
+++ b/crates/plovershelf-replication/src/reconciliation/sender/tests.rs
@@ -1,20 +1,21 @@
 use super::*;
-use crate::replica::Stored;
+use crate::replica::StoreResult;
 use crate::test_support::{context, messages, reserved};
 
-/// A member that stores 300 records, all of whose primary is the other member, and sends at most 10 batches a second.
+/// Returns a member that stores 300 records whose primary is the other member, and sends at most 10 batches per second.
 fn sender_with_300_records() -> (ReportSender, Context, Replica) {
     let mut ctx = context(1, 1, &[1, 2]);
     ctx.config.max_batches_per_second = 10.0;
     let mut replica = Replica::default();
     let keys = (0..).map(IdempotencyKey).filter(|key| ctx.membership.primary(*key) == Some(NodeId(2)));
     for key in keys.take(300) {
-        assert_eq!(replica.store(&ctx, key, reserved(2, &[1, 2])), Stored::Yes);
+        assert_eq!(replica.store(&ctx, key, reserved(2, &[1, 2])), StoreResult::Stored);
     }
     (ReportSender::new(0.0), ctx, replica)
 }
 
-/// 300 records in batches of 64 at ten a second: reports must not take the links from service, and must end with their count.
+/// 300 records must be sent in batches of 64 at no more than 10 batches per second, followed by their count. Unbounded
+/// reports would displace request traffic.
 #[test]
 fn report_is_sent_in_batches_at_the_configured_rate() {
     let (mut sender, mut ctx, replica) = sender_with_300_records();
@@ -24,7 +25,7 @@
     while sender.pending.contains_key(&NodeId(2)) {
         ctx.now_ms = sender.next_batch_at_ms;
         sent.extend(messages(sender.handle_timeout(&ctx, &replica, &executor)));
-        // Not acknowledged, it would begin anew before it ends at this rate.
+        // At this rate, the retransmission of the unacknowledged report would start before the report is complete.
         sender.resend_at_ms = f64::INFINITY;
     }
     let sizes: Vec<usize> = sent
@@ -38,7 +39,7 @@
     assert!(matches!(sent.last(), Some((NodeId(2), Message::ReportComplete { count: 300, .. }))));
 }
 
-/// Batches are lost: the report must be sent again as a whole until it is acknowledged, and not after that.
+/// A report is not acknowledged: it must be sent again in full until it is acknowledged, and not afterwards.
 #[test]
 fn report_is_sent_again_until_it_is_acknowledged() {
     let (mut sender, mut ctx, replica) = sender_with_300_records();
--- a/crates/plovershelf-replication/src/record.rs
+++ b/crates/plovershelf-replication/src/record.rs
@@ -1,24 +1,24 @@
-//! What is replicated of one idempotency key: who reserved it, the reservation's place in the order, and the outcome.
+//! The replicated record of an idempotency key: the reservation, its order among the key's reservations, and the outcome.
 
 use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// The number of a view: the group's agreed list of members. A later view has a higher number.
+/// Number of a view, the group's agreed list of members. Later views have higher numbers; 0 stands for no view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
-    /// Whether another view is the one right after this one. Number 0 stands for no view.
+    /// Returns whether `next` is the immediate successor of this view; always false for number 0.
     pub(crate) fn is_followed_by(self, next: ViewNumber) -> bool {
         self.0 > 0 && next.0 == self.0 + 1
     }
 }
 
-/// The number that an executor gives to a request of its backend; it names the request in calls and [`Event`](crate::Event)s.
+/// Number that an executor assigns to a request of its backend, used in calls and in [`Event`](crate::Event)s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// How often an executor has begun its reservation anew with other replicas.
+/// Number of times an executor has restarted its reservation with other replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Round(pub u32);
 
@@ -28,74 +28,74 @@
     }
 }
 
-/// How a request ended, for every attempt of it.
+/// Final result of a request, the same for all of its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It succeeded with this result.
+    /// The request succeeded with this result.
     Succeeded(Vec<u8>),
-    /// It ran and failed; it may have had its effect.
+    /// The request ran and failed; it may have had side effects.
     Failed,
-    /// Its executor is gone, and it may have run.
+    /// The executor is lost, and the request may have run.
     InDoubt,
 }
 
-/// Which attempt holds a key: a request at an executor.
+/// The attempt that holds a key: a request at an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Reservation {
     /// The member whose backend runs the request.
     pub executor: NodeId,
-    /// The request's number there.
+    /// The request's number at that executor.
     pub request: RequestId,
 }
 
-/// The order of a key's reservations: by view, then in the order in which the view's primary accepted them.
+/// Total order of a key's reservations: by view, then by the sequence in which the view's primary accepted them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReservationOrder {
     /// The view of the primary that accepted the reservation.
     pub view: ViewNumber,
-    /// The primary's running number, over all of its keys.
+    /// Sequence number assigned by the primary, counted over all its keys.
     pub sequence: u64,
 }
 
-/// Where an outcome comes from.
+/// Source of an outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OutcomeOrigin {
-    /// Its executor sent it.
+    /// The executor reported the outcome.
     #[default]
     Executor,
-    /// A primary determined it from what members reported after a change of view.
+    /// A primary derived the outcome from the members' reports after a view change.
     Reconciliation,
 }
 
-/// Of two outcomes of one reservation the one with the higher version counts.
+/// Version of an outcome. If two outcomes of one reservation differ, the one with the higher version is valid.
 ///
-/// An outcome that all replicas had is known to every later reconciliation, so an older one that differs from it was never
-/// answered to anybody.
+/// Every later reconciliation sees an outcome that all replicas had stored, so a differing outcome of a lower version was
+/// never answered to a client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OutcomeVersion {
     /// The view under which the outcome was recorded.
     pub view: ViewNumber,
-    /// Where it comes from; within a view reconciliation wins.
+    /// The source of the outcome. Within a view, reconciliation takes precedence.
     pub origin: OutcomeOrigin,
 }
 
-/// What members send each other of a key.
+/// Replicated state of a key, as members send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Which attempt holds the key.
+    /// The attempt that holds the key.
     pub reservation: Reservation,
-    /// The reservation's place among the key's reservations.
+    /// The reservation's position in the order of the key's reservations.
     pub order: ReservationOrder,
-    /// Who had to confirm the reservation before anything was launched. Repair never changes it: that one of these members
-    /// has no record proves that nothing was launched.
+    /// The members that had to confirm the reservation before the launch. Repair never changes this set: if one of these
+    /// members has no record, the request was never launched.
     pub replica_set: Vec<NodeId>,
-    /// The round of the reservation, so that a confirmation of an earlier round is recognized.
+    /// The round of the reservation, by which confirmations of earlier rounds are recognized and ignored.
     pub round: Round,
-    /// How it ended, once it has.
+    /// The outcome, once the request has completed.
     pub outcome: Option<Outcome>,
-    /// Which of two outcomes counts.
+    /// Version of the outcome, which decides between two differing outcomes.
     pub outcome_version: OutcomeVersion,
-    /// How long the record is kept from now on, in milliseconds; a duration, since clocks differ.
+    /// Remaining retention time in milliseconds. A duration, because the members' clocks differ.
     pub retention_ms: u64,
 }
 
@@ -109,7 +109,8 @@
     }
 }
 
-/// Of two records of one key the one with the higher version counts: the later reservation, then the completed one.
+/// Version of a record. Of two records of a key the one with the higher version replaces the other: the later reservation,
+/// then the completed one, then the higher outcome version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordVersion {
     pub(crate) order: ReservationOrder,
--- a/crates/plovershelf-replication/src/repair.rs
+++ b/crates/plovershelf-replication/src/repair.rs
@@ -1,11 +1,12 @@
-//! Repair: records that lack replicas are sent to them until each has confirmed.
+//! Repair: the primary sends under-replicated records to their replicas until each replica has confirmed.
 //!
-//! Against a second loss that finds fewer replicas than the first one did. It begins after a change of view for each key
-//! whose primary the local member is, and for an outcome of which the primary does not know whether all replicas have it.
-//! A new view ends it: the next primary reconciles and begins anew.
+//! Repair restores the replication factor before a further failure can reduce the number of replicas again. It starts after
+//! a view change for each key whose primary is the local member, and for an outcome that some replicas may not have stored.
+//! A view change stops all repairs: the next primary reconciles and starts its own.
 //!
-//! A `Repaired` names a key and not what is stored of it. So it confirms no more than each `Repair` of that key carried under
-//! this view: where one had no outcome, the outcome is asked for by `RecordOutcome`, whose answer names it.
+//! A `Repaired` message names a key but not the stored contents. It therefore confirms no more than the least complete
+//! `Repair` sent for that key in the current view. If one of them had no outcome, the outcome is additionally sent as
+//! `RecordOutcome`, whose reply contains the stored outcome.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,20 +19,20 @@
 use crate::record::{Outcome, Record};
 use crate::timers::KeyTimers;
 
-/// Resent after this many retransmit intervals: a repair carries a whole record.
+/// Interval between retransmissions of a repair, in retransmit intervals. More than one, as a repair contains a whole record.
 const RESEND_INTERVALS: f64 = 2.0;
 
-/// What of a record all replicas are to confirm.
+/// The part of a record that all replicas must confirm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RepairContent {
-    /// The reservation; it had no outcome when the repair began.
+    /// The reservation; the record had no outcome when the repair started.
     Reservation,
-    /// The outcome.
+    /// The outcome of the completed request.
     Outcome,
 }
 
 impl RepairContent {
-    pub(crate) fn of(record: &Record) -> Self {
+    pub(crate) fn from_record(record: &Record) -> Self {
         if record.outcome.is_some() {
             RepairContent::Outcome
         } else {
@@ -40,51 +41,53 @@
     }
 }
 
-/// Whether a key still lacks replicas.
+/// Progress of a key's repair after a confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    Lacking,
-    /// The last one has just confirmed this.
+    /// Some replicas have not confirmed, or the key is not under repair.
+    Incomplete,
+    /// The last replica has just confirmed this content.
     Complete(RepairContent),
 }
 
-/// One key's repair.
+/// An ongoing repair of a key.
 #[derive(Clone, Debug)]
 struct KeyRepair {
     content: RepairContent,
-    /// The replicas that have not confirmed; never empty.
-    lacking: BTreeSet<NodeId>,
+    /// The replicas that have not confirmed yet; never empty.
+    unconfirmed: BTreeSet<NodeId>,
 }
 
+/// The local member's ongoing repairs of the keys whose primary it is.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Repair {
-    under_way: BTreeMap<IdempotencyKey, KeyRepair>,
-    /// Keys whose `Repaired` under this view may answer for less than the outcome of now: a repair had no outcome, or the
-    /// record was forgotten while its repair was under way.
-    unclear: BTreeSet<IdempotencyKey>,
+    repairs: BTreeMap<IdempotencyKey, KeyRepair>,
+    /// Keys for which a `Repaired` in the current view does not prove that the current outcome is stored: a `Repair` was
+    /// sent without an outcome, or the record was removed during its repair.
+    ambiguous: BTreeSet<IdempotencyKey>,
     timers: KeyTimers,
 }
 
 impl Repair {
-    /// Keys that lack replicas.
+    /// Returns the number of keys under repair.
     pub(crate) fn len(&self) -> usize {
-        self.under_way.len()
+        self.repairs.len()
     }
 
     pub(crate) fn is_repairing_outcome(&self, key: IdempotencyKey) -> bool {
-        self.under_way.get(&key).is_some_and(|repair| repair.content == RepairContent::Outcome)
+        self.repairs.get(&key).is_some_and(|repair| repair.content == RepairContent::Outcome)
     }
 
     pub(crate) fn poll_timeout(&self) -> f64 {
         self.timers.poll_timeout()
     }
 
-    /// These replicas are to store a key's record and to confirm this of it.
+    /// Starts a repair in which `replicas` must confirm `content` of a key's record; replaces an ongoing one.
     pub(crate) fn start(&mut self, key: IdempotencyKey, content: RepairContent, replicas: BTreeSet<NodeId>) {
         if replicas.is_empty() {
-            self.under_way.remove(&key);
+            self.repairs.remove(&key);
         } else {
-            self.under_way.insert(key, KeyRepair { content, lacking: replicas });
+            self.repairs.insert(key, KeyRepair { content, unconfirmed: replicas });
         }
     }
 
@@ -92,69 +95,69 @@
         self.timers.schedule(at_ms, key);
     }
 
-    /// A message of the view before is dropped, so what was unclear is no longer.
+    /// Drops all repairs. Confirmations from the previous view are ignored from now on, so no key stays ambiguous.
     pub(crate) fn handle_view_change(&mut self) {
-        self.under_way.clear();
-        self.unclear.clear();
+        self.repairs.clear();
+        self.ambiguous.clear();
     }
 
     pub(crate) fn pop_due(&mut self) -> Option<IdempotencyKey> {
         self.timers.pop()
     }
 
-    /// Sends a key's record to those that have not confirmed it, and does so again after a while.
+    /// Sends a key's record to the replicas that have not confirmed it and schedules the retransmission.
     pub(crate) fn send(&mut self, ctx: &Context, key: IdempotencyKey, record: &Record) -> Effects {
         let mut effects = Effects::default();
-        let Some(repair) = self.under_way.get(&key) else { return effects };
+        let Some(repair) = self.repairs.get(&key) else { return effects };
         if record.outcome.is_none() {
-            self.unclear.insert(key);
+            self.ambiguous.insert(key);
         }
-        let asked_outcome = record.outcome.as_ref().filter(|_| self.is_unclear(key, repair.content));
-        for to in &repair.lacking {
+        let outcome_to_confirm = record.outcome.as_ref().filter(|_| self.is_ambiguous(key, repair.content));
+        for to in &repair.unconfirmed {
             let records = vec![(key, record.clone())];
             effects.send(*to, Message::Repair { view: ctx.view(), records });
-            if let Some(outcome) = asked_outcome {
+            if let Some(outcome) = outcome_to_confirm {
                 effects.send(*to, record_outcome_message(ctx, key, record, outcome.clone()));
             }
         }
-        let again_ms = RESEND_INTERVALS * ctx.config.retransmit_interval_ms;
-        self.timers.schedule(ctx.now_ms + again_ms, key);
+        let interval_ms = RESEND_INTERVALS * ctx.config.retransmit_interval_ms;
+        self.timers.schedule(ctx.now_ms + interval_ms, key);
         effects
     }
 
-    /// A replica says that it stores a record of this key.
+    /// Handles a replica's confirmation that it stores a record of this key.
     pub(crate) fn handle_repaired(&mut self, from: NodeId, key: IdempotencyKey) -> Progress {
-        match self.under_way.get(&key) {
-            Some(repair) if !self.is_unclear(key, repair.content) => self.confirm(from, key),
-            _ => Progress::Lacking,
+        match self.repairs.get(&key) {
+            Some(repair) if !self.is_ambiguous(key, repair.content) => self.confirm(from, key),
+            _ => Progress::Incomplete,
         }
     }
 
-    /// A replica says that it stores the very outcome that the local member does.
+    /// Handles a replica's confirmation that it stores the same outcome as the local member.
     pub(crate) fn handle_outcome_recorded(&mut self, from: NodeId, key: IdempotencyKey) -> Progress {
         self.confirm(from, key)
     }
 
-    /// The record is gone.
-    pub(crate) fn forget(&mut self, key: IdempotencyKey) {
-        if self.under_way.remove(&key).is_some() {
-            self.unclear.insert(key);
+    /// Stops a key's repair because its record was removed.
+    pub(crate) fn cancel(&mut self, key: IdempotencyKey) {
+        if self.repairs.remove(&key).is_some() {
+            self.ambiguous.insert(key);
         }
     }
 
-    // ---- steps ---------------------------------------------------------------------------------------
+    // ---- internal steps ------------------------------------------------------------------------------
 
-    fn is_unclear(&self, key: IdempotencyKey, content: RepairContent) -> bool {
-        content == RepairContent::Outcome && self.unclear.contains(&key)
+    fn is_ambiguous(&self, key: IdempotencyKey, content: RepairContent) -> bool {
+        content == RepairContent::Outcome && self.ambiguous.contains(&key)
     }
 
     fn confirm(&mut self, from: NodeId, key: IdempotencyKey) -> Progress {
-        let Some(repair) = self.under_way.get_mut(&key) else { return Progress::Lacking };
-        if !repair.lacking.remove(&from) || !repair.lacking.is_empty() {
-            return Progress::Lacking;
+        let Some(repair) = self.repairs.get_mut(&key) else { return Progress::Incomplete };
+        if !repair.unconfirmed.remove(&from) || !repair.unconfirmed.is_empty() {
+            return Progress::Incomplete;
         }
         let content = repair.content;
-        self.under_way.remove(&key);
+        self.repairs.remove(&key);
         Progress::Complete(content)
     }
 }
--- a/crates/plovershelf-replication/src/replica.rs
+++ b/crates/plovershelf-replication/src/replica.rs
@@ -1,19 +1,19 @@
-//! The replica's role: it stores records, confirms them to executors, and forgets them when their time is over.
+//! The replica role: stores records, confirms them to executors, and removes them when their retention time has expired.
 //!
 //! | record | event | next |
 //! | --- | --- | --- |
-//! | none | `Replicate`, `Repair`; a reservation that the local primary accepts | reserved |
-//! | reserved | its executor's `RecordOutcome`, or a record with an outcome | completed |
-//! | reserved | its executor's `Release` | none |
-//! | reserved | its time is over | reserved; the executor is probed |
-//! | completed | its time is over | none |
-//! | any | a record of a higher version | that one |
+//! | none | `Replicate` or `Repair`, or a reservation accepted by the local primary | reserved |
+//! | reserved | `RecordOutcome`, or a record with an outcome | completed |
+//! | reserved | `Release` from the executor | none |
+//! | reserved | retention expires | reserved; the executor is probed |
+//! | completed | retention expires | none |
+//! | any | a record of a higher version | replaced by that record |
 
 use std::collections::BTreeMap;
 
 use plovershelf_cluster::NodeId;
 
-use crate::broken::{self, Broken};
+use crate::broken::{self, BrokenRule};
 use crate::context::Context;
 use crate::effects::Effects;
 use crate::message::Message;
@@ -23,9 +23,10 @@
 };
 use crate::timers::KeyTimers;
 
-/// Bytes that a record is counted with beside its result.
+/// Size in bytes that a record is accounted with in addition to its result.
 const RECORD_OVERHEAD_BYTES: usize = 160;
 
+/// A locally stored record.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredRecord {
     pub(crate) reservation: Reservation,
@@ -34,7 +35,7 @@
     pub(crate) round: Round,
     pub(crate) outcome: Option<Outcome>,
     outcome_version: OutcomeVersion,
-    /// All replicas have the outcome, as the primary learnt. It holds of this outcome only and goes with the record.
+    /// Whether all replicas are known to have stored this outcome; known at the primary only.
     outcome_replicated: bool,
     expires_at_ms: f64,
 }
@@ -53,14 +54,14 @@
         }
     }
 
-    /// A record of a higher version takes this one's place.
+    /// Replaces this record by one of a higher version. `outcome_replicated` is preserved if the outcome is the same.
     fn replace(&mut self, record: Record, expires_at_ms: f64) {
         let same_outcome = record.reservation == self.reservation && record.outcome == self.outcome;
         let outcome_replicated = self.outcome_replicated && same_outcome;
         *self = StoredRecord { outcome_replicated, ..StoredRecord::new(record, expires_at_ms) };
     }
 
-    /// The outcome, once all replicas have it.
+    /// Returns the outcome if all replicas are known to have stored it.
     pub(crate) fn replicated_outcome(&self) -> Option<&Outcome> {
         self.outcome.as_ref().filter(|_| self.outcome_replicated)
     }
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The primary accepts the same reservation again, under a new view or in a further round.
+    /// Updates the order and replica set when the primary accepts the same reservation in a new view or round.
     pub(crate) fn reorder(&mut self, order: ReservationOrder, replica_set: Vec<NodeId>, round: Round) {
         (self.order, self.replica_set) = (order, replica_set);
         self.round = self.round.max(round);
@@ -92,32 +93,36 @@
     }
 }
 
-/// Whether a record found room.
+/// Result of storing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub(crate) enum Stored {
-    Yes,
+pub(crate) enum StoreResult {
+    /// The record, or one of a higher version, is stored.
+    Stored,
+    /// A limit of the replica is reached; the record was dropped.
     Full,
 }
 
-/// What became of a record whose time is over.
+/// Result of an expired timer of a record.
 #[derive(Clone, Debug)]
 #[must_use]
 pub(crate) enum Expiry {
-    /// It is kept, for now.
-    Kept(Effects),
-    Forgotten,
+    /// The record is retained and its timer rescheduled.
+    Retained(Effects),
+    /// The record was removed.
+    Removed,
 }
 
-/// An executor's word of how a reservation ended.
+/// Contents of a `RecordOutcome` message.
 #[derive(Clone, Debug)]
-pub(crate) struct OutcomeReport {
+pub(crate) struct RecordOutcomeRequest {
     pub(crate) key: IdempotencyKey,
     pub(crate) reservation: Reservation,
     pub(crate) outcome: Outcome,
     pub(crate) retention_ms: u64,
 }
 
+/// Replica role of the local member: the records that it stores.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replica {
     records: BTreeMap<IdempotencyKey, StoredRecord>,
@@ -126,7 +131,7 @@
 }
 
 impl Replica {
-    // ---- what others may know ------------------------------------------------------------------------
+    // ---- queries -------------------------------------------------------------------------------------
 
     pub(crate) fn len(&self) -> usize {
         self.records.len()
@@ -148,14 +153,14 @@
         self.records.get_mut(&key)
     }
 
-    /// All replicas have the outcome that is stored of a key; returns it.
+    /// Marks a key's stored outcome as stored by all replicas and returns it.
     pub(crate) fn mark_outcome_replicated(&mut self, key: IdempotencyKey) -> Option<&Outcome> {
         let stored = self.records.get_mut(&key)?;
         stored.outcome_replicated = stored.outcome.is_some();
         stored.outcome.as_ref()
     }
 
-    /// As it is sent to others.
+    /// Returns the record of a key in the form sent to other members.
     pub(crate) fn record(&self, key: IdempotencyKey, now_ms: f64) -> Option<Record> {
         Some(self.records.get(&key)?.to_record(now_ms))
     }
@@ -164,9 +169,9 @@
         self.expiries.poll_timeout()
     }
 
-    // ---- what happens to it --------------------------------------------------------------------------
+    // ---- inputs --------------------------------------------------------------------------------------
 
-    /// The primary's reservation. What is stored here is confirmed: that may be a later round already.
+    /// Stores a reservation sent by the primary and confirms the stored round, which may be later than the received one.
     pub(crate) fn handle_replicate(
         &mut self,
         ctx: &Context,
@@ -178,7 +183,7 @@
             return Effects::default();
         }
         let (view, reservation) = (ctx.view(), record.reservation);
-        if self.store(ctx, key, record) == Stored::Full {
+        if self.store(ctx, key, record) == StoreResult::Full {
             return Effects::default();
         }
         match self.records.get(&key) {
@@ -191,15 +196,16 @@
         }
     }
 
-    /// The outcome, from its executor or, after a change of view, from the primary. What is stored here is confirmed, whatever was
-    /// sent. Of another reservation nothing is: its executor learns that it is in doubt, a primary learns nothing.
+    /// Stores an outcome sent by its executor or, during a repair, by the primary. The reply contains the stored outcome,
+    /// which may differ from the received one. If the stored record belongs to another reservation, the executor is sent an
+    /// in-doubt outcome and a primary receives no reply.
     pub(crate) fn handle_record_outcome(
         &mut self,
         ctx: &Context,
         from: NodeId,
-        report: OutcomeReport,
+        request: RecordOutcomeRequest,
     ) -> Effects {
-        let OutcomeReport { key, reservation, outcome, retention_ms } = report;
+        let RecordOutcomeRequest { key, reservation, outcome, retention_ms } = request;
         let (view, local) = (ctx.view(), ctx.local());
         let stored = self.records.get_mut(&key);
         let is_replica = ctx.membership.replica_set(key).contains(&local)
@@ -209,27 +215,27 @@
             return Effects::default();
         }
         let Some(stored) = stored else {
-            if broken::is(Broken::BlankReplicaConfirms) {
+            if broken::is(BrokenRule::EmptyReplicaConfirms) {
                 return Effects::message(from, Message::OutcomeRecorded { view, key, reservation, outcome });
             }
             return Effects::default();
         };
-        let same = stored.reservation == reservation;
-        if !same && !from_executor {
+        let same_reservation = stored.reservation == reservation;
+        if !same_reservation && !from_executor {
             return Effects::default();
         }
-        if stored.outcome.is_none() && same {
-            self.outcome_bytes -= counted_bytes(&stored.outcome);
+        if stored.outcome.is_none() && same_reservation {
+            self.outcome_bytes -= accounted_bytes(&stored.outcome);
             stored.outcome = Some(outcome);
             stored.outcome_version = OutcomeVersion { view, origin: OutcomeOrigin::Executor };
             stored.expires_at_ms = ctx.now_ms + retention_ms as f64;
-            self.outcome_bytes += counted_bytes(&stored.outcome);
+            self.outcome_bytes += accounted_bytes(&stored.outcome);
         }
-        let outcome = stored.outcome.clone().filter(|_| same).unwrap_or(Outcome::InDoubt);
+        let outcome = stored.outcome.clone().filter(|_| same_reservation).unwrap_or(Outcome::InDoubt);
         Effects::message(from, Message::OutcomeRecorded { view, key, reservation, outcome })
     }
 
-    /// Records that a primary has stored here anew; those that found room are confirmed.
+    /// Stores records sent by their primary and confirms those that fit within the limits.
     pub(crate) fn handle_repair(
         &mut self,
         ctx: &Context,
@@ -238,7 +244,9 @@
     ) -> Effects {
         let mut keys = Vec::new();
         for (key, record) in records {
-            if ctx.membership.primary(key) == Some(from) && self.store(ctx, key, record) == Stored::Yes {
+            if ctx.membership.primary(key) == Some(from)
+                && self.store(ctx, key, record) == StoreResult::Stored
+            {
                 keys.push(key);
             }
         }
@@ -249,67 +257,69 @@
         self.expiries.pop()
     }
 
-    /// An outcome whose time is over is forgotten; a reservation that should have ended is asked about.
+    /// Handles a due expiry timer: removes a record with an outcome, or probes the executor of an overdue reservation.
     pub(crate) fn handle_expiry(&mut self, ctx: &Context, key: IdempotencyKey) -> Expiry {
-        let Some(stored) = self.records.get(&key) else { return Expiry::Kept(Effects::default()) };
+        let Some(stored) = self.records.get(&key) else { return Expiry::Retained(Effects::default()) };
         if stored.expires_at_ms > ctx.now_ms {
             self.expiries.schedule(stored.expires_at_ms, key);
-            return Expiry::Kept(Effects::default());
+            return Expiry::Retained(Effects::default());
         }
         if stored.outcome.is_some() {
             self.remove(key);
-            return Expiry::Forgotten;
+            return Expiry::Removed;
         }
         let reservation = stored.reservation;
         self.expiries.schedule(ctx.now_ms + ctx.config.reservation_grace_ms, key);
         let probe = Message::ProbeReservation { view: ctx.view(), key, reservation };
-        Expiry::Kept(Effects::message(reservation.executor, probe))
+        Expiry::Retained(Effects::message(reservation.executor, probe))
     }
 
-    /// Whether an executor may release what is stored of a key: its own reservation, which has not ended.
+    /// Returns whether an executor may release a key: it holds the stored reservation, which has no outcome.
     pub(crate) fn may_release(&self, from: NodeId, key: IdempotencyKey, reservation: Reservation) -> bool {
         self.records.get(&key).is_some_and(|stored| {
             stored.reservation == reservation && reservation.executor == from && stored.outcome.is_none()
         })
     }
 
-    /// Stores a record, unless one of a higher version is there or there is no room.
-    pub(crate) fn store(&mut self, ctx: &Context, key: IdempotencyKey, record: Record) -> Stored {
+    /// Stores a record unless one of a higher version is stored already or a limit is reached.
+    pub(crate) fn store(&mut self, ctx: &Context, key: IdempotencyKey, record: Record) -> StoreResult {
         let expires_at_ms = ctx.now_ms + record.retention_ms as f64;
         match self.records.get_mut(&key) {
             Some(stored) => {
                 let expires_at_ms = stored.expires_at_ms.max(expires_at_ms);
                 if record.version() > stored.version() {
-                    let before = counted_bytes(&stored.outcome);
+                    let previous_bytes = accounted_bytes(&stored.outcome);
                     stored.replace(record, expires_at_ms);
-                    self.outcome_bytes = self.outcome_bytes + counted_bytes(&stored.outcome) - before;
+                    self.outcome_bytes =
+                        self.outcome_bytes + accounted_bytes(&stored.outcome) - previous_bytes;
                 } else {
                     stored.expires_at_ms = expires_at_ms;
                 }
             }
             None => {
-                let bytes = counted_bytes(&record.outcome);
+                let bytes = accounted_bytes(&record.outcome);
                 if self.records.len() >= ctx.config.max_records
                     || self.outcome_bytes + bytes > ctx.config.max_outcome_bytes
                 {
-                    return Stored::Full;
+                    return StoreResult::Full;
                 }
                 self.outcome_bytes += bytes;
                 self.records.insert(key, StoredRecord::new(record, expires_at_ms));
                 self.expiries.schedule(expires_at_ms, key);
             }
         }
-        Stored::Yes
+        StoreResult::Stored
     }
 
     pub(crate) fn remove(&mut self, key: IdempotencyKey) {
         if let Some(stored) = self.records.remove(&key) {
-            self.outcome_bytes -= counted_bytes(&stored.outcome);
+            self.outcome_bytes -= accounted_bytes(&stored.outcome);
         }
     }
 }
 
-fn counted_bytes(outcome: &Option<Outcome>) -> usize {
+/// Returns the size in bytes that a record with this outcome is accounted with.
+fn accounted_bytes(outcome: &Option<Outcome>) -> usize {
     match outcome {
         Some(Outcome::Succeeded(result)) => result.len() + RECORD_OVERHEAD_BYTES,
         _ => RECORD_OVERHEAD_BYTES,
--- a/crates/plovershelf-replication/src/replicator.rs
+++ b/crates/plovershelf-replication/src/replicator.rs
@@ -1,17 +1,17 @@
-//! One member's part in replication: the inputs, in the order in which a driver calls them, and what they lead to.
+//! The state machine of one member: its inputs, in the order in which a driver calls them, and their dispatch to the roles.
 //!
-//! The ordinary path of a keyed request:
+//! Normal path of a keyed request:
 //!
-//! 1. [`Replicator::reserve`]: the executor asks the key's primary, which orders the reservation among others, stores it and
-//!    passes it to the other replicas. All confirm it to the executor, which launches: one and a half round trips.
-//! 2. [`Replicator::complete`]: the executor sends the outcome to all replicas. When all have confirmed it the backend
-//!    answers: one round trip.
+//! 1. [`Replicator::reserve`]: the executor sends `Reserve` to the key's primary, which orders and stores the reservation and
+//!    replicates it. All replicas confirm it to the executor, which launches the request after one and a half round trips.
+//! 2. [`Replicator::complete`]: the executor sends the outcome to all replicas. The backend answers once all have confirmed
+//!    it, after one round trip.
 //!
-//! Every message carries the view under which it is sent, and a member in another view drops it: of two views' replica sets
-//! at most one can confirm. No lease is needed for that.
+//! Every message includes the sender's view, and a member in a different view drops it. Therefore at most one view's replica
+//! set can confirm a reservation or an outcome, without leases.
 //!
-//! After a change of view come [reconciliation](crate::reconciliation) and [repair](crate::repair); until then a suspected
-//! replica is [skipped](crate::skipping). A member leaves by [handoff](crate::handoff).
+//! A view change triggers [reconciliation](crate::reconciliation) and [repair](crate::repair). Before the view changes,
+//! suspected replicas are [replaced](crate::replica_substitution). A member leaves by [handoff](crate::handoff).
 
 use std::collections::BTreeSet;
 
@@ -26,17 +26,17 @@
 use crate::message::Message;
 use crate::placement::{IdempotencyKey, Member};
 use crate::primary::{Primary, ReserveRequest};
-use crate::reconciliation::{resolve, Collected, Evidence, Reconciliation, ReportStatus, Resolution};
+use crate::reconciliation::{resolve, CollectedReports, KeyState, Reconciliation, ReportStatus, Resolution};
 use crate::record::{Outcome, Record, RequestId, Reservation, ViewNumber};
 use crate::repair::{Progress, Repair, RepairContent};
-use crate::replica::{Expiry, OutcomeReport, Replica, Stored};
-use crate::skipping::{SuspectedMembers, Update};
+use crate::replica::{Expiry, RecordOutcomeRequest, Replica, StoreResult};
+use crate::replica_substitution::{SuspectedMembers, Update};
 
-/// A timeout is never nearer than this, so that a driver makes progress. Milliseconds.
+/// Minimum delay in milliseconds until the next timeout, so that the driver's clock advances between two timeouts.
 const MIN_TIMEOUT_MS: f64 = 1.0;
 
-/// The state machine of one member: executor, primary and replica of any number of keys. Times are in milliseconds on the
-/// driver's clock.
+/// Replication state machine of one member, which acts as executor, primary and replica for any number of keys. All times are
+/// in milliseconds on the driver's clock.
 #[derive(Clone, Debug)]
 pub struct Replicator {
     ctx: Context,
@@ -50,7 +50,7 @@
 }
 
 impl Replicator {
-    /// A member that knows no view yet, and so takes no reservation.
+    /// Creates a member without a view. It rejects all reservations until [`update_view`](Self::update_view) is called.
     pub fn new(local: NodeId, config: ReplicationConfig, now_ms: f64) -> Self {
         let membership = Membership::new(local, config.replication_factor);
         Replicator {
@@ -67,8 +67,9 @@
 
     // ---- inputs of the local backend -----------------------------------------------------------------
 
-    /// A keyed request was admitted: it may be launched once its reservation is replicated, until `deadline_ms`. Its outcome is
-    /// kept for `retention_ms`. What becomes of the returned request is told by [`Event`](crate::Event)s; exactly one of them ends it.
+    /// Starts the reservation of an admitted request's key and returns the request's id. The request may be launched once the
+    /// reservation is replicated, at the latest at `deadline_ms`. Its outcome is retained for `retention_ms`. Progress is
+    /// reported by [`Event`](crate::Event)s, exactly one of which ends the request.
     pub fn reserve(
         &mut self,
         now_ms: f64,
@@ -82,28 +83,29 @@
         request
     }
 
-    /// The backend's run of a request ended.
+    /// Records the outcome of the backend's run of a request and starts replicating it.
     pub fn complete(&mut self, now_ms: f64, request: RequestId, outcome: Outcome) {
         self.ctx.now_ms = now_ms;
         let effects = self.executor.complete(&self.ctx, request, outcome);
         self.apply(effects);
     }
 
-    /// A request that was to be launched surely was not: it is released.
+    /// Releases a request that was reported as `Launch` but that the backend did not launch.
     pub fn cancel_launch(&mut self, now_ms: f64, request: RequestId) {
         self.ctx.now_ms = now_ms;
         let effects = self.executor.cancel_launch(&self.ctx, request);
         self.apply(effects);
     }
 
-    /// The client is gone, or the deadline has come: a request that was not launched is released. A launched one is not changed.
+    /// Cancels a request whose client disconnected or whose deadline passed. It is released unless it was launched; a
+    /// launched request is not affected.
     pub fn cancel(&mut self, now_ms: f64, request: RequestId) {
         self.ctx.now_ms = now_ms;
         let effects = self.executor.cancel(&self.ctx, request);
         self.apply(effects);
     }
 
-    /// The local member leaves: it asks all others whether they have their replicas without it.
+    /// Starts the handoff of the local member, which asks all other members for permission to leave.
     pub fn start_handoff(&mut self, now_ms: f64) {
         self.ctx.now_ms = now_ms;
         self.handoff.start(now_ms);
@@ -111,7 +113,7 @@
 
     // ---- inputs of the group -------------------------------------------------------------------------
 
-    /// These members may be gone; reservations that wait for one of them are begun anew with others.
+    /// Updates the suspected members. Reservations that wait for one of them are restarted with other replicas.
     pub fn update_suspected(&mut self, now_ms: f64, suspected: BTreeSet<NodeId>) {
         self.ctx.now_ms = now_ms;
         if self.ctx.suspected.update(suspected) == Update::Unchanged {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A view was agreed on. One that is not newer than the current one is ignored.
+    /// Installs a view agreed on by the group. Views that are not newer than the current one are ignored.
     pub fn update_view(&mut self, now_ms: f64, view: ViewNumber, members: Vec<Member>) {
         self.ctx.now_ms = now_ms;
         let current = self.ctx.view();
@@ -144,17 +146,17 @@
         self.reconcile();
     }
 
-    /// A message of another member has come.
+    /// Handles a message from another member.
     pub fn handle_message(&mut self, now_ms: f64, from: NodeId, message: Message) {
         self.ctx.now_ms = now_ms;
-        // The fence between views: the sender sends it again under the view that both are in.
+        // Drops messages of other views; the sender retransmits once both members are in the same view.
         if message.view() != self.ctx.view() || !self.ctx.membership.contains(from) {
             return;
         }
         self.dispatch(from, message);
     }
 
-    /// The time of [`poll_timeout`](Self::poll_timeout) has come, or any other.
+    /// Handles all due timeouts. It may be called at any time, at the latest when [`poll_timeout`](Self::poll_timeout) is due.
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.ctx.now_ms = now_ms;
         for request in self.executor.due_requests(now_ms) {
@@ -169,9 +171,9 @@
         self.apply(effects);
     }
 
-    // ---- what the driver asks ------------------------------------------------------------------------
+    // ---- outputs and queries -------------------------------------------------------------------------
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due at the latest.
+    /// Returns the latest time at which [`handle_timeout`](Self::handle_timeout) must be called.
     pub fn poll_timeout(&self) -> f64 {
         [
             self.executor.poll_timeout(),
@@ -185,69 +187,69 @@
         .max(self.ctx.now_ms + MIN_TIMEOUT_MS)
     }
 
-    /// What is to be carried out since the last call.
+    /// Returns the actions produced since the last call.
     pub fn poll_actions(&mut self) -> Actions {
         std::mem::take(&mut self.actions)
     }
 
-    /// The current view; 0 before the first one.
+    /// Returns the current view; 0 before the first one.
     pub fn view(&self) -> ViewNumber {
         self.ctx.view()
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn config(&self) -> &ReplicationConfig {
         &self.ctx.config
     }
 
-    /// Whether this member orders all keys whose primary it is, or still waits for others' reports.
+    /// Returns whether this member has received all members' reports and orders reservations of all keys whose primary it is.
     pub fn is_reconciled(&self) -> bool {
         self.reconciliation.collector.is_reconciled()
     }
 
-    /// Whether this member leaves and may go: its requests have ended and all others have their replicas without it.
+    /// Returns whether this member is leaving and may stop: its requests have ended and all other members permitted it.
     pub fn is_handoff_complete(&self) -> bool {
         self.executor.is_idle() && self.handoff.is_permitted(&self.ctx)
     }
 
-    /// Records stored here.
+    /// Returns the number of locally stored records.
     pub fn record_count(&self) -> usize {
         self.replica.len()
     }
 
-    /// Bytes that their outcomes are counted with.
+    /// Returns the accounted size of the locally stored outcomes, in bytes.
     pub fn outcome_bytes(&self) -> usize {
         self.replica.outcome_bytes()
     }
 
-    /// Keys whose primary this member is and that lack replicas.
+    /// Returns the number of keys whose primary this member is and whose repair is not complete.
     pub fn under_replicated_count(&self) -> usize {
         self.repair.len()
     }
 
-    /// The requests of the local backend.
+    /// Returns the number of the local backend's requests in each phase.
     pub fn request_counts(&self) -> RequestCounts {
         self.executor.counts()
     }
 
-    /// Where the current view places a key, its primary in front.
+    /// Returns a key's replicas in the current view, the primary first.
     pub fn replica_set(&self, key: IdempotencyKey) -> Vec<NodeId> {
         self.ctx.membership.replica_set(key)
     }
 
-    /// Who holds a key by what is stored here, and how it ended.
+    /// Returns the locally stored reservation of a key and its outcome, if any.
     pub fn find(&self, key: IdempotencyKey) -> Option<(Reservation, Option<&Outcome>)> {
         self.replica.get(key).map(|stored| (stored.reservation, stored.outcome.as_ref()))
     }
 
-    /// What is stored of a key here.
+    /// Returns the locally stored record of a key.
     pub fn record(&self, key: IdempotencyKey) -> Option<Record> {
         self.replica.record(key, self.ctx.now_ms)
     }
 
-    // ---- steps ---------------------------------------------------------------------------------------
+    // ---- internal steps ------------------------------------------------------------------------------
 
-    /// Carries effects out in order. A message to the local member is handled at once, before the effects that follow it.
+    /// Applies effects in order. A message to the local member is handled immediately, before the effects that follow it.
     fn apply(&mut self, effects: Effects) {
         for effect in effects.0 {
             match effect {
@@ -260,7 +262,7 @@
         }
     }
 
-    /// To the role that a message is for.
+    /// Passes a message to the role that handles it.
     fn dispatch(&mut self, from: NodeId, message: Message) {
         let Self { ctx, executor, replica, .. } = self;
         let effects = match message {
@@ -276,8 +278,8 @@
             }
             Message::Released { key, .. } => executor.handle_released(ctx, from, key),
             Message::RecordOutcome { key, reservation, outcome, retention_ms, .. } => {
-                let report = OutcomeReport { key, reservation, outcome, retention_ms };
-                replica.handle_record_outcome(ctx, from, report)
+                let request = RecordOutcomeRequest { key, reservation, outcome, retention_ms };
+                replica.handle_record_outcome(ctx, from, request)
             }
             Message::OutcomeRecorded { key, reservation, outcome, .. } => {
                 self.handle_outcome_recorded(from, key, reservation, outcome)
@@ -322,15 +324,15 @@
         primary.handle_reserve(ctx, request, replica, repair)
     }
 
-    /// An executor says that all replicas have its outcome.
+    /// Handles an executor's confirmation that all replicas have stored its outcome.
     fn handle_outcome_replicated(
         &mut self,
         from: NodeId,
         key: IdempotencyKey,
         reservation: Reservation,
     ) -> Effects {
-        let stored = self.replica.get(key).is_some_and(|stored| stored.reservation == reservation);
-        if !stored || reservation.executor != from {
+        let is_stored = self.replica.get(key).is_some_and(|stored| stored.reservation == reservation);
+        if !is_stored || reservation.executor != from {
             return Effects::default();
         }
         self.primary.handle_outcome_replicated(&self.ctx, key, &mut self.replica)
@@ -344,18 +346,18 @@
         }
     }
 
-    /// A key is free again: those that wait are told.
+    /// Removes the record of a key and notifies the attempts that wait for it.
     fn release(&mut self, key: IdempotencyKey) -> Effects {
         let mut effects = Effects::default();
         self.replica.remove(key);
-        self.repair.forget(key);
-        for waiter in self.primary.forget(key) {
+        self.repair.cancel(key);
+        for waiter in self.primary.take_waiters(key) {
             effects.send(waiter.executor, Message::Released { view: self.ctx.view(), key });
         }
         effects
     }
 
-    /// A replica stores an outcome: the local executor may have asked for it, or the repair of a key.
+    /// Handles a replica's confirmation of an outcome, for the local executor and for an ongoing repair.
     fn handle_outcome_recorded(
         &mut self,
         from: NodeId,
@@ -369,7 +371,7 @@
         let mut effects = self.executor.handle_outcome_recorded(&self.ctx, from, (key, reservation), outcome);
         if is_stored_here {
             let progress = self.repair.handle_outcome_recorded(from, key);
-            effects.append(self.after_repair(key, progress));
+            effects.append(self.handle_repair_progress(key, progress));
         }
         effects
     }
@@ -378,13 +380,13 @@
         let mut effects = Effects::default();
         for key in keys {
             let progress = self.repair.handle_repaired(from, key);
-            effects.append(self.after_repair(key, progress));
+            effects.append(self.handle_repair_progress(key, progress));
         }
         effects
     }
 
-    /// Only the confirmation of an outcome lets others be answered with it.
-    fn after_repair(&mut self, key: IdempotencyKey, progress: Progress) -> Effects {
+    /// Sends an outcome to waiting attempts once its repair is complete. A completed repair of a reservation has no effect.
+    fn handle_repair_progress(&mut self, key: IdempotencyKey, progress: Progress) -> Effects {
         if progress == Progress::Complete(RepairContent::Outcome) {
             self.primary.handle_outcome_replicated(&self.ctx, key, &mut self.replica)
         } else {
@@ -392,16 +394,17 @@
         }
     }
 
-    /// Another member leaves: it may go once all keys whose primary the local member is have their replicas without it.
+    /// Permits another member to leave once all keys whose primary is the local member are replicated without it.
     fn handle_request_leave(&mut self, from: NodeId) -> Effects {
-        let may_hold_records = self.ctx.membership.accepts_records(from);
-        if may_hold_records || !self.reconciliation.is_complete() || self.repair.len() > 0 {
+        let may_store_records = self.ctx.membership.accepts_records(from);
+        if may_store_records || !self.reconciliation.is_complete() || self.repair.len() > 0 {
             return Effects::default();
         }
         Effects::message(from, Message::PermitLeave { view: self.ctx.view() })
     }
 
-    /// What the local member stores of its own keys, and all that it executes.
+    /// Adds the local member's own report to the collector: its records of the keys whose primary it is, and its active
+    /// requests.
     fn collect_local_report(&mut self) {
         let Self { ctx, reconciliation, replica, executor, .. } = self;
         let own = replica.keys().filter(|key| ctx.membership.is_primary(*key));
@@ -417,38 +420,38 @@
         }
     }
 
-    /// Once all members have reported: each key is resolved, and those with fewest replicas left are repaired first.
+    /// Resolves each reported key once all members have reported, and repairs the keys with the fewest replicas first.
     fn reconcile(&mut self) {
         let Some(collected) = self.reconciliation.collector.finish(&self.ctx.membership) else { return };
-        let Collected { records, active } = collected;
+        let CollectedReports { records, active } = collected;
         let mut records: Vec<(IdempotencyKey, Vec<(NodeId, Record)>)> = records.into_iter().collect();
         records.sort_by_key(|(_, reports)| reports.len());
         let interval_ms = self.ctx.config.batch_interval_ms() / self.ctx.config.batch_size as f64;
-        for (place, (key, reports)) in records.into_iter().enumerate() {
+        for (index, (key, reports)) in records.into_iter().enumerate() {
             let stored = self.replica.record(key, self.ctx.now_ms);
-            let evidence = Evidence { key, reports: &reports, stored: stored.as_ref(), active: &active };
-            match resolve(&self.ctx, evidence) {
+            let state = KeyState { key, reports: &reports, stored: stored.as_ref(), active: &active };
+            match resolve(&self.ctx, state) {
                 Resolution::Unchanged => {}
                 Resolution::Release => {
                     let effects = self.release(key);
                     self.apply(effects);
                 }
                 Resolution::Store(record) => {
-                    self.start_repair(key, record, self.ctx.now_ms + interval_ms * place as f64);
+                    self.start_repair(key, record, self.ctx.now_ms + interval_ms * index as f64);
                 }
             }
         }
     }
 
-    /// Stores what a key was resolved to, and has its other replicas store it from `at_ms` on.
+    /// Stores the resolved record of a key and schedules its repair on the other replicas for `at_ms`.
     fn start_repair(&mut self, key: IdempotencyKey, record: Record, at_ms: f64) {
-        let content = RepairContent::of(&record);
-        if self.replica.store(&self.ctx, key, record) == Stored::Full {
+        let content = RepairContent::from_record(&record);
+        if self.replica.store(&self.ctx, key, record) == StoreResult::Full {
             return;
         }
-        let lacking = self.ctx.remote(self.ctx.membership.replica_set(key));
-        let is_only_replica = lacking.is_empty();
-        self.repair.start(key, content, lacking);
+        let others = self.ctx.remote_replicas(self.ctx.membership.replica_set(key));
+        let is_only_replica = others.is_empty();
+        self.repair.start(key, content, others);
         self.repair.schedule(at_ms, key);
         if is_only_replica {
             let effects = self.primary.handle_outcome_replicated(&self.ctx, key, &mut self.replica);
@@ -456,7 +459,7 @@
         }
     }
 
-    /// Repairs and expiries that are due, in the order of their times and no more than a batch.
+    /// Handles due repairs and record expiries in order of time, at most one batch per call.
     fn handle_key_timers(&mut self) {
         for _ in 0..self.ctx.config.batch_size {
             let (repair_at_ms, expiry_at_ms) = (self.repair.poll_timeout(), self.replica.next_expiry());
@@ -479,10 +482,10 @@
     fn expire(&mut self) -> Effects {
         let Some(key) = self.replica.pop_expiry() else { return Effects::default() };
         match self.replica.handle_expiry(&self.ctx, key) {
-            Expiry::Kept(effects) => effects,
-            Expiry::Forgotten => {
-                self.primary.forget(key);
-                self.repair.forget(key);
+            Expiry::Retained(effects) => effects,
+            Expiry::Removed => {
+                self.primary.take_waiters(key);
+                self.repair.cancel(key);
                 Effects::default()
             }
         }
--- a/crates/plovershelf-replication/src/test_support.rs
+++ b/crates/plovershelf-replication/src/test_support.rs
@@ -1,4 +1,4 @@
-//! A context and records for the tests of single modules.
+//! Helpers for unit tests: a context, records, and access to sent messages.
 
 use plovershelf_cluster::NodeId;
 
@@ -9,11 +9,11 @@
 use crate::message::Message;
 use crate::placement::{IdempotencyKey, Member};
 use crate::record::{OutcomeVersion, Record, RequestId, Reservation, ReservationOrder, Round, ViewNumber};
-use crate::skipping::SuspectedMembers;
+use crate::replica_substitution::SuspectedMembers;
 
 pub(crate) const KEY: IdempotencyKey = IdempotencyKey(17);
 
-/// A local member in a view, each member in a zone of its own.
+/// Returns the context of a local member in a view whose members are each in a separate zone.
 pub(crate) fn context(local: u64, view: u64, members: &[u64]) -> Context {
     let config = ReplicationConfig::default();
     let mut membership = Membership::new(NodeId(local), config.replication_factor);
@@ -27,7 +27,7 @@
     Reservation { executor: NodeId(executor), request: RequestId(1) }
 }
 
-/// A reservation of view 1 that all of a replica set had to confirm.
+/// Returns the record of a reservation accepted in view 1 without an outcome.
 pub(crate) fn reserved(executor: u64, replica_set: &[u64]) -> Record {
     Record {
         reservation: reservation(executor),
--- a/crates/plovershelf-replication/src/timers.rs
+++ b/crates/plovershelf-replication/src/timers.rs
@@ -1,13 +1,14 @@
-//! A queue of keys by the time at which each is due.
+//! A timer queue of idempotency keys.
 
 use std::collections::BTreeSet;
 
 use crate::placement::IdempotencyKey;
 
-/// Times are in milliseconds. A key may stand in it several times; its owner decides on each whether anything is left to do.
+/// Keys ordered by due time, in milliseconds. A key may be scheduled several times; when it is due, the owner checks whether
+/// there is still work to do.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyTimers {
-    /// The bits of a float that is not negative order as the float does.
+    /// Due times as IEEE 754 bits, which sort like the values as long as these are not negative.
     queue: BTreeSet<(u64, IdempotencyKey)>,
 }
 
@@ -16,7 +17,7 @@
         self.queue.insert((at_ms.max(0.0).to_bits(), key));
     }
 
-    /// When the first key is due; infinite where there is none.
+    /// Returns the time at which the first key is due, or infinity if none is scheduled.
     pub(crate) fn poll_timeout(&self) -> f64 {
         self.queue.first().map_or(f64::INFINITY, |(at, _)| f64::from_bits(*at))
     }
--- a/crates/plovershelf-replication/tests/checker.rs
+++ b/crates/plovershelf-replication/tests/checker.rs
@@ -1,86 +1,99 @@
-//! One key walked through completely by a model checker, within the bounds that each test names: never two effects, and one
-//! outcome for all attempts.
+//! Model checking of a single key within the fault budget of each test: the request is launched at most once, and all attempts
+//! receive the same outcome.
 
-mod walk;
+mod model;
 
+use model::{replica_indices, FaultBudget, KeyModel};
 use stateright::{Checker, Model};
-use walk::{replica_places, Budget, KeyModel};
 
-const NOTHING: Budget = Budget { crashes: 0, duplicates: 0, breaks: 0, cancels: 0, suspicions: 0 };
+const NO_FAULTS: FaultBudget =
+    FaultBudget { crashes: 0, duplicates: 0, link_failures: 0, cancels: 0, suspicions: 0 };
 
-/// All states of three members with three replicas.
-fn complete(what: &str, attempts: [usize; 2], budget: Budget) {
-    let replicas = replica_places(3, 3);
-    let attempts = attempts.iter().map(|place| replicas[*place]).collect();
+/// Explores all states of three members with three replicas and asserts the model's properties.
+fn check_all_states(scenario: &str, attempts: [usize; 2], budget: FaultBudget) {
+    let replicas = replica_indices(3, 3);
+    let attempts = attempts.iter().map(|index| replicas[*index]).collect();
     let checker = KeyModel { members: 3, replication_factor: 3, attempts, budget }
         .checker()
         .threads(4)
         .spawn_dfs()
         .join();
     checker.assert_properties();
-    println!("{what}: {} states, complete", checker.unique_state_count());
+    println!("{scenario}: {} states, complete", checker.unique_state_count());
 }
 
-/// Two attempts come at once, at two backends or one; with a message that comes twice, a broken link, a client that gives up.
-/// At most one may be launched, and both must be answered alike.
+/// Two concurrent attempts arrive at one or two backends, without faults or with a duplicated message, a failed link or a
+/// cancelled attempt. At most one may be launched, and both must receive the same outcome.
 #[test]
-fn two_attempts_at_once_are_launched_once_and_answered_alike() {
-    complete("two attempts", [1, 2], NOTHING);
-    complete("two attempts at one backend", [1, 1], NOTHING);
-    complete("a message twice", [1, 2], Budget { duplicates: 1, ..NOTHING });
-    complete("a broken link", [1, 2], Budget { breaks: 1, ..NOTHING });
-    complete("a client that gives up", [1, 2], Budget { cancels: 1, ..NOTHING });
+fn two_concurrent_attempts_are_launched_once_and_get_the_same_outcome() {
+    check_all_states("two attempts", [1, 2], NO_FAULTS);
+    check_all_states("two attempts at one backend", [1, 1], NO_FAULTS);
+    check_all_states("a duplicated message", [1, 2], FaultBudget { duplicates: 1, ..NO_FAULTS });
+    check_all_states("a failed link", [1, 2], FaultBudget { link_failures: 1, ..NO_FAULTS });
+    check_all_states("a cancelled attempt", [1, 2], FaultBudget { cancels: 1, ..NO_FAULTS });
 }
 
-/// A machine is lost at any moment, be it the executor, the primary or another. The same must hold.
+/// A machine fails at any point, whether it is the executor, the primary or another replica. The properties must hold.
 #[test]
-fn machine_lost_at_any_moment_causes_no_second_effect() {
-    complete("one lost", [1, 2], Budget { crashes: 1, ..NOTHING });
-    complete("one lost, an attempt at the primary", [0, 1], Budget { crashes: 1, ..NOTHING });
-    complete("one lost and a message twice", [0, 1], Budget { crashes: 1, duplicates: 1, ..NOTHING });
-    complete("one lost and a broken link", [1, 2], Budget { crashes: 1, breaks: 1, ..NOTHING });
-    complete("one lost and a client that gives up", [1, 2], Budget { crashes: 1, cancels: 1, ..NOTHING });
+fn machine_failure_at_any_point_causes_no_second_launch() {
+    check_all_states("one crash", [1, 2], FaultBudget { crashes: 1, ..NO_FAULTS });
+    check_all_states("one crash, an attempt at the primary", [0, 1], FaultBudget { crashes: 1, ..NO_FAULTS });
+    check_all_states(
+        "one crash and a duplicated message",
+        [0, 1],
+        FaultBudget { crashes: 1, duplicates: 1, ..NO_FAULTS },
+    );
+    check_all_states(
+        "one crash and a failed link",
+        [1, 2],
+        FaultBudget { crashes: 1, link_failures: 1, ..NO_FAULTS },
+    );
+    check_all_states(
+        "one crash and a cancelled attempt",
+        [1, 2],
+        FaultBudget { crashes: 1, cancels: 1, ..NO_FAULTS },
+    );
 }
 
-/// Two machines of three are lost one after the other. The same must hold with the one replica that is left.
+/// Two of three machines fail one after the other. The properties must hold with the one remaining replica.
 #[test]
-fn two_machines_lost_one_after_the_other_cause_no_second_effect() {
-    complete("two lost", [1, 2], Budget { crashes: 2, ..NOTHING });
+fn two_successive_machine_failures_cause_no_second_launch() {
+    check_all_states("two crashes", [1, 2], FaultBudget { crashes: 2, ..NO_FAULTS });
 }
 
-/// Of four members with three replicas one suspects another, rightly or not, before or while a machine is lost: reservations are
-/// begun anew with the fourth. The same must hold.
+/// With four members and three replicas, a member suspects another, correctly or not, before or during a machine failure, and
+/// reservations are restarted with the fourth member. The properties must hold.
 #[test]
-fn replica_skipped_while_a_machine_is_lost_causes_no_second_effect() {
-    let four = |attempts: &[usize], budget: Budget, most: usize| {
-        let placed = replica_places(4, 3);
-        let attempts = attempts.iter().map(|place| placed[*place]).collect();
+fn replica_substitution_during_a_machine_failure_causes_no_second_launch() {
+    let check_four_members = |attempts: &[usize], budget: FaultBudget, max_states: usize| {
+        let placed = replica_indices(4, 3);
+        let attempts = attempts.iter().map(|index| placed[*index]).collect();
         let model = KeyModel { members: 4, replication_factor: 3, attempts, budget };
-        let checker = model.checker().threads(4).target_state_count(most).spawn_dfs().join();
-        checker.assert_no_discovery("no effect twice");
-        checker.assert_no_discovery("one verdict for all");
+        let checker = model.checker().threads(4).target_state_count(max_states).spawn_dfs().join();
+        checker.assert_no_discovery("at most one launch");
+        checker.assert_no_discovery("same outcome for all attempts");
         println!("a suspicion, {budget:?}: {} states", checker.unique_state_count());
     };
-    four(&[1], Budget { suspicions: 1, ..NOTHING }, usize::MAX);
-    four(&[1], Budget { suspicions: 2, crashes: 1, ..NOTHING }, 400_000);
-    four(&[0, 1], Budget { suspicions: 1, crashes: 1, ..NOTHING }, 400_000);
+    check_four_members(&[1], FaultBudget { suspicions: 1, ..NO_FAULTS }, usize::MAX);
+    check_four_members(&[1], FaultBudget { suspicions: 2, crashes: 1, ..NO_FAULTS }, 400_000);
+    check_four_members(&[0, 1], FaultBudget { suspicions: 1, crashes: 1, ..NO_FAULTS }, 400_000);
 }
 
-/// Five members with three replicas: too many states to walk all of them in a test, so the first million.
+/// Five members with three replicas have too many states to explore completely in a test, so the number of states is bounded.
 #[test]
-#[ignore = "takes a minute; its size stands in docs/replication.md"]
-fn five_members_as_far_as_a_million_states() {
-    let replicas = replica_places(5, 3);
+#[ignore = "takes a minute; the state counts are in docs/replication.md"]
+fn five_members_up_to_a_bounded_number_of_states() {
+    let replicas = replica_indices(5, 3);
     let outside = (0..5).find(|member| !replicas.contains(member)).unwrap_or(0);
     for attempts in [vec![replicas[1]], vec![outside, replicas[0]]] {
         let model = KeyModel {
             members: 5,
             replication_factor: 3,
             attempts,
-            budget: Budget { crashes: 1, ..NOTHING },
+            budget: FaultBudget { crashes: 1, ..NO_FAULTS },
         };
         let checker = model.checker().threads(4).target_state_count(8_000_000).spawn_dfs().join();
-        checker.assert_no_discovery("no effect twice");
-        checker.assert_no_discovery("one verdict for all");
+        checker.assert_no_discovery("at most one launch");
+        checker.assert_no_discovery("same outcome for all attempts");
     }
 }
--- a/crates/plovershelf-replication/tests/pins.rs
+++ b/crates/plovershelf-replication/tests/pins.rs
@@ -1,7 +1,8 @@
-//! The bytes of every message between members, and of what stands in them, as members of another build write and read them.
+//! Pins the encoding of every message between members, and of the types in them, for compatibility between builds.
 //!
-//! The fixture is one line a value: its name, then its bytes in hex. It was written once
-//! (`cargo test --test pins -- --ignored write_fixture`) and is not written again: a member that is updated talks to members that are not.
+//! Each line of the fixture contains a value's name and its bytes in hex. The fixture was written once
+//! (`cargo test --test pins -- --ignored write_fixture`) and must not be rewritten: during an upgrade, updated members exchange
+//! messages with members of the previous build.
 
 use std::fmt::Debug;
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// Three zones, two members on one machine, and weights that differ.
+/// Returns nine members in three zones, two of them on one machine, with different weights.
 fn nine_members() -> Vec<Member> {
     let member = |n: u64| Member {
         id: NodeId(n * 7919),
@@ -60,7 +61,7 @@
     (1..=9).map(member).collect()
 }
 
-/// One value of each kind, each field another value. The view is another for each, too.
+/// Returns messages of every variant, with distinct values in all fields and a different view in each message.
 fn messages() -> Vec<(&'static str, Message)> {
     let mut messages = messages_of_a_request();
     messages.extend(messages_after_a_view_change());
@@ -72,7 +73,8 @@
     let (key, reservation) = (KEY, RESERVATION);
     let replica_set = vec![NodeId(31), NodeId(32), NodeId(33)];
     let view = ViewNumber;
-    let held = |number, outcome| Message::HeldByAnother { view: view(number), key, reservation, outcome };
+    let held_by_another =
+        |number, outcome| Message::HeldByAnother { view: view(number), key, reservation, outcome };
     let (succeeded, in_doubt) = (succeeded(), Outcome::InDoubt);
     vec![
         (
@@ -84,8 +86,8 @@
             "message_reserved",
             Message::Reserved { view: view(103), key, reservation, round: Round(42), replica_set },
         ),
-        ("message_held_by_another_open", held(104, None)),
-        ("message_held_by_another_completed", held(105, Some(succeeded.clone()))),
+        ("message_held_by_another_open", held_by_another(104, None)),
+        ("message_held_by_another_completed", held_by_another(105, Some(succeeded.clone()))),
         ("message_released", Message::Released { view: view(106), key }),
         (
             "message_record_outcome",
@@ -133,27 +135,27 @@
     ]
 }
 
-/// Reads bytes back and compares them with a value.
-type ReadBack = Box<dyn Fn(&[u8])>;
+/// Decodes bytes and asserts that they equal a value.
+type DecodeCheck = Box<dyn Fn(&[u8])>;
 
-/// A message or a part of one, whose bytes are pinned.
+/// A named value with its encoding.
 struct Pin {
     name: &'static str,
     bytes: Vec<u8>,
-    /// Reads bytes back and compares them with the value.
-    reads_back: ReadBack,
+    /// Decodes bytes and asserts that they equal the value.
+    check_decoded: DecodeCheck,
 }
 
 fn pin<T>(name: &'static str, value: T) -> Pin
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
-    let bytes = postcard::to_stdvec(&value).expect("it can be written");
-    let reads_back = move |bytes: &[u8]| {
-        let (read, rest) = postcard::take_from_bytes::<T>(bytes).expect("it can be read");
-        assert_eq!((&read, rest.len()), (&value, 0), "{name}");
+    let bytes = postcard::to_stdvec(&value).expect("value can be encoded");
+    let check_decoded = move |bytes: &[u8]| {
+        let (decoded, rest) = postcard::take_from_bytes::<T>(bytes).expect("bytes can be decoded");
+        assert_eq!((&decoded, rest.len()), (&value, 0), "{name}");
     };
-    Pin { name, bytes, reads_back: Box::new(reads_back) }
+    Pin { name, bytes, check_decoded: Box::new(check_decoded) }
 }
 
 fn pins() -> Vec<Pin> {
@@ -166,7 +168,7 @@
         pin("record_open", open_record()),
         pin("record_completed", completed_record()),
         pin("key", KEY),
-        // Members of all builds must hash a key alike, and draw the same members for it.
+        // Members of all builds must hash a key to the same value and select the same replicas for it.
         pin("key_of_class_and_text", IdempotencyKey::new("book", b"ticket-17")),
         pin("replica_set", replica_set(IdempotencyKey::new("book", b"ticket-17"), &nine_members(), 3)),
         pin("replica_set_of_all_machines", replica_set(KEY, &nine_members(), 9)),
@@ -179,26 +181,30 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex");
+    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn every_value_is_written_and_read_as_the_fixture_has_it() {
+fn every_value_matches_the_fixture_when_encoded_and_decoded() {
     let lines: Vec<(&str, &str)> = FIXTURE.lines().filter_map(|line| line.split_once(' ')).collect();
     let pins = pins();
     let names: Vec<&str> = pins.iter().map(|pin| pin.name).collect();
-    assert_eq!(lines.iter().map(|(name, _)| *name).collect::<Vec<_>>(), names, "a line for each value");
+    assert_eq!(
+        lines.iter().map(|(name, _)| *name).collect::<Vec<_>>(),
+        names,
+        "the fixture has one line per value"
+    );
     for (pin, (name, expected)) in pins.iter().zip(lines) {
         assert_eq!(hex(&pin.bytes), expected, "{name}");
-        (pin.reads_back)(&unhex(expected));
+        (pin.check_decoded)(&unhex(expected));
     }
 }
 
 #[test]
-#[ignore = "writes the fixture; done once"]
+#[ignore = "writes the fixture, which must not be rewritten"]
 fn write_fixture() {
     let text: String = pins().iter().map(|pin| format!("{} {}\n", pin.name, hex(&pin.bytes))).collect();
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/replication.txt");
-    std::fs::write(path, text).expect("the folder is there");
+    std::fs::write(path, text).expect("fixture file is writable");
 }
--- a/crates/plovershelf-replication/tests/support/mod.rs
+++ b/crates/plovershelf-replication/tests/support/mod.rs
@@ -1,17 +1,17 @@
-//! Some members whose messages are delivered at once, and a clock that is moved by hand.
-#![allow(dead_code)] // each test program uses its part of this
+//! A cluster of members with immediate message delivery and a manually advanced clock.
+#![allow(dead_code)] // each test program uses only some of these helpers
 
 use plovershelf_cluster::NodeId;
 use plovershelf_replication::{
     Event, IdempotencyKey, Member, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
 };
 
-/// A request may be launched for so long, and its outcome is kept for so long.
+/// Time from a request's reservation to its launch deadline, and the retention time of its outcome.
 pub(crate) const DEADLINE_MS: f64 = 1000.0;
 pub(crate) const RETENTION_MS: f64 = 5000.0;
 const STEP_MS: f64 = 10.0;
 
-/// Members of a view by their ids, in three zones and on a machine each.
+/// Returns members with the given ids, spread over three zones and each on a separate machine.
 pub(crate) fn members(ids: &[u64]) -> Vec<Member> {
     ids.iter()
         .map(|n| Member {
@@ -31,12 +31,12 @@
     Outcome::Succeeded(b"made".to_vec())
 }
 
-/// The place in [`Cluster::members`] of a member.
-pub(crate) fn place_of(id: NodeId) -> usize {
+/// Returns a member's index in [`Cluster::members`].
+pub(crate) fn index_of(id: NodeId) -> usize {
     id.0 as usize - 1
 }
 
-/// Members with the ids 1, 2 and so on. One that is `None` is gone, and messages to it are lost.
+/// Members with consecutive ids starting at 1. A member that is `None` is down: messages to it are lost.
 pub(crate) struct Cluster {
     pub(crate) members: Vec<Option<Replicator>>,
     pub(crate) now_ms: f64,
@@ -51,19 +51,19 @@
         cluster
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = &Replicator> {
+    pub(crate) fn running_members(&self) -> impl Iterator<Item = &Replicator> {
         self.members.iter().flatten()
     }
 
-    pub(crate) fn live_mut(&mut self) -> impl Iterator<Item = &mut Replicator> {
+    pub(crate) fn running_members_mut(&mut self) -> impl Iterator<Item = &mut Replicator> {
         self.members.iter_mut().flatten()
     }
 
-    pub(crate) fn member(&mut self, place: usize) -> &mut Replicator {
-        self.members[place].as_mut().expect("it is not gone")
+    pub(crate) fn member(&mut self, index: usize) -> &mut Replicator {
+        self.members[index].as_mut().expect("the member is running")
     }
 
-    /// A view of all that are not gone.
+    /// Installs a view of all members that are not down.
     pub(crate) fn update_view(&mut self, view: u64) {
         let ids: Vec<u64> =
             (1..=self.members.len() as u64).filter(|n| self.members[*n as usize - 1].is_some()).collect();
@@ -72,31 +72,32 @@
 
     pub(crate) fn update_view_to(&mut self, view: u64, members: Vec<Member>) {
         let now_ms = self.now_ms;
-        self.live_mut().for_each(|member| member.update_view(now_ms, ViewNumber(view), members.clone()));
+        self.running_members_mut()
+            .for_each(|member| member.update_view(now_ms, ViewNumber(view), members.clone()));
         self.deliver_all();
     }
 
-    /// Delivers messages until none is left.
+    /// Delivers messages until none are pending.
     pub(crate) fn deliver_all(&mut self) {
         for _ in 0..10_000 {
             let mut in_flight = Vec::new();
-            for (place, member) in self.members.iter_mut().enumerate() {
+            for (index, member) in self.members.iter_mut().enumerate() {
                 let Some(member) = member else { continue };
                 let actions = member.poll_actions();
-                let from = NodeId(place as u64 + 1);
+                let from = NodeId(index as u64 + 1);
                 in_flight.extend(actions.messages.into_iter().map(|(to, message)| (from, to, message)));
-                self.events.extend(actions.events.into_iter().map(|event| (place, event)));
+                self.events.extend(actions.events.into_iter().map(|event| (index, event)));
             }
             if in_flight.is_empty() {
                 return;
             }
             for (from, to, message) in in_flight {
-                if let Some(member) = self.members[place_of(to)].as_mut() {
+                if let Some(member) = self.members[index_of(to)].as_mut() {
                     member.handle_message(self.now_ms, from, message);
                 }
             }
         }
-        panic!("messages without end");
+        panic!("members keep sending messages after 10,000 rounds");
     }
 
     pub(crate) fn advance(&mut self, ms: f64) {
@@ -104,25 +105,25 @@
         while self.now_ms < until {
             self.now_ms += STEP_MS;
             let now_ms = self.now_ms;
-            self.live_mut().for_each(|member| member.handle_timeout(now_ms));
+            self.running_members_mut().for_each(|member| member.handle_timeout(now_ms));
             self.deliver_all();
         }
     }
 
-    pub(crate) fn reserve(&mut self, place: usize, key: IdempotencyKey) -> RequestId {
+    pub(crate) fn reserve(&mut self, index: usize, key: IdempotencyKey) -> RequestId {
         let now_ms = self.now_ms;
-        let request = self.member(place).reserve(now_ms, key, now_ms + DEADLINE_MS, RETENTION_MS);
+        let request = self.member(index).reserve(now_ms, key, now_ms + DEADLINE_MS, RETENTION_MS);
         self.deliver_all();
         request
     }
 
-    pub(crate) fn complete(&mut self, place: usize, request: RequestId, outcome: Outcome) {
+    pub(crate) fn complete(&mut self, index: usize, request: RequestId, outcome: Outcome) {
         let now_ms = self.now_ms;
-        self.member(place).complete(now_ms, request, outcome);
+        self.member(index).complete(now_ms, request, outcome);
         self.deliver_all();
     }
 
-    /// Events since the last call, each with the place of its member.
+    /// Returns the events since the last call, each with the index of its member.
     pub(crate) fn take_events(&mut self) -> Vec<(usize, Event)> {
         std::mem::take(&mut self.events)
     }
