--- a/crates/plovershelf-failover/benches/plan.rs
+++ b/crates/plovershelf-failover/benches/plan.rs
@@ -1,4 +1,4 @@
-//! A plan for 3 and 30 zones of which a third carries half of what it is asked.
+//! Benchmarks the computation of a plan for 3 and 30 zones, a third of which can serve only half of their demand.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use plovershelf_failover::{locality_weighted_plan, PlannerConfig, Topology, Zone, ZoneState};
--- a/crates/plovershelf-failover/src/broken.rs
+++ b/crates/plovershelf-failover/src/broken.rs
@@ -1,14 +1,16 @@
-//! Rules that are broken on purpose, so that tests can show that breaking them is caught. Only with the feature `broken`, which
-//! nothing that serves is built with; set for one thread, so that other tests are not touched.
+//! Deliberate violations of rules, which tests enable to verify that the checks detect them.
+//!
+//! Available only with the cargo feature `broken`, which no production binary enables. A violation applies to one thread, so
+//! that it does not affect tests running concurrently.
 
-/// Which rule is broken.
+/// A rule to violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
-    /// What a zone receives may fill it completely.
+    /// Redirected traffic may fill a zone completely.
     NoHeadroom,
-    /// A zone that is back gets its traffic back at once.
+    /// A recovered zone receives all its traffic immediately.
     NoHysteresis,
-    /// An older plan is taken over after a newer one, and none expires.
+    /// A follower accepts an older plan after a newer one, and plans never expire.
     PlanWithoutFence,
 }
 
@@ -17,19 +19,19 @@
     static RULE: std::cell::Cell<Option<BrokenRule>> = const { std::cell::Cell::new(None) };
 }
 
-/// Breaks a rule from now on in this thread, or none.
+/// Selects the rule that this thread violates from now on, or none.
 #[cfg(feature = "broken")]
 pub fn set(rule: Option<BrokenRule>) {
     RULE.set(rule);
 }
 
-/// Whether a rule is broken.
+/// Returns whether `rule` is the one selected by [`set`] in this thread.
 #[cfg(feature = "broken")]
 pub(crate) fn is(rule: BrokenRule) -> bool {
     RULE.get() == Some(rule)
 }
 
-/// Whether a rule is broken: never, in what serves.
+/// Returns `false`: no rule can be violated without the feature `broken`.
 #[cfg(not(feature = "broken"))]
 #[inline(always)]
 pub(crate) fn is(_: BrokenRule) -> bool {
--- a/crates/plovershelf-failover/src/caller_reports/tests.rs
+++ b/crates/plovershelf-failover/src/caller_reports/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Callers of each origin made 40 attempts at each zone; rows are origins, columns the counts of answers.
+/// Returns reports of one caller per origin with 40 attempts at each zone; `answered` has a row per origin and a column per
+/// zone.
 fn reports(answered: [[f64; 3]; 3]) -> CallerReports {
     let mut reports = CallerReports::new(3, ReportLimits::default());
     for (origin, row) in answered.into_iter().enumerate() {
@@ -11,9 +12,10 @@
     reports
 }
 
-/// One origin's network to a zone fails while others reach the zone. The path is cut; the zone keeps its capacity.
+/// The network from one origin to a zone fails while other origins reach the zone. Only the path must count as cut, and the
+/// zone must keep its capacity.
 #[test]
-fn path_that_fails_for_one_origin_alone_is_cut_and_the_zone_keeps_its_capacity() {
+fn path_that_fails_for_one_origin_is_cut_and_the_zone_keeps_its_capacity() {
     let reports = reports([[40.0, 0.0, 40.0], [40.0; 3], [40.0; 3]]);
     assert_eq!(reports.cut_paths(100.0), [(0, 1)]);
     let mut loads = vec![ZoneLoad { capacity: 10.0, ..ZoneLoad::default() }; 3];
@@ -21,7 +23,7 @@
     assert_eq!(loads[1].capacity, 10.0);
 }
 
-/// Nobody reaches a zone whose members report that all is well. No path is cut; the zone carries nothing.
+/// No origin reaches a zone whose members report normal load. No path must count as cut, and the zone must lose its capacity.
 #[test]
 fn zone_that_no_origin_reaches_loses_its_capacity() {
     let reports = reports([[40.0, 0.0, 40.0]; 3]);
@@ -32,10 +34,10 @@
 }
 
 #[test]
-fn malformed_and_stale_reports_count_for_nothing() {
+fn malformed_and_stale_reports_are_ignored() {
     let mut reports = reports([[40.0, 0.0, 40.0], [40.0; 3], [40.0; 3]]);
     assert_eq!(reports.cut_paths(5000.0), []);
     let counts = AttemptCounts { attempts: f64::NAN, answered: 1.0 };
     reports.handle_report(0.0, 0, CallerReport { attempts: vec![counts], ..CallerReport::default() });
-    assert_eq!(reports.cut_paths(100.0), [(0, 1)], "the report before it stands");
+    assert_eq!(reports.cut_paths(100.0), [(0, 1)], "the previous report is still in effect");
 }
--- a/crates/plovershelf-failover/src/lib.rs
+++ b/crates/plovershelf-failover/src/lib.rs
@@ -1,26 +1,28 @@
-//! A locality-weighted traffic plan over zones and regions, and how callers and members follow it. No I/O and no clock:
-//! times are given, in milliseconds.
+//! Locality-weighted traffic planning over zones and regions, and routing by the plan. The crate performs no I/O and reads no
+//! clock: callers pass the time in milliseconds.
 //!
-//! Each member sends a [`LoadReport`] once a period; the leader sums them up ([`LoadReports::zone_loads`]), works out where the
-//! traffic of each zone should go ([`Planner::poll_plan`]), and has the plan committed under a version; each member and caller
-//! takes it over and routes by it ([`PlanFollower`]).
+//! Each member periodically sends a [`LoadReport`]. The leader aggregates the reports ([`LoadReports::zone_loads`]), computes
+//! the target zones of each zone's traffic ([`Planner::poll_plan`]), and has the plan committed under a version. Members and
+//! callers install the committed plan and route by it ([`PlanFollower`]).
 //!
-//! | module | job |
+//! Traffic is called *near* while it stays in the zone it originates from.
+//!
+//! | module | responsibility |
 //! | --- | --- |
-//! | `topology` | zones, regions, latency between zones |
-//! | `load_reports` | members' load reports, summed up by zone so that one that is wrong counts little |
-//! | `caller_reports` | what callers see of zones, and which paths between zones they find cut |
-//! | `zone_capacity` | what a zone may be asked to carry: at once down, up in steps |
-//! | `min_cost_flow` | the most that can be carried, at the least cost |
-//! | `locality` | the plan that is best for given demand and capacity |
-//! | `transition` | one bounded step from the plan in force to the one wanted |
-//! | `overrides` | operators' zonal shifts and hold |
-//! | `planner` | the next plan to commit; forecasts |
-//! | `traffic_plan` | the plan, and its form on the wire |
-//! | `follower` | routing by the newest plan, while it is confirmed |
-//! | `routing_advice` | a caller's side: routing, and what it reports |
+//! | `topology` | zones, regions, and latency between zones |
+//! | `load_reports` | aggregation of members' load reports by zone, robust against single wrong reports |
+//! | `caller_reports` | success rates seen by callers, and detection of failed paths between zones |
+//! | `zone_capacity` | usable capacity of a zone, which drops immediately and recovers in steps |
+//! | `min_cost_flow` | solver of the transportation problem |
+//! | `locality` | the optimal plan for a given demand and capacity |
+//! | `transition` | one bounded step from the current plan to the target plan |
+//! | `overrides` | operators' zonal shifts and holds |
+//! | `planner` | the next plan to commit, and forecasts |
+//! | `traffic_plan` | the plan and its wire format |
+//! | `follower` | routing by the newest plan while it is valid |
+//! | `routing_advice` | routing and reports on the caller's side |
 //! | `messages` | messages between members, callers and operators |
-//! | [`broken`] | rules that tests break on purpose |
+//! | [`broken`] | deliberate violations of rules, for tests |
 
 pub mod broken;
 mod caller_reports;
--- a/crates/plovershelf-failover/src/locality.rs
+++ b/crates/plovershelf-failover/src/locality.rs
@@ -1,12 +1,13 @@
-//! The plan that is best for given demand and capacity.
+//! The optimal traffic plan for a given demand and capacity.
 //!
-//! *Decides*: where each band of each zone's traffic goes.
-//! *Inputs*: each zone's usable capacity, its demand by band, what it loses with its largest member; cut paths.
-//! *Rule*: the highest priorities first; near first; then by the shortest paths to where capacity is left beside what the
-//! receiving zone needs for itself and for the loss of one more member. What fits nowhere is rejected at its origin.
-//! *Why*: traffic that is moved must not overload where it goes.
+//! *Decides*: the target zones of each zone's traffic, per priority band.
+//! *Inputs*: each zone's usable capacity, demand per band and largest member; cut paths.
+//! *Rule*: bands are assigned from the highest to the lowest priority. Traffic stays near if possible; otherwise it goes by the
+//! shortest paths to zones with spare capacity beyond their own demand and the loss of one member. Demand that fits nowhere is
+//! rejected at its origin.
+//! *Why*: redirected traffic must not overload the receiving zone.
 //! *Source*: locality-weighted load balancing (Envoy), solved as a transportation problem.
-//! *Without it*: all flee from a zone that is half lost to the next one, which falls too.
+//! *Without it*: all traffic of a partially failed zone moves to the next zone and overloads that one too (cascading failure).
 
 use crate::broken::{self, BrokenRule};
 use crate::min_cost_flow::{min_cost_flow, Flows, UNREACHABLE};
@@ -14,42 +15,44 @@
 use crate::topology::Topology;
 use crate::traffic_plan::{TrafficPlan, PRIORITY_BANDS};
 
-/// What a plan is worked out for, of one zone.
+/// Planning input for one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneState {
-    /// What it may be asked to carry, in cores.
+    /// Usable capacity in cores.
     pub capacity: f64,
-    /// What its callers want, in cores by band.
+    /// Demand of the zone's callers, in cores per priority band.
     pub demand: [f64; PRIORITY_BANDS],
-    /// What it loses with its largest member, in cores.
+    /// Capacity of the zone's largest member, in cores.
     pub largest_member: f64,
 }
 
 impl ZoneState {
-    /// All that its callers want, in cores.
+    /// Returns the demand of the zone's callers over all bands, in cores.
     pub(crate) fn total_demand(&self) -> f64 {
         self.demand.iter().sum()
     }
 }
 
-/// Whole units of the flow in a core.
+/// Integer flow units per core.
 const UNITS_PER_CORE: f64 = 1000.0;
-/// Shared capacity is offered in so many layers, each a little dearer than the one before, so that equals share what comes.
+/// Number of layers of a zone's shared capacity, each with a slightly higher cost than the previous one, so that zones at equal
+/// distance receive equal parts of redirected traffic.
 const LAYERS: usize = 4;
-/// Costs, beside the latency in milliseconds of a path to another zone.
+/// Cost terms, on the same scale as path latency in milliseconds.
 const NEAR_LAYER_COST: f64 = 0.001;
 const ELSEWHERE_COST: f64 = 1.0;
 const ELSEWHERE_LAYER_COST: f64 = 0.2;
-/// With [`BrokenRule::NoHeadroom`] a zone may be asked for this multiple of its capacity.
+/// Multiple of a zone's capacity that is offered to all zones while [`BrokenRule::NoHeadroom`] is violated.
 const BROKEN_HEADROOM_FACTOR: f64 = 1.5;
-/// A zone that keeps less than this is named in the plan's reason.
-const KEEPS_ALL_SHARE: f64 = 0.999;
+/// Zones that keep less than this share of their traffic near are listed in the plan's reason.
+const FULL_NEAR_SHARE: f64 = 0.999;
 
+/// Converts cores to flow units.
 fn units(cores: f64) -> u64 {
     (cores * UNITS_PER_CORE).round().max(0.0) as u64
 }
 
-/// The plan that is best for what zones may carry and want. No traffic is sent by `cut_paths` (from, to).
+/// Computes the optimal plan for the zones' demand and capacity. Paths (from, to) in `cut_paths` are not used.
 pub fn locality_weighted_plan(
     topology: &Topology,
     config: &PlannerConfig,
@@ -64,8 +67,8 @@
     plan
 }
 
-/// The transportation problem. Origins are the zones' bands. Targets are the layers of each zone's shared capacity, layer by
-/// layer, then each zone's capacity for its own traffic alone.
+/// The transportation problem. Origins are pairs of zone and band. Targets are the layers of all zones' shared capacity, ordered
+/// by layer and then by zone, followed by each zone's capacity reserved for its own traffic.
 struct Problem<'a> {
     topology: &'a Topology,
     config: &'a PlannerConfig,
@@ -94,7 +97,7 @@
         min_cost_flow(supply, &stages, &capacity, &cost)
     }
 
-    /// Capacity of a zone that anybody's traffic may fill.
+    /// Returns the part of a zone's capacity, in units, that is available to traffic of all zones.
     fn shared_capacity(&self, zone: usize) -> u64 {
         let ZoneState { capacity, largest_member, .. } = self.zones[zone];
         let spare = if broken::is(BrokenRule::NoHeadroom) {
@@ -105,7 +108,7 @@
         units(spare.max(0.0))
     }
 
-    /// Capacity of a zone that only its own traffic may fill.
+    /// Returns the part of a zone's capacity, in units, that is reserved for its own traffic.
     fn own_capacity(&self, zone: usize) -> u64 {
         units(self.zones[zone].capacity * self.config.near_fill_fraction)
             .saturating_sub(self.shared_capacity(zone))
@@ -131,9 +134,11 @@
 
     fn plan(&self, supply: &[u64], flows: &Flows) -> TrafficPlan {
         let count = self.count();
-        let carried = |origin: usize, to: usize| flows[origin].iter().skip(to).step_by(count).sum::<u64>();
-        let receives =
-            |to: usize| self.origins().any(|origin| origin / PRIORITY_BANDS != to && carried(origin, to) > 0);
+        let assigned_units =
+            |origin: usize, to: usize| flows[origin].iter().skip(to).step_by(count).sum::<u64>();
+        let receives = |to: usize| {
+            self.origins().any(|origin| origin / PRIORITY_BANDS != to && assigned_units(origin, to) > 0)
+        };
         let mut plan = TrafficPlan::all_near(count);
         for origin in self.origins() {
             let from = origin / PRIORITY_BANDS;
@@ -145,26 +150,28 @@
                 }
                 continue;
             }
-            (0..count).for_each(|to| shares[to] = carried(origin, to) as f64 / supply[origin] as f64);
-            let rest = (1.0 - shares.iter().take(count).sum::<f64>()).max(0.0);
-            // What fits nowhere is rejected at its origin: by the zone's own admission control where it has its capacity to
-            // itself; by its callers where it carries nothing, or others' higher priorities.
+            (0..count).for_each(|to| shares[to] = assigned_units(origin, to) as f64 / supply[origin] as f64);
+            let remainder = (1.0 - shares.iter().take(count).sum::<f64>()).max(0.0);
+            // Demand that fits nowhere is rejected at its origin: by the zone's own admission control if only its own traffic uses
+            // its capacity, and by its callers if the zone has no capacity or receives traffic of other zones.
             let rejects_itself = self.zones[from].capacity > 0.0 && !receives(from);
-            shares[if rejects_itself { from } else { count }] += rest;
+            shares[if rejects_itself { from } else { count }] += remainder;
         }
         plan
     }
 
     fn reason(&self, plan: &TrafficPlan) -> String {
-        let kept = |zone: usize| plan.share_of_demand(zone, zone, &self.zones[zone].demand);
-        let away: Vec<String> = (0..self.count())
-            .filter(|zone| kept(*zone) < KEEPS_ALL_SHARE)
-            .map(|zone| format!("{} keeps {:.0} %", self.topology.zones()[zone].name, kept(zone) * 100.0))
+        let near_share = |zone: usize| plan.share_of_demand(zone, zone, &self.zones[zone].demand);
+        let redirected_zones: Vec<String> = (0..self.count())
+            .filter(|zone| near_share(*zone) < FULL_NEAR_SHARE)
+            .map(|zone| {
+                format!("{} keeps {:.0} %", self.topology.zones()[zone].name, near_share(zone) * 100.0)
+            })
             .collect();
-        if away.is_empty() {
+        if redirected_zones.is_empty() {
             "all near".into()
         } else {
-            away.join(", ")
+            redirected_zones.join(", ")
         }
     }
 }
--- a/crates/plovershelf-failover/src/locality/tests.rs
+++ b/crates/plovershelf-failover/src/locality/tests.rs
@@ -10,9 +10,9 @@
     ZoneState { capacity, demand: [2.0, 1.0, 1.0], largest_member: 0.0 }
 }
 
-/// A zone carries nothing and the path to one of the others is cut. All that fits must go to the other one.
+/// A zone has no capacity and the path to one of the other zones is cut. All its traffic must go to the remaining zone.
 #[test]
-fn traffic_of_a_lost_zone_avoids_a_cut_path() {
+fn traffic_of_a_zone_without_capacity_avoids_a_cut_path() {
     let zones = [state(0.0), state(20.0), state(20.0)];
     let plan = locality_weighted_plan(&topology(), &PlannerConfig::default(), &zones, &[(0, 1)]);
     for band in 0..PRIORITY_BANDS {
@@ -24,7 +24,8 @@
     );
 }
 
-/// Nothing is left elsewhere. A zone that carries something rejects by itself; callers reject for one that carries nothing.
+/// No zone has spare capacity. Excess traffic must stay near in a zone with capacity, whose admission control rejects it, and
+/// must be rejected by callers in a zone without capacity.
 #[test]
 fn traffic_that_fits_nowhere_stays_near_or_is_rejected_by_callers() {
     let zones = [state(0.0), state(2.0), state(4.0)];
--- a/crates/plovershelf-failover/src/messages.rs
+++ b/crates/plovershelf-failover/src/messages.rs
@@ -1,7 +1,7 @@
-//! Messages about zones between members, and of callers and operators to members.
+//! Messages about zones between members, and from callers and operators to members.
 //!
-//! Variants and fields keep their order on the wire. Where a field is renamed for its serialized form,
-//! that form is the key that scripts read of the command's JSON.
+//! The wire format depends on the order of variants and fields, which must not change. A serialized name that differs from the
+//! field's name is the JSON key that operators' scripts read.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,88 +11,89 @@
 use crate::topology::Zone;
 use crate::traffic_plan::TrafficPlan;
 
-/// A member to the leader, once a period: its own report, and what callers reported to it since.
+/// Periodic message from a member to the leader: its own load and the reports it received from callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
     /// The name of the member's zone.
     pub zone: String,
-    /// Its load.
+    /// The member's load.
     pub load: LoadReport,
-    /// Callers and their reports.
+    /// Reports of callers, by caller id.
     pub callers: Vec<(u64, CallerReport)>,
 }
 
-/// Callers whose reports a member passes on in one period; more wait for the next.
+/// Maximum number of callers whose reports a member forwards per period. The others are forwarded in later periods.
 pub const MAX_CALLER_REPORTS: usize = 64;
 
-/// What callers and operators ask of a member.
+/// Request from a caller or operator to a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// The status; by callers and operators alike.
+    /// Queries the status; sent by callers and operators.
     Status,
-    /// A caller's report, answered by the status.
+    /// Sends a caller's report; answered with the status.
     Advice {
-        /// The caller's number.
+        /// The caller's id.
         caller: u64,
-        /// What it sees.
+        /// The caller's report.
         report: CallerReport,
     },
-    /// What a shift of these zones would come to; nothing is done.
+    /// Queries the effect that a shift of these zones would have, without applying it.
     Forecast {
         /// Names of the zones.
         zones: Vec<String>,
     },
-    /// Shifts a zone's traffic elsewhere. This and the next are for operators on the leader's own machine.
+    /// Shifts a zone's traffic to other zones. Accepted, like the following requests, only from operators on the leader's
+    /// machine.
     Shift(ShiftRequest),
     /// Ends a shift before it expires.
     EndShift {
         /// The name of the zone.
         zone: String,
     },
-    /// Keeps the plan as it is for a while.
+    /// Suspends changes of the plan.
     Hold {
-        /// For how long, in milliseconds.
+        /// Duration of the hold in milliseconds.
         duration_ms: f64,
     },
 }
 
-/// How zones look from one member.
+/// Status of the traffic plan at a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The member's name.
     pub name: String,
-    /// The name of its zone.
+    /// The name of the member's zone.
     pub zone: String,
     /// All zones.
     pub zones: Vec<Zone>,
-    /// The version of the newest plan that it took over.
+    /// Version of the newest plan that the member installed.
     #[serde(rename = "number")]
     pub version: u64,
-    /// Whether it acts by that plan; all near otherwise.
+    /// Whether the member routes by that plan. Otherwise the plan has expired and all traffic stays near.
     #[serde(rename = "acts")]
     pub is_active: bool,
-    /// The plan that it acts by.
+    /// The plan that the member routes by.
     pub plan: TrafficPlan,
-    /// For how long the plan is valid without being confirmed, in milliseconds.
+    /// Time in milliseconds until the plan expires unless it is renewed.
     #[serde(rename = "left_ms")]
     pub remaining_ms: f64,
-    /// The leader's name, where it is known.
+    /// The leader's name, if known.
     pub leader: Option<String>,
-    /// Of the leader alone: what the plan comes to.
+    /// Forecast of the plan's effect; sent only by the leader.
     pub forecast: Option<Forecast>,
-    /// The last revisions, newest last: how long ago in milliseconds, and what each came to.
+    /// Latest revisions of the plan, newest last: age in milliseconds and reason.
     pub history: Vec<(f64, String)>,
 }
 
-/// A member's answer.
+/// Response of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// To [`Request::Status`] and [`Request::Advice`].
+    /// Response to [`Request::Status`] and [`Request::Advice`].
     Status(Box<Status>),
-    /// To [`Request::Forecast`].
+    /// Response to [`Request::Forecast`].
     Forecast(Box<Forecast>),
-    /// What was done.
+    /// The request was carried out; describes the result.
     Done(String),
-    /// Why nothing was done.
+    /// The request was rejected; gives the reason.
     Refused(String),
 }
--- a/crates/plovershelf-failover/src/min_cost_flow.rs
+++ b/crates/plovershelf-failover/src/min_cost_flow.rs
@@ -1,21 +1,23 @@
-//! What does not fit near: the most that can be carried, at the least cost.
+//! Solver of the transportation problem: maximum flow at minimum cost.
 //!
-//! The transportation problem, solved exactly by successive shortest augmenting paths with potentials (Edmonds and Karp), in
-//! whole units, so that the same input gives the same plan on every machine. Greedy filling of the nearest first carries less
-//! or by longer paths; a property test compares the two.
+//! The solver uses successive shortest augmenting paths with potentials (Edmonds and Karp) on integer units. It is exact, and the
+//! same input gives the same result on every machine. Greedy assignment to the nearest target can send fewer units or use longer
+//! paths; a property test compares the two.
 
-/// What each origin sends to each target, in units: a row an origin.
+/// Units sent from each origin to each target, with a row per origin.
 pub type Flows = Vec<Vec<u64>>;
 
-/// The cost between an origin and a target without a path.
+/// Cost between an origin and a target without a path.
 pub const UNREACHABLE: f64 = f64::INFINITY;
-/// A path below this cost is its origin's own: no other origin may have one to the same target.
-pub const OWN_PATH_COST: f64 = 0.01;
-/// Potentials that differ by less are equal.
+/// Paths below this cost are exclusive: no other origin may have a path of such a cost to the same target.
+pub const EXCLUSIVE_PATH_COST: f64 = 0.01;
+/// Tolerance when comparing potentials.
 const TOLERANCE: f64 = 1e-9;
 
-/// Carries as much of `supply` as `capacity` takes, at the least sum of units times `cost` (a row an origin). `stages` of
-/// origins are carried one after the other: a later one never takes from what an earlier one carries, though it may redirect it.
+/// Sends as much of `supply` as `capacity` allows, at the minimum total cost.
+///
+/// `cost` has a row per origin with the cost per unit to each target. The `stages` of origins are processed in order: a later
+/// stage never reduces the number of units sent by an earlier one, but may change their targets.
 pub fn min_cost_flow(supply: &[u64], stages: &[Vec<usize>], capacity: &[u64], cost: &[Vec<f64>]) -> Flows {
     let mut network = Network {
         cost,
@@ -25,7 +27,7 @@
     };
     for stage in stages {
         stage.iter().for_each(|origin| network.unsent[*origin] = supply[*origin]);
-        stage.iter().for_each(|origin| network.send_by_own_paths(*origin));
+        stage.iter().for_each(|origin| network.send_by_exclusive_paths(*origin));
         let mut potentials = network.potentials();
         while let Some(path) = network.shortest_path(&mut potentials) {
             network.augment(&path);
@@ -34,34 +36,40 @@
     network.flows
 }
 
-/// One hop of an augmenting path. Between two hops the earlier one's target gives back what the later one's origin had sent it.
+/// A forward edge of an augmenting path. Between two consecutive hops, units sent from the later hop's origin to the earlier
+/// hop's target are withdrawn.
 #[derive(Clone, Copy)]
 struct Hop {
     origin: usize,
     target: usize,
 }
 
-/// Distances from the origins with unsent units, flows back counted as what they save. With these no reduced cost is negative,
-/// so Dijkstra's algorithm finds the shortest path.
+/// Node potentials: distances from the origins with unsent units, where backward edges have negative costs. They make all reduced
+/// costs non-negative, as Dijkstra's algorithm requires.
 struct Potentials {
     origins: Vec<f64>,
     targets: Vec<f64>,
 }
 
+/// The residual network.
 struct Network<'a> {
     cost: &'a [Vec<f64>],
+    /// Unsent units by origin; 0 for origins of later stages.
     unsent: Vec<u64>,
+    /// Free capacity by target, in units.
     free: Vec<u64>,
     flows: Flows,
 }
 
 impl Network<'_> {
-    /// What costs next to nothing is nobody else's shorter path, so it needs no search.
-    fn send_by_own_paths(&mut self, origin: usize) {
+    /// Sends units by exclusive paths, cheapest first. No search is needed, because such a path is always the shortest to its
+    /// target.
+    fn send_by_exclusive_paths(&mut self, origin: usize) {
         let cost = &self.cost[origin];
-        let mut own: Vec<usize> = (0..self.free.len()).filter(|to| cost[*to] < OWN_PATH_COST).collect();
-        own.sort_by(|a, b| cost[*a].total_cmp(&cost[*b]));
-        for target in own {
+        let mut targets: Vec<usize> =
+            (0..self.free.len()).filter(|to| cost[*to] < EXCLUSIVE_PATH_COST).collect();
+        targets.sort_by(|a, b| cost[*a].total_cmp(&cost[*b]));
+        for target in targets {
             let units = self.unsent[origin].min(self.free[target]);
             self.flows[origin][target] += units;
             self.free[target] -= units;
@@ -69,14 +77,14 @@
         }
     }
 
-    /// Sends as much as the end has free, the beginning has unsent, and each hop back has to give.
+    /// Sends along a path as many units as its first origin has unsent, its last target has free, and each backward edge allows.
     fn augment(&mut self, path: &[Hop]) {
         let (first, last) = (path[0].origin, path[path.len() - 1].target);
-        let given_back = path.windows(2).map(|pair| self.flows[pair[1].origin][pair[0].target]);
-        let units = given_back.fold(self.unsent[first].min(self.free[last]), u64::min);
-        for (place, hop) in path.iter().enumerate() {
+        let withdrawable = path.windows(2).map(|pair| self.flows[pair[1].origin][pair[0].target]);
+        let units = withdrawable.fold(self.unsent[first].min(self.free[last]), u64::min);
+        for (index, hop) in path.iter().enumerate() {
             self.flows[hop.origin][hop.target] += units;
-            if let Some(next) = path.get(place + 1) {
+            if let Some(next) = path.get(index + 1) {
                 self.flows[next.origin][hop.target] -= units;
             }
         }
@@ -84,7 +92,7 @@
         self.free[last] -= units;
     }
 
-    /// The first potentials of a stage (Bellman-Ford).
+    /// Computes the initial potentials of a stage with the Bellman-Ford algorithm.
     fn potentials(&self) -> Potentials {
         let start = |unsent: &u64| if *unsent > 0 { 0.0 } else { UNREACHABLE };
         let mut potentials = Potentials {
@@ -100,6 +108,7 @@
         }
     }
 
+    /// Relaxes all forward edges and returns whether a potential changed.
     fn relax_forward(&self, potentials: &mut Potentials) -> bool {
         let mut is_changed = false;
         for (costs, from) in self.cost.iter().zip(&potentials.origins).filter(|(_, from)| from.is_finite()) {
@@ -112,6 +121,7 @@
         is_changed
     }
 
+    /// Relaxes all backward edges and returns whether a potential changed.
     fn relax_backward(&self, potentials: &mut Potentials) -> bool {
         let mut is_changed = false;
         for (origin, row) in self.flows.iter().enumerate() {
@@ -125,7 +135,7 @@
         is_changed
     }
 
-    /// The shortest path from an origin with unsent units to a target that has some free.
+    /// Returns the shortest path from an origin with unsent units to a target with free capacity, and updates the potentials.
     fn shortest_path(&self, potentials: &mut Potentials) -> Option<Vec<Hop>> {
         let mut search = PathSearch::new(self, potentials);
         while let Some(node) = search.nearest_unsettled() {
@@ -135,10 +145,10 @@
             }
         }
         search.update(potentials);
-        // By true costs now: the nearest with something free.
-        let is_open = |to: &usize| self.free[*to] > 0 && search.targets.distance[*to].is_finite();
+        // After the update the potentials are true distances, by which the nearest target with free capacity is chosen.
+        let is_candidate = |to: &usize| self.free[*to] > 0 && search.targets.distance[*to].is_finite();
         let nearest = |a: &usize, b: &usize| potentials.targets[*a].total_cmp(&potentials.targets[*b]);
-        let target = (0..self.free.len()).filter(is_open).min_by(nearest)?;
+        let target = (0..self.free.len()).filter(is_candidate).min_by(nearest)?;
         search.path_to(target)
     }
 }
@@ -148,10 +158,12 @@
     Target(usize),
 }
 
-/// One side of the search: by node its distance, whether that is final, and the node before it on the other side.
+/// Search state of the nodes on one side of the bipartite network.
 struct Side {
     distance: Vec<f64>,
+    /// Whether the distance is final.
     is_settled: Vec<bool>,
+    /// Predecessor on the other side.
     previous: Vec<Option<usize>>,
 }
 
@@ -162,9 +174,9 @@
     }
 
     fn nearest_unsettled(&self) -> Option<(usize, f64)> {
-        let open = self.distance.iter().enumerate();
-        let open = open.filter(|(place, distance)| !self.is_settled[*place] && distance.is_finite());
-        open.min_by(|a, b| a.1.total_cmp(b.1)).map(|(place, distance)| (place, *distance))
+        let nodes = self.distance.iter().enumerate();
+        let reachable = nodes.filter(|(node, distance)| !self.is_settled[*node] && distance.is_finite());
+        reachable.min_by(|a, b| a.1.total_cmp(b.1)).map(|(node, distance)| (node, *distance))
     }
 
     fn relax(&mut self, node: usize, distance: f64, previous: usize) {
@@ -174,7 +186,7 @@
     }
 }
 
-/// Dijkstra's algorithm on reduced costs.
+/// Shortest-path search with Dijkstra's algorithm on reduced costs.
 struct PathSearch {
     origins: Side,
     targets: Side,
@@ -210,7 +222,7 @@
         self.origins.is_settled[origin] = true;
         let (distance, potential) = (self.origins.distance[origin], potentials.origins[origin]);
         for (target, cost) in network.cost[origin].iter().enumerate() {
-            // What no path leads to stays out of reach: infinity less infinity is no cost.
+            // Skips unreachable targets: infinity minus infinity would give NaN as reduced cost.
             if cost.is_finite() && potentials.targets[target].is_finite() {
                 let reduced = (cost + potential - potentials.targets[target]).max(0.0);
                 self.targets.relax(target, distance + reduced, origin);
@@ -228,7 +240,7 @@
         }
     }
 
-    /// Moves the potentials by the distances found.
+    /// Adds the distances found to the potentials.
     fn update(&self, potentials: &mut Potentials) {
         let origins = self.origins.distance.iter().zip(potentials.origins.iter_mut());
         let targets = self.targets.distance.iter().zip(potentials.targets.iter_mut());
@@ -237,6 +249,7 @@
         }
     }
 
+    /// Returns the path found to a target.
     fn path_to(&self, mut target: usize) -> Option<Vec<Hop>> {
         let mut path = Vec::new();
         loop {
--- a/crates/plovershelf-failover/src/overrides.rs
+++ b/crates/plovershelf-failover/src/overrides.rs
@@ -1,39 +1,39 @@
-//! Operators' overrides of the plan: zonal shifts, each with an expiry, and a hold.
+//! Operators' overrides of the plan: zonal shifts and a hold, each with an expiry time.
 
 use thiserror::Error;
 
 use crate::traffic_plan::{TrafficPlan, ZonalShift};
 
-/// Shifts at most at a time.
+/// Maximum number of concurrent shifts.
 pub const MAX_SHIFTS: usize = 16;
 
-/// Why a shift was not set, or not ended.
+/// Error of a request to start or end a shift.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ShiftError {
-    /// There is no such zone.
+    /// No zone has the given name.
     #[error("{zone:?} is no zone; {} are", zones.join(", "))]
     UnknownZone {
-        /// The name.
+        /// The requested name.
         zone: String,
-        /// Names of the zones that there are.
+        /// Names of all zones.
         zones: Vec<String>,
     },
-    /// Another shift of the zone is in force.
+    /// The zone is already shifted.
     #[error("{zone} is shifted by {operator} already, for {remaining_s:.0} s more: {reason}")]
     AlreadyShifted {
         /// The zone's name.
         zone: String,
-        /// Who set the other shift.
+        /// The operator who set the existing shift.
         operator: String,
-        /// How long it still lasts, in seconds.
+        /// Remaining duration of the existing shift, in seconds.
         remaining_s: f64,
-        /// Why it was set.
+        /// Reason given for the existing shift.
         reason: String,
     },
-    /// As many shifts as there may be.
+    /// The maximum number of concurrent shifts is reached.
     #[error("there are {max} shifts already", max = MAX_SHIFTS)]
     TooManyShifts,
-    /// The other zones can't carry the zone's traffic.
+    /// The other zones do not have enough capacity for the zone's traffic.
     #[error(
         "the others can't carry {zone}: {rejected_percent:.1} % of all traffic would be cut, {rejected_now_percent:.1} % is now ({}); force it to do so all the same",
         loads.join(", ")
@@ -41,22 +41,22 @@
     NotEnoughCapacity {
         /// The zone's name.
         zone: String,
-        /// Traffic that would be rejected, in percent of all.
+        /// Traffic that would be rejected with the shift, in percent of all traffic.
         rejected_percent: f64,
-        /// Traffic that is rejected now, in percent of all.
+        /// Traffic that is rejected without the shift, in percent of all traffic.
         rejected_now_percent: f64,
-        /// What each zone would carry, of what it may.
+        /// Forecast load and capacity of each zone.
         loads: Vec<String>,
     },
-    /// No shift of the zone is in force.
+    /// The zone is not shifted.
     #[error("{zone:?} is not shifted")]
     NotShifted {
-        /// The name.
+        /// The requested name.
         zone: String,
     },
 }
 
-/// What operators have set, and until when.
+/// Overrides set by operators, with their expiry times in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Overrides {
     shifts: Vec<(ZonalShift, f64)>,
@@ -68,18 +68,18 @@
         Overrides { shifts: Vec::new(), hold_until_ms: f64::NEG_INFINITY }
     }
 
-    /// Takes over those of a plan that was committed.
+    /// Replaces the overrides by those of a committed plan.
     pub(crate) fn restore(&mut self, now_ms: f64, plan: &TrafficPlan) {
         self.shifts = plan.shifts.iter().map(|shift| (shift.clone(), now_ms + shift.remaining_ms)).collect();
-        let is_held = plan.hold_remaining_ms > 0.0;
-        self.hold_until_ms = if is_held { now_ms + plan.hold_remaining_ms } else { f64::NEG_INFINITY };
+        let is_hold_active = plan.hold_remaining_ms > 0.0;
+        self.hold_until_ms = if is_hold_active { now_ms + plan.hold_remaining_ms } else { f64::NEG_INFINITY };
     }
 
-    /// Whether one more shift of a zone may be set.
+    /// Checks whether another shift of a zone may be added.
     ///
     /// # Errors
-    /// The zone is shifted already, or there are too many shifts.
-    pub(crate) fn check_free(&self, now_ms: f64, zone: usize, name: &str) -> Result<(), ShiftError> {
+    /// Returns an error if the zone is already shifted or the maximum number of shifts is reached.
+    pub(crate) fn check_can_add(&self, now_ms: f64, zone: usize, name: &str) -> Result<(), ShiftError> {
         let mut shifts = self.shifts.iter();
         if let Some((other, until_ms)) =
             shifts.find(|(shift, until_ms)| shift.zone == zone && *until_ms > now_ms)
@@ -102,13 +102,14 @@
         self.shifts.push((shift, until_ms));
     }
 
-    /// Removes the shifts of a zone; returns whether there was one.
+    /// Removes the shifts of a zone and returns whether there were any.
     pub(crate) fn remove(&mut self, zone: Option<usize>) -> bool {
         let before = self.shifts.len();
         self.shifts.retain(|(shift, _)| Some(shift.zone) != zone);
         self.shifts.len() < before
     }
 
+    /// Starts a hold, replacing an existing one.
     pub(crate) fn hold(&mut self, now_ms: f64, duration_ms: f64) {
         self.hold_until_ms = now_ms + duration_ms;
     }
@@ -118,7 +119,8 @@
         self.shifts.retain(|(_, until_ms)| *until_ms > now_ms);
     }
 
-    pub(crate) fn is_held(&self, now_ms: f64) -> bool {
+    /// Returns whether a hold is active.
+    pub(crate) fn is_hold_active(&self, now_ms: f64) -> bool {
         self.hold_until_ms > now_ms
     }
 
@@ -130,7 +132,7 @@
         self.shifts.iter().any(|(shift, until_ms)| shift.zone == zone && *until_ms > now_ms)
     }
 
-    /// All shifts, with what remains of each.
+    /// Returns all shifts with their remaining durations.
     pub(crate) fn shifts(&self, now_ms: f64) -> Vec<ZonalShift> {
         let remaining = |(shift, until_ms): &(ZonalShift, f64)| ZonalShift {
             remaining_ms: until_ms - now_ms,
@@ -139,8 +141,8 @@
         self.shifts.iter().map(remaining).collect()
     }
 
-    /// Whether the shifts are of the same zones as a plan's.
-    pub(crate) fn has_zones_of(&self, plan: &TrafficPlan) -> bool {
+    /// Returns whether the shifts cover the same zones, in the same order, as those of a plan.
+    pub(crate) fn has_same_zones_as(&self, plan: &TrafficPlan) -> bool {
         self.shifts.iter().map(|(shift, _)| shift.zone).eq(plan.shifts.iter().map(|shift| shift.zone))
     }
 }
--- a/crates/plovershelf-failover/src/planner.rs
+++ b/crates/plovershelf-failover/src/planner.rs
@@ -1,17 +1,18 @@
-//! The leader's planner: the next plan to commit, operators' overrides, forecasts.
+//! The leader's planner: determines the next plan to commit, applies operators' overrides and computes forecasts.
 //!
 //! | input | when |
 //! | --- | --- |
-//! | [`handle_committed`](Planner::handle_committed) | a plan was committed, this member's or a leader's before it |
-//! | [`shift`](Planner::shift), [`end_shift`](Planner::end_shift), [`hold`](Planner::hold) | an operator asks |
-//! | [`poll_plan`](Planner::poll_plan) | once a period, while this member leads |
+//! | [`handle_committed`](Planner::handle_committed) | a plan of this member or of a previous leader was committed |
+//! | [`shift`](Planner::shift), [`end_shift`](Planner::end_shift), [`hold`](Planner::hold) | an operator requests it |
+//! | [`poll_plan`](Planner::poll_plan) | once per period while this member is the leader |
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | plan in force | another is wanted, no hold, the last change has reached all | a change is proposed, no sooner than a step after the last |
-//! | plan in force | the renewal interval is over | it is proposed again, which confirms it |
+//! | plan committed | the target plan differs, no hold, the last change is in use everywhere, the step interval has passed | a new revision is proposed |
+//! | plan committed | the renewal interval has passed | the same revision is proposed again, which renews its validity |
 //!
-//! A change is proposed only when the last one has reached all, or those that it has not reached act by none any more.
+//! A change is proposed only after all members have installed the previous one, or after the plans of those that have not
+//! must have expired.
 
 use serde::{Deserialize, Serialize};
 
@@ -27,40 +28,41 @@
 /// Settings of the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerConfig {
-    /// Between two reports of a member, and two looks of the leader, in milliseconds.
+    /// Interval between a member's reports and between the leader's evaluations, in milliseconds.
     pub period_ms: f64,
-    /// For how long a plan is valid without being confirmed, in milliseconds.
+    /// Time in milliseconds after which a plan expires unless it is renewed.
     pub valid_ms: f64,
-    /// A plan that stays is confirmed after this, in milliseconds.
+    /// Interval at which an unchanged plan is renewed, in milliseconds.
     pub renew_interval_ms: f64,
-    /// Between two changes, in milliseconds.
+    /// Minimum interval between two changes of the plan, in milliseconds.
     pub step_interval_ms: f64,
-    /// Fraction of a zone's capacity that its own traffic may fill.
+    /// Fraction of a zone's capacity that its own traffic may use.
     pub near_fill_fraction: f64,
-    /// Fraction of a zone's capacity up to which traffic of other zones may fill it, less what it loses with its largest member.
+    /// Fraction of a zone's capacity up to which other zones' traffic may fill it, before the capacity of its largest member is
+    /// subtracted.
     pub fill_fraction: f64,
-    /// By how much of its traffic a zone is left in one step.
+    /// Maximum share of a zone's traffic that is redirected per step.
     pub leave_step: f64,
-    /// By how much of its traffic a zone is returned to in one step.
+    /// Maximum share of a zone's traffic that returns per step, and fraction of its capacity that becomes usable per step.
     pub return_step: f64,
-    /// A zone that carries less than this fraction of what is usable has fallen.
-    pub fall_fraction: f64,
-    /// A zone that carries less than this fraction of its demand counts as lost.
+    /// A zone is degraded if its measured capacity is below this fraction of its usable capacity.
+    pub degraded_fraction: f64,
+    /// A zone counts as lost if its usable capacity is at most this fraction of its demand.
     pub lost_fraction: f64,
-    /// How long a zone must be well before it recovers, the first time, in milliseconds.
+    /// Initial time that a zone's capacity must stay increased before its recovery starts, in milliseconds.
     pub recovery_wait_ms: f64,
-    /// The same at most, in milliseconds.
+    /// Upper bound of the recovery wait after repeated drops, in milliseconds.
     pub max_recovery_wait_ms: f64,
-    /// A fall is forgotten after so long, in milliseconds.
-    pub forget_fall_ms: f64,
-    /// Smaller differences of shares are no change.
-    pub min_change: f64,
-    /// Time constant of demand's smoothing, in milliseconds.
+    /// Time after the last drop at which the recovery wait is reset, in milliseconds.
+    pub backoff_reset_ms: f64,
+    /// Minimum difference of a share for which the plan is changed.
+    pub min_share_change: f64,
+    /// Time constant of the exponential smoothing of demand, in milliseconds.
     pub smoothing_ms: f64,
-    /// Paths of a higher latency are not used, in milliseconds.
+    /// Maximum one-way latency of a path used for redirected traffic, in milliseconds.
     pub max_latency_ms: f64,
-    /// A path that callers found cut is not used for so long, in milliseconds.
-    pub cut_path_ms: f64,
+    /// Time for which a path that callers reported as cut is not used, in milliseconds.
+    pub cut_path_retention_ms: f64,
 }
 
 impl Default for PlannerConfig {
@@ -74,15 +76,15 @@
             fill_fraction: 0.85,
             leave_step: 0.5,
             return_step: 0.2,
-            fall_fraction: 0.8,
+            degraded_fraction: 0.8,
             lost_fraction: 0.1,
             recovery_wait_ms: 8000.0,
             max_recovery_wait_ms: 48_000.0,
-            forget_fall_ms: 60_000.0,
-            min_change: 0.04,
+            backoff_reset_ms: 60_000.0,
+            min_share_change: 0.04,
             smoothing_ms: 1500.0,
             max_latency_ms: 200.0,
-            cut_path_ms: 15_000.0,
+            cut_path_retention_ms: 15_000.0,
         }
     }
 }
@@ -90,27 +92,27 @@
 /// An operator's request for a zonal shift.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShiftRequest {
-    /// The name of the zone.
+    /// Name of the zone.
     pub zone: String,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the shift in milliseconds.
     pub duration_ms: f64,
-    /// Why, in the operator's words.
+    /// Reason given by the operator.
     pub reason: String,
-    /// Who asks.
+    /// Name of the operator.
     pub operator: String,
-    /// Also where the other zones can't carry it.
+    /// Whether to apply the shift even if the other zones lack the capacity for it.
     pub is_forced: bool,
 }
 
-/// What a plan would come to in one zone, in cores. Serialized as an array.
+/// Forecast for one zone, in cores. Serialized as an array in field order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(into = "[f64; 3]", from = "[f64; 3]")]
 pub struct ZoneForecast {
-    /// What its own callers want.
+    /// Demand of the zone's own callers.
     pub demand: f64,
-    /// What it would carry, its own and others'.
+    /// Load that the zone would receive, including other zones' traffic.
     pub carried: f64,
-    /// What it may carry.
+    /// Usable capacity of the zone.
     pub capacity: f64,
 }
 
@@ -126,50 +128,52 @@
     }
 }
 
-/// What a plan would come to.
+/// Forecast of a plan's effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forecast {
-    /// The plan.
+    /// The forecast plan.
     pub plan: TrafficPlan,
-    /// By zone.
+    /// Forecasts by zone index.
     pub zones: Vec<ZoneForecast>,
-    /// Of all demand, the fraction that nobody would carry.
+    /// Fraction of all demand that would be rejected or exceed a zone's capacity.
     #[serde(rename = "cut")]
     pub rejected_fraction: f64,
 }
 
-/// A shift may add this much to the rejected fraction without being forced.
+/// Maximum increase of the rejected fraction by a shift that is not forced.
 const MAX_ADDED_REJECTION: f64 = 0.01;
-/// A plan that differs from all near by less than the first is home; one that differs from the plan in force by more than the
-/// second has still a way to go.
-const HOME_DIFFERENCE: f64 = 1e-9;
+/// Maximum difference from the all-near plan at which a plan counts as all near.
+const ALL_NEAR_TOLERANCE: f64 = 1e-9;
+/// Minimum difference from the committed plan for a final change back to the all-near plan.
 const MIN_DIFFERENCE: f64 = 1e-6;
 
-/// A path, from and to, that callers found cut, and until when it counts as such.
+/// A path (from, to) that callers reported as cut, and the time until which it is not used.
 #[derive(Clone, Copy, Debug)]
 struct CutPath {
     path: (usize, usize),
     until_ms: f64,
 }
 
-/// Works out the plan where its member leads, and moves towards it in steps.
+/// Computes the target plan on the leader and moves the committed plan towards it in steps. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Planner {
     topology: Topology,
     config: PlannerConfig,
     zones: Vec<ZoneCapacity>,
     committed: TrafficPlan,
-    /// When a revision was committed last, when a plan was proposed last, and from when on a change may be.
+    /// Time at which the committed revision last changed.
     changed_ms: f64,
+    /// Time of the last proposal.
     proposed_ms: f64,
+    /// Earliest time of the next change.
     next_step_ms: f64,
-    last_look_ms: Option<f64>,
+    last_update_ms: Option<f64>,
     overrides: Overrides,
     cut_paths: Vec<CutPath>,
 }
 
 impl Planner {
-    /// All near, until a plan is committed.
+    /// Creates a planner whose committed plan is all near.
     pub fn new(topology: Topology, config: PlannerConfig) -> Self {
         let count = topology.len();
         Planner {
@@ -180,28 +184,28 @@
             changed_ms: f64::NEG_INFINITY,
             proposed_ms: f64::NEG_INFINITY,
             next_step_ms: f64::NEG_INFINITY,
-            last_look_ms: None,
+            last_update_ms: None,
             overrides: Overrides::new(),
             cut_paths: Vec::new(),
         }
     }
 
-    /// The zones.
+    /// Returns the topology.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn config(&self) -> &PlannerConfig {
         &self.config
     }
 
-    /// The plan that was committed last.
+    /// Returns the last committed plan.
     pub fn committed(&self) -> &TrafficPlan {
         &self.committed
     }
 
-    /// A plan was committed, this member's or a leader's before it: what follows starts from there.
+    /// Records a committed plan, proposed by this member or a previous leader. Further changes and overrides start from it.
     pub fn handle_committed(&mut self, now_ms: f64, plan: &TrafficPlan) {
         if plan.revision != self.committed.revision {
             self.changed_ms = now_ms;
@@ -210,11 +214,11 @@
         self.committed = plan.clone();
     }
 
-    /// Shifts a zone's traffic elsewhere for a while; returns what that comes to.
+    /// Starts a zonal shift and returns the forecast with it.
     ///
     /// # Errors
-    /// There is no such zone, or it is shifted already, or there are too many shifts; or the others can't carry it and the
-    /// request is not forced.
+    /// Returns an error if the zone does not exist or is already shifted, the maximum number of shifts is reached, or the other
+    /// zones lack capacity and the request is not forced.
     pub fn shift(
         &mut self,
         now_ms: f64,
@@ -226,7 +230,7 @@
             zone: name.clone(),
             zones: self.topology.zones().iter().map(|zone| zone.name.clone()).collect(),
         })?;
-        self.overrides.check_free(now_ms, zone, name)?;
+        self.overrides.check_can_add(now_ms, zone, name)?;
         let before = self.forecast(now_ms, reports, &[]);
         let after = self.forecast(now_ms, reports, &[zone]);
         if !is_forced && after.rejected_fraction > before.rejected_fraction + MAX_ADDED_REJECTION {
@@ -234,7 +238,7 @@
         }
         let (reason, operator) = (reason.clone(), operator.clone());
         self.overrides.add(now_ms, ZonalShift { zone, remaining_ms: *duration_ms, reason, operator });
-        self.propose_at_once();
+        self.propose_immediately();
         Ok(after)
     }
 
@@ -253,24 +257,24 @@
     /// Ends a shift before it expires.
     ///
     /// # Errors
-    /// The zone is not shifted.
+    /// Returns an error if the zone is not shifted.
     pub fn end_shift(&mut self, zone: &str) -> Result<(), ShiftError> {
         let is_removed = self.overrides.remove(self.topology.index_of(zone));
-        self.propose_at_once();
+        self.propose_immediately();
         is_removed.then_some(()).ok_or_else(|| ShiftError::NotShifted { zone: zone.into() })
     }
 
-    /// Keeps the plan as it is for a while, whatever is reported.
+    /// Suspends changes of the plan for the given duration.
     pub fn hold(&mut self, now_ms: f64, duration_ms: f64) {
         self.overrides.hold(now_ms, duration_ms);
         self.proposed_ms = f64::NEG_INFINITY;
     }
 
-    /// The next plan to commit, where there is one: a change, or the plan in force confirmed.
+    /// Returns the next plan to commit, if any: a new revision, or the current one if its renewal is due.
     pub fn poll_plan(&mut self, now_ms: f64, reports: &LoadReports) -> Option<TrafficPlan> {
-        self.look(now_ms, reports);
+        self.update_zones(now_ms, reports);
         self.overrides.expire(now_ms);
-        let change = self.change(now_ms, reports);
+        let change = self.next_revision(now_ms, reports);
         let is_renewal_due = now_ms - self.proposed_ms >= self.config.renew_interval_ms;
         if change.is_none() && !is_renewal_due {
             return None;
@@ -287,7 +291,7 @@
         })
     }
 
-    /// What a plan with these zones shifted would come to; nothing is done.
+    /// Returns the forecast of a plan in which the given zones are additionally shifted, without changing anything.
     pub fn forecast(&self, now_ms: f64, reports: &LoadReports, shifted: &[usize]) -> Forecast {
         let mut states = self.zone_states(now_ms, reports);
         shifted.iter().for_each(|zone| states[*zone].capacity = 0.0);
@@ -296,69 +300,71 @@
         let sent = |from: usize, to: usize| {
             states[from].total_demand() * plan.share_of_demand(from, to, &states[from].demand)
         };
-        let carried = |to: usize| (0..count).map(|from| sent(from, to)).sum::<f64>();
+        let received = |to: usize| (0..count).map(|from| sent(from, to)).sum::<f64>();
         let zone = |zone: usize| ZoneForecast {
             demand: states[zone].total_demand(),
-            carried: carried(zone),
+            carried: received(zone),
             capacity: states[zone].capacity,
         };
         let zones = (0..count).map(zone).collect();
         let total: f64 = states.iter().map(ZoneState::total_demand).sum();
-        let excess = |zone: usize| (carried(zone) - states[zone].capacity).max(0.0);
+        let excess = |zone: usize| (received(zone) - states[zone].capacity).max(0.0);
         let rejected: f64 = (0..count).map(|from| sent(from, count) + excess(from)).sum();
         Forecast { plan, zones, rejected_fraction: if total > 0.0 { rejected / total } else { 0.0 } }
     }
 
-    fn propose_at_once(&mut self) {
+    /// Makes both a change and a renewal due at the next poll.
+    fn propose_immediately(&mut self) {
         (self.proposed_ms, self.next_step_ms) = (f64::NEG_INFINITY, f64::NEG_INFINITY);
     }
 
-    /// Takes in what is reported of each zone.
-    fn look(&mut self, now_ms: f64, reports: &LoadReports) {
-        let since_ms = self.last_look_ms.map_or(f64::INFINITY, |last_ms| now_ms - last_ms);
-        self.last_look_ms = Some(now_ms);
-        let smoothing = 1.0 - (-since_ms / self.config.smoothing_ms).exp();
+    /// Updates the zones and cut paths from the reports.
+    fn update_zones(&mut self, now_ms: f64, reports: &LoadReports) {
+        let elapsed_ms = self.last_update_ms.map_or(f64::INFINITY, |last_ms| now_ms - last_ms);
+        self.last_update_ms = Some(now_ms);
+        let smoothing = 1.0 - (-elapsed_ms / self.config.smoothing_ms).exp();
         let loads = reports.zone_loads(now_ms);
         for ((zone, load), is_excluded) in self.zones.iter_mut().zip(loads).zip(&self.committed.is_excluded) {
             zone.update_demand(&load, smoothing);
             zone.update_capacity(now_ms, load.capacity, *is_excluded, &self.config);
         }
-        // While a path counts as cut nothing is sent by it, so nothing more is seen of it: it is tried again after a while.
+        // No attempts use a cut path, so no report can show its recovery. It is therefore tried again after the retention time.
         self.cut_paths.retain(|cut| cut.until_ms > now_ms);
         for path in reports.cut_paths(now_ms) {
             self.cut_paths.retain(|cut| cut.path != path);
-            self.cut_paths.push(CutPath { path, until_ms: now_ms + self.config.cut_path_ms });
+            self.cut_paths.push(CutPath { path, until_ms: now_ms + self.config.cut_path_retention_ms });
         }
     }
 
-    /// The next revision, where a change is wanted and allowed.
-    fn change(&self, now_ms: f64, reports: &LoadReports) -> Option<TrafficPlan> {
-        let is_allowed = !self.overrides.is_held(now_ms)
-            && self.has_reached_all(now_ms, reports)
+    /// Returns the next revision, if the target plan differs and a change is allowed.
+    fn next_revision(&self, now_ms: f64, reports: &LoadReports) -> Option<TrafficPlan> {
+        let is_allowed = !self.overrides.is_hold_active(now_ms)
+            && self.is_change_complete(now_ms, reports)
             && now_ms >= self.next_step_ms;
         if !is_allowed {
             return None;
         }
-        let wanted = self.plan_for(&self.zone_states(now_ms, reports));
+        let target = self.plan_for(&self.zone_states(now_ms, reports));
         let (current, zones, config) = (&self.committed, self.zones.as_slice(), &self.config);
-        let next = Transition { current, zones, config }.step(&wanted);
-        let is_worth = next.max_difference(current) >= config.min_change
+        let next = Transition { current, zones, config }.step(&target);
+        let is_significant = next.max_difference(current) >= config.min_share_change
             || next.is_excluded != current.is_excluded
-            || !self.overrides.has_zones_of(current);
-        // The last bit of the way home is gone too: else a little traffic would stay away for good.
-        let is_home = next.max_difference(&TrafficPlan::all_near(zones.len())) < HOME_DIFFERENCE
+            || !self.overrides.has_same_zones_as(current);
+        // The final step back to the all-near plan is taken even if it is small, so that no traffic stays redirected forever.
+        let is_final_return = next.max_difference(&TrafficPlan::all_near(zones.len())) < ALL_NEAR_TOLERANCE
             && next.max_difference(current) > MIN_DIFFERENCE;
-        (is_worth || is_home).then(|| TrafficPlan { revision: current.revision + 1, ..next })
+        (is_significant || is_final_return).then(|| TrafficPlan { revision: current.revision + 1, ..next })
     }
 
-    /// Whether nobody acts by a revision before the last: who it has not reached acts by none once its validity is over.
-    fn has_reached_all(&self, now_ms: f64, reports: &LoadReports) -> bool {
-        reports.members_behind(now_ms, self.committed.revision) == 0
+    /// Returns whether no member routes by a revision before the committed one: all members report it, or enough time has passed
+    /// for older plans to expire.
+    fn is_change_complete(&self, now_ms: f64, reports: &LoadReports) -> bool {
+        reports.outdated_member_count(now_ms, self.committed.revision) == 0
             || now_ms - self.changed_ms > self.config.valid_ms + self.config.renew_interval_ms
             || broken::is(BrokenRule::PlanWithoutFence)
     }
 
-    /// What a plan is worked out for: a shifted zone carries nothing.
+    /// Returns the planning input of all zones. A shifted zone has no capacity.
     fn zone_states(&self, now_ms: f64, reports: &LoadReports) -> Vec<ZoneState> {
         let loads = reports.zone_loads(now_ms);
         let state = |(index, zone): (usize, &ZoneCapacity)| ZoneState {
--- a/crates/plovershelf-failover/src/routing_advice.rs
+++ b/crates/plovershelf-failover/src/routing_advice.rs
@@ -1,33 +1,33 @@
-//! A caller's side: the zone of each call, and what the caller reports to the members that it asks for the plan.
+//! Caller's side of the plan: chooses the zone of each call and collects the caller's reports.
 //!
-//! Nothing is opened here: the caller asks a member ([`Request::Advice`](crate::Request::Advice) with
-//! [`RoutingAdvisor::poll_report`]), passes the answer to [`RoutingAdvisor::handle_status`], and asks again after
-//! [`ADVICE_INTERVAL_MS`], near members first and any other when these do not answer.
+//! This module performs no I/O. The caller sends [`Request::Advice`](crate::Request::Advice) with the report from
+//! [`RoutingAdvisor::poll_report`] to a member, passes the response to [`RoutingAdvisor::handle_status`], and repeats this every
+//! [`ADVICE_INTERVAL_MS`]. It prefers members in its own zone and falls back to others if these do not respond.
 
 use crate::caller_reports::{AttemptCounts, CallerReport};
 use crate::follower::PlanFollower;
 use crate::messages::Status;
 use crate::traffic_plan::{priority_band, TrafficPlan, PRIORITY_BANDS};
 
-/// Between two requests for advice, in milliseconds.
+/// Interval between two advice requests, in milliseconds.
 pub const ADVICE_INTERVAL_MS: f64 = 300.0;
-/// Half-life of the counts of attempts, in milliseconds.
+/// Half-life of the attempt counts, in milliseconds.
 const ATTEMPTS_HALF_LIFE_MS: f64 = 1000.0;
 
-/// Routes one origin's calls by the plan, and counts what it sees.
+/// Routes the calls of one origin by the plan and counts the results of attempts.
 #[derive(Clone, Debug)]
 pub struct RoutingAdvisor {
     origin: usize,
     follower: PlanFollower,
     attempts: Vec<AttemptCounts>,
-    /// Work sent elsewhere or rejected since the last report, in core-milliseconds by band.
+    /// Work redirected to other zones or rejected at the origin since the last report, in core-milliseconds per priority band.
     work_elsewhere_ms: [f64; PRIORITY_BANDS],
     last_report_ms: f64,
     last_decay_ms: f64,
 }
 
 impl RoutingAdvisor {
-    /// For callers in the zone of that index.
+    /// Creates an advisor for callers in the zone with index `origin`, of `zones` zones in total.
     pub fn new(origin: usize, zones: usize, now_ms: f64) -> Self {
         RoutingAdvisor {
             origin,
@@ -39,13 +39,15 @@
         }
     }
 
-    /// The plan that is acted by.
+    /// Returns the follower that holds the current plan.
     pub fn follower(&self) -> &PlanFollower {
         &self.follower
     }
 
-    /// The zone of a call's first attempt, by a draw from 0 to 1; `None` where it is rejected at the origin. `work_ms` is what
-    /// it takes of a core; `is_in_time` says whether its deadline allows the path to a zone.
+    /// Chooses the zone of a call's first attempt, or `None` if the plan rejects the call at its origin.
+    ///
+    /// `draw` is a random number from 0 to 1, `work_ms` the expected work in core-milliseconds. `is_in_time` returns whether the
+    /// call's deadline allows the latency to a zone.
     pub fn choose_zone(
         &mut self,
         now_ms: f64,
@@ -61,12 +63,12 @@
         zone
     }
 
-    /// The zone of a retry after attempts at these zones; `None` where the plan sends nothing of it any further.
+    /// Chooses the zone of a retry after attempts at the zones in `tried`, or `None` if the plan has no further zone.
     pub fn choose_retry_zone(&self, now_ms: f64, priority: f64, tried: &[usize]) -> Option<usize> {
         self.follower.choose_retry_zone(now_ms, self.origin, priority, tried)
     }
 
-    /// An attempt ended: whether the zone answered at all, also where it rejected.
+    /// Records the end of an attempt. `is_answered` is true for any answer from the zone, including a rejection.
     pub fn record_attempt(&mut self, now_ms: f64, zone: usize, is_answered: bool) {
         self.decay(now_ms);
         if let Some(counts) = self.attempts.get_mut(zone) {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The report for the member that is asked next. Work sent elsewhere is counted anew from here.
+    /// Returns the report for the next advice request and restarts the count of redirected work.
     pub fn poll_report(&mut self, now_ms: f64) -> CallerReport {
         self.decay(now_ms);
         let period_ms = (now_ms - std::mem::replace(&mut self.last_report_ms, now_ms)).max(1.0);
@@ -83,18 +85,18 @@
         CallerReport { origin: self.origin, demand_elsewhere, attempts: self.attempts.clone() }
     }
 
-    /// A member's answer; returns whether its plan is acted by from now on. It holds no longer than it does at the member, so
-    /// that nobody acts by a plan that the member itself has dropped.
+    /// Handles a member's status and returns whether its plan was installed. The plan expires no later than at the member, so
+    /// that no caller routes by a plan that the member has discarded.
     pub fn handle_status(&mut self, now_ms: f64, status: &Status) -> bool {
         let plan = || TrafficPlan { valid_ms: status.remaining_ms, ..status.plan.clone() };
         status.is_active && self.follower.handle_plan(now_ms, status.version, plan())
     }
 
     fn decay(&mut self, now_ms: f64) {
-        let part = 0.5f64.powf((now_ms - self.last_decay_ms).max(0.0) / ATTEMPTS_HALF_LIFE_MS);
+        let factor = 0.5f64.powf((now_ms - self.last_decay_ms).max(0.0) / ATTEMPTS_HALF_LIFE_MS);
         for counts in &mut self.attempts {
-            counts.attempts *= part;
-            counts.answered *= part;
+            counts.attempts *= factor;
+            counts.answered *= factor;
         }
         self.last_decay_ms = self.last_decay_ms.max(now_ms);
     }
--- a/crates/plovershelf-failover/src/topology.rs
+++ b/crates/plovershelf-failover/src/topology.rs
@@ -1,26 +1,26 @@
-//! Zones, their regions, and the latency between them.
+//! Zones, their regions, and the network latency between them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::min_cost_flow::UNREACHABLE;
 
-/// A zone, which fails as one.
+/// A zone, a failure domain within a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Zone {
-    /// Its name, unique.
+    /// Unique name of the zone.
     pub name: String,
-    /// The region that it lies in.
+    /// Name of the region that contains the zone.
     pub region: String,
 }
 
-/// One-way latency between zones of one region where none is configured, in milliseconds.
+/// Default one-way latency between zones of one region, in milliseconds.
 pub const DEFAULT_IN_REGION_MS: f64 = 1.0;
-/// One-way latency between regions where none is configured, in milliseconds.
+/// Default one-way latency between zones of different regions, in milliseconds.
 pub const DEFAULT_BETWEEN_REGIONS_MS: f64 = 30.0;
-/// Zones at most.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 512;
 
-/// The zones, and the one-way latency between each two.
+/// All zones and the one-way latency between each pair.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topology {
     zones: Vec<Zone>,
@@ -28,7 +28,7 @@
 }
 
 impl Topology {
-    /// Zones with the default latencies.
+    /// Creates a topology with the default latencies.
     pub fn new(zones: Vec<Zone>) -> Self {
         let default_ms = |a: &Zone, b: &Zone| match (a.name == b.name, a.region == b.region) {
             (true, _) => 0.0,
@@ -39,32 +39,32 @@
         Topology { zones, latency_ms }
     }
 
-    /// Sets the latency between two zones, in both directions.
-    pub fn set_latency(&mut self, one: usize, other: usize, latency_ms: f64) {
-        (self.latency_ms[one][other], self.latency_ms[other][one]) = (latency_ms, latency_ms);
+    /// Sets the one-way latency between two zones, given by index, in both directions.
+    pub fn set_latency(&mut self, first: usize, second: usize, latency_ms: f64) {
+        (self.latency_ms[first][second], self.latency_ms[second][first]) = (latency_ms, latency_ms);
     }
 
-    /// The one-way latency; infinite where there is no such zone.
+    /// Returns the one-way latency between two zones in milliseconds, or infinity if an index is out of range.
     pub fn latency_ms(&self, from: usize, to: usize) -> f64 {
         self.latency_ms.get(from).and_then(|row| row.get(to)).copied().unwrap_or(UNREACHABLE)
     }
 
-    /// The zones, in the order of their indices.
+    /// Returns the zones in index order.
     pub fn zones(&self) -> &[Zone] {
         &self.zones
     }
 
-    /// The index of the zone of that name.
+    /// Returns the index of the zone with the given name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone.name == name)
     }
 
-    /// How many zones there are.
+    /// Returns the number of zones.
     pub fn len(&self) -> usize {
         self.zones.len()
     }
 
-    /// Whether there is no zone.
+    /// Returns whether there are no zones.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
--- a/crates/plovershelf-failover/src/traffic_plan.rs
+++ b/crates/plovershelf-failover/src/traffic_plan.rs
@@ -1,68 +1,71 @@
-//! The plan that is committed: of each zone's traffic, the shares that stay near, go elsewhere, or are rejected at the origin.
+//! The committed traffic plan: the shares of each zone's traffic that stay near, go to other zones, or are rejected at the origin.
 //!
-//! On the wire rows that are all near are left out, and shares are 16-bit fractions; what rounding leaves goes to the near share.
+//! On the wire, rows whose traffic all stays near are omitted and shares are 16-bit fractions. Rounding errors are added to the
+//! near share.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::topology::MAX_ZONES;
 
-/// Bands of priority, the lowest first.
+/// Number of priority bands; band 0 has the lowest priority.
 pub const PRIORITY_BANDS: usize = 3;
 
-/// The band of a priority from 0 to 1.
+/// Returns the band of a priority from 0 to 1; values outside are clamped.
 pub fn priority_band(priority: f64) -> usize {
     ((priority * PRIORITY_BANDS as f64) as usize).min(PRIORITY_BANDS - 1)
 }
 
-/// An operator's zonal shift: a zone's traffic goes elsewhere until it expires.
+/// An operator's zonal shift, which moves a zone's traffic to other zones until the shift expires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZonalShift {
-    /// The index of the zone.
+    /// Index of the shifted zone.
     pub zone: usize,
-    /// How long it still lasts, in milliseconds.
+    /// Remaining duration in milliseconds.
     #[serde(rename = "left_ms")]
     pub remaining_ms: f64,
-    /// Why, in the operator's words.
+    /// Reason given by the operator.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Who set it.
+    /// Name of the operator who set the shift.
     #[serde(rename = "by")]
     pub operator: String,
 }
 
-/// The shares. A row an origin zone and a band; a column a target zone, then one for what is rejected. Each row sums to 1.
+/// Traffic shares of all zones. A row stands for an origin zone and a band. Each column stands for a target zone, and the last
+/// one for traffic rejected at the origin. Each row sums to 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(into = "PackedPlan", try_from = "PackedPlan")]
 pub struct TrafficPlan {
-    /// Goes up by one when anything but the times changes; a plan that is only confirmed keeps it.
+    /// Revision number, incremented with each change of the plan. Renewals, which only update times, keep the revision.
     pub revision: u64,
-    /// The rows, by origin, then by band.
+    /// Rows of shares, ordered by origin and then by band.
     pub shares: Vec<Vec<f64>>,
-    /// Zones that nothing is sent to: they carry nothing, or an operator shifted them.
+    /// Per zone, whether it receives no traffic because it has no usable capacity or is shifted by an operator.
     pub is_excluded: Vec<bool>,
-    /// Operators' shifts.
+    /// Operators' active shifts.
     pub shifts: Vec<ZonalShift>,
-    /// An operator holds the plan as it is for so long still, in milliseconds.
+    /// Remaining time in milliseconds of an operator's hold, during which the plan does not change.
     pub hold_remaining_ms: f64,
-    /// Who has not had it confirmed for so long, in milliseconds, acts by the safe default.
+    /// Validity in milliseconds. A follower that receives no newer version within this time falls back to the safe default.
     pub valid_ms: f64,
-    /// What it comes to, for people.
+    /// Human-readable summary.
     pub reason: String,
 }
 
-/// Shares that differ from 1, or are below 0, by less are sound.
+/// Tolerances for rounding errors of a single share and of the sum of a row.
 const SHARE_TOLERANCE: f64 = 1e-9;
 const ROW_SUM_TOLERANCE: f64 = 1e-6;
-/// Demand below this is none.
+/// Demand in cores below which a zone counts as having none.
 const MIN_DEMAND: f64 = 1e-9;
 
+/// Returns the row of an origin zone whose traffic all stays near.
 fn near_row(zones: usize, zone: usize) -> Vec<f64> {
     (0..=zones).map(|to| if to == zone { 1.0 } else { 0.0 }).collect()
 }
 
 impl TrafficPlan {
-    /// All near: the safe default of who has no plan that is valid.
+    /// Returns the plan in which all traffic stays near, the safe default without a valid plan.
     pub fn all_near(zones: usize) -> Self {
         TrafficPlan {
             revision: 0,
@@ -75,22 +78,23 @@
         }
     }
 
-    /// How many zones it is for.
+    /// Returns the number of zones.
     pub fn zones(&self) -> usize {
         self.is_excluded.len()
     }
 
-    /// The share of an origin's band that goes to a zone.
+    /// Returns the share of an origin's band that goes to a zone; 0 if an index is out of range.
     pub fn share(&self, origin: usize, band: usize, to: usize) -> f64 {
         self.shares.get(origin * PRIORITY_BANDS + band).and_then(|row| row.get(to)).copied().unwrap_or(0.0)
     }
 
-    /// The share of an origin's band that no zone is asked to carry.
+    /// Returns the share of an origin's band that is rejected at the origin.
     pub fn rejected_share(&self, origin: usize, band: usize) -> f64 {
         self.share(origin, band, self.zones())
     }
 
-    /// The share of all that an origin wants, by bands, that goes to a zone; where it wants nothing, the mean of the bands.
+    /// Returns the share of an origin's total demand that goes to a zone, given its demand per band. Without demand, returns the
+    /// mean over the bands.
     pub fn share_of_demand(&self, origin: usize, to: usize, demand: &[f64; PRIORITY_BANDS]) -> f64 {
         let total: f64 = demand.iter().sum();
         let weight = |band: usize| {
@@ -103,13 +107,13 @@
         (0..PRIORITY_BANDS).map(|band| weight(band) * self.share(origin, band, to)).sum()
     }
 
-    /// The largest difference of one share.
+    /// Returns the largest difference between corresponding shares of two plans.
     pub fn max_difference(&self, other: &TrafficPlan) -> f64 {
         let pairs = self.shares.iter().flatten().zip(other.shares.iter().flatten());
         pairs.map(|(a, b)| (a - b).abs()).fold(0.0, f64::max)
     }
 
-    /// Whether it may be acted by at all: rows that sum to 1, and nothing below 0.
+    /// Returns whether the plan is well-formed for the given number of zones: each row sums to 1 and no share is negative.
     pub fn is_valid(&self, zones: usize) -> bool {
         let is_valid_row = |row: &Vec<f64>| {
             row.len() == zones + 1
@@ -122,48 +126,48 @@
     }
 }
 
-/// Why a plan from the wire was refused.
+/// Error of decoding a plan from its wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PlanDecodeError {
-    /// More zones than there may be.
-    #[error("{zones} zones: {max} at most", max = MAX_ZONES)]
+    /// The number of zones exceeds [`MAX_ZONES`].
+    #[error("plan has {zones} zones, the maximum is {max}", max = MAX_ZONES)]
     TooManyZones {
-        /// How many it has.
+        /// Number of zones in the plan.
         zones: usize,
     },
-    /// A share beyond the zones.
-    #[error("row {row}, column {column} of {zones} zones")]
+    /// A share has an invalid row or column.
+    #[error("share at row {row}, column {column} is invalid for {zones} zones")]
     UnknownShare {
-        /// Its row.
+        /// Row of the share.
         row: usize,
-        /// Its column.
+        /// Column of the share.
         column: usize,
-        /// How many zones there are.
+        /// Number of zones in the plan.
         zones: usize,
     },
-    /// Shares of one row beyond all of it.
-    #[error("row {row} has shares beyond all of it")]
+    /// The shares of a row sum to more than 1.
+    #[error("shares of row {row} sum to more than 1")]
     RowAboveOne {
-        /// The row.
+        /// Index of the row.
         row: usize,
     },
-    /// An excluded zone that does not exist.
-    #[error("no zone {zone} of {zones}")]
+    /// An excluded zone does not exist.
+    #[error("excluded zone {zone} is invalid for {zones} zones")]
     UnknownZone {
-        /// Its index.
+        /// Index of the excluded zone.
         zone: u16,
-        /// How many zones there are.
+        /// Number of zones in the plan.
         zones: usize,
     },
 }
 
-/// The plan on the wire. Names of fields are what scripts read of the command's JSON.
+/// Wire format of the plan. The serialized field names are the JSON keys that operators' scripts read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct PackedPlan {
     #[serde(rename = "change")]
     revision: u64,
     zones: u16,
-    /// Row, column, share in parts of [`WHOLE_SHARE`].
+    /// Row, column, and share as a multiple of 1/[`WHOLE_SHARE`].
     shares: Vec<(u16, u16, u16)>,
     #[serde(rename = "off")]
     excluded: Vec<u16>,
@@ -175,7 +179,7 @@
     reason: String,
 }
 
-/// A share of 1 on the wire.
+/// Wire value of a share of 1.
 const WHOLE_SHARE: f64 = 65_535.0;
 
 impl From<TrafficPlan> for PackedPlan {
@@ -185,9 +189,9 @@
         for (index, row) in plan.shares.iter().enumerate() {
             let near = index / PRIORITY_BANDS;
             if *row != near_row(zones, near) {
-                let elsewhere = row.iter().enumerate().filter(|(to, share)| **share > 0.0 && *to != near);
+                let redirected = row.iter().enumerate().filter(|(to, share)| **share > 0.0 && *to != near);
                 shares.extend(
-                    elsewhere
+                    redirected
                         .map(|(to, share)| (index as u16, to as u16, (share * WHOLE_SHARE).floor() as u16)),
                 );
             }
@@ -222,14 +226,14 @@
 }
 
 impl TrafficPlan {
-    /// Moves a share of a row from near to another column.
+    /// Moves a share of a row from the near column to another one.
     fn move_share(&mut self, row: usize, column: usize, share: f64) -> Result<(), PlanDecodeError> {
         let (zones, near) = (self.zones(), row / PRIORITY_BANDS);
         let shares = self.shares.get_mut(row).filter(|shares| column < shares.len() && column != near);
         let shares = shares.ok_or(PlanDecodeError::UnknownShare { row, column, zones })?;
         shares[column] = share;
         shares[near] -= share;
-        // What rounding left is no share: an excluded zone gets nothing of it.
+        // A near share as small as the rounding error is moved too, so that an excluded zone receives no traffic because of it.
         if shares[near] < 2.0 * (zones as f64 + 1.0) / WHOLE_SHARE {
             shares[column] += shares[near];
             shares[near] = 0.0;
--- a/crates/plovershelf-failover/tests/checker.rs
+++ b/crates/plovershelf-failover/tests/checker.rs
@@ -1,6 +1,7 @@
-//! Changes of the plan walked through completely: plans that are told late, twice, out of order or not at all, followers that start
-//! anew, time that goes on. Nobody acts by an older plan after a newer one, nor by one that was followed longer ago than the
-//! bound, nor sends anything where the plan it acts by has cut a zone off.
+//! Model checking of plan changes with delayed, duplicated, reordered and lost plans, and with followers that restart.
+//!
+//! Properties: no follower routes by an older plan after a newer one; a plan that was superseded remains in use only for a
+//! bounded time; no follower sends traffic to a zone that its plan excludes.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -10,38 +11,43 @@
 
 const TICK_MS: f64 = 1000.0;
 const VALID_MS: f64 = 2000.0;
-/// News that are later than this are lost.
-const LATE: u8 = 2;
+/// Maximum delay of a plan's delivery in ticks; later deliveries count as lost.
+const MAX_DELAY_TICKS: u8 = 2;
 const TICKS: u8 = 8;
 const FOLLOWERS: usize = 2;
 
-struct Plans {
-    decisions: u8,
+/// Model of the distribution of plans.
+struct PlanModel {
+    /// Number of plans that are committed.
+    commits: u8,
     restarts: u8,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct SystemState {
     tick: u8,
-    /// When each number was decided.
-    decided: Vec<u8>,
+    /// Tick at which each plan was committed, by version.
+    committed_at: Vec<u8>,
     followers: Vec<PlanFollower>,
-    /// The newest number that each process of a follower took over.
+    /// Newest version that each follower has installed since its last restart.
     newest: Vec<u64>,
-    news: Vec<(u8, usize)>,
+    /// Undelivered plans: version and follower.
+    in_flight: Vec<(u8, usize)>,
+    /// Restarts that may still occur.
     restarts: u8,
 }
 
-impl World {
-    fn hashed(&self) -> u64 {
+impl SystemState {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (self.tick, &self.decided, &self.newest, &self.news, self.restarts).hash(&mut hasher);
+        (self.tick, &self.committed_at, &self.newest, &self.in_flight, self.restarts).hash(&mut hasher);
         format!("{:?}", self.followers).hash(&mut hasher);
         hasher.finish()
     }
 
-    fn acts(&self, who: usize) -> u64 {
-        self.followers[who].revision(self.now())
+    /// Returns the revision that a follower routes by; 0 if it has no active plan.
+    fn active_revision(&self, follower: usize) -> u64 {
+        self.followers[follower].revision(self.now())
     }
 
     fn now(&self) -> f64 {
@@ -49,166 +55,183 @@
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for SystemState {
     fn eq(&self, other: &Self) -> bool {
-        self.hashed() == other.hashed()
+        self.state_hash() == other.state_hash()
     }
 }
 
-impl Eq for World {}
+impl Eq for SystemState {}
 
-impl Hash for World {
+impl Hash for SystemState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.hashed().hash(hasher);
+        self.state_hash().hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Decide,
-    /// The one at that place arrives; it may come once more.
-    Tell(usize, bool),
+    /// The leader commits the next plan.
+    Commit,
+    /// The undelivered plan at the given index arrives; if true, a duplicate remains undelivered.
+    Deliver(usize, bool),
+    /// The undelivered plan at the given index is lost.
     Lose(usize),
+    /// Time advances by one tick.
     Tick,
+    /// A follower restarts and loses its state.
     Restart(usize),
 }
 
-/// Each plan cuts another of two zones off, in turn.
-fn plan(number: u8) -> TrafficPlan {
-    let off = usize::from(number) % 2;
+/// Returns the plan of a version. Successive plans exclude the two zones alternately.
+fn plan(version: u8) -> TrafficPlan {
+    let excluded = usize::from(version) % 2;
     let mut plan =
-        TrafficPlan { revision: u64::from(number), valid_ms: VALID_MS, ..TrafficPlan::all_near(2) };
-    plan.is_excluded[off] = true;
+        TrafficPlan { revision: u64::from(version), valid_ms: VALID_MS, ..TrafficPlan::all_near(2) };
+    plan.is_excluded[excluded] = true;
     for band in 0..PRIORITY_BANDS {
-        let row = &mut plan.shares[off * PRIORITY_BANDS + band];
+        let row = &mut plan.shares[excluded * PRIORITY_BANDS + band];
         *row = vec![0.0, 0.0, 0.2];
-        row[1 - off] = 0.8;
+        row[1 - excluded] = 0.8;
     }
     plan
 }
 
-impl Model for Plans {
-    type State = World;
+impl Model for PlanModel {
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
+    fn init_states(&self) -> Vec<SystemState> {
+        vec![SystemState {
             tick: 0,
-            decided: Vec::new(),
+            committed_at: Vec::new(),
             followers: vec![PlanFollower::new(2); FOLLOWERS],
             newest: vec![0; FOLLOWERS],
-            news: Vec::new(),
+            in_flight: Vec::new(),
             restarts: self.restarts,
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.decided.len() < usize::from(self.decisions) {
-            steps.push(Step::Decide);
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
+        if state.committed_at.len() < usize::from(self.commits) {
+            steps.push(Step::Commit);
         }
-        for place in 0..world.news.len() {
-            steps.extend([Step::Tell(place, false), Step::Tell(place, true), Step::Lose(place)]);
+        for index in 0..state.in_flight.len() {
+            steps.extend([Step::Deliver(index, false), Step::Deliver(index, true), Step::Lose(index)]);
         }
-        if world.tick < TICKS {
+        if state.tick < TICKS {
             steps.push(Step::Tick);
         }
-        if world.restarts > 0 {
+        if state.restarts > 0 {
             steps.extend((0..FOLLOWERS).map(Step::Restart));
         }
     }
 
-    fn next_state(&self, world: &World, step: Step) -> Option<World> {
-        let mut world = world.clone();
+    fn next_state(&self, state: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = state.clone();
         match step {
-            Step::Decide => {
-                world.decided.push(world.tick);
-                let number = world.decided.len() as u8;
-                world.news.extend((0..FOLLOWERS).map(|to| (number, to)));
+            Step::Commit => {
+                state.committed_at.push(state.tick);
+                let version = state.committed_at.len() as u8;
+                state.in_flight.extend((0..FOLLOWERS).map(|to| (version, to)));
             }
-            Step::Tell(place, stays) => {
-                let (number, to) = world.news[place];
-                if !stays {
-                    world.news.remove(place);
+            Step::Deliver(index, is_duplicated) => {
+                let (version, to) = state.in_flight[index];
+                if !is_duplicated {
+                    state.in_flight.remove(index);
                 }
-                let now = world.now();
-                if world.followers[to].handle_plan(now, u64::from(number), plan(number)) {
-                    world.newest[to] = world.newest[to].max(u64::from(number));
+                let now = state.now();
+                if state.followers[to].handle_plan(now, u64::from(version), plan(version)) {
+                    state.newest[to] = state.newest[to].max(u64::from(version));
                 }
             }
-            Step::Lose(place) => drop(world.news.remove(place)),
+            Step::Lose(index) => drop(state.in_flight.remove(index)),
             Step::Tick => {
-                world.tick += 1;
-                let (tick, decided) = (world.tick, world.decided.clone());
-                world.news.retain(|(number, _)| tick <= decided[usize::from(*number) - 1] + LATE);
+                state.tick += 1;
+                let (tick, committed_at) = (state.tick, state.committed_at.clone());
+                state
+                    .in_flight
+                    .retain(|(version, _)| tick <= committed_at[usize::from(*version) - 1] + MAX_DELAY_TICKS);
             }
-            Step::Restart(who) => {
-                world.restarts -= 1;
-                world.followers[who] = PlanFollower::new(2);
-                world.newest[who] = 0;
+            Step::Restart(follower) => {
+                state.restarts -= 1;
+                state.followers[follower] = PlanFollower::new(2);
+                state.newest[follower] = 0;
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("older is refused", |_, world: &World| {
-                (0..FOLLOWERS).all(|who| world.acts(who) == 0 || world.acts(who) == world.newest[who])
+            Property::always("older plans are rejected", |_, state: &SystemState| {
+                (0..FOLLOWERS).all(|follower| {
+                    let revision = state.active_revision(follower);
+                    revision == 0 || revision == state.newest[follower]
+                })
             }),
-            Property::always("two plans are bounded", |_, world: &World| {
-                (0..FOLLOWERS).all(|who| {
-                    let followed =
-                        world.decided.get(world.acts(who) as usize).filter(|_| world.acts(who) > 0);
-                    let bound = f64::from(LATE) * TICK_MS + VALID_MS;
-                    followed.is_none_or(|at| world.now() - f64::from(*at) * TICK_MS <= bound)
+            Property::always("superseded plans expire", |_, state: &SystemState| {
+                (0..FOLLOWERS).all(|follower| {
+                    let revision = state.active_revision(follower);
+                    // Versions start at 1, so the active revision is the index of the next plan's commit.
+                    let superseded_at = state.committed_at.get(revision as usize).filter(|_| revision > 0);
+                    let bound = f64::from(MAX_DELAY_TICKS) * TICK_MS + VALID_MS;
+                    superseded_at.is_none_or(|at| state.now() - f64::from(*at) * TICK_MS <= bound)
                 })
             }),
-            Property::always("nothing is sent where it is cut off", |_, world: &World| {
-                world.followers.iter().all(|follower| {
-                    let off = follower.active_plan(world.now()).map(|plan| plan.is_excluded.clone());
-                    let sent =
-                        |from: usize, draw: f64| follower.choose_zone(world.now(), from, 0.5, draw, |_| true);
+            Property::always("no traffic is sent to excluded zones", |_, state: &SystemState| {
+                state.followers.iter().all(|follower| {
+                    let excluded = follower.active_plan(state.now()).map(|plan| plan.is_excluded.clone());
+                    let target =
+                        |from: usize, draw: f64| follower.choose_zone(state.now(), from, 0.5, draw, |_| true);
                     let draws = [0.0, 0.3, 0.7, 0.9, 0.999];
-                    off.is_none_or(|off| {
-                        (0..2).all(|from| draws.iter().all(|d| sent(from, *d).is_none_or(|to| !off[to])))
+                    excluded.is_none_or(|excluded| {
+                        (0..2).all(|from| {
+                            draws.iter().all(|draw| target(from, *draw).is_none_or(|to| !excluded[to]))
+                        })
                     })
                 })
             }),
-            Property::sometimes("one acts by the newest while another acts by none", |_, world: &World| {
-                world.acts(0) == 2 && world.acts(1) == 0
-            }),
+            Property::sometimes(
+                "one follower uses the newest plan while the other has none",
+                |_, state: &SystemState| state.active_revision(0) == 2 && state.active_revision(1) == 0,
+            ),
         ]
     }
 }
 
 #[test]
-fn changes_of_the_plan_with_news_late_lost_twice_and_followers_that_start_anew() {
-    for (decisions, restarts) in [(3, 0), (2, 1)] {
-        let checker = Plans { decisions, restarts }.checker().threads(4).spawn_bfs().join();
+fn plan_changes_with_delayed_lost_and_duplicated_plans_and_restarting_followers() {
+    for (commits, restarts) in [(3, 0), (2, 1)] {
+        let checker = PlanModel { commits, restarts }.checker().threads(4).spawn_bfs().join();
         checker.assert_properties();
-        println!("{decisions} plans, {restarts} restarts: {} states, complete", checker.unique_state_count());
+        println!("{commits} plans, {restarts} restarts: {} states, complete", checker.unique_state_count());
     }
 }
 
-/// Without numbers as a fence and without an end each of the first two is broken; on this thread alone, so by one step each.
+/// If plans are neither rejected by version nor expire, the first two properties must fail. The violation applies only to this
+/// thread, so the steps are taken directly instead of by the multithreaded checker.
 #[test]
-fn without_its_fence_both_are_broken() {
+fn without_version_check_and_expiry_both_properties_fail() {
     set(Some(BrokenRule::PlanWithoutFence));
-    let model = Plans { decisions: 2, restarts: 0 };
-    let steps = [Step::Decide, Step::Decide, Step::Tell(2, false), Step::Tell(0, false)];
-    let mut world = model.init_states().remove(0);
+    let model = PlanModel { commits: 2, restarts: 0 };
+    let steps = [Step::Commit, Step::Commit, Step::Deliver(2, false), Step::Deliver(0, false)];
+    let mut state = model.init_states().remove(0);
     for step in steps {
-        world = model.next_state(&world, step).expect("it can happen");
+        state = model.next_state(&state, step).expect("step is possible");
     }
-    let broken = |world: &World| -> Vec<&str> {
-        let wrong = model.properties().into_iter().filter(|p| !(p.condition)(&model, world));
-        wrong.map(|p| p.name).filter(|name| !name.starts_with("one")).collect()
+    let violated = |state: &SystemState| -> Vec<&str> {
+        let properties = model.properties().into_iter().filter(|p| !(p.condition)(&model, state));
+        properties.map(|p| p.name).filter(|name| !name.starts_with("one")).collect()
     };
-    let older = broken(&world);
+    let after_older_plan = violated(&state);
     for _ in 0..6 {
-        world = model.next_state(&world, Step::Tick).expect("time goes on");
+        state = model.next_state(&state, Step::Tick).expect("tick is possible");
     }
-    let late = broken(&world);
+    let after_expiry = violated(&state);
     set(None);
-    assert_eq!((older, late.contains(&"two plans are bounded")), (vec!["older is refused"], true));
+    assert_eq!(
+        (after_older_plan, after_expiry.contains(&"superseded plans expire")),
+        (vec!["older plans are rejected"], true)
+    );
 }
--- a/crates/plovershelf-failover/tests/pins.rs
+++ b/crates/plovershelf-failover/tests/pins.rs
@@ -1,7 +1,8 @@
-//! The bytes of every message about zones, as members of another build write and read them.
+//! Pins the encoding of every message about zones for compatibility between builds.
 //!
-//! The fixture is one line a value: its name, then its bytes in hex. It was written once
-//! (`cargo test --test pins -- --ignored write_fixture`) and is not written again: a member that is updated talks to members that are not.
+//! Each line of the fixture contains a value's name and its bytes in hex. The fixtures were written once
+//! (`cargo test --test pins -- --ignored write_fixture`) and must not be rewritten: during an upgrade, updated members exchange
+//! messages with members of the previous build.
 
 use std::fmt::Debug;
 
@@ -31,11 +32,11 @@
     CallerReport { origin: 1, demand_elsewhere: [5.5, 6.5, 7.5], attempts }
 }
 
-/// Two zones: a fifth of the lowest band of the first goes to the second, which sends nothing and is off.
+/// Returns a plan of two zones in which a fifth of the first zone's lowest band goes to the second, excluded zone.
 fn plan() -> TrafficPlan {
     let mut plan = TrafficPlan::all_near(2);
-    let part = 13_107.0 / 65_535.0;
-    plan.shares[0] = vec![1.0 - part, part, 0.0];
+    let share = 13_107.0 / 65_535.0;
+    plan.shares[0] = vec![1.0 - share, share, 0.0];
     plan.is_excluded = vec![false, true];
     plan.revision = 21;
     plan.shifts =
@@ -80,19 +81,24 @@
     }
 }
 
+/// Returns the fixture line of a value.
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> String {
-    let bytes = postcard::to_stdvec(value).expect("it has a form in bytes");
+    let bytes = postcard::to_stdvec(value).expect("value can be encoded");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     format!("{name} {hex}")
 }
 
-/// The value of each kind, as bytes; and that the bytes of the fixture come to that value.
+/// Appends the fixture line of a value and asserts that the recorded bytes decode to the value.
 fn pin<T: Serialize + DeserializeOwned + PartialEq + Debug>(lines: &mut Vec<String>, name: &str, value: T) {
     if let Some((_, hex)) = FIXTURE.lines().filter_map(|line| line.split_once(' ')).find(|(n, _)| *n == name)
     {
-        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
         let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-        assert_eq!(postcard::from_bytes::<T>(&bytes).expect("a message"), value, "{name}");
+        assert_eq!(
+            postcard::from_bytes::<T>(&bytes).expect("recorded bytes can be decoded"),
+            value,
+            "{name}"
+        );
     }
     lines.push(line(name, &value));
 }
@@ -120,12 +126,12 @@
 }
 
 #[test]
-fn every_message_has_the_recorded_bytes_and_is_read_from_them() {
+fn every_message_matches_the_recorded_bytes_when_encoded_and_decoded() {
     let recorded: Vec<&str> = FIXTURE.lines().collect();
     assert_eq!(lines(), recorded);
 }
 
-/// What operators' scripts read of `plovershelf zones --json`: names and order of keys are theirs.
+/// Returns the output of `plovershelf zones --json`. Operators' scripts depend on the names and the order of its keys.
 fn json_lines() -> Vec<String> {
     let responses = [
         Response::Status(Box::new(status())),
@@ -133,24 +139,27 @@
         Response::Done("done".into()),
         Response::Refused("not here".into()),
     ];
-    responses.iter().map(|response| serde_json::to_string(response).expect("JSON")).collect()
+    responses
+        .iter()
+        .map(|response| serde_json::to_string(response).expect("response can be encoded"))
+        .collect()
 }
 
 #[test]
-fn every_answer_has_the_recorded_json_and_is_read_from_it() {
+fn every_response_matches_the_recorded_json_when_encoded_and_decoded() {
     let recorded: Vec<&str> = JSON_FIXTURE.lines().collect();
     assert_eq!(json_lines(), recorded);
     for line in recorded {
-        let response: Response = serde_json::from_str(line).expect("an answer");
-        assert_eq!(serde_json::to_string(&response).expect("JSON"), line);
+        let response: Response = serde_json::from_str(line).expect("recorded JSON can be decoded");
+        assert_eq!(serde_json::to_string(&response).expect("response can be encoded"), line);
     }
 }
 
 #[test]
-#[ignore = "writes the fixtures; done once"]
+#[ignore = "writes the fixtures, which must not be rewritten"]
 fn write_fixture() {
     for (name, lines) in [("failover.txt", lines()), ("failover-json.txt", json_lines())] {
         let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
-        std::fs::write(path, lines.join("\n") + "\n").expect("the fixture is written");
+        std::fs::write(path, lines.join("\n") + "\n").expect("fixture file is writable");
     }
 }
