--- a/crates/plovershelf-client/benches/caller.rs
+++ b/crates/plovershelf-client/benches/caller.rs
@@ -1,4 +1,5 @@
-//! What a call costs the client beside encoding alone, and whether that grows with the fleet. Run with `cargo bench`.
+//! Measures the CPU time of a call in the client for different numbers of endpoints, and of encoding alone.
+//! Run with `cargo bench`.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -19,20 +20,20 @@
     }
 }
 
-/// A caller on so many endpoints, connected to all that it wants.
+/// Returns a client with this many listed endpoints that has opened its connections.
 fn connected(endpoints: u16) -> Caller {
-    let all: Vec<SocketAddr> =
+    let addresses: Vec<SocketAddr> =
         (0..endpoints).map(|n| SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9000))).collect();
     let config = ClientConfig { seed: 3, ..ClientConfig::default() };
     let mut caller = Caller::new(config).expect("valid settings");
-    caller.update_endpoints(0.0, &EndpointList::from_addresses(&all));
+    caller.update_endpoints(0.0, &EndpointList::from_addresses(&addresses));
     for n in 0..2000 {
         run_call(&mut caller, 1.0 + f64::from(n));
     }
     caller
 }
 
-/// A call from its start to its result.
+/// Runs a call from its start to its result.
 fn run_call(caller: &mut Caller, now_ms: f64) {
     caller.start_call(now_ms, &spec(now_ms + 1000.0));
     let mut sent: Vec<(ConnectionId, i32)> = Vec::new();
@@ -55,7 +56,7 @@
     }
 }
 
-fn costs(criterion: &mut Criterion) {
+fn measure_calls(criterion: &mut Criterion) {
     let body = [7; 512];
     let attempt = Attempt {
         class: "plan",
@@ -86,5 +87,5 @@
     }
 }
 
-criterion_group!(benches, costs);
+criterion_group!(benches, measure_calls);
 criterion_main!(benches);
--- a/crates/plovershelf-client/examples/many_calls.rs
+++ b/crates/plovershelf-client/examples/many_calls.rs
@@ -1,5 +1,5 @@
-//! Many calls at once on one thread, the client's task among them: `cargo run --example many_calls -- FILE`, a file
-//! that lists endpoints. It is watched: change it while this runs.
+//! Makes many concurrent calls on the thread that also runs the client's task: `cargo run --example
+//! many_calls -- FILE`. FILE lists the endpoints. The client reloads it when it changes.
 
 use std::error::Error;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use plovershelf_client::{ClientBuilder, ClientConfig, Request, Response};
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let file = std::env::args().nth(1).ok_or("a file that lists endpoints is wanted")?;
+    let file = std::env::args().nth(1).ok_or("usage: many_calls FILE, where FILE lists the endpoints")?;
     let config = ClientConfig { subset_size: 10, ..ClientConfig::default() };
     let (client, task) = ClientBuilder::new().endpoint_file(file).config(config).build()?;
     let calls = async {
--- a/crates/plovershelf-client/src/builder.rs
+++ b/crates/plovershelf-client/src/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a client from its endpoints and its settings.
+//! Builds a client from its endpoints and settings.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 use crate::endpoint_list::EndpointList;
 use crate::transport::{entropy, Driver, EndpointFile, EndpointFileError};
 
-/// Why a client could not be started.
+/// Reason why a client could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// A setting is outside its range.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The endpoint file can't be read, or is no list.
+    /// The endpoint file cannot be read or is not a valid list.
     #[error(transparent)]
     EndpointFile(#[from] EndpointFileError),
-    /// The client's thread could not be started.
-    #[error("a thread for the client: {0}")]
+    /// The client's thread could not be spawned.
+    #[error("cannot spawn the client thread: {0}")]
     Thread(#[source] std::io::Error),
-    /// The client's thread ended before the client was there.
-    #[error("the client's thread ended")]
+    /// The client's thread ended before it had built the client.
+    #[error("the client thread ended before the client was built")]
     ThreadEnded,
 }
 
-/// Where the endpoints come from.
+/// Source of the endpoint list.
 #[derive(Clone, Debug)]
 enum EndpointSource {
     List(EndpointList),
@@ -54,42 +54,43 @@
 }
 
 impl ClientBuilder {
-    /// A builder without endpoints, with the default settings.
+    /// Creates a builder without endpoints and with the default settings.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The endpoints, in place of any endpoint file.
+    /// Sets the endpoints. Replaces an endpoint file set earlier.
     pub fn endpoints(mut self, endpoints: &[SocketAddr]) -> Self {
         self.source = EndpointSource::List(EndpointList::from_addresses(endpoints));
         self
     }
 
-    /// A file that lists the endpoints, an address a line. It is read again when it has changed; one that can't be read, or names no
-    /// endpoint, changes nothing.
+    /// Sets a file that lists the endpoints, one address per line. The client reloads it when it changes and
+    /// keeps the previous list if the file cannot be read or is not a valid list.
     pub fn endpoint_file(mut self, path: impl AsRef<Path>) -> Self {
         self.source = EndpointSource::File(path.as_ref().to_path_buf());
         self
     }
 
-    /// The number by which backends know this client. Default: 0.
+    /// Sets the number that identifies this client to the backends. Default: 0.
     pub fn client_number(mut self, number: u32) -> Self {
         self.client_number = number;
         self
     }
 
-    /// The settings.
+    /// Replaces the settings.
     pub fn config(mut self, config: ClientConfig) -> Self {
         self.config = config;
         self
     }
 
-    /// The client, and the task that has to be run for it. The task ends after [`Client::close`], or when the last handle is gone, and
-    /// stays on the thread that runs it.
+    /// Returns the client and the future that the host program must run for it. The future ends after
+    /// [`Client::close`] or when the last handle is dropped. It is not `Send`.
     ///
     /// # Errors
     ///
-    /// A setting outside its range; an endpoint file that can't be read or is no list.
+    /// Returns an error if a setting is outside its range, or if the endpoint file cannot be read or is not a
+    /// valid list.
     pub fn build(self) -> Result<(Client, impl Future<Output = ()>), StartError> {
         let mut config = self.config;
         if config.seed == 0 {
@@ -110,11 +111,11 @@
         Ok((Client::new(shared), driver.run(list, queue)))
     }
 
-    /// The client, on a thread of its own.
+    /// Returns the client and runs its task on a new thread.
     ///
     /// # Errors
     ///
-    /// As of [`ClientBuilder::build`]; no thread can be started.
+    /// Returns the errors of [`ClientBuilder::build`], or an error if the thread cannot be spawned.
     pub fn start(self) -> Result<Client, StartError> {
         let (sender, receiver) = async_channel::bounded(1);
         let run = move || match self.build() {
--- a/crates/plovershelf-client/src/caller/action.rs
+++ b/crates/plovershelf-client/src/caller/action.rs
@@ -1,78 +1,78 @@
-//! What goes into a [`Caller`](super::Caller) and what comes out: the description of a call, the actions that a driver carries
-//! out, the outcome of a call, and counters.
+//! Inputs and outputs of a [`Caller`](super::Caller): call descriptions, actions for the driver, call
+//! outcomes and counters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use plovershelf::api::Idempotency;
 
-/// A call, within one [`Caller`](super::Caller).
+/// Identifies a call within one [`Caller`](super::Caller).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A connection, within one [`Caller`](super::Caller).
+/// Identifies a connection within one [`Caller`](super::Caller).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// A call as far as decisions depend on it. The rest of the request stays with the driver.
+/// The properties of a call that affect decisions. The driver stores the rest of the request.
 #[derive(Clone, Debug)]
 pub struct CallSpec {
     /// Name of the request class.
     pub class: Arc<str>,
-    /// Whether, and how, it may be sent again.
+    /// Whether and where the call may be retried.
     pub idempotency: Idempotency,
-    /// From 0 to under 1; the lowest is shed first.
+    /// Priority, from 0 to less than 1. Backends shed the lowest priority first.
     pub priority: f64,
-    /// When its client stops waiting, in milliseconds.
+    /// Deadline, in milliseconds on the driver's clock.
     pub deadline_ms: f64,
-    /// What the call is about, for subject affinity; 0 for nothing.
+    /// Key for subject affinity, or 0 if the call has none.
     pub subject: u64,
-    /// Memory that it occupies while it is open.
+    /// Memory that the call occupies while it is open, in bytes.
     pub bytes: usize,
 }
 
-/// Why a call ended without having been sent.
+/// Reason why a call ended without being sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
-    /// Too many calls, or too many bytes, are open.
+    /// The open calls reached the limit on their number or on their bytes.
     LimitReached,
-    /// Endpoints accept so few calls of its class that this one was rejected locally.
+    /// The throttle rejected the call locally because endpoints accept only few calls of its class.
     Throttled,
-    /// All endpoints that could take it advise against calls of its priority, or against more calls.
+    /// The backpressure signals of all eligible endpoints exclude the call.
     Backpressure,
-    /// No endpoint is reachable, or accepts calls, before the deadline.
+    /// No endpoint is reachable or accepts calls before the deadline.
     NoEndpoint,
-    /// The client was closed.
+    /// The client is closed.
     Closed,
 }
 
-/// The outcome of a call; each call has exactly one.
+/// Outcome of a call. Each call that is not cancelled has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// A backend has run it.
+    /// A backend ran the request and returned its result.
     Succeeded,
-    /// A backend rejected it without running it.
+    /// A backend rejected the request without running it.
     Rejected {
-        /// The Retry-After that the backend gave.
+        /// Retry-After of the rejection, in milliseconds, if it had one.
         retry_after_ms: Option<f64>,
-        /// Whether another backend may accept it.
+        /// Whether another backend may accept the request.
         retry_elsewhere: bool,
     },
-    /// It failed, or its connection was lost.
+    /// The request failed or its connection was lost.
     Failed {
-        /// Whether it may have had its effect.
+        /// Whether the request may have taken effect.
         may_have_run: bool,
     },
-    /// Its deadline passed.
+    /// The deadline passed before a result was received.
     DeadlineExceeded {
-        /// Whether it may have had its effect.
+        /// Whether the request may have taken effect.
         may_have_run: bool,
     },
-    /// It was never sent.
+    /// No attempt was sent.
     NotSent {
-        /// Why.
+        /// Reason why no attempt was sent.
         reason: NotSentReason,
-        /// When another call may fare better, as far as that is known.
+        /// Milliseconds after which a new call may succeed, if known.
         retry_after_ms: Option<f64>,
     },
 }
@@ -80,76 +80,76 @@
 /// Whether an attempt is marked as a retry on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first attempt, or one that is sent again because no backend has read it.
+    /// The first attempt, or a resend of an attempt that no backend has read.
     First,
-    /// Any further attempt, hedges included; paid for from the retry budget.
+    /// Any further attempt, hedges included; it counts against the retry budget.
     Retry,
 }
 
-/// Something for the driver to carry out. Actions are carried out in the order in which they are polled.
+/// Instruction to the driver. The driver must execute actions in the order in which it polls them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Open a connection.
     Connect {
-        /// The new connection.
+        /// Id of the new connection.
         connection: ConnectionId,
-        /// The endpoint's address.
+        /// Address of the endpoint.
         address: SocketAddr,
     },
     /// Write an attempt of a call.
     Send {
-        /// The connection to write to.
+        /// Connection to write to.
         connection: ConnectionId,
-        /// Sequence number of the attempt on that connection.
+        /// Sequence number of the attempt on its connection.
         sequence: i32,
-        /// The call.
+        /// Call that the attempt belongs to.
         call: CallId,
-        /// Time in which the backend is to answer.
+        /// Timeout to send with the attempt, in milliseconds.
         timeout_ms: f64,
-        /// Whether it is marked as a retry.
+        /// Whether the attempt is marked as a retry.
         kind: AttemptKind,
     },
-    /// Tell the backend that an attempt is no longer waited for.
+    /// Write a cancellation of an attempt.
     Cancel {
-        /// The attempt's connection.
+        /// Connection of the attempt.
         connection: ConnectionId,
         /// Sequence number of the attempt.
         sequence: i32,
     },
     /// Write a health check.
     Probe {
-        /// The connection to write to.
+        /// Connection to write to.
         connection: ConnectionId,
         /// Sequence number of the health check.
         sequence: i32,
     },
     /// Close a connection.
     Close {
-        /// The connection.
+        /// Connection to close.
         connection: ConnectionId,
     },
-    /// Hand the outcome of a call to whoever made it.
+    /// Return the outcome of a call to the host program.
     Complete {
-        /// The call.
+        /// Call that has ended.
         call: CallId,
-        /// Its outcome.
+        /// Outcome of the call.
         outcome: CallOutcome,
     },
 }
 
-/// How a connection ended.
+/// Reason why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it, or it was reset.
+    /// The peer closed or reset the connection.
     Ended,
-    /// What came on it could not be read, or the peer has stopped reading.
+    /// The peer sent malformed data or stopped reading.
     Malformed,
 }
 
-/// Totals since the start, for the metrics of a host program. All only grow.
+/// Monotonic counters since the start, for the metrics of a host program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls made.
+    /// Calls started.
     pub calls: u64,
     /// First attempts sent.
     pub first_attempts: u64,
@@ -157,34 +157,35 @@
     pub retries: u64,
     /// Hedges sent.
     pub hedges: u64,
-    /// Attempts sent again without mark or payment, as no backend had read them.
+    /// Attempts resent because no backend had read them; they neither carry the retry mark nor use the retry
+    /// budget.
     pub resent_unread: u64,
     /// Calls that succeeded.
     pub succeeded: u64,
-    /// Calls that ended rejected.
+    /// Calls that backends rejected.
     pub rejected: u64,
     /// Calls that failed.
     pub failed: u64,
     /// Calls whose deadline passed.
     pub deadline_exceeded: u64,
-    /// Calls that were never sent.
+    /// Calls that ended without being sent.
     pub not_sent: u64,
-    /// Calls cancelled by whoever made them.
+    /// Calls that the host program cancelled.
     pub cancelled: u64,
-    /// Retries that the budget did not allow.
+    /// Retries that the retry budget did not allow.
     pub retries_over_budget: u64,
-    /// Calls rejected locally by throttling.
+    /// Calls that the throttle rejected locally.
     pub throttled: u64,
     /// Connection attempts.
     pub connects: u64,
     /// Connection attempts that failed.
     pub connects_failed: u64,
-    /// Connections lost with attempts in flight, malformed data, or silence.
+    /// Connections that ended with attempts in flight or by a protocol fault.
     pub connections_lost: u64,
-    /// Connections on which an endpoint violated the protocol or stopped answering.
+    /// Connections on which an endpoint violated the protocol or did not respond to a health check.
     pub protocol_faults: u64,
-    /// Answers to attempts that had been cancelled.
-    pub late_answers: u64,
+    /// Responses to attempts that had been cancelled.
+    pub late_responses: u64,
 }
 
 impl Counters {
--- a/crates/plovershelf-client/src/caller/attempt_planner/tests.rs
+++ b/crates/plovershelf-client/src/caller/attempt_planner/tests.rs
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn retry_without_budget_is_not_sent_while_a_first_attempt_is() {
+fn empty_retry_budget_stops_retries_but_not_first_attempts() {
     let config = ClientConfig { seed: 1, retry_budget_fraction: 0.0, ..ClientConfig::default() };
     let (mut planner, mut context) = (AttemptPlanner::new(&config), Context::new(config.clone()));
     let mut call = call(&mut planner, &config);
     assert_eq!(planner.plan_next(&mut context, &call), Plan::Send { timeout_ms: 99.0 });
     let attempt = InFlightAttempt { connection: ConnectionId(1), sequence: 1, endpoint: EndpointId(1) };
-    call.attempt_sent(attempt);
-    call.attempt_ended(attempt);
+    call.add_attempt(attempt);
+    call.remove_attempt(attempt);
     let failed = CallOutcome::Failed { may_have_run: true };
-    call.attempt_failed(EndpointId(1), AttemptEnd::Failed, failed);
+    call.record_failed_attempt(EndpointId(1), AttemptEnd::Failed, failed);
     assert_eq!(planner.plan_next(&mut context, &call), Plan::OverBudget);
 }
 
 #[test]
-fn attempt_is_too_late_once_the_fastest_call_of_its_class_would_be() {
+fn attempt_is_too_late_if_less_time_is_left_than_the_lowest_latency_of_its_class() {
     let config = ClientConfig { seed: 1, ..ClientConfig::default() };
     let (mut planner, mut context) = (AttemptPlanner::new(&config), Context::new(config.clone()));
     let call = call(&mut planner, &config);
--- a/crates/plovershelf-client/src/caller/balancer.rs
+++ b/crates/plovershelf-client/src/caller/balancer.rs
@@ -1,52 +1,56 @@
-//! Decides which endpoint an attempt goes to.
+//! Decides which endpoint receives an attempt.
 //!
-//! Inputs: what is known of each endpoint; whether a connection there has capacity; what the call requires.
+//! Inputs: the state of each endpoint; whether its connections have capacity; the requirements of the call.
 //!
-//! Rule: of two endpoints drawn at random, the one with the lower cost, which is its attempts in flight plus one, times its
-//! latency (power of two choices). Endpoints that drain or had an earlier attempt of the call are taken last; ejected ones, and those
-//! in their Retry-After, not at all. With fewer healthy endpoints than the panic threshold, ejections are ignored. With subject
-//! affinity the endpoint with the highest hash of subject and address is taken, unless it has more than its share (rendezvous
-//! hashing with bounded loads). Where the better endpoint is not connected, the call goes to a connected one, and a connection to the
-//! better one is made beside it.
+//! Rule: the balancer draws two endpoints at random and takes the one with the lower cost (power of two
+//! choices). The cost is the number of attempts in flight plus one, multiplied by the latency. Draining
+//! endpoints and those of earlier attempts of the call are chosen last. Ejected endpoints and those within
+//! their Retry-After are excluded, but ejections are ignored if the fraction of healthy endpoints is below
+//! the panic threshold. With subject affinity, the balancer takes the endpoint with the highest hash of
+//! subject and address whose load is within a bound (rendezvous hashing with bounded loads). If the better
+//! endpoint is not connected, the attempt goes to a connected one while a connection to the better one is
+//! opened.
 //!
-//! Why: clients that all know the same least loaded endpoint run to it together; two draws avoid that at almost the same
-//! balance. Without the panic threshold a client's own trouble would leave it no endpoint at all. Source: Mitzenmacher, "The Power of
-//! Two Choices in Randomized Load Balancing"; panic threshold in Envoy.
+//! Rationale: if all clients chose the least loaded endpoint, they would overload it together; two random
+//! draws avoid that with almost the same balance. Without the panic threshold, a fault of the client itself,
+//! such as its network, would eject every endpoint. Source: Mitzenmacher, "The Power of Two Choices in
+//! Randomized Load Balancing"; panic threshold in Envoy.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::backpressure::AddedLoad;
+use super::backpressure::AttemptLoad;
 use super::endpoint::{Endpoint, EndpointId, Endpoints};
 use super::latency::MovingAverage;
 use super::subset;
 use crate::config::ClientConfig;
 
-/// Latency that is assumed before any was measured.
+/// Latency that is assumed before the first measurement.
 const INITIAL_LATENCY_MS: f64 = 1.0;
-/// Below this, latencies are not told apart.
+/// Lower bound of the latency in the cost, so that endpoints with very short latencies are compared by their
+/// load.
 const MIN_LATENCY_MS: f64 = 0.01;
-/// With subject affinity an endpoint takes this many times the mean of attempts in flight.
+/// With subject affinity, bound on an endpoint's attempts in flight as a multiple of their mean.
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-/// Can an attempt be written to an endpoint?
+/// Capacity of an endpoint's connections for another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Capacity {
     Available,
-    /// Once a connection is established that is being made, or may be.
+    /// An attempt has to wait for a connection that is being established or may be opened.
     AfterConnecting,
     None,
 }
 
-/// What a call requires of its endpoint.
+/// Requirements of a call on its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Requirements<'a> {
     pub(super) priority: f64,
-    /// 0 for none.
+    /// Key for subject affinity, or 0 if the call has none.
     pub(super) subject: u64,
-    /// Endpoints of earlier attempts.
+    /// Endpoints of earlier attempts, which are chosen last.
     pub(super) avoid: &'a [EndpointId],
-    /// No other endpoint will do.
+    /// The only endpoint that may be chosen, if the call is pinned.
     pub(super) only: Option<EndpointId>,
 }
 
@@ -54,14 +58,14 @@
 pub(super) enum Choice {
     Endpoint {
         id: EndpointId,
-        /// The one that would have been better, were it connected.
+        /// A better endpoint that has to be connected first.
         connect_also: Option<EndpointId>,
     },
-    /// No endpoint takes it before this time.
+    /// No endpoint can take the call before this time, in milliseconds.
     NotBefore(f64),
-    /// Endpoints that could take it advise against it until this time.
-    AdvisedAgainst { until_ms: f64 },
-    /// No endpoint takes it.
+    /// The backpressure signals of all endpoints that could take the call exclude it until `until_ms`.
+    Backpressure { until_ms: f64 },
+    /// No endpoint can take the call.
     NoEndpoint,
 }
 
@@ -69,23 +73,26 @@
 enum Eligibility {
     Eligible,
     LastResort,
+    /// The endpoint takes no attempt before this time, in milliseconds.
     NotBefore(f64),
-    AdvisedAgainst(f64),
+    /// The endpoint's backpressure signal excludes the call until this time, in milliseconds.
+    Backpressure(f64),
     Excluded,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Balancer {
-    /// Latency over all endpoints, for those of which nothing is known.
-    usual_latency: MovingAverage,
+    /// Mean latency of all endpoints; the estimate for endpoints without measurements.
+    mean_latency: MovingAverage,
 }
 
 impl Balancer {
-    /// An attempt at any endpoint succeeded.
-    pub(super) fn record_latency(&mut self, took_ms: f64) {
-        self.usual_latency.record(took_ms);
+    /// Records the latency of a successful attempt at any endpoint.
+    pub(super) fn record_latency(&mut self, latency_ms: f64) {
+        self.mean_latency.record(latency_ms);
     }
 
+    /// Chooses the endpoint of an attempt.
     pub(super) fn choose(
         &self,
         now_ms: f64,
@@ -95,38 +102,39 @@
         config: &ClientConfig,
         random: &mut Pcg32,
     ) -> Choice {
-        let usual_latency_ms = self.usual_latency.value().unwrap_or(INITIAL_LATENCY_MS);
+        let mean_latency_ms = self.mean_latency.value().unwrap_or(INITIAL_LATENCY_MS);
         let mut selection = Selection {
             now_ms,
             endpoints,
             requirements,
             capacity_of,
             config,
-            usual_latency_ms,
+            mean_latency_ms,
             ignores_ejections: false,
         };
-        selection.ignores_ejections = selection.too_few_are_healthy();
+        selection.ignores_ejections = selection.is_below_panic_threshold();
         selection.choose(random)
     }
 }
 
-/// One choice, with all that it depends on.
+/// Inputs of one choice.
 struct Selection<'a, F> {
     now_ms: f64,
     endpoints: &'a Endpoints,
     requirements: &'a Requirements<'a>,
     capacity_of: F,
     config: &'a ClientConfig,
-    usual_latency_ms: f64,
+    mean_latency_ms: f64,
     ignores_ejections: bool,
 }
 
-/// Endpoints by eligibility, and what the others wait for.
+/// Endpoints by eligibility, and the earliest times at which the others become eligible.
 struct Candidates {
     eligible: Vec<EndpointId>,
     last_resort: Vec<EndpointId>,
+    /// Infinite if no endpoint is merely delayed.
     not_before_ms: f64,
-    advised_until_ms: Option<f64>,
+    backpressure_until_ms: Option<f64>,
 }
 
 impl<F: Fn(&Endpoint) -> Capacity> Selection<'_, F> {
@@ -140,14 +148,15 @@
                 return choice;
             }
         }
-        match candidates.advised_until_ms {
-            Some(until_ms) => Choice::AdvisedAgainst { until_ms },
+        match candidates.backpressure_until_ms {
+            Some(until_ms) => Choice::Backpressure { until_ms },
             None if candidates.not_before_ms.is_finite() => Choice::NotBefore(candidates.not_before_ms),
             None => Choice::NoEndpoint,
         }
     }
 
-    /// The ordinary path, whose cost does not grow with the subset: two at random, if both can take the call now.
+    /// Fast path: draws two endpoints and returns the cheaper one if both can take the call now. Its cost
+    /// does not depend on the size of the subset.
     fn better_of_two_available(&self, random: &mut Pcg32) -> Option<EndpointId> {
         let selected = self.endpoints.selected();
         if self.requirements.only.is_some() || selected.len() <= 2 || self.has_affinity() {
@@ -158,7 +167,7 @@
             let eligible = self.eligibility(id, random) == Eligibility::Eligible;
             (eligible && self.capacity(id) == Capacity::Available).then_some(id)
         };
-        // Both are asked in any case: each asking may draw.
+        // Evaluate both even if the first is not available, because each evaluation may draw a random number.
         let (first, second) = (available(first, random), available(second, random));
         Some(self.cheaper(first?, second?))
     }
@@ -168,7 +177,7 @@
             eligible: Vec::new(),
             last_resort: Vec::new(),
             not_before_ms: f64::INFINITY,
-            advised_until_ms: None,
+            backpressure_until_ms: None,
         };
         let selected = self.endpoints.selected().iter().copied();
         for id in selected.chain(self.removed_candidates()) {
@@ -176,8 +185,9 @@
                 Eligibility::Eligible => found.eligible.push(id),
                 Eligibility::LastResort => found.last_resort.push(id),
                 Eligibility::NotBefore(at_ms) => found.not_before_ms = found.not_before_ms.min(at_ms),
-                Eligibility::AdvisedAgainst(until_ms) => {
-                    found.advised_until_ms = Some(found.advised_until_ms.unwrap_or(until_ms).min(until_ms));
+                Eligibility::Backpressure(until_ms) => {
+                    let earliest_ms = found.backpressure_until_ms.unwrap_or(until_ms).min(until_ms);
+                    found.backpressure_until_ms = Some(earliest_ms);
                 }
                 Eligibility::Excluded => {}
             }
@@ -185,22 +195,25 @@
         found
     }
 
-    /// Endpoints that left the subset: where no other is connected, or where the call can go nowhere else.
+    /// Returns the removed endpoints that may still be used: all of them for a pinned call, else the
+    /// connected ones until an endpoint of the subset is available or `make_before_break_ms` has elapsed.
     fn removed_candidates(&self) -> Vec<EndpointId> {
         let is_pinned = self.requirements.only.is_some();
         let is_available = |id: &EndpointId| self.capacity(*id) == Capacity::Available;
         if !is_pinned && self.endpoints.selected().iter().any(is_available) {
             return Vec::new();
         }
-        let still_serves = |endpoint: &Endpoint| {
-            let in_time = |since: f64| self.now_ms - since < self.config.make_before_break_ms;
+        let is_usable = |endpoint: &Endpoint| {
+            let in_time = |removed_at_ms: f64| self.now_ms - removed_at_ms < self.config.make_before_break_ms;
             let connected = !endpoint.connections.is_empty();
-            endpoint.removed_ms.is_some_and(|since| is_pinned || (in_time(since) && connected))
+            let removed_at_ms = endpoint.removed_at_ms;
+            removed_at_ms.is_some_and(|removed_at_ms| is_pinned || (in_time(removed_at_ms) && connected))
         };
         let all = self.endpoints.iter();
-        all.filter(|(_, endpoint)| still_serves(endpoint)).map(|(id, _)| id).collect()
+        all.filter(|(_, endpoint)| is_usable(endpoint)).map(|(id, _)| id).collect()
     }
 
+    /// Returns whether an endpoint can take the call. May draw random numbers.
     fn eligibility(&self, id: EndpointId, random: &mut Pcg32) -> Eligibility {
         let Some(endpoint) = self.endpoints.get(id) else { return Eligibility::Excluded };
         let Requirements { priority, avoid, only, .. } = *self.requirements;
@@ -217,10 +230,10 @@
         if !self.ignores_ejections && !endpoint.breaker.admits(self.now_ms, self.config, random) {
             return Eligibility::NotBefore(self.ejected_until(endpoint));
         }
-        let load = AddedLoad { priority, in_flight: endpoint.in_flight };
-        let advised = endpoint.backpressure.advises_against_until(self.now_ms, load, self.config, random);
-        if let Some(until_ms) = advised {
-            return Eligibility::AdvisedAgainst(until_ms);
+        let load = AttemptLoad { priority, in_flight: endpoint.in_flight };
+        let excluded_until = endpoint.backpressure.excludes_until(self.now_ms, load, self.config, random);
+        if let Some(until_ms) = excluded_until {
+            return Eligibility::Backpressure(until_ms);
         }
         if endpoint.draining_until_ms > self.now_ms || (only.is_none() && avoid.contains(&id)) {
             Eligibility::LastResort
@@ -229,20 +242,22 @@
         }
     }
 
+    /// Returns the earliest time at which an ejected endpoint may admit an attempt, in milliseconds.
     fn ejected_until(&self, endpoint: &Endpoint) -> f64 {
         let admits_from = endpoint.breaker.admits_from(self.now_ms);
         admits_from.map_or(self.now_ms + self.config.sweep_interval_ms, |at_ms| at_ms.max(self.now_ms + 1.0))
     }
 
+    /// Chooses among equally eligible endpoints; `None` if none has capacity.
     fn best_of(&self, group: &[EndpointId], random: &mut Pcg32) -> Option<Choice> {
-        let with = |capacity: Capacity| -> Vec<EndpointId> {
+        let with_capacity = |capacity: Capacity| -> Vec<EndpointId> {
             group.iter().copied().filter(|id| self.capacity(*id) == capacity).collect()
         };
-        let available = with(Capacity::Available);
-        let usable = [available.clone(), with(Capacity::AfterConnecting)].concat();
+        let available = with_capacity(Capacity::Available);
+        let usable = [available.clone(), with_capacity(Capacity::AfterConnecting)].concat();
         if self.has_affinity() {
-            // It waits for the connection to the subject's own endpoint rather than go to another.
-            let id = self.of_subject(&usable)?;
+            // The call waits for a connection to the endpoint of its subject and does not go to another one.
+            let id = self.choose_by_subject(&usable)?;
             return Some(Choice::Endpoint { id, connect_also: None });
         }
         let best = self.better_of_two(&usable, random)?;
@@ -253,16 +268,17 @@
         Some(Choice::Endpoint { id, connect_also: Some(best) })
     }
 
-    fn of_subject(&self, usable: &[EndpointId]) -> Option<EndpointId> {
+    /// Chooses by rendezvous hashing with bounded loads.
+    fn choose_by_subject(&self, usable: &[EndpointId]) -> Option<EndpointId> {
         let in_flight = |id: &EndpointId| self.endpoints.get(*id).map_or(0, |endpoint| endpoint.in_flight);
-        let sum: usize = usable.iter().map(in_flight).sum();
-        let most = AFFINITY_LOAD_FACTOR * (sum as f64 + 1.0) / usable.len().max(1) as f64 + 1.0;
+        let total: usize = usable.iter().map(in_flight).sum();
+        let max_in_flight = AFFINITY_LOAD_FACTOR * (total as f64 + 1.0) / usable.len().max(1) as f64 + 1.0;
         let weight = |id: &&EndpointId| {
             let address_hash =
                 self.endpoints.get(**id).map_or(0, |endpoint| subset::address_hash(&endpoint.address));
             subset::mix_bits(self.requirements.subject ^ address_hash)
         };
-        let below_bound = usable.iter().filter(|id| (in_flight(id) as f64) < most);
+        let below_bound = usable.iter().filter(|id| (in_flight(id) as f64) < max_in_flight);
         below_bound.max_by_key(weight).or(usable.first()).copied()
     }
 
@@ -284,7 +300,7 @@
 
     fn cost(&self, id: EndpointId) -> f64 {
         let Some(endpoint) = self.endpoints.get(id) else { return f64::INFINITY };
-        let latency_ms = endpoint.latency.estimate_ms(self.now_ms, self.usual_latency_ms);
+        let latency_ms = endpoint.latency.estimate_ms(self.now_ms, self.mean_latency_ms);
         (endpoint.in_flight as f64 + 1.0) * latency_ms.max(MIN_LATENCY_MS)
     }
 
@@ -296,17 +312,18 @@
         self.config.subject_affinity && self.requirements.subject != 0
     }
 
-    fn too_few_are_healthy(&self) -> bool {
+    /// Returns whether the fraction of healthy endpoints in the subset is below the panic threshold.
+    fn is_below_panic_threshold(&self) -> bool {
         let selected = self.endpoints.selected();
         let is_healthy = |id: &&EndpointId| {
-            self.endpoints.get(**id).is_some_and(|endpoint| endpoint.breaker.looks_healthy(self.now_ms))
+            self.endpoints.get(**id).is_some_and(|endpoint| endpoint.breaker.is_healthy(self.now_ms))
         };
         let healthy = selected.iter().filter(is_healthy).count();
         (healthy as f64) < self.config.panic_threshold * selected.len() as f64
     }
 }
 
-/// Two different places of at least two.
+/// Draws two different endpoints from a slice of at least two.
 fn draw_two(from: &[EndpointId], random: &mut Pcg32) -> (EndpointId, EndpointId) {
     let first = random.random_range(0..from.len());
     let second = (first + 1 + random.random_range(0..from.len() - 1)) % from.len();
--- a/crates/plovershelf-client/src/caller/balancer/tests.rs
+++ b/crates/plovershelf-client/src/caller/balancer/tests.rs
@@ -7,6 +7,7 @@
 
 const ANY: Requirements<'static> = Requirements { priority: 0.5, subject: 0, avoid: &[], only: None };
 
+/// Endpoints with ids from 1, and a balancer that chooses among them.
 #[derive(Default)]
 struct Fleet {
     endpoints: Endpoints,
@@ -17,8 +18,9 @@
 impl Fleet {
     fn with(count: u16, config: ClientConfig) -> Self {
         let mut fleet = Fleet { config, ..Fleet::default() };
-        let all: Vec<SocketAddr> = (0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], 9000 + n))).collect();
-        fleet.endpoints.replace(0.0, &all);
+        let addresses: Vec<SocketAddr> =
+            (0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], 9000 + n))).collect();
+        fleet.endpoints.replace(0.0, &addresses);
         fleet
     }
 
@@ -30,9 +32,9 @@
         self.endpoints.get_mut(EndpointId(id)).expect("listed")
     }
 
-    fn record_latency(&mut self, id: u32, took_ms: f64) {
-        self.balancer.record_latency(took_ms);
-        self.endpoint(id).latency.record(0.0, took_ms);
+    fn record_latency(&mut self, id: u32, latency_ms: f64) {
+        self.balancer.record_latency(latency_ms);
+        self.endpoint(id).latency.record(0.0, latency_ms);
     }
 
     fn record_signals(&mut self, id: u32, signals: &ServerSignals) {
@@ -55,8 +57,8 @@
         self.balancer.choose(now_ms, &self.endpoints, requirements, capacity_of, &self.config, random)
     }
 
-    /// How often each of them is chosen out of a thousand.
-    fn shares(&self, requirements: &Requirements<'_>, now_ms: f64) -> Vec<usize> {
+    /// Returns how often each endpoint is chosen in 1000 choices.
+    fn choice_counts(&self, requirements: &Requirements<'_>, now_ms: f64) -> Vec<usize> {
         let mut random = Pcg32::seed_from_u64(5);
         let mut counts = vec![0; self.endpoints.selected().len()];
         for _ in 0..1000 {
@@ -70,30 +72,30 @@
 }
 
 #[test]
-fn less_loaded_of_two_is_chosen() {
+fn endpoint_with_fewer_attempts_in_flight_is_chosen() {
     let mut fleet = Fleet::new(4);
     fleet.endpoint(1).in_flight = 9;
-    let counts = fleet.shares(&ANY, 0.0);
+    let counts = fleet.choice_counts(&ANY, 0.0);
     assert!(counts[0] == 0 && counts[1..].iter().all(|n| *n > 200), "{counts:?}");
 }
 
 #[test]
-fn slow_endpoint_gets_less_until_its_latency_is_old() {
+fn slow_endpoint_is_avoided_until_its_latency_has_decayed() {
     let mut fleet = Fleet::new(2);
     fleet.record_latency(1, 50.0);
     fleet.record_latency(2, 5.0);
-    assert_eq!(fleet.shares(&ANY, 1.0)[0], 0);
+    assert_eq!(fleet.choice_counts(&ANY, 1.0)[0], 0);
     fleet.endpoint(2).in_flight = 1;
-    assert_eq!(fleet.shares(&ANY, 60_000.0)[0], 1000);
+    assert_eq!(fleet.choice_counts(&ANY, 60_000.0)[0], 1000);
 }
 
 #[test]
-fn retry_after_keeps_calls_from_its_own_endpoint_alone() {
+fn retry_after_excludes_only_its_own_endpoint() {
     let mut fleet = Fleet::new(3);
     let signals = ServerSignals { retry_after_ms: Some(100.0), ..ServerSignals::default() };
     fleet.record_signals(2, &signals);
-    assert_eq!(fleet.shares(&ANY, 99.0)[1], 0);
-    assert!(fleet.shares(&ANY, 101.0)[1] > 200);
+    assert_eq!(fleet.choice_counts(&ANY, 99.0)[1], 0);
+    assert!(fleet.choice_counts(&ANY, 101.0)[1] > 200);
     for id in [1, 3] {
         fleet.record_signals(id, &signals);
     }
@@ -102,24 +104,25 @@
 }
 
 #[test]
-fn advised_value_is_heeded_in_each_of_its_meanings_and_for_its_time() {
-    let shares = |backpressure: BackpressureSignal, value: f64, in_flight: usize| {
+fn backpressure_level_is_applied_in_each_of_its_meanings_until_it_expires() {
+    let choice_counts = |backpressure: BackpressureSignal, value: f64, in_flight: usize| {
         let mut fleet = Fleet::with(3, ClientConfig { backpressure, ..ClientConfig::default() });
         fleet.record_signals(1, &ServerSignals { backpressure: Some(value), ..ServerSignals::default() });
         fleet.endpoints.iter_mut().for_each(|(_, endpoint)| endpoint.in_flight = in_flight);
-        (fleet.shares(&ANY, 10.0)[0], fleet.shares(&ANY, 1001.0)[0])
+        (fleet.choice_counts(&ANY, 10.0)[0], fleet.choice_counts(&ANY, 1001.0)[0])
     };
-    let (heeded, after) = shares(BackpressureSignal::MinimumPriority, 0.6, 0);
-    assert!(heeded == 0 && after > 200, "{heeded}, {after}");
-    assert!(shares(BackpressureSignal::MinimumPriority, 0.5, 0).0 > 200);
-    assert_eq!(shares(BackpressureSignal::ConcurrencyPerClient, 2.0, 2).0, 0);
-    assert!(shares(BackpressureSignal::ConcurrencyPerClient, 2.0, 1).0 > 200);
-    let (heeded, after) = shares(BackpressureSignal::RateFraction, 0.2, 0);
-    assert!(heeded * 2 < after, "{heeded}, {after}");
-    assert!(shares(BackpressureSignal::None, 0.0, 0).0 > 200);
+    let (before_expiry, after_expiry) = choice_counts(BackpressureSignal::MinimumPriority, 0.6, 0);
+    assert!(before_expiry == 0 && after_expiry > 200, "{before_expiry}, {after_expiry}");
+    assert!(choice_counts(BackpressureSignal::MinimumPriority, 0.5, 0).0 > 200);
+    assert_eq!(choice_counts(BackpressureSignal::ConcurrencyPerClient, 2.0, 2).0, 0);
+    assert!(choice_counts(BackpressureSignal::ConcurrencyPerClient, 2.0, 1).0 > 200);
+    let (before_expiry, after_expiry) = choice_counts(BackpressureSignal::RateFraction, 0.2, 0);
+    assert!(before_expiry * 2 < after_expiry, "{before_expiry}, {after_expiry}");
+    assert!(choice_counts(BackpressureSignal::None, 0.0, 0).0 > 200);
 }
 
-/// Most endpoints are ejected at once: more likely the client's own trouble than theirs. Then ejections are ignored.
+/// Most endpoints are ejected at the same time, which indicates a fault of the client itself. The ejections
+/// must be ignored.
 #[test]
 fn ejections_are_ignored_below_the_panic_threshold() {
     let mut fleet = Fleet::new(4);
@@ -127,35 +130,35 @@
     for id in [1, 2] {
         fleet.eject(id, &mut random);
     }
-    assert_eq!(fleet.shares(&ANY, 1.0)[..2], [0, 0]);
+    assert_eq!(fleet.choice_counts(&ANY, 1.0)[..2], [0, 0]);
     fleet.eject(3, &mut random);
-    assert!(fleet.shares(&ANY, 1.0).iter().all(|n| *n > 100));
+    assert!(fleet.choice_counts(&ANY, 1.0).iter().all(|n| *n > 100));
 }
 
 #[test]
 fn endpoint_of_an_earlier_attempt_and_a_draining_one_are_chosen_last() {
     let mut fleet = Fleet::new(3);
-    let tried = Requirements { avoid: &[EndpointId(1)], ..ANY };
-    assert_eq!(fleet.shares(&tried, 0.0)[0], 0);
+    let retry = Requirements { avoid: &[EndpointId(1)], ..ANY };
+    assert_eq!(fleet.choice_counts(&retry, 0.0)[0], 0);
     fleet.endpoint(2).draining_until_ms = 500.0;
-    assert_eq!(fleet.shares(&tried, 1.0), [0, 0, 1000]);
+    assert_eq!(fleet.choice_counts(&retry, 1.0), [0, 0, 1000]);
     fleet.record_signals(3, &ServerSignals { retry_after_ms: Some(500.0), ..ServerSignals::default() });
-    assert!(fleet.shares(&tried, 1.0)[..2].iter().all(|n| *n > 200));
+    assert!(fleet.choice_counts(&retry, 1.0)[..2].iter().all(|n| *n > 200));
 }
 
 #[test]
-fn subject_stays_with_its_endpoint_while_that_has_no_more_than_its_share() {
+fn subject_stays_at_its_endpoint_while_the_load_is_within_the_bound() {
     let mut fleet = Fleet::with(5, ClientConfig { subject_affinity: true, ..ClientConfig::default() });
-    let about = Requirements { subject: 77, ..ANY };
-    let counts = fleet.shares(&about, 0.0);
-    let own = counts.iter().position(|n| *n == 1000).expect("one endpoint has them all");
-    fleet.endpoint(own as u32 + 1).in_flight = 4;
-    let moved = fleet.shares(&about, 0.0);
-    assert_eq!((moved[own], moved.iter().max().copied()), (0, Some(1000)));
+    let with_subject = Requirements { subject: 77, ..ANY };
+    let counts = fleet.choice_counts(&with_subject, 0.0);
+    let index = counts.iter().position(|n| *n == 1000).expect("one endpoint is always chosen");
+    fleet.endpoint(index as u32 + 1).in_flight = 4;
+    let counts = fleet.choice_counts(&with_subject, 0.0);
+    assert_eq!((counts[index], counts.iter().max().copied()), (0, Some(1000)));
 }
 
 #[test]
-fn removed_endpoints_serve_until_another_is_connected() {
+fn removed_endpoints_are_used_until_another_is_connected() {
     let mut fleet = Fleet::new(2);
     let connect = |(id, endpoint): (EndpointId, &mut Endpoint)| {
         endpoint.connections.push(ConnectionId(u64::from(id.0)));
--- a/crates/plovershelf-client/src/caller/call.rs
+++ b/crates/plovershelf-client/src/caller/call.rs
@@ -1,15 +1,16 @@
-//! One call with its attempts, and the table of open calls.
+//! State of a call with its attempts, and the table of open calls.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `Ready` | an endpoint takes it and has capacity | `InFlight` |
-//! | `Ready` | no endpoint takes it before some time that its deadline allows | `BackingOff` |
-//! | `BackingOff` | that time has come | `Ready` |
-//! | `InFlight` | an attempt ended without a result; a retry is allowed, paid for and in time | `Ready`, `BackingOff` |
-//! | any | a result; no retry is allowed; the deadline; cancellation | gone |
+//! | `Ready` | an eligible endpoint has capacity | `InFlight` |
+//! | `Ready` | no endpoint is eligible before a time that the deadline still allows | `BackingOff` |
+//! | `BackingOff` | backoff elapsed | `Ready` |
+//! | `InFlight` | an attempt ended without a result; policy, budget and deadline allow a retry | `Ready`, `BackingOff` |
+//! | any | result received; no retry allowed; deadline passed; call cancelled | removed |
 //!
-//! Every state change goes through [`CallTable::change`], and every end through [`CallTable::remove`], which takes the call out of the
-//! ready queue and the timers in the same step: no call ends twice, and none is left behind.
+//! Every state change goes through [`CallTable::set_state`] and every end through [`CallTable::remove`],
+//! which also removes the call from the ready queue and cancels its timers. Therefore no call ends twice and
+//! no entry leaks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,17 +23,20 @@
 use super::retry_policy::{retry_decision, AttemptEnd, RetryDecision};
 use super::timers::TimerQueue;
 
-/// Endpoints that later attempts of a call keep away from.
+/// Number of endpoints of earlier attempts that a call remembers in order to prefer others.
 const MAX_AVOIDED: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallState {
+    /// The call waits in the ready queue for an endpoint with capacity.
     Ready,
+    /// The call waits until `until_ms` before it becomes ready again.
     BackingOff { until_ms: f64 },
+    /// An attempt of the call waits for its response.
     InFlight,
 }
 
-/// Where an attempt was sent.
+/// Identifies an attempt that waits for its response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) connection: ConnectionId,
@@ -40,22 +44,22 @@
     pub(super) endpoint: EndpointId,
 }
 
-/// What the next attempt of a call is.
+/// Kind of a call's next attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextAttempt {
     First,
-    /// No endpoint has read the last one: to the fleet it is a first attempt.
+    /// No endpoint has read the last attempt, so the next one adds no more load than a first attempt.
     ResendUnread,
     Retry,
 }
 
-/// What follows the end of an attempt without a result.
+/// Next step of a call after an attempt that ended without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAttempt {
     /// Another attempt is in flight.
     AwaitOther,
     Retry,
-    GiveUp,
+    Finish,
 }
 
 #[derive(Debug)]
@@ -71,11 +75,13 @@
     attempts_sent: u32,
     resend_unread: bool,
     was_resent_unread: bool,
-    /// The only endpoint that it may go to.
+    /// The only endpoint that may receive further attempts.
     pinned_to: Option<EndpointId>,
+    /// Endpoint of the first attempt that may have run.
     may_have_run_on: Option<EndpointId>,
+    /// Endpoints of earlier attempts, oldest first.
     avoid: Vec<EndpointId>,
-    /// Its outcome if there is no further attempt.
+    /// Outcome of the call if no further attempt is made.
     last_outcome: Option<CallOutcome>,
     hedge_at_ms: Option<f64>,
 }
@@ -123,7 +129,8 @@
         }
     }
 
-    /// What a hedge requires: any endpoint but that of the first attempt.
+    /// Returns the requirements of a hedge, which avoids the endpoint of the first attempt and ignores
+    /// affinity.
     pub(super) fn hedge_requirements<'a>(&self, avoid: &'a [EndpointId]) -> Requirements<'a> {
         Requirements { priority: self.priority, subject: 0, avoid, only: None }
     }
@@ -136,20 +143,21 @@
         self.pinned_to = Some(endpoint);
     }
 
-    pub(super) fn attempt_sent(&mut self, attempt: InFlightAttempt) {
+    /// Records an attempt that has been sent.
+    pub(super) fn add_attempt(&mut self, attempt: InFlightAttempt) {
         self.resend_unread = false;
         self.attempts_sent += 1;
         self.attempts.push(attempt);
     }
 
-    /// An attempt is no longer in flight.
-    pub(super) fn attempt_ended(&mut self, ended: InFlightAttempt) {
+    /// Removes an attempt that is no longer in flight.
+    pub(super) fn remove_attempt(&mut self, ended: InFlightAttempt) {
         let key = |attempt: &InFlightAttempt| (attempt.connection, attempt.sequence);
         self.attempts.retain(|attempt| key(attempt) != key(&ended));
     }
 
-    /// An attempt, no longer in flight, has ended without a result.
-    pub(super) fn attempt_failed(
+    /// Records that an attempt, already removed, ended without a result. Returns the next step of the call.
+    pub(super) fn record_failed_attempt(
         &mut self,
         endpoint: EndpointId,
         end: AttemptEnd,
@@ -169,16 +177,17 @@
             self.avoid_endpoint(endpoint);
         }
         match decision {
-            RetryDecision::Never => return AfterAttempt::GiveUp,
+            RetryDecision::Never => return AfterAttempt::Finish,
             RetryDecision::SameEndpoint => self.pinned_to = self.may_have_run_on,
-            // An endpoint that was lost can't be the only one.
+            // A call must not stay pinned to an endpoint that failed or was lost.
             RetryDecision::AnyEndpoint if end != AttemptEnd::Rejected => self.pinned_to = None,
             RetryDecision::AnyEndpoint => {}
         }
         AfterAttempt::Retry
     }
 
-    /// The call's outcome if it ended with this attempt's: a rejection after an attempt that may have run does not take that back.
+    /// Returns the call's outcome if it ends with that of `attempt`. A rejection becomes a failure if an
+    /// earlier attempt may have run, since the rejection says nothing about that attempt.
     pub(super) fn outcome_if_ended(&self, attempt: CallOutcome) -> CallOutcome {
         match attempt {
             CallOutcome::Rejected { .. } if self.may_have_run() => CallOutcome::Failed { may_have_run: true },
@@ -195,23 +204,23 @@
         }
     }
 
-    /// An attempt that has ended may have run.
+    /// Returns whether an attempt that has ended may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run_on.is_some()
     }
 
-    /// The outcome of its last attempt, or this where none has ended.
-    pub(super) fn last_outcome_or(&self, otherwise: CallOutcome) -> CallOutcome {
-        self.last_outcome.unwrap_or(otherwise)
+    /// Returns the outcome of the last attempt, or `default` if no attempt has ended.
+    pub(super) fn last_outcome_or(&self, default: CallOutcome) -> CallOutcome {
+        self.last_outcome.unwrap_or(default)
     }
 
-    /// Its outcome when its deadline passes.
+    /// Returns the call's outcome if its deadline passes now.
     pub(super) fn outcome_at_deadline(&self) -> CallOutcome {
         let may_have_run = self.may_have_run() || !self.attempts.is_empty();
         CallOutcome::DeadlineExceeded { may_have_run }
     }
 
-    /// Its outcome when the client is closed.
+    /// Returns the call's outcome if the client is closed now; `never_sent` if no attempt was sent.
     pub(super) fn outcome_at_close(&self, never_sent: CallOutcome) -> CallOutcome {
         if self.attempts_sent == 0 {
             never_sent
@@ -220,27 +229,29 @@
         }
     }
 
-    fn needs(&self, endpoint: EndpointId) -> bool {
+    fn requires(&self, endpoint: EndpointId) -> bool {
         self.pinned_to == Some(endpoint) || self.may_have_run_on == Some(endpoint)
     }
 }
 
-/// What a call waits for beside answers.
+/// Timer of a call. Timers that expire at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CallTimer {
     Deadline(CallId),
-    BackoffOver(CallId),
+    BackoffElapsed(CallId),
     Hedge(CallId),
 }
 
-/// A place in the ready queue, which is ordered by deadline.
-pub(super) type ReadyPosition = (u64, CallId);
+/// Key of a call in the ready queue: the bits of its deadline, then its id.
+pub(super) type ReadyKey = (u64, CallId);
 
+/// The open calls with their ready queue and timers.
 #[derive(Debug)]
 pub(super) struct CallTable {
     calls: BTreeMap<CallId, Call>,
-    ready: BTreeSet<ReadyPosition>,
+    ready: BTreeSet<ReadyKey>,
     timers: TimerQueue<CallTimer>,
+    /// Bytes that all open calls occupy.
     bytes: usize,
     last_id: u64,
 }
@@ -261,17 +272,19 @@
         CallId(self.last_id)
     }
 
-    /// Takes a call in and makes it ready.
+    /// Adds a call, starts its deadline timer and puts it into the ready queue.
     pub(super) fn insert(&mut self, id: CallId, call: Call) {
         self.bytes += call.bytes;
         self.timers.schedule(call.deadline_ms, CallTimer::Deadline(id));
         self.calls.insert(id, call);
-        self.change(id, CallState::Ready);
+        self.set_state(id, CallState::Ready);
     }
 
-    /// Takes a call out of every table. Its attempts are left to whoever removes it.
+    /// Removes a call, its ready queue entry and its timers. The code that removes it must cancel its
+    /// attempts.
     pub(super) fn remove(&mut self, id: CallId) -> Option<Call> {
-        self.change(id, CallState::InFlight);
+        // `InFlight` has neither a ready queue entry nor a timer.
+        self.set_state(id, CallState::InFlight);
         let call = self.calls.remove(&id)?;
         self.bytes -= call.bytes;
         self.timers.cancel(call.deadline_ms, CallTimer::Deadline(id));
@@ -281,30 +294,32 @@
         Some(call)
     }
 
-    /// Moves a call to a state, with the queue and the timer that belong to it.
-    pub(super) fn change(&mut self, id: CallId, to: CallState) {
+    /// Changes the state of a call and updates the ready queue and the backoff timer accordingly.
+    pub(super) fn set_state(&mut self, id: CallId, state: CallState) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let position = (call.deadline_ms.to_bits(), id);
+        let key = (call.deadline_ms.to_bits(), id);
         match call.state {
-            CallState::Ready => drop(self.ready.remove(&position)),
-            CallState::BackingOff { until_ms } => self.timers.cancel(until_ms, CallTimer::BackoffOver(id)),
+            CallState::Ready => drop(self.ready.remove(&key)),
+            CallState::BackingOff { until_ms } => {
+                self.timers.cancel(until_ms, CallTimer::BackoffElapsed(id));
+            }
             CallState::InFlight => {}
         }
-        call.state = to;
-        match to {
-            CallState::Ready => drop(self.ready.insert(position)),
+        call.state = state;
+        match state {
+            CallState::Ready => drop(self.ready.insert(key)),
             CallState::BackingOff { until_ms } => {
-                self.timers.schedule(until_ms, CallTimer::BackoffOver(id));
+                self.timers.schedule(until_ms, CallTimer::BackoffElapsed(id));
             }
             CallState::InFlight => {}
         }
     }
 
-    /// Sets when the call is hedged, in place of any earlier time.
+    /// Schedules the hedge of a call and cancels any earlier hedge timer.
     pub(super) fn schedule_hedge(&mut self, id: CallId, at_ms: f64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if let Some(before_ms) = call.hedge_at_ms.replace(at_ms) {
-            self.timers.cancel(before_ms, CallTimer::Hedge(id));
+        if let Some(previous_ms) = call.hedge_at_ms.replace(at_ms) {
+            self.timers.cancel(previous_ms, CallTimer::Hedge(id));
         }
         self.timers.schedule(at_ms, CallTimer::Hedge(id));
     }
@@ -325,8 +340,8 @@
         self.timers.clear();
     }
 
-    /// The first ready call at or behind a position.
-    pub(super) fn next_ready(&self, from: ReadyPosition) -> Option<ReadyPosition> {
+    /// Returns the first ready call whose key is not less than `from`.
+    pub(super) fn next_ready(&self, from: ReadyKey) -> Option<ReadyKey> {
         self.ready.range(from..).next().copied()
     }
 
@@ -346,14 +361,14 @@
         self.calls.len()
     }
 
-    /// Bytes that open calls occupy.
+    /// Returns the bytes that all open calls occupy.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Whether an open call can go to this endpoint only, or may have run there.
-    pub(super) fn need(&self, endpoint: EndpointId) -> bool {
-        self.calls.values().any(|call| call.needs(endpoint))
+    /// Returns whether an open call is pinned to the endpoint or may have run there.
+    pub(super) fn any_requires(&self, endpoint: EndpointId) -> bool {
+        self.calls.values().any(|call| call.requires(endpoint))
     }
 
     #[cfg(test)]
--- a/crates/plovershelf-client/src/caller/call/tests.rs
+++ b/crates/plovershelf-client/src/caller/call/tests.rs
@@ -17,12 +17,13 @@
     Call::new(&spec, ClassId(0))
 }
 
-/// An attempt is lost and may have run; the retry is rejected. The rejection proves nothing about the first.
+/// An attempt is lost and may have run; the retry is rejected. The rejection proves nothing about the first
+/// attempt, so that the call must fail as possibly run.
 #[test]
-fn rejection_after_a_lost_attempt_does_not_take_back_that_it_may_have_run() {
+fn call_rejected_after_a_lost_attempt_may_have_run() {
     let mut call = call(Idempotency::Idempotent);
-    assert_eq!(call.attempt_failed(ENDPOINT, AttemptEnd::ConnectionLost, FAILED), AfterAttempt::Retry);
-    assert_eq!(call.attempt_failed(OTHER, AttemptEnd::Rejected, REJECTED), AfterAttempt::Retry);
+    assert_eq!(call.record_failed_attempt(ENDPOINT, AttemptEnd::ConnectionLost, FAILED), AfterAttempt::Retry);
+    assert_eq!(call.record_failed_attempt(OTHER, AttemptEnd::Rejected, REJECTED), AfterAttempt::Retry);
     assert_eq!(call.last_outcome_or(REJECTED), FAILED);
     assert_eq!(call.requirements().avoid, [ENDPOINT, OTHER]);
 }
@@ -30,33 +31,34 @@
 #[test]
 fn keyed_call_that_may_have_run_is_pinned_to_its_endpoint() {
     let mut call = call(Idempotency::Keyed);
-    assert_eq!(call.attempt_failed(ENDPOINT, AttemptEnd::Failed, FAILED), AfterAttempt::Retry);
+    assert_eq!(call.record_failed_attempt(ENDPOINT, AttemptEnd::Failed, FAILED), AfterAttempt::Retry);
     assert_eq!(call.pinned_to(), Some(ENDPOINT));
 }
 
-/// A request crosses the endpoint's `closing`. It is sent again once without mark; if that crosses too, it is a retry.
+/// An endpoint sends `closing` before it reads an attempt. The attempt is resent once without the retry mark;
+/// if it is not read again, the next attempt is a retry.
 #[test]
-fn unread_attempt_is_sent_again_unmarked_once() {
+fn unread_attempt_is_resent_unmarked_once() {
     let mut call = call(Idempotency::NonIdempotent);
     let attempt = InFlightAttempt { connection: ConnectionId(1), sequence: 1, endpoint: ENDPOINT };
     for next in [NextAttempt::ResendUnread, NextAttempt::Retry] {
-        call.attempt_sent(attempt);
-        call.attempt_ended(attempt);
-        assert_eq!(call.attempt_failed(ENDPOINT, AttemptEnd::Unread, REJECTED), AfterAttempt::Retry);
+        call.add_attempt(attempt);
+        call.remove_attempt(attempt);
+        assert_eq!(call.record_failed_attempt(ENDPOINT, AttemptEnd::Unread, REJECTED), AfterAttempt::Retry);
         assert_eq!(call.next_attempt(), next);
     }
 }
 
 #[test]
-fn removed_call_leaves_no_timer_and_no_place_in_the_queue() {
+fn removed_call_leaves_no_timer_and_no_queue_entry() {
     let mut calls = CallTable::new();
     let id = calls.next_id();
     calls.insert(id, call(Idempotency::Idempotent));
     calls.schedule_hedge(id, 10.0);
     calls.schedule_hedge(id, 20.0);
-    calls.change(id, CallState::BackingOff { until_ms: 30.0 });
+    calls.set_state(id, CallState::BackingOff { until_ms: 30.0 });
     assert_eq!((calls.timer_count(), calls.ready_count(), calls.bytes()), (3, 0, 100));
-    calls.change(id, CallState::Ready);
+    calls.set_state(id, CallState::Ready);
     assert_eq!((calls.timer_count(), calls.ready_count()), (2, 1));
     assert!(calls.remove(id).is_some() && calls.remove(id).is_none());
     assert_eq!((calls.timer_count(), calls.ready_count(), calls.bytes(), calls.len()), (0, 0, 0, 0));
--- a/crates/plovershelf-client/src/caller/circuit_breaker.rs
+++ b/crates/plovershelf-client/src/caller/circuit_breaker.rs
@@ -1,28 +1,30 @@
-//! Decides whether an endpoint is ejected because its attempts fail (outlier detection), and how it comes back.
+//! Ejects an endpoint whose attempts fail (outlier detection), and readmits it gradually.
 //!
-//! Inputs: the ends of attempts at the endpoint, with their times in milliseconds; both counts fade over a window.
+//! Inputs: the results of attempts at the endpoint, with their times in milliseconds. The counts of successes
+//! and failures decay exponentially over a window.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | `Closed` | failures reach the fraction and the minimum; or a protocol fault | `Open` |
-//! | `Open` | the ejection is over and an attempt is sent | `HalfOpen` |
-//! | `HalfOpen` | that attempt succeeds | `SlowStart` |
-//! | `HalfOpen` | that attempt fails, or a protocol fault | `Open`, for longer |
-//! | `HalfOpen` | that attempt is cancelled | `Open`, over at once |
-//! | `SlowStart` | its time is over and an attempt is sent | `Closed` |
+//! | `Open` | the ejection has ended and an attempt is sent | `HalfOpen` |
+//! | `HalfOpen` | the trial attempt succeeds | `SlowStart` |
+//! | `HalfOpen` | the trial attempt fails, or a protocol fault | `Open`, for longer |
+//! | `HalfOpen` | the trial attempt is cancelled or lost | `Open`, ending immediately |
+//! | `SlowStart` | the slow start has ended and an attempt is sent | `Closed` |
 //! | `SlowStart` | failures reach the fraction and the minimum; or a protocol fault | `Open`, for longer |
 //!
-//! Why: a broken endpoint costs every call that is sent to it. Each ejection is twice as long as the last and ends at random in its
-//! second half, so that clients do not return together. Rejections are no failures: an endpoint that sheds load is well.
+//! Rationale: every call that is sent to a faulty endpoint fails. Each ejection is twice as long as the last
+//! one and ends at a random time in its second half, so that clients do not return at the same time. A
+//! rejection is not a failure, because an endpoint that sheds load is healthy.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
 use crate::config::ClientConfig;
 
-/// Part of the usual traffic with which a slow start begins.
+/// Fraction of attempts that is admitted at the beginning of a slow start.
 const SLOW_START_FIRST_FRACTION: f64 = 0.1;
-/// Doublings of the ejection time, before the bound, at most.
+/// Maximum number of doublings of the ejection time; `max_ejection_ms` limits it further.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,10 +38,12 @@
 #[derive(Debug)]
 pub(super) struct CircuitBreaker {
     state: BreakerState,
+    /// Exponentially decaying number of successful attempts.
     successes: f64,
+    /// Exponentially decaying number of failed attempts.
     failures: f64,
-    faded_ms: f64,
-    /// Ejections since it was last closed.
+    decayed_at_ms: f64,
+    /// Ejections since the breaker was last closed.
     ejections: u32,
 }
 
@@ -49,7 +53,7 @@
             state: BreakerState::Closed,
             successes: 0.0,
             failures: 0.0,
-            faded_ms: 0.0,
+            decayed_at_ms: 0.0,
             ejections: 0,
         }
     }
@@ -63,8 +67,8 @@
         self.state == BreakerState::Closed
     }
 
-    /// It does not keep all attempts away, as far as time alone tells.
-    pub(super) fn looks_healthy(&self, now_ms: f64) -> bool {
+    /// Returns whether the breaker admits at least some attempts, without drawing a random number.
+    pub(super) fn is_healthy(&self, now_ms: f64) -> bool {
         match self.state {
             BreakerState::Closed | BreakerState::SlowStart { .. } => true,
             BreakerState::Open { until_ms } => until_ms <= now_ms,
@@ -72,7 +76,8 @@
         }
     }
 
-    /// When it admits an attempt at the earliest; `None` while the outcome of one is awaited.
+    /// Returns the earliest time at which the breaker admits an attempt, in milliseconds; `None` while the
+    /// trial attempt is in flight.
     pub(super) fn admits_from(&self, now_ms: f64) -> Option<f64> {
         match self.state {
             BreakerState::Closed | BreakerState::SlowStart { .. } => Some(now_ms),
@@ -81,67 +86,69 @@
         }
     }
 
-    /// May an attempt be sent now? The question changes nothing.
+    /// Returns whether the breaker admits an attempt now. Does not change the state; draws a random number in
+    /// a slow start.
     pub(super) fn admits(&self, now_ms: f64, config: &ClientConfig, random: &mut Pcg32) -> bool {
         match self.state {
             BreakerState::Closed => true,
             BreakerState::Open { until_ms } => until_ms <= now_ms,
             BreakerState::HalfOpen => false,
             BreakerState::SlowStart { since_ms } => {
-                let rise = (1.0 - SLOW_START_FIRST_FRACTION) * (now_ms - since_ms);
-                let fraction = SLOW_START_FIRST_FRACTION + rise / config.slow_start_ms.max(1.0);
+                let scaled_ms = (1.0 - SLOW_START_FIRST_FRACTION) * (now_ms - since_ms);
+                let fraction = SLOW_START_FIRST_FRACTION + scaled_ms / config.slow_start_ms.max(1.0);
                 fraction >= 1.0 || random.random::<f64>() < fraction
             }
         }
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub(super) fn record_sent(&mut self, now_ms: f64, config: &ClientConfig) {
         match self.state {
-            BreakerState::Open { until_ms } if until_ms <= now_ms => self.change(BreakerState::HalfOpen),
+            BreakerState::Open { until_ms } if until_ms <= now_ms => self.set_state(BreakerState::HalfOpen),
             BreakerState::SlowStart { since_ms } if now_ms - since_ms >= config.slow_start_ms => {
                 self.ejections = 0;
-                self.change(BreakerState::Closed);
+                self.set_state(BreakerState::Closed);
             }
             _ => {}
         }
     }
 
-    /// The endpoint has answered as a healthy one does; a rejection counts.
+    /// Records a response that shows a healthy endpoint, including rejections.
     pub(super) fn record_success(&mut self, now_ms: f64, config: &ClientConfig) {
-        self.fade(now_ms, config);
+        self.decay(now_ms, config);
         self.successes += 1.0;
         if self.state == BreakerState::HalfOpen {
-            self.change(BreakerState::SlowStart { since_ms: now_ms });
+            self.set_state(BreakerState::SlowStart { since_ms: now_ms });
         }
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt and ejects the endpoint if the failures reach the threshold.
     pub(super) fn record_failure(&mut self, now_ms: f64, config: &ClientConfig, random: &mut Pcg32) {
-        self.fade(now_ms, config);
+        self.decay(now_ms, config);
         self.failures += 1.0;
-        let many = self.failures >= config.ejection_min_failures
+        let reaches_threshold = self.failures >= config.ejection_min_failures
             && self.failures >= config.ejection_failure_fraction * (self.failures + self.successes);
         match self.state {
             BreakerState::HalfOpen => self.eject(now_ms, config, random),
-            BreakerState::Closed | BreakerState::SlowStart { .. } if many => {
+            BreakerState::Closed | BreakerState::SlowStart { .. } if reaches_threshold => {
                 self.eject(now_ms, config, random);
             }
             _ => {}
         }
     }
 
-    /// The endpoint violates the protocol, or does not answer its health check.
+    /// Ejects an endpoint that violated the protocol or did not respond to a health check.
     pub(super) fn record_protocol_fault(&mut self, now_ms: f64, config: &ClientConfig, random: &mut Pcg32) {
         if !matches!(self.state, BreakerState::Open { until_ms } if until_ms > now_ms) {
             self.eject(now_ms, config, random);
         }
     }
 
-    /// The attempt that was to tell was cancelled or lost: the next one may tell.
+    /// Records that an attempt was cancelled or lost. If it was the trial attempt, the next attempt becomes
+    /// the trial.
     pub(super) fn record_no_outcome(&mut self, now_ms: f64) {
         if self.state == BreakerState::HalfOpen {
-            self.change(BreakerState::Open { until_ms: now_ms });
+            self.set_state(BreakerState::Open { until_ms: now_ms });
         }
     }
 
@@ -149,21 +156,23 @@
         let doubled_ms = config.base_ejection_ms * f64::from(1u32 << self.ejections.min(MAX_DOUBLINGS));
         let ejection_ms = doubled_ms.min(config.max_ejection_ms) * (0.5 + 0.5 * random.random::<f64>());
         self.ejections = self.ejections.saturating_add(1);
-        self.change(BreakerState::Open { until_ms: now_ms + ejection_ms });
+        self.set_state(BreakerState::Open { until_ms: now_ms + ejection_ms });
     }
 
-    fn change(&mut self, to: BreakerState) {
-        self.state = to;
-        if matches!(to, BreakerState::Open { .. } | BreakerState::SlowStart { .. }) {
+    /// Changes the state, and resets the counts when an ejection or a slow start begins.
+    fn set_state(&mut self, state: BreakerState) {
+        self.state = state;
+        if matches!(state, BreakerState::Open { .. } | BreakerState::SlowStart { .. }) {
             (self.successes, self.failures) = (0.0, 0.0);
         }
     }
 
-    fn fade(&mut self, now_ms: f64, config: &ClientConfig) {
-        let left = (-(now_ms - self.faded_ms).max(0.0) / config.ejection_window_ms).exp();
-        self.successes *= left;
-        self.failures *= left;
-        self.faded_ms = now_ms;
+    /// Applies the exponential decay since the last update to both counts.
+    fn decay(&mut self, now_ms: f64, config: &ClientConfig) {
+        let factor = (-(now_ms - self.decayed_at_ms).max(0.0) / config.ejection_window_ms).exp();
+        self.successes *= factor;
+        self.failures *= factor;
+        self.decayed_at_ms = now_ms;
     }
 }
 
--- a/crates/plovershelf-client/src/caller/connection.rs
+++ b/crates/plovershelf-client/src/caller/connection.rs
@@ -1,15 +1,16 @@
-//! One connection to an endpoint.
+//! State of a connection to an endpoint.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `Connecting` | established, endpoint well | `Open` |
-//! | `Connecting` | established, endpoint was lost or ejected | `Proving` |
-//! | `Proving` | its health check is answered | `Open` |
-//! | `Open` | another connection of the endpoint violated the protocol | `Proving` |
+//! | `Connecting` | established; the endpoint is healthy | `Open` |
+//! | `Connecting` | established; the endpoint was lost or ejected | `HealthChecking` |
+//! | `HealthChecking` | response to the health check received | `Open` |
+//! | `Open` | another connection of the endpoint violated the protocol | `HealthChecking` |
 //! | any but `Connecting` | `closing` received | `Closing` |
-//! | any | closed by either side; not established in time; health check not answered in time | gone |
+//! | any | closed by either side; connect timeout; health check timeout | removed |
 //!
-//! A connection takes attempts while it is `Open`, and is closed by the client once it is `Closing` and has none in flight.
+//! A connection takes attempts only while it is `Open`. The client closes a `Closing` connection once it has
+//! no attempt in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,51 +18,57 @@
 use super::endpoint::EndpointId;
 use crate::config::ClientConfig;
 
-/// Cancelled attempts that are remembered, to tell a late answer from an answer to nothing.
+/// Number of cancelled attempts that a connection remembers, to distinguish a late response from one that
+/// matches no attempt.
 const MAX_CANCELLED: usize = 256;
-/// A connection takes no attempts beyond this number.
+/// Highest sequence number. A connection that has reached it takes no more attempts.
 const MAX_SEQUENCE: i32 = 1 << 30;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     Connecting,
-    /// To an endpoint that was lost or failed: a health check comes first, so that no call has to find out.
-    Proving,
+    /// The endpoint was lost or failed, so a health check must succeed before the connection takes attempts.
+    /// Otherwise calls would fail at an endpoint that is still unavailable.
+    HealthChecking,
     Open,
     Closing,
 }
 
-/// An attempt that waits for its answer.
+/// An attempt that waits for its response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentAttempt {
     pub(super) call: CallId,
     pub(super) sent_ms: f64,
 }
 
-/// What an answer belongs to.
+/// The attempt that a response belongs to.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum AnsweredAttempt {
     InFlight(SentAttempt),
     Cancelled,
-    /// Nothing that was asked.
+    /// No attempt with this sequence number was sent, or a response to it was already received.
     Unknown,
 }
 
-/// A health check that waits for its answer.
+/// A health check that waits for its response.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     sequence: i32,
     sent_ms: f64,
 }
 
-/// What a periodic check finds.
+/// Result of a periodic check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionCheck {
-    InOrder,
-    NotEstablishedInTime,
+    Ok,
+    ConnectTimedOut,
+    /// Nothing was received for too long while attempts are in flight.
     ProbeDue,
-    ProbeNotAnswered,
-    Unused { for_ms: f64 },
+    ProbeTimedOut,
+    /// The connection has had no attempt in flight for `for_ms`.
+    Unused {
+        for_ms: f64,
+    },
 }
 
 #[derive(Debug)]
@@ -72,11 +79,14 @@
     in_flight: BTreeMap<i32, SentAttempt>,
     cancelled: BTreeSet<i32>,
     last_sequence: i32,
-    received_ms: f64,
-    used_ms: f64,
+    /// When the last message was received, in milliseconds.
+    last_received_ms: f64,
+    /// When an attempt was last sent, answered or cancelled, in milliseconds.
+    last_used_ms: f64,
     closing_received_ms: Option<f64>,
     probe: Option<Probe>,
-    has_answered: bool,
+    /// Whether the endpoint has responded to an attempt or a health check.
+    has_responded: bool,
 }
 
 impl Connection {
@@ -88,11 +98,11 @@
             in_flight: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             last_sequence: 0,
-            received_ms: now_ms,
-            used_ms: now_ms,
+            last_received_ms: now_ms,
+            last_used_ms: now_ms,
             closing_received_ms: None,
             probe: None,
-            has_answered: false,
+            has_responded: false,
         }
     }
 
@@ -108,12 +118,12 @@
         self.in_flight.len()
     }
 
-    pub(super) fn used_ms(&self) -> f64 {
-        self.used_ms
+    pub(super) fn last_used_ms(&self) -> f64 {
+        self.last_used_ms
     }
 
-    pub(super) fn has_answered(&self) -> bool {
-        self.has_answered
+    pub(super) fn has_responded(&self) -> bool {
+        self.has_responded
     }
 
     pub(super) fn closing_received_ms(&self) -> Option<f64> {
@@ -124,7 +134,7 @@
         self.state == ConnectionState::Open && self.in_flight.is_empty()
     }
 
-    /// It is closing, and nothing is in flight any more.
+    /// Returns whether the connection is closing and has no attempt in flight.
     pub(super) fn is_drained(&self) -> bool {
         self.state == ConnectionState::Closing && self.in_flight.is_empty()
     }
@@ -135,36 +145,40 @@
             && self.last_sequence < MAX_SEQUENCE
     }
 
-    pub(super) fn established(&mut self, now_ms: f64) {
+    /// Opens the connection once it is established.
+    pub(super) fn set_established(&mut self, now_ms: f64) {
         self.state = ConnectionState::Open;
-        (self.state_since_ms, self.received_ms, self.used_ms) = (now_ms, now_ms, now_ms);
+        (self.state_since_ms, self.last_received_ms, self.last_used_ms) = (now_ms, now_ms, now_ms);
     }
 
-    /// A health check has to be answered before it takes attempts.
-    pub(super) fn require_proof(&mut self) {
-        self.state = ConnectionState::Proving;
+    /// Stops taking attempts until the response to a health check is received.
+    pub(super) fn require_health_check(&mut self) {
+        self.state = ConnectionState::HealthChecking;
     }
 
-    pub(super) fn closing_received(&mut self, now_ms: f64) {
+    /// Records that the endpoint sent `closing`.
+    pub(super) fn record_closing(&mut self, now_ms: f64) {
         self.closing_received_ms = self.closing_received_ms.or(Some(now_ms));
         self.state = ConnectionState::Closing;
     }
 
-    pub(super) fn received(&mut self, now_ms: f64) {
-        self.received_ms = now_ms;
+    /// Records that a message was received.
+    pub(super) fn record_received(&mut self, now_ms: f64) {
+        self.last_received_ms = now_ms;
     }
 
-    /// Puts an attempt in flight; hands back its sequence number.
+    /// Records an attempt as in flight and returns its sequence number.
     pub(super) fn send(&mut self, now_ms: f64, call: CallId) -> i32 {
         self.last_sequence += 1;
         self.in_flight.insert(self.last_sequence, SentAttempt { call, sent_ms: now_ms });
-        self.used_ms = now_ms;
+        self.last_used_ms = now_ms;
         self.last_sequence
     }
 
-    pub(super) fn answered(&mut self, now_ms: f64, sequence: i32) -> AnsweredAttempt {
+    /// Removes and returns the attempt that a response belongs to.
+    pub(super) fn take_answered(&mut self, now_ms: f64, sequence: i32) -> AnsweredAttempt {
         if let Some(attempt) = self.in_flight.remove(&sequence) {
-            (self.used_ms, self.has_answered) = (now_ms, true);
+            (self.last_used_ms, self.has_responded) = (now_ms, true);
             AnsweredAttempt::InFlight(attempt)
         } else if self.cancelled.remove(&sequence) {
             AnsweredAttempt::Cancelled
@@ -173,7 +187,7 @@
         }
     }
 
-    /// Whether the attempt was in flight.
+    /// Cancels an attempt. Returns false if it was not in flight.
     pub(super) fn cancel(&mut self, now_ms: f64, sequence: i32) -> bool {
         if self.in_flight.remove(&sequence).is_none() {
             return false;
@@ -182,11 +196,11 @@
         if self.cancelled.len() > MAX_CANCELLED {
             self.cancelled.pop_first();
         }
-        self.used_ms = now_ms;
+        self.last_used_ms = now_ms;
         true
     }
 
-    /// The sequence number of a new health check, if one can be sent.
+    /// Starts a health check and returns its sequence number, or `None` if no sequence number is left.
     pub(super) fn start_probe(&mut self, now_ms: f64) -> Option<i32> {
         if self.last_sequence >= MAX_SEQUENCE {
             return None;
@@ -200,47 +214,51 @@
         self.probe.is_some()
     }
 
-    /// Whether this is the answer to the health check that is waited for.
-    pub(super) fn probe_answered(&mut self, sequence: i32) -> bool {
+    /// Ends the pending health check and reopens the connection. Returns false if the sequence number does
+    /// not match it.
+    pub(super) fn complete_probe(&mut self, sequence: i32) -> bool {
         if self.probe.is_none_or(|probe| probe.sequence != sequence) {
             return false;
         }
-        (self.probe, self.has_answered) = (None, true);
-        if self.state == ConnectionState::Proving {
+        (self.probe, self.has_responded) = (None, true);
+        if self.state == ConnectionState::HealthChecking {
             self.state = ConnectionState::Open;
         }
         true
     }
 
+    /// Returns whether the connection has reached a timeout or needs a health check.
     pub(super) fn check(&mut self, now_ms: f64, config: &ClientConfig) -> ConnectionCheck {
         if self.state == ConnectionState::Connecting {
             let in_time = now_ms - self.state_since_ms < config.connect_timeout_ms;
-            return if in_time { ConnectionCheck::InOrder } else { ConnectionCheck::NotEstablishedInTime };
+            return if in_time { ConnectionCheck::Ok } else { ConnectionCheck::ConnectTimedOut };
         }
-        // Anything received answers for an endpoint of which nothing is waited for.
-        if self.probe.is_some_and(|probe| self.received_ms > probe.sent_ms) && self.is_idle() {
+        // On an idle connection, any message received after the health check shows that the endpoint
+        // responds.
+        if self.probe.is_some_and(|probe| self.last_received_ms > probe.sent_ms) && self.is_idle() {
             self.probe = None;
         }
         if let Some(probe) = self.probe {
-            let silent = self.received_ms < probe.sent_ms || self.state == ConnectionState::Proving;
-            let overdue = now_ms - probe.sent_ms >= config.probe_timeout_ms && silent;
-            return if overdue { ConnectionCheck::ProbeNotAnswered } else { ConnectionCheck::InOrder };
+            let is_unresponsive =
+                self.last_received_ms < probe.sent_ms || self.state == ConnectionState::HealthChecking;
+            let timed_out = now_ms - probe.sent_ms >= config.probe_timeout_ms && is_unresponsive;
+            return if timed_out { ConnectionCheck::ProbeTimedOut } else { ConnectionCheck::Ok };
         }
         if let Some(oldest) = self.in_flight.values().next() {
-            let silent_ms = now_ms - self.received_ms.max(oldest.sent_ms);
-            let probe_due = silent_ms >= config.probe_after_ms;
-            return if probe_due { ConnectionCheck::ProbeDue } else { ConnectionCheck::InOrder };
+            let without_message_ms = now_ms - self.last_received_ms.max(oldest.sent_ms);
+            let probe_due = without_message_ms >= config.probe_after_ms;
+            return if probe_due { ConnectionCheck::ProbeDue } else { ConnectionCheck::Ok };
         }
-        ConnectionCheck::Unused { for_ms: now_ms - self.used_ms }
+        ConnectionCheck::Unused { for_ms: now_ms - self.last_used_ms }
     }
 
-    /// What is in flight when it ends, by sequence number.
+    /// Returns the attempts in flight by sequence number.
     pub(super) fn into_in_flight(self) -> BTreeMap<i32, SentAttempt> {
         self.in_flight
     }
 
     #[cfg(test)]
-    pub(super) fn remembers_few_cancelled(&self) -> bool {
+    pub(super) fn cancelled_is_bounded(&self) -> bool {
         self.cancelled.len() <= MAX_CANCELLED
     }
 }
--- a/crates/plovershelf-client/src/caller/connection/tests.rs
+++ b/crates/plovershelf-client/src/caller/connection/tests.rs
@@ -1,39 +1,40 @@
 use super::*;
 
-fn open() -> (Connection, ClientConfig) {
+fn open_connection() -> (Connection, ClientConfig) {
     let mut connection = Connection::new(EndpointId(1), 0.0);
-    connection.established(0.0);
+    connection.set_established(0.0);
     (connection, ClientConfig::default())
 }
 
-/// A cancelled attempt may be answered all the same: that is late, and no violation of the protocol as a second answer is.
+/// An endpoint may respond to a cancelled attempt, which is late but valid. A second response violates the
+/// protocol.
 #[test]
-fn answer_to_a_cancelled_attempt_is_told_from_an_answer_to_nothing() {
-    let (mut connection, _) = open();
+fn response_to_a_cancelled_attempt_is_distinguished_from_an_unknown_one() {
+    let (mut connection, _) = open_connection();
     let sequence = connection.send(1.0, CallId(7));
     assert!(connection.cancel(2.0, sequence) && !connection.cancel(2.0, sequence));
-    assert!(matches!(connection.answered(3.0, sequence), AnsweredAttempt::Cancelled));
-    assert!(matches!(connection.answered(3.0, sequence), AnsweredAttempt::Unknown));
+    assert!(matches!(connection.take_answered(3.0, sequence), AnsweredAttempt::Cancelled));
+    assert!(matches!(connection.take_answered(3.0, sequence), AnsweredAttempt::Unknown));
 }
 
 #[test]
-fn silent_connection_with_an_attempt_in_flight_is_probed_and_given_up() {
-    let (mut connection, config) = open();
+fn unresponsive_connection_with_an_attempt_in_flight_is_probed_and_times_out() {
+    let (mut connection, config) = open_connection();
     connection.send(1.0, CallId(7));
-    assert_eq!(connection.check(250.0, &config), ConnectionCheck::InOrder);
+    assert_eq!(connection.check(250.0, &config), ConnectionCheck::Ok);
     assert_eq!(connection.check(251.0, &config), ConnectionCheck::ProbeDue);
-    let sequence = connection.start_probe(251.0).expect("numbers are left");
-    assert_eq!(connection.check(750.0, &config), ConnectionCheck::InOrder);
-    assert_eq!(connection.check(751.0, &config), ConnectionCheck::ProbeNotAnswered);
-    assert!(connection.probe_answered(sequence) && !connection.probe_answered(sequence));
+    let sequence = connection.start_probe(251.0).expect("sequence numbers are left");
+    assert_eq!(connection.check(750.0, &config), ConnectionCheck::Ok);
+    assert_eq!(connection.check(751.0, &config), ConnectionCheck::ProbeTimedOut);
+    assert!(connection.complete_probe(sequence) && !connection.complete_probe(sequence));
 }
 
 #[test]
-fn connection_that_has_to_prove_itself_takes_attempts_after_its_health_check() {
-    let (mut connection, config) = open();
-    connection.require_proof();
+fn connection_that_requires_a_health_check_takes_attempts_only_after_it() {
+    let (mut connection, config) = open_connection();
+    connection.require_health_check();
     assert!(!connection.has_capacity(&config));
-    let sequence = connection.start_probe(0.0).expect("numbers are left");
-    assert!(!connection.probe_answered(sequence + 1) && !connection.has_capacity(&config));
-    assert!(connection.probe_answered(sequence) && connection.has_capacity(&config));
+    let sequence = connection.start_probe(0.0).expect("sequence numbers are left");
+    assert!(!connection.complete_probe(sequence + 1) && !connection.has_capacity(&config));
+    assert!(connection.complete_probe(sequence) && connection.has_capacity(&config));
 }
--- a/crates/plovershelf-client/src/caller/connection_pool.rs
+++ b/crates/plovershelf-client/src/caller/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections of a caller, and which of an endpoint's takes the next attempt.
+//! The client's connections, and the choice of an endpoint's connection for an attempt.
 
 use std::collections::BTreeMap;
 
@@ -54,24 +54,26 @@
         self.connections.values().any(|connection| connection.state() == state)
     }
 
-    /// Whether a connection to the endpoint is being made or proves itself.
+    /// Returns whether a connection to the endpoint is being established or waits for its health check.
     pub(super) fn is_connecting(&self, endpoint: &Endpoint) -> bool {
-        let unready = [ConnectionState::Connecting, ConnectionState::Proving];
+        let unready = [ConnectionState::Connecting, ConnectionState::HealthChecking];
         let mut connections = endpoint.connections.iter().filter_map(|id| self.get(*id));
         connections.any(|connection| unready.contains(&connection.state()))
     }
 
+    /// Returns whether the endpoint has an open connection.
     pub(super) fn is_connected(&self, endpoint: &Endpoint) -> bool {
         endpoint.connections.iter().any(|id| self.has_state(*id, ConnectionState::Open))
     }
 
-    /// The endpoint's connection with capacity and the fewest attempts in flight.
+    /// Returns the endpoint's connection with the fewest attempts in flight, of those that have capacity.
     pub(super) fn least_loaded(&self, endpoint: &Endpoint, config: &ClientConfig) -> Option<ConnectionId> {
         let connections = endpoint.connections.iter().filter_map(|id| Some((*id, self.get(*id)?)));
         let available = connections.filter(|(_, connection)| connection.has_capacity(config));
         available.min_by_key(|(_, connection)| connection.in_flight()).map(|(id, _)| id)
     }
 
+    /// Returns whether the endpoint can take an attempt now, or after a connection is established.
     pub(super) fn capacity(&self, endpoint: &Endpoint, config: &ClientConfig) -> Capacity {
         let mut connections = endpoint.connections.iter().filter_map(|id| self.get(*id));
         if connections.any(|connection| connection.has_capacity(config)) {
@@ -85,10 +87,10 @@
         }
     }
 
-    /// The idle connection that was not used for longest.
+    /// Returns the least recently used idle connection.
     pub(super) fn least_recently_used(&self) -> Option<ConnectionId> {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
-        idle.min_by(|a, b| a.1.used_ms().total_cmp(&b.1.used_ms())).map(|(id, _)| *id)
+        idle.min_by(|a, b| a.1.last_used_ms().total_cmp(&b.1.last_used_ms())).map(|(id, _)| *id)
     }
 
     #[cfg(test)]
--- a/crates/plovershelf-client/src/caller/context.rs
+++ b/crates/plovershelf-client/src/caller/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a caller works with: the settings, the time, random draws, and where actions and counts go.
+//! State that all parts of the state machine share.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -6,7 +6,7 @@
 use super::action::{Action, CallId, CallOutcome, Counters};
 use crate::config::ClientConfig;
 
-/// Handed by reference to each part that decides something.
+/// Settings, current time, random numbers, pending actions and counters. Each part receives it by reference.
 #[derive(Debug)]
 pub(super) struct Context {
     pub(super) config: ClientConfig,
@@ -22,12 +22,12 @@
         Context { config, now_ms: 0.0, random, actions: Vec::new(), counters: Counters::default() }
     }
 
-    /// Moves the time on. A clock that goes back is held still.
+    /// Advances the current time. A time that is earlier than the current one or not finite is ignored.
     pub(super) fn advance_to(&mut self, now_ms: f64) {
         self.now_ms = if now_ms.is_finite() { self.now_ms.max(now_ms) } else { self.now_ms };
     }
 
-    /// Hands out the outcome of a call and counts it.
+    /// Queues the action that returns the outcome of a call, and counts the outcome.
     pub(super) fn complete(&mut self, call: CallId, outcome: CallOutcome) {
         self.counters.count_outcome(&outcome);
         self.actions.push(Action::Complete { call, outcome });
--- a/crates/plovershelf-client/src/caller/dispatcher.rs
+++ b/crates/plovershelf-client/src/caller/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The life of calls: places each at an endpoint, sends, hedges and retries it, and ends it once.
+//! Processes calls: chooses an endpoint for each, sends, hedges and retries it, and ends it exactly once.
 //!
-//! The states of a call are in [`call`](super::call). What is decided here is only in which order the parts are asked; the
-//! decisions are theirs.
+//! [`call`](super::call) has the states of a call. This module only fixes the order of the steps; the modules
+//! that it calls make the decisions.
 
 use std::net::SocketAddr;
 
@@ -13,25 +13,28 @@
 use super::attempt_planner::{AttemptPlanner, Plan};
 use super::balancer::Choice;
 use super::call::{AfterAttempt, Call, CallState, CallTable, CallTimer, InFlightAttempt, NextAttempt};
-use super::connection_manager::{Answered, ConnectionManager};
+use super::connection_manager::{ConnectionManager, MatchedResponse};
 use super::context::Context;
 use super::endpoint::EndpointId;
-use super::endpoint_set::AnswerKind;
+use super::endpoint_set::ResponseKind;
 use super::lost_attempt::LostAttempt;
 use super::retry_policy::{is_final_rejection, AttemptEnd};
 use super::throttle::Acceptance;
 
-/// Calls that can't be placed before those behind them are left for later.
+/// One pass over the ready queue stops after this many calls that no endpoint could take.
 const MAX_UNPLACED: usize = 32;
-/// A call backs off for at least this.
+/// Shortest backoff of a call.
 const MIN_BACKOFF_MS: f64 = 0.1;
-/// Jitter of a Retry-After: clients of a fleet that were given the same must not return together.
+/// Jitter added to a Retry-After, as a fraction of it. Without it, all clients that received the same
+/// Retry-After would retry at the same time.
 const RETRY_AFTER_JITTER_FRACTION: f64 = 0.2;
 
-/// Whether a call that was to be placed still waits for an endpoint.
+/// Result of an attempt to place a call at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placement {
-    Settled,
+    /// The call was sent, backs off or has ended.
+    Done,
+    /// The call stays in the ready queue until an endpoint can take it.
     StillReady,
 }
 
@@ -51,7 +54,7 @@
         }
     }
 
-    /// The open calls.
+    /// Returns the table of open calls.
     pub(super) fn calls(&self) -> &CallTable {
         &self.calls
     }
@@ -60,23 +63,24 @@
         &self.connections
     }
 
-    /// For events of connections, which concern calls only by the attempts that are lost with them.
+    /// Returns the connection manager for connection events. These affect calls only through lost attempts,
+    /// which the caller passes to [`Dispatcher::handle_lost`].
     pub(super) fn connections_mut(&mut self) -> &mut ConnectionManager {
         &mut self.connections
     }
 
     // ---- inputs -------------------------------------------------------------------------------------------
 
-    /// Starts a call. With a reason it is refused at once.
+    /// Starts a call. With a `rejection`, the call ends at once as not sent.
     pub(super) fn start(
         &mut self,
         context: &mut Context,
         spec: &CallSpec,
-        refused: Option<NotSentReason>,
+        rejection: Option<NotSentReason>,
     ) -> CallId {
         let id = self.calls.next_id();
         context.counters.calls += 1;
-        if let Some(reason) = refused {
+        if let Some(reason) = rejection {
             context.complete(id, CallOutcome::NotSent { reason, retry_after_ms: None });
             return id;
         }
@@ -92,7 +96,7 @@
         id
     }
 
-    /// Ends a call without an outcome; whether it was open.
+    /// Cancels a call, which ends without an outcome. Returns false if the call was not open.
     pub(super) fn cancel(&mut self, context: &mut Context, id: CallId) -> bool {
         let Some(call) = self.remove(context, id) else { return false };
         context.counters.cancelled += 1;
@@ -100,13 +104,13 @@
         true
     }
 
-    /// Takes a new list of endpoints that is not empty.
+    /// Replaces the list of endpoints with `addresses`, which must not be empty.
     pub(super) fn update_endpoints(&mut self, context: &mut Context, addresses: &[SocketAddr]) {
         self.connections.update_endpoints(context, addresses);
-        self.forget_removed_endpoints();
+        self.drop_unused_endpoints();
     }
 
-    /// Ends all calls and closes all connections.
+    /// Ends all calls, closes all connections and clears all timers.
     pub(super) fn close(&mut self, context: &mut Context) {
         let never_sent = CallOutcome::NotSent { reason: NotSentReason::Closed, retry_after_ms: None };
         for id in self.calls.ids() {
@@ -121,7 +125,7 @@
         self.calls.pop_expired(context.now_ms)
     }
 
-    /// Places what it can, in the order of the deadlines.
+    /// Places as many ready calls as the endpoints can take, earliest deadline first.
     pub(super) fn place_ready(&mut self, context: &mut Context) {
         let mut unplaced = 0;
         let mut from = (0, CallId(0));
@@ -136,50 +140,55 @@
         }
     }
 
-    pub(super) fn handle_answer(
+    /// Handles an endpoint's response to an attempt.
+    pub(super) fn handle_response(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
         sequence: i32,
         signals: &ServerSignals,
-        kind: AnswerKind,
+        kind: ResponseKind,
     ) {
-        let answered = self.connections.handle_answer(context, id, sequence, signals, kind);
-        match answered {
-            Answered::Attempt { call, attempt, took_ms } => {
-                self.record_answer(context, call, attempt, kind, took_ms);
+        let matched = self.connections.handle_response(context, id, sequence, signals, kind);
+        match matched {
+            MatchedResponse::Attempt { call, attempt, latency_ms } => {
+                self.record_response(context, call, attempt, kind, latency_ms);
                 let failed = CallOutcome::Failed { may_have_run: true };
                 match kind {
-                    AnswerKind::Succeeded => self.finish(context, call, CallOutcome::Succeeded),
-                    AnswerKind::Rejected => self.attempt_rejected(context, call, attempt.endpoint, signals),
-                    AnswerKind::Failed => {
-                        self.attempt_failed(context, call, attempt.endpoint, AttemptEnd::Failed, failed);
+                    ResponseKind::Succeeded => self.finish(context, call, CallOutcome::Succeeded),
+                    ResponseKind::Rejected => {
+                        self.handle_rejection(context, call, attempt.endpoint, signals);
                     }
-                    AnswerKind::Invalid => {
+                    ResponseKind::Failed => {
+                        self.handle_failure(context, call, attempt.endpoint, AttemptEnd::Failed, failed);
+                    }
+                    ResponseKind::Invalid => {
                         self.finish(context, call, CallOutcome::Failed { may_have_run: false })
                     }
                 }
                 self.connections.close_if_drained(context, id);
             }
-            Answered::Late => {}
-            Answered::ProtocolFault(lost) => self.handle_lost(context, lost),
+            MatchedResponse::Late => {}
+            MatchedResponse::ProtocolFault(lost) => self.handle_lost(context, lost),
         }
     }
 
+    /// Handles the attempts that were in flight on a connection that has ended.
     pub(super) fn handle_lost(&mut self, context: &mut Context, lost: Vec<LostAttempt>) {
         for LostAttempt { call, attempt, end } in lost {
             if let Some(call) = self.calls.get_mut(call) {
-                call.attempt_ended(attempt);
+                call.remove_attempt(attempt);
             }
             let outcome = if end.proves_not_run() {
                 CallOutcome::Rejected { retry_after_ms: None, retry_elsewhere: true }
             } else {
                 CallOutcome::Failed { may_have_run: true }
             };
-            self.attempt_failed(context, call, attempt.endpoint, end, outcome);
+            self.handle_failure(context, call, attempt.endpoint, end, outcome);
         }
     }
 
+    /// Handles an expired deadline, backoff or hedge timer of a call.
     pub(super) fn handle_call_timer(&mut self, context: &mut Context, timer: CallTimer) {
         match timer {
             CallTimer::Deadline(id) => {
@@ -187,35 +196,37 @@
                     self.finish(context, id, outcome);
                 }
             }
-            CallTimer::BackoffOver(id) => {
-                self.calls.change(id, CallState::Ready);
+            CallTimer::BackoffElapsed(id) => {
+                self.calls.set_state(id, CallState::Ready);
                 self.place(context, id);
             }
             CallTimer::Hedge(id) => self.hedge(context, id),
         }
     }
 
-    pub(super) fn forget_removed_endpoints(&mut self) {
+    /// Drops the state of removed endpoints that no connection and no open call refers to.
+    pub(super) fn drop_unused_endpoints(&mut self) {
         let calls = &self.calls;
-        self.connections.forget_removed_endpoints(|endpoint| calls.need(endpoint));
+        self.connections.drop_unused_endpoints(|endpoint| calls.any_requires(endpoint));
     }
 
     // ---- private steps ------------------------------------------------------------------------------------
 
-    /// Finds an endpoint for a call that is ready and sends it there; or lets it back off, or ends it.
+    /// Chooses an endpoint for a ready call and sends an attempt there. If that is not possible, the call
+    /// stays ready, backs off or ends.
     fn place(&mut self, context: &mut Context, id: CallId) -> Placement {
-        let Some(call) = self.calls.get(id) else { return Placement::Settled };
+        let Some(call) = self.calls.get(id) else { return Placement::Done };
         let may_have_run = call.may_have_run();
         let timeout_ms = match self.planner.plan_next(context, call) {
             Plan::Send { timeout_ms } => timeout_ms,
             Plan::TooLate => {
                 self.finish_with_last_or(context, id, CallOutcome::DeadlineExceeded { may_have_run });
-                return Placement::Settled;
+                return Placement::Done;
             }
             Plan::OverBudget => {
                 context.counters.retries_over_budget += 1;
                 self.finish_with_last_or(context, id, CallOutcome::Failed { may_have_run });
-                return Placement::Settled;
+                return Placement::Done;
             }
         };
         match self.connections.choose(context, &call.requirements()) {
@@ -227,13 +238,13 @@
             }
             Choice::NotBefore(at_ms) => {
                 self.back_off(context, id, at_ms);
-                Placement::Settled
+                Placement::Done
             }
-            Choice::AdvisedAgainst { until_ms } => {
+            Choice::Backpressure { until_ms } => {
                 let retry_after_ms = Some(until_ms - context.now_ms);
                 let reason = NotSentReason::Backpressure;
                 self.finish_with_last_or(context, id, CallOutcome::NotSent { reason, retry_after_ms });
-                Placement::Settled
+                Placement::Done
             }
             Choice::NoEndpoint => self.wait_for_any_endpoint(context, id),
         }
@@ -248,7 +259,7 @@
     ) -> Placement {
         if let Some(connection) = self.connections.available_connection(context, endpoint) {
             self.send(context, id, connection, timeout_ms);
-            return Placement::Settled;
+            return Placement::Done;
         }
         self.connections.connect(context, endpoint);
         Placement::StillReady
@@ -261,16 +272,17 @@
         }
         let reason = NotSentReason::NoEndpoint;
         self.finish_with_last_or(context, id, CallOutcome::NotSent { reason, retry_after_ms: None });
-        Placement::Settled
+        Placement::Done
     }
 
-    /// No endpoint takes the call before this time: it waits if its deadline allows that, and ends at once if not.
+    /// Makes a call back off until `at_ms`, the earliest time at which an endpoint can take it. A call that
+    /// could not end before its deadline then ends at once.
     fn back_off(&mut self, context: &mut Context, id: CallId, at_ms: f64) {
         let Some(call) = self.calls.get(id) else { return };
         let now_ms = context.now_ms;
         let at_ms = at_ms.max(now_ms + MIN_BACKOFF_MS);
         if self.planner.can_wait_until(context, call, at_ms) {
-            self.calls.change(id, CallState::BackingOff { until_ms: at_ms });
+            self.calls.set_state(id, CallState::BackingOff { until_ms: at_ms });
         } else {
             let retry_after_ms = Some(at_ms - now_ms);
             let reason = NotSentReason::NoEndpoint;
@@ -278,25 +290,25 @@
         }
     }
 
-    /// Sends an attempt. A retry must have been found to be paid for.
+    /// Sends the next attempt of a call. For a retry, the caller must have checked the retry budget.
     fn send(&mut self, context: &mut Context, id: CallId, connection: ConnectionId, timeout_ms: f64) {
         let Some(next) = self.calls.get(id).map(Call::next_attempt) else { return };
         self.planner.record_sent(context, next);
         let Some(attempt) = self.connections.send_attempt(context, connection, id) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
-        call.attempt_sent(attempt);
+        call.add_attempt(attempt);
         let can_hedge = call.idempotency == Idempotency::Idempotent && call.attempts().len() == 1;
         let hedge_at_ms = self.planner.hedge_at_ms(context, call.class);
         if let Some(at_ms) = hedge_at_ms.filter(|_| can_hedge) {
             self.calls.schedule_hedge(id, at_ms);
         }
-        self.calls.change(id, CallState::InFlight);
+        self.calls.set_state(id, CallState::InFlight);
         let InFlightAttempt { connection, sequence, .. } = attempt;
         let kind = if next == NextAttempt::Retry { AttemptKind::Retry } else { AttemptKind::First };
         context.actions.push(Action::Send { connection, sequence, call: id, timeout_ms, kind });
     }
 
-    /// Sends a second attempt of a slow call to another endpoint, if the budget pays for it.
+    /// Sends a second attempt of a slow call to another endpoint if the retry budget allows it.
     fn hedge(&mut self, context: &mut Context, id: CallId) {
         let Some(call) = self.calls.get(id) else { return };
         let Some(timeout_ms) = self.planner.hedge_timeout_ms(context, call) else { return };
@@ -312,24 +324,25 @@
         }
     }
 
-    fn record_answer(
+    fn record_response(
         &mut self,
         context: &mut Context,
         id: CallId,
         attempt: InFlightAttempt,
-        kind: AnswerKind,
-        took_ms: f64,
+        kind: ResponseKind,
+        latency_ms: f64,
     ) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        call.attempt_ended(attempt);
+        call.remove_attempt(attempt);
         match kind {
-            AnswerKind::Succeeded => self.planner.record_success(context, call.class, took_ms),
-            AnswerKind::Rejected => self.planner.record_rejection(context, took_ms),
-            AnswerKind::Failed | AnswerKind::Invalid => {}
+            ResponseKind::Succeeded => self.planner.record_success(context, call.class, latency_ms),
+            ResponseKind::Rejected => self.planner.record_rejection(context, latency_ms),
+            ResponseKind::Failed | ResponseKind::Invalid => {}
         }
     }
 
-    fn attempt_rejected(
+    /// Ends a call whose rejection is final; otherwise applies the rejection's signals and retries the call.
+    fn handle_rejection(
         &mut self,
         context: &mut Context,
         id: CallId,
@@ -340,19 +353,20 @@
         let retry_after_ms = signals.retry_after_ms;
         let retry_elsewhere = !signals.no_retry_elsewhere;
         let outcome = call.outcome_if_ended(CallOutcome::Rejected { retry_after_ms, retry_elsewhere });
-        let left_ms = call.deadline_ms - context.now_ms;
-        if is_final_rejection(retry_after_ms, retry_elsewhere, left_ms) && call.attempts().is_empty() {
+        let remaining_ms = call.deadline_ms - context.now_ms;
+        if is_final_rejection(retry_after_ms, retry_elsewhere, remaining_ms) && call.attempts().is_empty() {
             self.finish(context, id, outcome);
             return;
         }
         if !retry_elsewhere {
             call.pin_to(endpoint);
         }
-        self.attempt_failed(context, id, endpoint, AttemptEnd::Rejected, outcome);
+        self.handle_failure(context, id, endpoint, AttemptEnd::Rejected, outcome);
     }
 
-    /// An attempt has ended without a result: the call waits for its other one, is retried, or ends.
-    fn attempt_failed(
+    /// Handles an attempt that ended without a result: the call waits for its other attempt, is retried, or
+    /// ends.
+    fn handle_failure(
         &mut self,
         context: &mut Context,
         id: CallId,
@@ -361,9 +375,9 @@
         outcome: CallOutcome,
     ) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        match call.attempt_failed(endpoint, end, outcome) {
+        match call.record_failed_attempt(endpoint, end, outcome) {
             AfterAttempt::AwaitOther => {}
-            AfterAttempt::GiveUp => self.finish_with_last_or(context, id, outcome),
+            AfterAttempt::Finish => self.finish_with_last_or(context, id, outcome),
             AfterAttempt::Retry => self.retry(context, id, outcome),
         }
     }
@@ -371,8 +385,8 @@
     fn retry(&mut self, context: &mut Context, id: CallId, outcome: CallOutcome) {
         let Some(call) = self.calls.get(id) else { return };
         let (now_ms, pinned_to) = (context.now_ms, call.pinned_to());
-        let is_paid_retry = call.next_attempt() == NextAttempt::Retry;
-        if is_paid_retry && !self.planner.can_retry(context) {
+        let uses_budget = call.next_attempt() == NextAttempt::Retry;
+        if uses_budget && !self.planner.can_retry(context) {
             context.counters.retries_over_budget += 1;
             self.finish_with_last_or(context, id, outcome);
             return;
@@ -380,28 +394,30 @@
         let until_ms = pinned_to.map_or(0.0, |endpoint| self.connections.retry_after_until_ms(endpoint));
         if until_ms > now_ms {
             let wait_ms = until_ms - now_ms;
-            let draw: f64 = context.random.random();
-            self.back_off(context, id, now_ms + wait_ms * (1.0 + RETRY_AFTER_JITTER_FRACTION * draw));
+            let jitter: f64 = context.random.random();
+            self.back_off(context, id, now_ms + wait_ms * (1.0 + RETRY_AFTER_JITTER_FRACTION * jitter));
         } else {
-            self.calls.change(id, CallState::Ready);
+            self.calls.set_state(id, CallState::Ready);
             self.place(context, id);
         }
     }
 
-    fn finish_with_last_or(&mut self, context: &mut Context, id: CallId, otherwise: CallOutcome) {
+    /// Ends a call with the outcome of its last attempt, or with `default` if no attempt has ended.
+    fn finish_with_last_or(&mut self, context: &mut Context, id: CallId, default: CallOutcome) {
         if let Some(call) = self.calls.get(id) {
-            let outcome = call.last_outcome_or(otherwise);
+            let outcome = call.last_outcome_or(default);
             self.finish(context, id, outcome);
         }
     }
 
+    /// Ends a call with an outcome.
     fn finish(&mut self, context: &mut Context, id: CallId, outcome: CallOutcome) {
         let Some(call) = self.remove(context, id) else { return };
         self.planner.record_end(context, call.class, acceptance_of(&outcome));
         context.complete(id, outcome);
     }
 
-    /// Takes a call out of the tables and cancels its attempts.
+    /// Removes a call from all tables and cancels its attempts.
     fn remove(&mut self, context: &mut Context, id: CallId) -> Option<Call> {
         let call = self.calls.remove(id)?;
         for attempt in call.attempts() {
@@ -411,7 +427,8 @@
     }
 }
 
-/// Only rejections close the throttle: slowness, losses and short deadlines do not.
+/// Returns how a call's outcome counts for the throttle. Only rejections and backpressure count as rejected;
+/// slow calls, lost connections and missed deadlines do not.
 fn acceptance_of(outcome: &CallOutcome) -> Acceptance {
     match outcome {
         CallOutcome::Rejected { .. } | CallOutcome::NotSent { reason: NotSentReason::Backpressure, .. } => {
--- a/crates/plovershelf-client/src/caller/endpoint_set.rs
+++ b/crates/plovershelf-client/src/caller/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a client talks to, what each answer means for its endpoint, and the choice among them.
+//! The endpoints that the client uses: updates their state from responses and chooses among them.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 use super::subset;
 use crate::config::ClientConfig;
 
-/// The kinds of answers to an attempt, as far as its endpoint is concerned.
+/// Kind of a response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AnswerKind {
+pub(super) enum ResponseKind {
     Succeeded,
     Rejected,
     Failed,
-    /// No endpoint would take what was sent.
+    /// Every endpoint would reject the request as invalid.
     Invalid,
 }
 
@@ -26,19 +26,19 @@
 pub(super) struct EndpointSet {
     endpoints: Endpoints,
     balancer: Balancer,
-    /// The client's place on the ring of endpoints.
-    ring_place: f64,
+    /// The client's position on the ring of endpoints, from 0 to less than 1.
+    ring_position: f64,
 }
 
 impl EndpointSet {
     pub(super) fn new(context: &mut Context) -> Self {
         let index = context.config.subset_index;
-        let ring_place = index.map_or_else(|| context.random.random(), subset::ring_place);
-        EndpointSet { endpoints: Endpoints::default(), balancer: Balancer::default(), ring_place }
+        let ring_position = index.map_or_else(|| context.random.random(), subset::ring_position);
+        EndpointSet { endpoints: Endpoints::default(), balancer: Balancer::default(), ring_position }
     }
 
-    pub(super) fn ring_place(&self) -> f64 {
-        self.ring_place
+    pub(super) fn ring_position(&self) -> f64 {
+        self.ring_position
     }
 
     pub(super) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
@@ -58,23 +58,24 @@
         &mut self.endpoints
     }
 
-    /// Those that attempts go to.
+    /// Returns the endpoints of the subset.
     pub(super) fn selected(&self) -> &[EndpointId] {
         self.endpoints.selected()
     }
 
-    /// Takes a new list.
+    /// Replaces the list of endpoints and selects the client's subset of it.
     pub(super) fn update(&mut self, context: &Context, addresses: &[SocketAddr]) {
         let addresses = &addresses[..addresses.len().min(context.config.max_endpoints)];
-        let selected = subset::select(addresses, self.ring_place, context.config.subset_size);
+        let selected = subset::select(addresses, self.ring_position, context.config.subset_size);
         self.endpoints.replace(context.now_ms, &selected);
     }
 
-    /// Endpoints that left the list and have no connection.
-    pub(super) fn removed_and_unconnected(&self) -> Vec<EndpointId> {
-        let is_gone = |endpoint: &Endpoint| endpoint.removed_ms.is_some() && endpoint.connections.is_empty();
-        let gone = self.endpoints.iter().filter(|(_, endpoint)| is_gone(endpoint));
-        gone.map(|(id, _)| id).collect()
+    /// Returns the endpoints that left the subset and have no connection.
+    pub(super) fn removed_and_disconnected(&self) -> Vec<EndpointId> {
+        let is_unused =
+            |endpoint: &Endpoint| endpoint.removed_at_ms.is_some() && endpoint.connections.is_empty();
+        let unused = self.endpoints.iter().filter(|(_, endpoint)| is_unused(endpoint));
+        unused.map(|(id, _)| id).collect()
     }
 
     pub(super) fn choose(
@@ -89,12 +90,12 @@
         self.balancer.choose(*now_ms, &self.endpoints, requirements, capacity_of, config, random)
     }
 
-    /// The end of the endpoint's Retry-After; in the past where there is none.
+    /// Returns when the endpoint's Retry-After ends, in milliseconds; a time in the past if it has none.
     pub(super) fn retry_after_until_ms(&self, id: EndpointId) -> f64 {
         self.get(id).map_or(0.0, |endpoint| endpoint.backpressure.retry_after_until_ms())
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent to the endpoint.
     pub(super) fn record_sent(&mut self, context: &Context, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight += 1;
@@ -102,48 +103,48 @@
         }
     }
 
-    /// An attempt was cancelled.
+    /// Records that an attempt was cancelled.
     pub(super) fn record_cancelled(&mut self, context: &Context, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.attempts_ended(1);
+            endpoint.record_attempts_ended(1);
             endpoint.breaker.record_no_outcome(context.now_ms);
         }
     }
 
-    /// An attempt was answered.
-    pub(super) fn record_answer(
+    /// Records a response to an attempt in flight and its latency in milliseconds.
+    pub(super) fn record_response(
         &mut self,
         context: &mut Context,
         id: EndpointId,
-        kind: AnswerKind,
-        took_ms: f64,
+        kind: ResponseKind,
+        latency_ms: f64,
     ) {
-        if kind == AnswerKind::Succeeded {
-            self.balancer.record_latency(took_ms);
+        if kind == ResponseKind::Succeeded {
+            self.balancer.record_latency(latency_ms);
         }
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let Context { now_ms, config, random, .. } = context;
-        if kind == AnswerKind::Succeeded {
-            endpoint.latency.record(*now_ms, took_ms);
+        if kind == ResponseKind::Succeeded {
+            endpoint.latency.record(*now_ms, latency_ms);
         }
-        endpoint.attempts_ended(1);
-        endpoint.losses = 0;
+        endpoint.record_attempts_ended(1);
+        endpoint.consecutive_losses = 0;
         match kind {
-            AnswerKind::Succeeded | AnswerKind::Rejected | AnswerKind::Invalid => {
+            ResponseKind::Succeeded | ResponseKind::Rejected | ResponseKind::Invalid => {
                 endpoint.breaker.record_success(*now_ms, config);
             }
-            AnswerKind::Failed => endpoint.breaker.record_failure(*now_ms, config, random),
+            ResponseKind::Failed => endpoint.breaker.record_failure(*now_ms, config, random),
         }
     }
 
-    /// A connection failed with attempts that had no answer, or just after them.
+    /// Records that a connection failed with attempts in flight or shortly after the last one.
     pub(super) fn record_connection_failure(&mut self, context: &mut Context, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.breaker.record_failure(context.now_ms, &context.config, &mut context.random);
         }
     }
 
-    /// The endpoint violated the protocol, or did not answer a health check.
+    /// Records that the endpoint violated the protocol or did not respond to a health check.
     pub(super) fn record_protocol_fault(&mut self, context: &mut Context, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.breaker.record_protocol_fault(context.now_ms, &context.config, &mut context.random);
@@ -156,14 +157,15 @@
         }
     }
 
-    /// The endpoint drains or is unready: it is chosen last for some time.
+    /// Records that the endpoint is draining or not ready. For `draining_hold_ms` it is chosen last.
     pub(super) fn record_draining(&mut self, context: &Context, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.draining_until_ms = context.now_ms + context.config.draining_hold_ms;
         }
     }
 
-    /// A connection has ended with so many attempts in flight; whether it was the endpoint's last one.
+    /// Removes a connection that ended with `in_flight` attempts. Returns whether it was the endpoint's last
+    /// connection.
     pub(super) fn remove_connection(
         &mut self,
         context: &Context,
@@ -173,15 +175,15 @@
     ) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         endpoint.connections.retain(|other| *other != connection);
-        endpoint.attempts_ended(in_flight);
+        endpoint.record_attempts_ended(in_flight);
         if in_flight > 0 {
             endpoint.breaker.record_no_outcome(context.now_ms);
         }
         endpoint.connections.is_empty()
     }
 
-    pub(super) fn forget(&mut self, id: EndpointId) {
-        self.endpoints.forget(id);
+    pub(super) fn remove(&mut self, id: EndpointId) {
+        self.endpoints.remove(id);
     }
 }
 
--- a/crates/plovershelf-client/src/caller/latency.rs
+++ b/crates/plovershelf-client/src/caller/latency.rs
@@ -1,70 +1,76 @@
-//! Statistics of how long calls take: the fastest, a mean and a high percentile, each in constant memory.
+//! Latency statistics in constant memory: minimum over a window, percentile and moving average.
 
-/// The fastest time in a window. Two windows take turns, so that an old time is forgotten after one to two of them.
+/// Minimum latency over a sliding window. It keeps the minima of the current and the previous window, so that
+/// a value expires after one to two window lengths.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FastestTime {
+pub(super) struct WindowedMinimum {
     window_ms: f64,
-    window_began_ms: f64,
-    in_window_ms: Option<f64>,
-    in_last_window_ms: Option<f64>,
+    window_start_ms: f64,
+    current_min_ms: Option<f64>,
+    previous_min_ms: Option<f64>,
 }
 
-impl FastestTime {
+impl WindowedMinimum {
     pub(super) fn new(window_ms: f64) -> Self {
-        FastestTime {
+        WindowedMinimum {
             window_ms,
-            window_began_ms: f64::NEG_INFINITY,
-            in_window_ms: None,
-            in_last_window_ms: None,
+            window_start_ms: f64::NEG_INFINITY,
+            current_min_ms: None,
+            previous_min_ms: None,
         }
     }
 
-    pub(super) fn record(&mut self, now_ms: f64, took_ms: f64) {
-        self.turn_window(now_ms);
-        self.in_window_ms = Some(self.in_window_ms.map_or(took_ms, |fastest| fastest.min(took_ms)));
+    pub(super) fn record(&mut self, now_ms: f64, latency_ms: f64) {
+        self.rotate_windows(now_ms);
+        self.current_min_ms = Some(self.current_min_ms.map_or(latency_ms, |min_ms| min_ms.min(latency_ms)));
     }
 
-    /// `None` where there is no time of the last windows.
+    /// Returns the minimum in milliseconds, or `None` if both windows are empty.
     pub(super) fn value(&mut self, now_ms: f64) -> Option<f64> {
-        self.turn_window(now_ms);
-        match (self.in_window_ms, self.in_last_window_ms) {
+        self.rotate_windows(now_ms);
+        match (self.current_min_ms, self.previous_min_ms) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
     }
 
-    fn turn_window(&mut self, now_ms: f64) {
-        let elapsed_ms = now_ms - self.window_began_ms;
+    /// Starts a new window if the current one has ended.
+    fn rotate_windows(&mut self, now_ms: f64) {
+        let elapsed_ms = now_ms - self.window_start_ms;
         if elapsed_ms >= 2.0 * self.window_ms {
-            self.window_began_ms = now_ms;
-            (self.in_window_ms, self.in_last_window_ms) = (None, None);
+            self.window_start_ms = now_ms;
+            (self.current_min_ms, self.previous_min_ms) = (None, None);
         } else if elapsed_ms >= self.window_ms {
-            self.window_began_ms += self.window_ms;
-            (self.in_last_window_ms, self.in_window_ms) = (self.in_window_ms, None);
+            self.window_start_ms += self.window_ms;
+            (self.previous_min_ms, self.current_min_ms) = (self.current_min_ms, None);
         }
     }
 }
 
-/// A percentile that follows its input in steps: up by much and down by little, in the ratio that leaves the wanted part below.
+/// Estimate of a percentile by stochastic approximation: a latency above the estimate raises it by a step
+/// times the percentile's fraction, any other lowers it by a step times the remaining fraction.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PercentileEstimate {
     value_ms: Option<f64>,
 }
 
-/// One step, as a fraction of the present value.
+/// Step of the estimate, as a fraction of its current value.
 const PERCENTILE_STEP_FRACTION: f64 = 0.05;
 
 impl PercentileEstimate {
-    pub(super) fn record(&mut self, took_ms: f64, percentile: f64) {
+    pub(super) fn record(&mut self, latency_ms: f64, percentile: f64) {
         let fraction = percentile / 100.0;
         let Some(value_ms) = self.value_ms else {
-            self.value_ms = Some(took_ms);
+            self.value_ms = Some(latency_ms);
             return;
         };
-        let step = PERCENTILE_STEP_FRACTION * value_ms.max(0.1);
-        let moved =
-            if took_ms > value_ms { value_ms + step * fraction } else { value_ms - step * (1.0 - fraction) };
-        self.value_ms = Some(moved.max(0.05));
+        let step_ms = PERCENTILE_STEP_FRACTION * value_ms.max(0.1);
+        let updated_ms = if latency_ms > value_ms {
+            value_ms + step_ms * fraction
+        } else {
+            value_ms - step_ms * (1.0 - fraction)
+        };
+        self.value_ms = Some(updated_ms.max(0.05));
     }
 
     pub(super) fn value(&self) -> Option<f64> {
@@ -79,12 +85,12 @@
 }
 
 impl MovingAverage {
-    /// A new time counts for one part in this many of the average.
-    const LOOK_BACK_COUNT: f64 = 16.0;
+    /// Reciprocal of the weight of a new sample.
+    const INVERSE_WEIGHT: f64 = 16.0;
 
-    pub(super) fn record(&mut self, took_ms: f64) {
-        let before = self.value_ms.unwrap_or(took_ms);
-        self.value_ms = Some(before + (took_ms - before) / Self::LOOK_BACK_COUNT);
+    pub(super) fn record(&mut self, latency_ms: f64) {
+        let previous_ms = self.value_ms.unwrap_or(latency_ms);
+        self.value_ms = Some(previous_ms + (latency_ms - previous_ms) / Self::INVERSE_WEIGHT);
     }
 
     pub(super) fn value(&self) -> Option<f64> {
--- a/crates/plovershelf-client/src/caller/lost_attempt.rs
+++ b/crates/plovershelf-client/src/caller/lost_attempt.rs
@@ -1,19 +1,20 @@
-//! Decides what the end of a connection means for the attempts that were in flight on it.
+//! Decides whether attempts that were in flight on an ended connection may have run.
 //!
-//! Inputs: the connection with when each attempt was written and when `closing` was received, in milliseconds.
+//! Inputs: the times at which each attempt was sent and at which `closing` was received, in milliseconds.
 //!
-//! Rule: an attempt that was written less than the closing race before `closing` was received, or after it, was never read.
-//! Any other may have run.
+//! Rule: the endpoint never read an attempt that was sent at most `closing_race_ms` before `closing` was
+//! received, or later. Any other attempt may have run.
 //!
-//! Why: an endpoint reads nothing more once it has written `closing`, which takes up to the closing race to arrive. Without the rule,
-//! safe work would be given up at each orderly shutdown; with a race that is too long, work could run twice.
+//! Rationale: an endpoint reads nothing after it has written `closing`, and `closing` arrives within
+//! `closing_race_ms`. Without the rule, every orderly shutdown would fail calls that are safe to retry. With
+//! a longer race, a request could run twice.
 
 use super::action::{CallId, ConnectionId};
 use super::call::InFlightAttempt;
 use super::connection::Connection;
 use super::retry_policy::AttemptEnd;
 
-/// An attempt whose connection has ended.
+/// An attempt that was in flight when its connection ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LostAttempt {
     pub(super) call: CallId,
@@ -21,16 +22,16 @@
     pub(super) end: AttemptEnd,
 }
 
-/// Whether attempts may have crossed a `closing`.
+/// How to treat attempts that were sent at about the time at which `closing` was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ClosingRace {
-    /// Those written this long before it was received did, and were never read.
+    /// The endpoint never read attempts that were sent from `race_ms` before `closing` was received.
     Within { race_ms: f64 },
-    /// The endpoint is not believed.
+    /// The endpoint violated the protocol, so its `closing` proves nothing.
     Ignored,
 }
 
-/// The attempts of a connection that has ended.
+/// Returns the attempts that were in flight on an ended connection, each with whether it may have run.
 pub(super) fn lost_attempts(id: ConnectionId, connection: Connection, race: ClosingRace) -> Vec<LostAttempt> {
     let (endpoint, closing_ms) = (connection.endpoint(), connection.closing_received_ms());
     let unread_from_ms = match (closing_ms, race) {
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -1,27 +1,28 @@
-//! Decides for every call when, where and how often it is sent. It owns no socket, clock or thread: a driver hands in what
-//! happens and carries out the [`Action`]s that come out.
+//! The client's state machine. It decides for each call when, where and how often to send it, without any
+//! I/O: a driver reports events and executes the [`Action`]s that the state machine returns.
 //!
-//! In a driver's order of calling: [`Caller::update_endpoints`], [`Caller::start_call`], [`Caller::handle_connected`],
-//! [`Caller::handle_message`], [`Caller::handle_connection_closed`], [`Caller::handle_timeout`]; after each,
-//! [`Caller::poll_actions`] until there are none, and [`Caller::poll_timeout`].
+//! A driver calls the inputs [`Caller::update_endpoints`], [`Caller::start_call`],
+//! [`Caller::handle_connected`], [`Caller::handle_message`], [`Caller::handle_connection_closed`] and
+//! [`Caller::handle_timeout`]. After each input, it calls [`Caller::poll_actions`] until no action is left
+//! and then [`Caller::poll_timeout`].
 //!
-//! | module | state it owns | decides |
+//! | module | state | decisions |
 //! | --- | --- | --- |
-//! | `dispatcher` | calls, planner and connections | in which order these are asked about a call |
-//! | `call` | open calls, their attempts and timers | which state changes of a call are allowed |
-//! | `retry_policy` | | whether and where a call may be sent again |
-//! | `retry_budget` | recent first attempts and retries | whether a retry or hedge is paid for |
-//! | `throttle` | accepted and ended calls of a class | whether a first attempt is sent |
-//! | `attempt_planner` | the classes and the retry budget | whether an attempt is worth sending |
-//! | `request_class`, `latency` | latency of each class | whether an attempt can end in time; when a call is hedged |
-//! | `connection_manager` | endpoints and connections | which connections are made, kept and closed |
-//! | `endpoint_set` | endpoints | what an answer means for its endpoint |
-//! | `lost_attempt` | | whether an attempt on a connection that ended may have run |
-//! | `connection`, `connection_pool` | one connection; all of them | which connection takes an attempt; when it is probed |
-//! | `balancer`, `subset` | usual latency | which endpoint an attempt goes to; which endpoints are talked to at all |
-//! | `endpoint`, `backpressure` | what is known of an endpoint; its signals | whether its signals keep a call away |
-//! | `circuit_breaker` | recent failures of an endpoint | whether it is ejected, and how it comes back |
-//! | `reconnect` | lost endpoints | when an endpoint is connected to again |
+//! | `dispatcher` | calls, planner and connections | order of the steps that process a call |
+//! | `call` | open calls, their attempts and timers | allowed state transitions of a call |
+//! | `retry_policy` | | whether and where a call may be retried |
+//! | `retry_budget` | recent first attempts and retries | whether the budget allows a retry or hedge |
+//! | `throttle` | accepted and ended calls of a class | whether to send a first attempt |
+//! | `attempt_planner` | request classes and retry budget | whether an attempt can end in time and is within the budget |
+//! | `request_class`, `latency` | latency of each class | time left for an attempt; when to hedge a call |
+//! | `connection_manager` | endpoints and connections | which connections to open, keep and close |
+//! | `endpoint_set` | endpoints | how a response changes the state of its endpoint |
+//! | `lost_attempt` | | whether an attempt on a closed connection may have run |
+//! | `connection`, `connection_pool` | one connection; all connections | connection for an attempt; when to send a health check |
+//! | `balancer`, `subset` | mean latency | endpoint for an attempt; subset of endpoints to use |
+//! | `endpoint`, `backpressure` | state of an endpoint; its signals | whether its signals exclude a call |
+//! | `circuit_breaker` | recent failures of an endpoint | ejection and recovery of the endpoint |
+//! | `reconnect` | lost endpoints | when to reconnect to an endpoint |
 
 mod action;
 mod attempt_planner;
@@ -55,14 +56,15 @@
 use self::connection_manager::Health;
 use self::context::Context;
 use self::dispatcher::Dispatcher;
-use self::endpoint_set::AnswerKind;
+use self::endpoint_set::ResponseKind;
 use crate::config::{ClientConfig, ConfigError};
 use crate::endpoint_list::EndpointList;
 
-/// Lost endpoints are connected to again by themselves if there was a call within this time.
-const ACTIVE_MS: f64 = 10_000.0;
+/// The client reconnects to lost endpoints without waiting for a call if the last call started within this
+/// time.
+const RECONNECT_ACTIVITY_MS: f64 = 10_000.0;
 
-/// The client's state machine.
+/// The client's state machine; it does no I/O.
 #[derive(Debug)]
 pub struct Caller {
     context: Context,
@@ -72,11 +74,11 @@
 }
 
 impl Caller {
-    /// A caller without endpoints.
+    /// Creates a state machine without endpoints.
     ///
     /// # Errors
     ///
-    /// A setting outside its range.
+    /// Returns an error if a setting is outside its range.
     pub fn new(config: ClientConfig) -> Result<Self, ConfigError> {
         config.validate()?;
         let mut context = Context::new(config);
@@ -86,7 +88,7 @@
 
     // ---- inputs -------------------------------------------------------------------------------------------
 
-    /// Takes a new list of endpoints. An empty one keeps the last.
+    /// Replaces the list of endpoints. An empty list is ignored.
     pub fn update_endpoints(&mut self, now_ms: f64, list: &EndpointList) {
         self.context.advance_to(now_ms);
         if !list.addresses.is_empty() {
@@ -95,15 +97,15 @@
         }
     }
 
-    /// Starts a call. Its outcome may be among the next actions already.
+    /// Starts a call. The next [`Caller::poll_actions`] may already return its outcome.
     pub fn start_call(&mut self, now_ms: f64, spec: &CallSpec) -> CallId {
         self.context.advance_to(now_ms);
         self.last_call_ms = self.context.now_ms;
-        let refused = self.refuses(spec);
-        self.dispatcher.start(&mut self.context, spec, refused)
+        let rejection = self.rejection_reason(spec);
+        self.dispatcher.start(&mut self.context, spec, rejection)
     }
 
-    /// Whoever made a call no longer waits for it: it ends without an outcome.
+    /// Cancels a call, which ends without an outcome.
     pub fn cancel_call(&mut self, now_ms: f64, id: CallId) {
         self.context.advance_to(now_ms);
         if self.dispatcher.cancel(&mut self.context, id) {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A connection is established.
+    /// Handles the establishment of a connection.
     pub fn handle_connected(&mut self, now_ms: f64, id: ConnectionId) {
         self.context.advance_to(now_ms);
         if self.dispatcher.connections_mut().handle_connected(&mut self.context, id) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A connection could not be established; nothing was written to it.
+    /// Handles a failed attempt to establish a connection. The driver wrote nothing to it.
     pub fn handle_connect_failed(&mut self, now_ms: f64, id: ConnectionId) {
         self.context.advance_to(now_ms);
         if self.dispatcher.connections_mut().handle_connect_failed(&mut self.context, id) {
@@ -127,25 +129,25 @@
         }
     }
 
-    /// A whole message was received.
+    /// Handles a complete message from an endpoint.
     pub fn handle_message(&mut self, now_ms: f64, id: ConnectionId, message: &Message<'_>) {
         self.context.advance_to(now_ms);
-        if !self.dispatcher.connections_mut().received(&self.context, id) {
+        if !self.dispatcher.connections_mut().record_received(&self.context, id) {
             return;
         }
         let context = &mut self.context;
-        let mut handle_answer = |sequence: i32, signals: &ServerSignals, kind: AnswerKind| {
-            self.dispatcher.handle_answer(context, id, sequence, signals, kind);
+        let mut handle_response = |sequence: i32, signals: &ServerSignals, kind: ResponseKind| {
+            self.dispatcher.handle_response(context, id, sequence, signals, kind);
         };
         match message {
             Message::Succeeded { seqid, signals, .. } => {
-                handle_answer(*seqid, signals, AnswerKind::Succeeded);
+                handle_response(*seqid, signals, ResponseKind::Succeeded);
             }
-            Message::Rejected { seqid, signals } => handle_answer(*seqid, signals, AnswerKind::Rejected),
-            Message::Failed { seqid, signals } => handle_answer(*seqid, signals, AnswerKind::Failed),
+            Message::Rejected { seqid, signals } => handle_response(*seqid, signals, ResponseKind::Rejected),
+            Message::Failed { seqid, signals } => handle_response(*seqid, signals, ResponseKind::Failed),
             Message::Exception { seqid, permanent, .. } => {
-                let kind = if *permanent { AnswerKind::Invalid } else { AnswerKind::Failed };
-                handle_answer(*seqid, &ServerSignals::default(), kind);
+                let kind = if *permanent { ResponseKind::Invalid } else { ResponseKind::Failed };
+                handle_response(*seqid, &ServerSignals::default(), kind);
             }
             Message::Health { seqid, ready, signals } => {
                 let health = if *ready { Health::Ready } else { Health::Unready };
@@ -159,7 +161,7 @@
         self.place_ready();
     }
 
-    /// A connection has ended without having been closed by an action.
+    /// Handles the end of a connection that no [`Action::Close`] closed.
     pub fn handle_connection_closed(&mut self, now_ms: f64, id: ConnectionId, reason: CloseReason) {
         self.context.advance_to(now_ms);
         let connections = self.dispatcher.connections_mut();
@@ -168,13 +170,14 @@
         }
         let lost = match reason {
             CloseReason::Ended => connections.handle_closed(&mut self.context, id),
-            CloseReason::Malformed => connections.protocol_fault(&mut self.context, id),
+            CloseReason::Malformed => connections.handle_protocol_fault(&mut self.context, id),
         };
         self.dispatcher.handle_lost(&mut self.context, lost);
         self.place_ready();
     }
 
-    /// The time of [`Caller::poll_timeout`] has come.
+    /// Handles all timers that have expired. The driver calls it at the time that [`Caller::poll_timeout`]
+    /// returned.
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.context.advance_to(now_ms);
         while self.handle_next_timer() {}
@@ -182,7 +185,7 @@
         self.place_ready();
     }
 
-    /// Ends all calls and closes all connections; later calls are refused.
+    /// Ends all calls and closes all connections. Later calls end with [`NotSentReason::Closed`].
     pub fn close(&mut self, now_ms: f64) {
         self.context.advance_to(now_ms);
         self.closed = true;
@@ -191,12 +194,12 @@
 
     // ---- outputs ------------------------------------------------------------------------------------------
 
-    /// The actions since the last poll, in their order.
+    /// Returns the actions since the last poll, in the order in which the driver must execute them.
     pub fn poll_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.context.actions)
     }
 
-    /// When [`Caller::handle_timeout`] is due, in milliseconds; `None` while nothing is.
+    /// Returns when [`Caller::handle_timeout`] is due, in milliseconds, or `None` if no timer is set.
     pub fn poll_timeout(&self) -> Option<f64> {
         let connections = self.dispatcher.connections();
         let call_ms = self.dispatcher.calls().next_timeout_ms();
@@ -204,25 +207,26 @@
         timers.into_iter().flatten().reduce(f64::min)
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counters(&self) -> Counters {
         self.context.counters
     }
 
-    /// Calls that have not ended.
+    /// Returns the number of calls that have not ended.
     pub fn open_calls(&self) -> usize {
         self.dispatcher.calls().len()
     }
 
-    /// Connections that are open or being made.
+    /// Returns the number of connections that are open or being established.
     pub fn connection_count(&self) -> usize {
         self.dispatcher.connections().connection_count()
     }
 
     // ---- private steps ------------------------------------------------------------------------------------
 
-    /// Why a call is refused before it is looked at, if it is.
-    fn refuses(&self, spec: &CallSpec) -> Option<NotSentReason> {
+    /// Returns why a new call must be rejected locally: the client is closed, a limit is reached, or the
+    /// deadline is not finite.
+    fn rejection_reason(&self, spec: &CallSpec) -> Option<NotSentReason> {
         let config = &self.context.config;
         let calls = self.dispatcher.calls();
         let is_full = calls.len() >= config.max_open_calls
@@ -239,7 +243,8 @@
         self.dispatcher.place_ready(&mut self.context);
     }
 
-    /// Handles the first timer that has expired, those of calls first; false where there is none.
+    /// Handles the earliest expired timer; timers of calls precede reconnects at the same time. Returns false
+    /// if no timer has expired.
     fn handle_next_timer(&mut self) -> bool {
         let context = &mut self.context;
         let reconnect_ms = self.dispatcher.connections().next_reconnect_ms().unwrap_or(f64::INFINITY);
@@ -251,13 +256,13 @@
         }
         let connections = self.dispatcher.connections_mut();
         let Some(endpoint) = connections.pop_due_reconnect(context) else { return false };
-        if context.now_ms - self.last_call_ms < ACTIVE_MS {
+        if context.now_ms - self.last_call_ms < RECONNECT_ACTIVITY_MS {
             connections.reconnect(context, endpoint);
         }
         true
     }
 
-    /// Checks all connections, if that is due.
+    /// Checks all connections if the sweep interval has elapsed.
     fn sweep(&mut self) {
         let context = &mut self.context;
         let Some(connections) = self.dispatcher.connections_mut().start_sweep(context) else { return };
@@ -265,7 +270,7 @@
             let lost = self.dispatcher.connections_mut().check(context, connection);
             self.dispatcher.handle_lost(context, lost);
         }
-        self.dispatcher.forget_removed_endpoints();
+        self.dispatcher.drop_unused_endpoints();
     }
 }
 
--- a/crates/plovershelf-client/src/caller/reconnect/tests.rs
+++ b/crates/plovershelf-client/src/caller/reconnect/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use std::net::SocketAddr;
 
-fn lost(count: u8) -> (ReconnectBackoff, Endpoints) {
+/// Returns the state after the loss of all of `count` endpoints at 100 ms.
+fn all_lost(count: u8) -> (ReconnectBackoff, Endpoints) {
     let mut context = Context::new(ClientConfig { seed: 9, ..ClientConfig::default() });
     let mut endpoints = Endpoints::default();
     let addresses: Vec<SocketAddr> = (0..count).map(|n| SocketAddr::from(([127, 0, 0, n], 9000))).collect();
@@ -9,19 +10,20 @@
     let mut reconnect = ReconnectBackoff::new(0.5, &context.config);
     context.advance_to(100.0);
     for id in (1..=count).map(|n| EndpointId(n.into())) {
-        endpoints.get_mut(id).expect("listed").losses = 1;
-        reconnect.endpoint_lost(&mut context, &mut endpoints, id, Connectivity::NoneConnected);
+        endpoints.get_mut(id).expect("listed").consecutive_losses = 1;
+        reconnect.schedule_reconnect(&mut context, &mut endpoints, id, Connectivity::NoneConnected);
     }
     (reconnect, endpoints)
 }
 
-/// All endpoints restart at once. Each client has a place of its own in the spread, and its endpoints come just behind that.
+/// All endpoints restart at the same time. A client must reconnect to the first one at its own position in
+/// the spread, and to the others shortly after it.
 #[test]
-fn client_that_lost_all_endpoints_reconnects_at_its_own_place_in_the_spread() {
-    let (alone, _) = lost(1);
-    assert_eq!(alone.next_timeout_ms(), Some(1600.0));
-    let (three, endpoints) = lost(3);
-    assert_eq!(three.pending(), 3);
+fn client_that_lost_all_endpoints_reconnects_at_its_position_in_the_spread() {
+    let (one_lost, _) = all_lost(1);
+    assert_eq!(one_lost.next_timeout_ms(), Some(1600.0));
+    let (three_lost, endpoints) = all_lost(3);
+    assert_eq!(three_lost.pending(), 3);
     for (_, endpoint) in endpoints.iter() {
         assert!((1600.0..=2350.0).contains(&endpoint.reconnect_at_ms), "{}", endpoint.reconnect_at_ms);
     }
--- a/crates/plovershelf-client/src/caller/request_class.rs
+++ b/crates/plovershelf-client/src/caller/request_class.rs
@@ -1,36 +1,36 @@
-//! Statistics of each request class, and what follows from them: whether an attempt can end before the deadline, when a call
-//! is hedged, and whether first attempts are throttled.
+//! Statistics of each request class. They decide whether an attempt can end before the deadline, when to
+//! hedge a call and whether to throttle first attempts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::context::Context;
-use super::latency::{FastestTime, PercentileEstimate};
+use super::latency::{PercentileEstimate, WindowedMinimum};
 use super::throttle::{Acceptance, Throttle};
 use crate::config::ClientConfig;
 
-/// A request class, within one caller.
+/// Identifies a request class within one [`Caller`](super::Caller).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClassId(pub(super) usize);
 
-/// The percentile that is followed while hedging is off.
+/// Latency percentile that is estimated while hedging is off.
 const DEFAULT_PERCENTILE: f64 = 95.0;
-/// A hedge is never sent earlier than this.
+/// Shortest time between an attempt and its hedge.
 const MIN_HEDGE_DELAY_MS: f64 = 1.0;
 
 #[derive(Debug)]
 struct ClassStatistics {
-    fastest: FastestTime,
-    slow: PercentileEstimate,
+    min_latency: WindowedMinimum,
+    latency_percentile: PercentileEstimate,
     throttle: Throttle,
 }
 
-/// The time that an attempt has.
+/// Time left for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptTime {
-    /// What is left for the endpoint, without the round trip.
+    /// Time until the deadline minus the round trip, in milliseconds.
     pub(super) timeout_ms: f64,
-    /// Whether the fastest recent call of its class would have been done in it.
+    /// Whether the fastest recent call of the class would have ended in the time until the deadline.
     pub(super) is_sufficient: bool,
 }
 
@@ -38,8 +38,9 @@
 pub(super) struct RequestClasses {
     classes: Vec<ClassStatistics>,
     ids: BTreeMap<Arc<str>, ClassId>,
-    /// The fastest rejection: a request that costs an endpoint next to nothing.
-    round_trip: FastestTime,
+    /// Lowest latency of a rejection. An endpoint spends almost no time on a rejection, so that its latency
+    /// approximates the round trip.
+    round_trip: WindowedMinimum,
 }
 
 impl RequestClasses {
@@ -47,19 +48,20 @@
         RequestClasses {
             classes: Vec::new(),
             ids: BTreeMap::new(),
-            round_trip: FastestTime::new(config.latency_window_ms),
+            round_trip: WindowedMinimum::new(config.latency_window_ms),
         }
     }
 
-    /// The class of that name. Those beyond the limit share the last one's statistics.
+    /// Returns the class with this name, added if it is new. Classes beyond `max_request_classes` share the
+    /// statistics of the last one.
     pub(super) fn id_of(&mut self, name: &Arc<str>, config: &ClientConfig) -> ClassId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
         if self.classes.len() < config.max_request_classes {
             self.classes.push(ClassStatistics {
-                fastest: FastestTime::new(config.latency_window_ms),
-                slow: PercentileEstimate::default(),
+                min_latency: WindowedMinimum::new(config.latency_window_ms),
+                latency_percentile: PercentileEstimate::default(),
                 throttle: Throttle::new(config),
             });
             self.ids.insert(name.clone(), ClassId(self.classes.len() - 1));
@@ -71,38 +73,42 @@
         self.classes[id.0].throttle.admits(context.now_ms, &mut context.random)
     }
 
-    /// A call that the throttle admitted has ended.
+    /// Records for the throttle that an admitted call has ended.
     pub(super) fn record_end(&mut self, now_ms: f64, id: ClassId, acceptance: Acceptance) {
         self.classes[id.0].throttle.record(now_ms, acceptance);
     }
 
-    pub(super) fn record_success(&mut self, context: &Context, id: ClassId, took_ms: f64) {
+    pub(super) fn record_success(&mut self, context: &Context, id: ClassId, latency_ms: f64) {
         let class = &mut self.classes[id.0];
-        class.fastest.record(context.now_ms, took_ms);
-        class.slow.record(took_ms, context.config.hedge_percentile.unwrap_or(DEFAULT_PERCENTILE));
+        class.min_latency.record(context.now_ms, latency_ms);
+        let percentile = context.config.hedge_percentile.unwrap_or(DEFAULT_PERCENTILE);
+        class.latency_percentile.record(latency_ms, percentile);
     }
 
-    pub(super) fn record_rejection(&mut self, now_ms: f64, took_ms: f64) {
-        self.round_trip.record(now_ms, took_ms);
+    pub(super) fn record_rejection(&mut self, now_ms: f64, latency_ms: f64) {
+        self.round_trip.record(now_ms, latency_ms);
     }
 
-    /// The fastest recent call; 0 where there was none.
-    pub(super) fn fastest_ms(&mut self, now_ms: f64, id: ClassId) -> f64 {
-        self.classes[id.0].fastest.value(now_ms).unwrap_or(0.0)
+    /// Returns the lowest recent latency of the class in milliseconds, or 0 if there was no recent success.
+    pub(super) fn min_latency_ms(&mut self, now_ms: f64, id: ClassId) -> f64 {
+        self.classes[id.0].min_latency.value(now_ms).unwrap_or(0.0)
     }
 
+    /// Returns the time left for an attempt that is sent now.
     pub(super) fn attempt_time(&mut self, context: &Context, id: ClassId, deadline_ms: f64) -> AttemptTime {
         let measured_ms = self.round_trip.value(context.now_ms);
         let round_trip_ms = measured_ms.unwrap_or(context.config.initial_round_trip_ms);
-        let left_ms = deadline_ms - context.now_ms;
-        let fastest_ms = self.fastest_ms(context.now_ms, id);
-        let is_sufficient = left_ms > round_trip_ms && left_ms >= fastest_ms;
-        AttemptTime { timeout_ms: left_ms - round_trip_ms, is_sufficient }
+        let remaining_ms = deadline_ms - context.now_ms;
+        let min_latency_ms = self.min_latency_ms(context.now_ms, id);
+        let is_sufficient = remaining_ms > round_trip_ms && remaining_ms >= min_latency_ms;
+        AttemptTime { timeout_ms: remaining_ms - round_trip_ms, is_sufficient }
     }
 
-    /// How long an attempt that is alone in flight is waited for before it is hedged; `None` while nothing is known.
+    /// Returns the time between an attempt and its hedge in milliseconds, or `None` before the first success
+    /// of the class.
     pub(super) fn hedge_delay_ms(&self, id: ClassId) -> Option<f64> {
-        self.classes[id.0].slow.value().map(|slow_ms| slow_ms.max(MIN_HEDGE_DELAY_MS))
+        let percentile_ms = self.classes[id.0].latency_percentile.value();
+        percentile_ms.map(|percentile_ms| percentile_ms.max(MIN_HEDGE_DELAY_MS))
     }
 }
 
--- a/crates/plovershelf-client/src/caller/retry_budget.rs
+++ b/crates/plovershelf-client/src/caller/retry_budget.rs
@@ -1,14 +1,16 @@
-//! Decides whether a retry or a hedge may be sent.
+//! Decides whether the retry budget allows a retry or a hedge.
 //!
-//! Inputs: first attempts and retries, with their times in milliseconds.
+//! Inputs: the times of first attempts and retries, in milliseconds.
 //!
-//! Rule: in any second, retries are at most a fraction of the first attempts in it, rounded up or down by a draw; and one is
-//! allowed where there was none for a long interval, unless the fraction is 0.
+//! Rule: in any second, the number of retries is at most a fraction of the first attempts in that second,
+//! rounded up or down at random. One retry is also allowed if there was none for `min_retry_interval_ms`,
+//! unless the fraction is 0.
 //!
-//! Why: retries must not add to an overload. The budget looks back on one second instead of saving tokens, because a fleet whose
-//! clients each saved one through a calm period would spend them all in the same second, the one in which the trouble begins. The
-//! draw keeps a fleet of slow clients to the fraction as a whole: rounding down would leave them no retry, rounding up one each.
-//! Source: "Handling Overload" in Site Reliability Engineering; `RetryBudget` in Finagle.
+//! Rationale: retries must not amplify an overload. The budget covers a sliding window of one second and does
+//! not accumulate tokens: otherwise every client of a fleet would save tokens while there are no failures and
+//! use them all in the second in which an overload begins. Random rounding keeps a fleet of clients with low
+//! rates at the fraction as a whole: rounding down would allow them no retry, rounding up one each. Source:
+//! "Handling Overload" in Site Reliability Engineering; `RetryBudget` in Finagle.
 
 use std::collections::VecDeque;
 
@@ -17,19 +19,19 @@
 
 use crate::config::ClientConfig;
 
-/// The window over which the fraction holds.
+/// Length of the sliding window that the budget covers.
 const WINDOW_MS: f64 = 1000.0;
-/// First attempts are counted in this many buckets a window, so that the memory for them is bounded.
+/// Number of buckets per window in which first attempts are counted, to bound the memory.
 const BUCKETS_PER_WINDOW: f64 = 20.0;
 
-/// First attempts since a bucket began.
+/// Number of first attempts in a part of the window.
 #[derive(Debug)]
 struct Bucket {
-    began_ms: f64,
+    start_ms: f64,
     count: u32,
 }
 
-/// The draw that rounds the allowance in one second.
+/// Random rounding of the allowance, drawn once per second.
 #[derive(Debug)]
 struct Rounding {
     second: u64,
@@ -41,10 +43,11 @@
     fraction: f64,
     min_interval_ms: f64,
     first_attempts: VecDeque<Bucket>,
+    /// Sum over all buckets.
     first_attempt_count: u32,
-    /// When retries were paid for.
+    /// Times of the retries in the window, in milliseconds.
     retries: VecDeque<f64>,
-    /// `NaN` until the first attempt.
+    /// Time of the last retry in milliseconds; `NaN` until the first attempt.
     last_retry_ms: f64,
     rounding: Rounding,
 }
@@ -62,23 +65,24 @@
         }
     }
 
-    /// A first attempt is sent.
+    /// Records a first attempt that is sent now.
     pub(super) fn deposit(&mut self, now_ms: f64, random: &mut Pcg32) {
-        self.forget_before_window(now_ms);
+        self.expire_before_window(now_ms);
         if self.last_retry_ms.is_nan() {
-            // A whole fleet may start at once: the first retry of the interval falls somewhere in it.
+            // Starts the minimum retry interval at a random offset, because a whole fleet may start at the
+            // same time.
             self.last_retry_ms = now_ms - self.min_interval_ms * random.random::<f64>();
         }
         match self.first_attempts.back_mut() {
-            Some(bucket) if now_ms < bucket.began_ms + WINDOW_MS / BUCKETS_PER_WINDOW => bucket.count += 1,
-            _ => self.first_attempts.push_back(Bucket { began_ms: now_ms, count: 1 }),
+            Some(bucket) if now_ms < bucket.start_ms + WINDOW_MS / BUCKETS_PER_WINDOW => bucket.count += 1,
+            _ => self.first_attempts.push_back(Bucket { start_ms: now_ms, count: 1 }),
         }
         self.first_attempt_count += 1;
     }
 
-    /// Would a retry be allowed now?
+    /// Returns whether the budget allows a retry now.
     pub(super) fn can_withdraw(&mut self, now_ms: f64, random: &mut Pcg32) -> bool {
-        self.forget_before_window(now_ms);
+        self.expire_before_window(now_ms);
         let second = (now_ms / WINDOW_MS) as u64;
         if self.rounding.second != second {
             self.rounding = Rounding { second, draw: random.random() };
@@ -87,7 +91,7 @@
         (self.retries.len() as f64) < allowed || self.interval_has_passed(now_ms)
     }
 
-    /// Pays for a retry that is sent now, if it is allowed.
+    /// Records a retry that is sent now. Returns false if the budget does not allow it.
     pub(super) fn try_withdraw(&mut self, now_ms: f64, random: &mut Pcg32) -> bool {
         if !self.can_withdraw(now_ms, random) {
             return false;
@@ -101,11 +105,11 @@
         self.fraction > 0.0 && now_ms - self.last_retry_ms >= self.min_interval_ms
     }
 
-    fn forget_before_window(&mut self, now_ms: f64) {
-        while self.first_attempts.front().is_some_and(|bucket| bucket.began_ms <= now_ms - WINDOW_MS) {
+    fn expire_before_window(&mut self, now_ms: f64) {
+        while self.first_attempts.front().is_some_and(|bucket| bucket.start_ms <= now_ms - WINDOW_MS) {
             self.first_attempt_count -= self.first_attempts.pop_front().map_or(0, |bucket| bucket.count);
         }
-        while self.retries.front().is_some_and(|paid_ms| *paid_ms <= now_ms - WINDOW_MS) {
+        while self.retries.front().is_some_and(|sent_ms| *sent_ms <= now_ms - WINDOW_MS) {
             self.retries.pop_front();
         }
     }
--- a/crates/plovershelf-client/src/caller/retry_policy.rs
+++ b/crates/plovershelf-client/src/caller/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Decides whether a call may be sent again after an attempt, and where.
+//! Decides whether and where a call may be retried after an attempt without a result.
 //!
 //! Inputs: the call's idempotency; how the attempt ended; whether an earlier attempt may have run.
 //!
@@ -8,50 +8,52 @@
 //! | with an idempotency key | any endpoint | the same endpoint |
 //! | non-idempotent | any endpoint | never |
 //!
-//! Why: an endpoint knows the idempotency keys that it has run, not those of others. Without this table a lost connection would
-//! have non-idempotent work run twice.
+//! Rationale: an endpoint recognizes only the idempotency keys of requests that it ran itself. Without this
+//! table, a lost connection could make a non-idempotent request run twice.
 //!
-//! After an attempt that gave no result, these are asked in this order:
+//! After an attempt without a result, these steps decide on a retry, in this order:
 //!
-//! 1. A lost attempt: was it read at all? (`lost_attempt`)
-//! 2. A rejection: is it final? (`is_final_rejection`)
-//! 3. The table above (`retry_decision`), called by `call`, which avoids the endpoints tried before. One attempt that was never read
-//!    is sent again without a withdrawal from the budget.
-//! 4. Is there a retry left? (`retry_budget`)
-//! 5. Is there time enough for an answer (`attempt_planner`), and an endpoint that takes it (`balancer`)? Without an endpoint it waits
-//!    while its deadline allows.
+//! 1. For a lost attempt, `lost_attempt` decides whether the endpoint can have read it.
+//! 2. For a rejection, `is_final_rejection` decides whether it ends the call.
+//! 3. `retry_decision` applies the table above. `call` invokes it and prefers endpoints without an earlier
+//!    attempt of the call. The first attempt that no endpoint has read is resent outside the retry budget.
+//! 4. `retry_budget` decides whether a retry is allowed.
+//! 5. `attempt_planner` checks the time left, and `balancer` chooses an endpoint. If no endpoint can take the
+//!    call, it waits as long as its deadline allows.
 
 use plovershelf::api::Idempotency;
 
-/// How an attempt ended without a result.
+/// Reason why an attempt ended without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
-    /// The endpoint rejected it, so it did not run.
+    /// The endpoint rejected the attempt without running it.
     Rejected,
-    /// It crossed the endpoint's `closing` and was never read.
+    /// The endpoint sent `closing` before it could read the attempt.
     Unread,
-    /// The endpoint answered that it failed.
+    /// The endpoint responded that the attempt failed.
     Failed,
-    /// Its connection was lost, which proves nothing.
+    /// The connection was lost, so the attempt may have run.
     ConnectionLost,
 }
 
 impl AttemptEnd {
+    /// Returns whether the attempt certainly did not run.
     pub(super) fn proves_not_run(self) -> bool {
         matches!(self, AttemptEnd::Rejected | AttemptEnd::Unread)
     }
 }
 
-/// Where a call may be sent again.
+/// Whether and where a call may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryDecision {
     AnyEndpoint,
-    /// Only where it may have run, as that endpoint alone knows its idempotency key.
+    /// Only at the endpoint where the call may have run, since only that endpoint knows its idempotency key.
     SameEndpoint,
     Never,
 }
 
-/// The table above. `may_have_run_before` tells of the attempts before this one.
+/// Applies the table in the module's documentation. `may_have_run_before` covers the attempts before this
+/// one.
 pub(super) fn retry_decision(
     idempotency: Idempotency,
     end: AttemptEnd,
@@ -65,10 +67,14 @@
     }
 }
 
-/// Whether a rejection ends the call: nothing says when to ask this endpoint again and no other is to be asked, or the wait is as long
-/// as what is left until the deadline.
-pub(super) fn is_final_rejection(retry_after_ms: Option<f64>, retry_elsewhere: bool, left_ms: f64) -> bool {
-    retry_after_ms.map_or(!retry_elsewhere, |wait_ms| wait_ms >= left_ms)
+/// Returns whether a rejection ends the call. A rejection with a Retry-After is final if that does not end
+/// before the deadline; a rejection without one is final if it excludes other endpoints.
+pub(super) fn is_final_rejection(
+    retry_after_ms: Option<f64>,
+    retry_elsewhere: bool,
+    remaining_ms: f64,
+) -> bool {
+    retry_after_ms.map_or(!retry_elsewhere, |wait_ms| wait_ms >= remaining_ms)
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-client/src/caller/subset/tests.rs
+++ b/crates/plovershelf-client/src/caller/subset/tests.rs
@@ -6,33 +6,33 @@
 }
 
 #[test]
-fn thousand_clients_on_three_hundred_endpoints_load_each_about_evenly() {
-    let all = fleet(300);
+fn subsets_of_1000_clients_spread_evenly_over_300_endpoints() {
+    let addresses = fleet(300);
     let mut clients: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for index in 0..1000 {
-        let own = select(&all, ring_place(index), 20);
-        assert_eq!(own.iter().collect::<BTreeSet<_>>().len(), 20);
-        own.into_iter().for_each(|address| *clients.entry(address).or_default() += 1);
+        let subset = select(&addresses, ring_position(index), 20);
+        assert_eq!(subset.iter().collect::<BTreeSet<_>>().len(), 20);
+        subset.into_iter().for_each(|address| *clients.entry(address).or_default() += 1);
     }
-    let (least, most) = (clients.values().min().copied(), clients.values().max().copied());
+    let (min, max) = (clients.values().min().copied(), clients.values().max().copied());
     assert_eq!(clients.len(), 300);
-    assert!(least >= Some(60) && most <= Some(73), "{least:?} to {most:?} of 66.7");
+    assert!(min >= Some(60) && max <= Some(73), "{min:?} to {max:?} clients, mean 66.7");
 }
 
 #[test]
-fn one_endpoint_more_changes_two_of_a_subset_at_most() {
+fn additional_endpoint_changes_at_most_two_of_a_subset() {
     let (before, after) = (fleet(300), fleet(301));
     for index in 0..500 {
-        let own: BTreeSet<_> = select(&before, ring_place(index), 20).into_iter().collect();
-        let kept =
-            select(&after, ring_place(index), 20).iter().filter(|address| own.contains(address)).count();
-        assert!(kept >= 18, "{kept} kept by {index}");
+        let subset: BTreeSet<_> = select(&before, ring_position(index), 20).into_iter().collect();
+        let new_subset = select(&after, ring_position(index), 20);
+        let unchanged = new_subset.iter().filter(|address| subset.contains(address)).count();
+        assert!(unchanged >= 18, "{unchanged} unchanged for index {index}");
     }
 }
 
 #[test]
-fn short_list_is_taken_whole_and_each_address_once() {
-    let twice = [fleet(3), fleet(3)].concat();
-    assert_eq!(select(&twice, 0.9, 20).len(), 3);
+fn subset_of_a_short_list_has_every_address_once() {
+    let duplicated = [fleet(3), fleet(3)].concat();
+    assert_eq!(select(&duplicated, 0.9, 20).len(), 3);
     assert!(select(&[], 0.5, 20).is_empty());
 }
--- a/crates/plovershelf-client/src/caller/tests.rs
+++ b/crates/plovershelf-client/src/caller/tests.rs
@@ -30,7 +30,7 @@
     CallOutcome::Rejected { retry_after_ms, retry_elsewhere }
 }
 
-/// An attempt that the driver was told to write.
+/// An attempt from an [`Action::Send`].
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     connection: ConnectionId,
@@ -39,27 +39,27 @@
     kind: AttemptKind,
 }
 
-/// A connection that the driver was told to make.
+/// A connection from an [`Action::Connect`].
 #[derive(Clone, Copy, Debug)]
 struct Connect {
     connection: ConnectionId,
     address: SocketAddr,
 }
 
-/// Drives a caller whose endpoints answer as a test says.
+/// Drives a [`Caller`] with a simulated clock. Tests supply the responses of the endpoints.
 struct TestDriver {
     caller: Caller,
     now_ms: f64,
-    /// What was sent and not answered, in order.
+    /// Attempts without a response, in the order in which they were sent.
     sent: Vec<Sent>,
     outcomes: BTreeMap<CallId, CallOutcome>,
     cancels: usize,
     connects: Vec<Connect>,
     closed: Vec<ConnectionId>,
     probes: Vec<(ConnectionId, i32)>,
-    /// Connections are established at once, or fail at once.
+    /// Whether new connections are established or fail, in both cases immediately.
     reachable: bool,
-    /// The first health check on a connection is answered at once.
+    /// Whether the first health check on a connection gets an immediate response.
     healthy: bool,
 }
 
@@ -85,18 +85,18 @@
         Self::with(ClientConfig::default(), endpoints)
     }
 
-    /// Carries out actions until there are none.
-    fn settle(&mut self) {
+    /// Executes actions until there are none.
+    fn execute_actions(&mut self) {
         loop {
             let actions = self.caller.poll_actions();
             if actions.is_empty() {
                 return;
             }
-            actions.into_iter().for_each(|action| self.carry_out(action));
+            actions.into_iter().for_each(|action| self.execute_action(action));
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Connect { connection, address } => {
                 self.connects.push(Connect { connection, address });
@@ -130,18 +130,19 @@
 
     fn call(&mut self, idempotency: Idempotency, timeout_ms: f64) -> CallId {
         let id = self.caller.start_call(self.now_ms, &spec(idempotency, self.now_ms + timeout_ms));
-        self.settle();
+        self.execute_actions();
         id
     }
 
-    /// Calls that all succeed, so that the retry budget allows something.
-    fn succeed_calls(&mut self, count: u32) {
+    /// Makes successful calls, so that the retry budget allows retries.
+    fn make_successful_calls(&mut self, count: u32) {
         for _ in 0..count {
             self.call(Idempotency::Idempotent, 1000.0);
             self.answer_last(SUCCEEDED);
         }
     }
 
+    /// Responds to the attempt that was sent last.
     fn answer_last(&mut self, message: impl Fn(i32) -> Message<'static>) {
         let sent = self.sent.pop().expect("an attempt is in flight");
         self.receive(sent.connection, &message(sent.sequence));
@@ -149,7 +150,7 @@
 
     fn receive(&mut self, connection: ConnectionId, message: &Message<'_>) {
         self.caller.handle_message(self.now_ms, connection, message);
-        self.settle();
+        self.execute_actions();
     }
 
     fn reject_last(&mut self, retry_after_ms: Option<f64>, no_retry_elsewhere: bool) {
@@ -157,31 +158,32 @@
         self.answer_last(|seqid| Message::Rejected { seqid, signals });
     }
 
+    /// Ends the connection of the attempt that was sent last.
     fn lose_last(&mut self) {
         let connection = self.sent.last().expect("an attempt is in flight").connection;
         self.sent.retain(|sent| sent.connection != connection);
         self.caller.handle_connection_closed(self.now_ms, connection, CloseReason::Ended);
-        self.settle();
+        self.execute_actions();
     }
 
     fn update_endpoints(&mut self, endpoints: std::ops::Range<u16>) {
         self.caller.update_endpoints(self.now_ms, &list(endpoints));
     }
 
-    /// Lets time pass, with all timeouts.
-    fn pass(&mut self, span_ms: f64) {
-        let end_ms = self.now_ms + span_ms;
+    /// Advances the time and handles all timeouts in between.
+    fn advance(&mut self, duration_ms: f64) {
+        let end_ms = self.now_ms + duration_ms;
         while let Some(at_ms) = self.caller.poll_timeout().filter(|at_ms| *at_ms <= end_ms) {
             self.now_ms = self.now_ms.max(at_ms);
             self.caller.handle_timeout(self.now_ms);
-            self.settle();
+            self.execute_actions();
         }
         self.now_ms = end_ms;
     }
 
     fn address_of(&self, connection: ConnectionId) -> SocketAddr {
         let connect = self.connects.iter().find(|connect| connect.connection == connection);
-        connect.expect("it was made").address
+        connect.expect("the connection was opened").address
     }
 
     fn endpoint_count(&self) -> usize {
@@ -189,7 +191,8 @@
     }
 }
 
-fn no_attempt_is_counted(caller: &Caller) -> bool {
+/// Returns whether neither a connection nor an endpoint counts an attempt in flight.
+fn nothing_is_in_flight(caller: &Caller) -> bool {
     let endpoints = caller.dispatcher.connections().endpoints();
     let idle = caller.dispatcher.connections().pool().iter().all(|connection| connection.in_flight() == 0);
     idle && endpoints.iter().all(|(_, endpoint)| endpoint.in_flight == 0)
@@ -207,11 +210,12 @@
     assert_eq!((driver.caller.open_calls(), timers), (0, 0));
 }
 
-/// Every endpoint rejects a call. It is retried elsewhere, marked as a retry, and only while the budget pays.
+/// Every endpoint rejects a call. The call must be retried at other endpoints, marked as a retry, and only
+/// within the budget.
 #[test]
 fn rejected_call_is_retried_elsewhere_while_the_budget_allows() {
     let mut driver = TestDriver::new(3);
-    driver.succeed_calls(40);
+    driver.make_successful_calls(40);
     let id = driver.call(Idempotency::NonIdempotent, 500.0);
     let first = driver.sent[0].connection;
     driver.reject_last(None, false);
@@ -230,40 +234,40 @@
 #[test]
 fn retry_after_beyond_the_deadline_ends_the_call_at_once() {
     let mut driver = TestDriver::new(2);
-    driver.succeed_calls(40);
+    driver.make_successful_calls(40);
     let id = driver.call(Idempotency::Idempotent, 500.0);
     driver.now_ms += 400.0;
     driver.reject_last(Some(101.0), false);
     assert_eq!(driver.outcomes[&id], rejected(Some(101.0), true));
 }
 
-/// An endpoint rejects a call, says that no other would take it, and names a Retry-After. The call must come back to that endpoint
-/// after this time, and end when it is then rejected without one.
+/// An endpoint rejects a call with a Retry-After and excludes other endpoints. The call must be retried at
+/// the same endpoint after the Retry-After, and end when it is then rejected without one.
 #[test]
-fn call_that_no_other_endpoint_would_take_returns_to_the_same_one_after_its_retry_after() {
+fn rejection_that_excludes_other_endpoints_is_retried_at_the_same_one_after_its_retry_after() {
     let mut driver = TestDriver::new(3);
-    driver.succeed_calls(40);
+    driver.make_successful_calls(40);
     let id = driver.call(Idempotency::Idempotent, 900.0);
     let (first, at_ms) = (driver.sent[0].connection, driver.now_ms);
     driver.reject_last(Some(100.0), true);
     assert!(driver.sent.is_empty() && !driver.outcomes.contains_key(&id));
-    driver.pass(99.0);
+    driver.advance(99.0);
     assert!(driver.sent.is_empty());
-    driver.pass(30.0);
+    driver.advance(30.0);
     assert_eq!((driver.sent[0].connection, driver.sent[0].kind), (first, AttemptKind::Retry));
     assert!(driver.now_ms > at_ms);
     driver.reject_last(None, true);
     assert_eq!(driver.outcomes[&id], rejected(None, false));
 }
 
-/// A connection is reset while a call runs. Idempotent work is retried; keyed work waits for the endpoint that may have run it, and
-/// goes to no other; non-idempotent work ends as perhaps run.
+/// A connection is reset while a call is in flight. An idempotent call is retried; a keyed call is retried
+/// only at the endpoint that may have run it; a non-idempotent call fails and may have run.
 #[test]
-fn retry_after_connection_reset_is_not_sent_where_the_request_may_run_twice() {
+fn call_is_not_retried_after_a_connection_reset_if_it_could_run_twice() {
     use Idempotency::{Idempotent, Keyed, NonIdempotent};
     for (idempotency, is_retried) in [(Idempotent, true), (Keyed, false), (NonIdempotent, false)] {
         let mut driver = TestDriver::new(3);
-        driver.succeed_calls(40);
+        driver.make_successful_calls(40);
         let id = driver.call(idempotency, 900.0);
         let lost = driver.sent[0].connection;
         driver.lose_last();
@@ -272,7 +276,7 @@
             NonIdempotent => assert_eq!(driver.outcomes[&id], MAY_HAVE_RUN),
             Keyed => {
                 driver.now_ms += 1.0;
-                driver.pass(890.0);
+                driver.advance(890.0);
                 for sent in driver.sent.clone() {
                     assert_eq!((sent.call, sent.kind), (id, AttemptKind::Retry));
                     assert_eq!(driver.address_of(sent.connection), driver.address_of(lost));
@@ -283,13 +287,13 @@
     }
 }
 
-/// An endpoint announces that it closes a connection, and ends it without having answered a call. A call written within the closing
-/// race was never read and is sent again as a first attempt; an older one may have run.
+/// An endpoint sends `closing` and ends the connection without a response to a call. An attempt sent within
+/// the closing race was never read and is resent as a first attempt; an older one may have run and is not.
 #[test]
-fn attempt_that_crosses_closing_is_sent_again_unmarked_and_an_older_one_is_not() {
+fn attempt_within_the_closing_race_is_resent_unmarked_and_an_older_one_is_not() {
     for (age_ms, outcome) in [(40.0, None), (60.0, Some(MAY_HAVE_RUN))] {
         let mut driver = TestDriver::new(2);
-        driver.succeed_calls(3);
+        driver.make_successful_calls(3);
         let id = driver.call(Idempotency::NonIdempotent, 5000.0);
         let connection = driver.sent[0].connection;
         driver.now_ms += age_ms;
@@ -306,10 +310,10 @@
     }
 }
 
-/// The only endpoint refuses connections. A call whose deadline lies before the reconnect ends at once; one with a later deadline
-/// waits and is sent as a first attempt.
+/// The only endpoint refuses connections. A call whose deadline is before the reconnect ends immediately; one
+/// with a later deadline waits and is sent as a first attempt.
 #[test]
-fn refused_connection_is_no_attempt_and_is_not_made_again_at_once() {
+fn refused_connection_is_not_an_attempt_and_is_not_retried_immediately() {
     let mut driver = TestDriver::new(1);
     driver.reachable = false;
     let id = driver.call(Idempotency::NonIdempotent, 200.0);
@@ -323,17 +327,17 @@
     assert!(wait_ms > 200.0 && wait_ms <= 3000.0);
     let long = driver.call(Idempotency::NonIdempotent, 20_000.0);
     driver.reachable = true;
-    driver.pass(wait_ms + 1.0);
+    driver.advance(wait_ms + 1.0);
     assert_eq!(driver.sent.len(), 1);
     assert_eq!((driver.sent[0].call, driver.sent[0].kind), (long, AttemptKind::First));
 }
 
-/// Three endpoints restart at once under two hundred clients. The clients' first reconnects must be spread over at least two
-/// seconds, with few in any tenth of one, and few attempts in all.
+/// All three endpoints of 200 clients restart at the same time. The clients' first reconnects must be spread
+/// over at least two seconds, with few in any 100 ms and few connection attempts in total.
 #[test]
-fn fleet_that_lost_all_endpoints_reconnects_spread_out() {
-    let mut first: Vec<f64> = Vec::new();
-    let mut attempts = 0;
+fn reconnects_of_a_fleet_that_lost_all_endpoints_are_spread() {
+    let mut first_reconnects_ms: Vec<f64> = Vec::new();
+    let mut connects = 0;
     for seed in 1..=200 {
         let mut driver = TestDriver::new(0);
         driver.caller =
@@ -346,55 +350,58 @@
         let connections: BTreeSet<ConnectionId> = driver.sent.iter().map(|sent| sent.connection).collect();
         for connection in connections {
             driver.caller.handle_connection_closed(driver.now_ms, connection, CloseReason::Ended);
-            driver.settle();
+            driver.execute_actions();
         }
-        let (lost_ms, before) = (driver.now_ms, driver.connects.len());
-        // They are down for a second.
-        driver.pass(1000.0);
+        let (lost_ms, connects_before) = (driver.now_ms, driver.connects.len());
+        // The endpoints are down for one second.
+        driver.advance(1000.0);
         driver.reachable = true;
-        let down = driver.connects.len();
-        while driver.connects.len() == down && driver.now_ms < lost_ms + 20_000.0 {
-            driver.pass(10.0);
+        let connects_while_down = driver.connects.len();
+        while driver.connects.len() == connects_while_down && driver.now_ms < lost_ms + 20_000.0 {
+            driver.advance(10.0);
         }
-        attempts += driver.connects.len() - before;
-        first.push(driver.now_ms - lost_ms);
+        connects += driver.connects.len() - connects_before;
+        first_reconnects_ms.push(driver.now_ms - lost_ms);
     }
-    first.sort_by(f64::total_cmp);
-    assert!(first[197] - first[2] >= 2000.0, "{} to {}", first[2], first[197]);
-    for from in 0..60 {
-        let from = f64::from(from) * 100.0;
-        let within = first.iter().filter(|at| (from..from + 100.0).contains(*at)).count();
-        assert!(within <= 30, "{within} in a tenth of a second after {from}");
+    first_reconnects_ms.sort_by(f64::total_cmp);
+    let (early_ms, late_ms) = (first_reconnects_ms[2], first_reconnects_ms[197]);
+    assert!(late_ms - early_ms >= 2000.0, "{early_ms} to {late_ms}");
+    for start in 0..60 {
+        let start_ms = f64::from(start) * 100.0;
+        let interval = start_ms..start_ms + 100.0;
+        let within = first_reconnects_ms.iter().filter(|at_ms| interval.contains(*at_ms)).count();
+        assert!(within <= 30, "{within} in 100 ms after {start_ms}");
     }
-    assert!(attempts <= 200 * 4, "{attempts} attempts");
+    assert!(connects <= 200 * 4, "{connects} connection attempts");
 }
 
-/// An endpoint accepts connections and says nothing. The silent connection is health-checked, closed when that is not answered, and
-/// its call is retried elsewhere.
+/// An endpoint accepts connections but never responds. The connection must be health-checked and closed, and
+/// its call retried at another endpoint.
 #[test]
-fn silent_endpoint_is_probed_and_left_for_another() {
+fn unresponsive_endpoint_is_probed_and_its_call_retried_at_another() {
     let mut driver = TestDriver::new(2);
-    driver.succeed_calls(20);
+    driver.make_successful_calls(20);
     let id = driver.call(Idempotency::Idempotent, 4000.0);
-    let silent = driver.sent[0].connection;
-    driver.pass(320.0);
+    let unresponsive = driver.sent[0].connection;
+    driver.advance(320.0);
     assert_eq!(driver.probes.len(), 1);
-    driver.pass(560.0);
-    assert!(driver.closed.contains(&silent));
+    driver.advance(560.0);
+    assert!(driver.closed.contains(&unresponsive));
     assert_eq!(driver.sent.len(), 1);
-    assert!(driver.sent[0].call == id && driver.sent[0].connection != silent);
+    assert!(driver.sent[0].call == id && driver.sent[0].connection != unresponsive);
 }
 
-/// An endpoint was lost and is connected to again. No call finds out whether it is well: its health check does.
+/// The client reconnects to a lost endpoint. No call may be sent to it before it has responded to a health
+/// check.
 #[test]
-fn lost_endpoint_takes_calls_once_it_has_answered_its_health_check() {
+fn lost_endpoint_takes_calls_only_after_its_health_check() {
     let mut driver = TestDriver::new(1);
     driver.call(Idempotency::Idempotent, 20_000.0);
     driver.healthy = false;
     driver.lose_last();
     driver.call(Idempotency::Idempotent, 20_000.0);
     while driver.probes.is_empty() {
-        driver.pass(10.0);
+        driver.advance(10.0);
     }
     assert!(driver.sent.is_empty());
     let (connection, sequence) = driver.probes[0];
@@ -402,13 +409,13 @@
     assert!(!driver.sent.is_empty());
 }
 
-/// A call runs for seconds. Its endpoint answers health checks meanwhile, so that its connection must stay.
+/// A call runs for seconds while its endpoint responds to health checks. The connection must stay open.
 #[test]
-fn endpoint_that_answers_its_health_during_a_long_run_is_not_left() {
+fn endpoint_that_responds_to_health_checks_during_a_long_run_stays_connected() {
     let mut driver = TestDriver::new(1);
     driver.call(Idempotency::NonIdempotent, 4000.0);
     for _ in 0..6 {
-        driver.pass(400.0);
+        driver.advance(400.0);
         for (connection, sequence) in std::mem::take(&mut driver.probes) {
             driver.receive(connection, &READY(sequence));
         }
@@ -416,8 +423,8 @@
     assert_eq!((driver.sent.len(), driver.outcomes.len(), driver.closed.len()), (1, 0, 0));
 }
 
-/// An endpoint answers twice, answers what nobody asked, or sends what can't be read. Its connection ends, as one fault, and each
-/// call on it has its outcome.
+/// An endpoint responds twice, responds with an unknown sequence number, or sends malformed data. The
+/// connection must be closed as one protocol fault, and each call on it must have an outcome.
 #[test]
 fn protocol_violation_ends_the_connection_and_each_call_once() {
     let twice = |driver: &mut TestDriver, connection: ConnectionId| {
@@ -439,8 +446,8 @@
         let ids = [0; 5].map(|_| driver.call(Idempotency::NonIdempotent, 900.0));
         let connection = driver.sent[0].connection;
         violate(&mut driver, connection);
-        driver.settle();
-        driver.pass(1000.0);
+        driver.execute_actions();
+        driver.advance(1000.0);
         assert!(driver.closed.contains(&connection), "{case}");
         assert!(ids.iter().all(|id| driver.outcomes.contains_key(id)), "{case}: {:?}", driver.outcomes);
         assert_eq!(driver.caller.counters().protocol_faults, 1, "{case}");
@@ -448,21 +455,21 @@
 }
 
 #[test]
-fn late_answer_to_a_cancelled_call_is_no_fault() {
+fn late_response_to_a_cancelled_call_is_not_a_protocol_fault() {
     let mut driver = TestDriver::new(1);
     let id = driver.call(Idempotency::Idempotent, 900.0);
     let Sent { connection, sequence, .. } = driver.sent[0];
     driver.caller.cancel_call(driver.now_ms, id);
-    driver.settle();
+    driver.execute_actions();
     assert_eq!((driver.cancels, driver.caller.open_calls()), (1, 0));
     driver.receive(connection, &SUCCEEDED(sequence));
-    let late_answers = driver.caller.counters().late_answers;
-    assert_eq!((driver.closed.len(), driver.outcomes.len(), late_answers), (0, 0, 1));
+    let late_responses = driver.caller.counters().late_responses;
+    assert_eq!((driver.closed.len(), driver.outcomes.len(), late_responses), (0, 0, 1));
 }
 
-/// An endpoint closes every connection before it has answered anything. It must not be connected to in a tight loop.
+/// An endpoint closes every connection before any response. The client must not reconnect in a tight loop.
 #[test]
-fn endpoint_that_closes_every_connection_unanswered_is_not_connected_to_without_end() {
+fn reconnects_to_an_endpoint_that_closes_every_connection_without_a_response_are_limited() {
     let mut driver = TestDriver::new(1);
     driver.call(Idempotency::Idempotent, 20_000.0);
     for _ in 0..200 {
@@ -470,51 +477,46 @@
             driver.caller.handle_message(driver.now_ms, sent.connection, &Message::Closing);
             driver.caller.handle_connection_closed(driver.now_ms, sent.connection, CloseReason::Ended);
             driver.sent.clear();
-            driver.settle();
+            driver.execute_actions();
         }
-        driver.pass(50.0);
+        driver.advance(50.0);
     }
-    assert!(driver.connects.len() <= 15, "{} in ten seconds", driver.connects.len());
+    assert!(driver.connects.len() <= 15, "{} connects in 10 s", driver.connects.len());
 }
 
 #[test]
-fn thousands_of_calls_cancelled_at_once_leave_nothing_behind() {
+fn cancelling_thousands_of_calls_leaves_no_state() {
     let mut driver = TestDriver::new(3);
     let ids: Vec<CallId> = (0..3000).map(|_| driver.call(Idempotency::Keyed, 5000.0)).collect();
     for id in ids {
         driver.caller.cancel_call(driver.now_ms, id);
     }
-    driver.settle();
+    driver.execute_actions();
     let caller = &driver.caller;
     let timers =
         caller.dispatcher.calls().timer_count() + caller.dispatcher.connections().pending_reconnects();
     let (bytes, ready) = (caller.dispatcher.calls().bytes(), caller.dispatcher.calls().ready_count());
     assert_eq!((caller.open_calls(), bytes, timers, ready), (0, 0, 0, 0));
-    assert!(no_attempt_is_counted(caller));
-    assert!(caller
-        .dispatcher
-        .connections()
-        .pool()
-        .iter()
-        .all(connection::Connection::remembers_few_cancelled));
+    assert!(nothing_is_in_flight(caller));
+    assert!(caller.dispatcher.connections().pool().iter().all(connection::Connection::cancelled_is_bounded));
 }
 
 #[test]
-fn calls_beyond_the_limit_end_at_once() {
+fn calls_beyond_the_limit_end_immediately() {
     let mut driver = TestDriver::with(ClientConfig { max_open_calls: 10, ..ClientConfig::default() }, 1);
     for _ in 0..12 {
         driver.call(Idempotency::Idempotent, 500.0);
     }
-    let refused = CallOutcome::NotSent { reason: NotSentReason::LimitReached, retry_after_ms: None };
-    assert_eq!(driver.outcomes.values().filter(|outcome| **outcome == refused).count(), 2);
+    let over_limit = CallOutcome::NotSent { reason: NotSentReason::LimitReached, retry_after_ms: None };
+    assert_eq!(driver.outcomes.values().filter(|outcome| **outcome == over_limit).count(), 2);
 }
 
-/// The list becomes empty, then names other endpoints. An empty list changes nothing; the old endpoints serve until a new one is
-/// connected, and then go.
+/// The list becomes empty and then contains other endpoints. The empty list must be ignored, and the old
+/// endpoints must stay in use until a new one is connected.
 #[test]
-fn empty_list_keeps_the_last_and_new_endpoints_are_connected_before_old_ones_go() {
+fn empty_list_is_ignored_and_new_endpoints_are_connected_before_old_ones_are_dropped() {
     let mut driver = TestDriver::new(2);
-    driver.succeed_calls(4);
+    driver.make_successful_calls(4);
     driver.caller.update_endpoints(driver.now_ms, &EndpointList::default());
     assert_eq!(driver.caller.dispatcher.connections().endpoints().selected().len(), 2);
     let pending = driver.call(Idempotency::Idempotent, 3000.0);
@@ -524,52 +526,52 @@
         matches!(actions[..], [Action::Connect { address, .. }] if address.port() >= 9010),
         "{actions:?}"
     );
-    // While the new connection is being made, the old endpoints serve.
+    // The old endpoints stay in use while the new connection is being established.
     let spec = spec(Idempotency::Idempotent, driver.now_ms + 500.0);
-    let bridged = driver.caller.start_call(driver.now_ms, &spec);
+    let call_on_old = driver.caller.start_call(driver.now_ms, &spec);
     let sends = driver.caller.poll_actions();
     let [Action::Send { connection, call, .. }] = sends[..] else { panic!("{sends:?}") };
-    assert!(driver.connects.iter().any(|connect| connect.connection == connection) && call == bridged);
-    actions.into_iter().chain(sends).for_each(|action| driver.carry_out(action));
+    assert!(driver.connects.iter().any(|connect| connect.connection == connection) && call == call_on_old);
+    actions.into_iter().chain(sends).for_each(|action| driver.execute_action(action));
     while !driver.sent.is_empty() {
         driver.answer_last(SUCCEEDED);
     }
-    driver.pass(200.0);
+    driver.advance(200.0);
     assert_eq!(driver.outcomes[&pending], CallOutcome::Succeeded);
     assert_eq!(driver.endpoint_count(), 2);
 }
 
 #[test]
-fn lists_that_change_without_end_leave_no_endpoints_behind() {
+fn repeated_endpoint_updates_leak_no_endpoints() {
     let mut driver = TestDriver::new(3);
     for round in 0..200 {
         driver.call(Idempotency::Idempotent, 200.0);
         driver.update_endpoints(round * 3..round * 3 + 3);
-        driver.settle();
-        driver.pass(100.0);
+        driver.execute_actions();
+        driver.advance(100.0);
     }
-    driver.pass(10_000.0);
+    driver.advance(10_000.0);
     assert!(driver.endpoint_count() <= 6, "{}", driver.endpoint_count());
     assert!(driver.caller.connection_count() <= 6);
 }
 
 #[test]
-fn clock_that_jumps_back_is_held_still() {
+fn time_does_not_go_back_when_the_clock_does() {
     let mut driver = TestDriver::new(1);
-    driver.succeed_calls(3);
+    driver.make_successful_calls(3);
     let id = driver.call(Idempotency::Idempotent, 100.0);
     driver.caller.handle_timeout(5.0);
     driver.caller.handle_timeout(f64::NAN);
-    driver.settle();
+    driver.execute_actions();
     assert!(!driver.outcomes.contains_key(&id));
-    driver.pass(101.0);
+    driver.advance(101.0);
     assert_eq!(driver.outcomes[&id], CallOutcome::DeadlineExceeded { may_have_run: true });
 }
 
-/// A call is slower than nearly all of its class. A hedge goes to another endpoint, marked and paid for as a retry; the loser is
-/// cancelled. Non-idempotent work is never hedged.
+/// A call exceeds the latency percentile of its class. A hedge must go to another endpoint, marked as a retry
+/// and within the budget, and the slower attempt must be cancelled. A non-idempotent call must not be hedged.
 #[test]
-fn slow_call_is_hedged_from_the_budget_and_the_loser_is_cancelled() {
+fn slow_call_is_hedged_within_the_budget_and_the_slower_attempt_is_cancelled() {
     let config = ClientConfig { hedge_percentile: Some(95.0), ..ClientConfig::default() };
     let mut driver = TestDriver::with(config, 3);
     for _ in 0..40 {
@@ -578,7 +580,7 @@
         driver.answer_last(SUCCEEDED);
     }
     let id = driver.call(Idempotency::Idempotent, 1000.0);
-    driver.pass(60.0);
+    driver.advance(60.0);
     let kinds: Vec<AttemptKind> = driver.sent.iter().map(|sent| sent.kind).collect();
     assert_eq!(kinds, [AttemptKind::First, AttemptKind::Retry]);
     assert_ne!(driver.sent[0].connection, driver.sent[1].connection);
@@ -586,7 +588,7 @@
     let outcome = driver.outcomes[&id];
     assert_eq!((outcome, driver.cancels, driver.sent.len()), (CallOutcome::Succeeded, 1, 0));
     driver.call(Idempotency::NonIdempotent, 1000.0);
-    driver.pass(60.0);
+    driver.advance(60.0);
     assert_eq!(driver.sent.len(), 1);
 }
 
