--- a/crates/plovershelf-client/src/caller/tests/random_events.rs
+++ b/crates/plovershelf-client/src/caller/tests/random_events.rs
@@ -1,10 +1,12 @@
-//! Any order of calls, answers, losses and lists, with a clock that goes back: every call ends once and in time, non-idempotent
-//! work is never sent again without proof, the retry budget holds in every second, and nothing is left in a table.
+//! Random sequences of calls, responses, lost connections, list updates and clock steps. Invariants: every
+//! call ends exactly once and by its deadline, a non-idempotent call is never resent after an attempt that
+//! may have run, the retry budget holds in every second, and no state remains after all calls have ended.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// An event of the sequence. A `u8` selects one of the attempts, calls or connections.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Call { kind: u8, timeout_ms: u16 },
@@ -16,8 +18,8 @@
     Connect { succeeds: bool },
     Close { connection: u8, malformed: bool },
     Closing(u8),
-    UnknownAnswer(u8),
-    Pass { span_ms: u16 },
+    UnknownResponse(u8),
+    Advance { duration_ms: u16 },
     ClockGoesBack,
     UpdateEndpoints(u8),
 }
@@ -35,16 +37,17 @@
         5 => prop_oneof![4 => Just(true), 1 => Just(false)].prop_map(|succeeds| Step::Connect { succeeds }),
         2 => (any::<u8>(), any::<bool>()).prop_map(|(connection, malformed)| Step::Close { connection, malformed }),
         1 => any::<u8>().prop_map(Step::Closing),
-        1 => any::<u8>().prop_map(Step::UnknownAnswer),
-        5 => (0u16..400).prop_map(|span_ms| Step::Pass { span_ms }),
+        1 => any::<u8>().prop_map(Step::UnknownResponse),
+        5 => (0u16..400).prop_map(|duration_ms| Step::Advance { duration_ms }),
         1 => Just(Step::ClockGoesBack),
         1 => (0u8..8).prop_map(Step::UpdateEndpoints),
     ];
     proptest::collection::vec(step, 1..250)
 }
 
+/// A call that was started.
 #[derive(Clone, Copy)]
-struct Expected {
+struct StartedCall {
     idempotency: Idempotency,
     deadline_ms: f64,
 }
@@ -57,52 +60,55 @@
     sent_ms: f64,
 }
 
-/// What a fleet of endpoints has seen, to judge by.
+/// Simulated endpoints and connections, which check the actions against the invariants.
 #[derive(Default)]
-struct World {
-    calls: BTreeMap<CallId, Expected>,
+struct Simulation {
+    calls: BTreeMap<CallId, StartedCall>,
     outcomes: BTreeMap<CallId, CallOutcome>,
     cancelled: BTreeSet<CallId>,
     connecting: Vec<ConnectionId>,
-    /// Established connections, with when `closing` was sent on each.
+    /// Established connections, with the time at which the endpoint sent `closing`.
     established: BTreeMap<ConnectionId, Option<f64>>,
     in_flight: Vec<InFlight>,
-    /// Attempts of a call that may have run.
-    unproven: BTreeMap<CallId, u32>,
+    /// Number of attempts of each call that may have run.
+    may_have_run: BTreeMap<CallId, u32>,
+    /// Times of the first attempts, in milliseconds.
     first_attempts: Vec<f64>,
+    /// Times of the retries, in milliseconds.
     retries: Vec<f64>,
     probes: Vec<(ConnectionId, i32)>,
     now_ms: f64,
 }
 
-impl World {
-    fn carry_out(&mut self, caller: &mut Caller) {
+impl Simulation {
+    fn execute_actions(&mut self, caller: &mut Caller) {
         for action in caller.poll_actions() {
             match action {
                 Action::Connect { connection, .. } => self.connecting.push(connection),
                 Action::Send { connection, sequence, call, kind, timeout_ms } => {
-                    let Expected { idempotency, deadline_ms } = self.calls[&call];
+                    let StartedCall { idempotency, deadline_ms } = self.calls[&call];
                     let is_open = self.established.get(&connection).is_some_and(Option::is_none);
-                    assert!(is_open, "sent where nothing is taken");
+                    assert!(is_open, "sent on a connection that is not open");
                     assert!(!self.outcomes.contains_key(&call) && !self.cancelled.contains(&call));
-                    // By the time that it was told last: where the clock went back, it can know of no later one.
-                    let known_ms = caller.context.now_ms;
-                    assert!(timeout_ms > 0.0 && known_ms <= self.now_ms);
-                    assert!(known_ms + timeout_ms <= deadline_ms + 1e-6);
+                    // The timeout counts from the state machine's own time, which is earlier than the
+                    // simulation's after the clock has gone back.
+                    let caller_now_ms = caller.context.now_ms;
+                    assert!(timeout_ms > 0.0 && caller_now_ms <= self.now_ms);
+                    assert!(caller_now_ms + timeout_ms <= deadline_ms + 1e-6);
                     let on_connection = |sent: &&InFlight| sent.connection == connection;
                     assert!(self.in_flight.iter().filter(on_connection).count() < 32);
-                    let unproven = self.unproven.entry(call).or_default();
+                    let may_have_run = self.may_have_run.entry(call).or_default();
                     if idempotency == Idempotency::NonIdempotent {
-                        assert_eq!(*unproven, 0, "non-idempotent work was sent again without proof");
+                        assert_eq!(*may_have_run, 0, "resent a non-idempotent call that may have run");
                     }
-                    *unproven += 1;
+                    *may_have_run += 1;
                     self.in_flight.push(InFlight { connection, sequence, call, sent_ms: self.now_ms });
                     match kind {
                         AttemptKind::Retry => self.retries.push(self.now_ms),
                         AttemptKind::First => self.first_attempts.push(self.now_ms),
                     }
                 }
-                Action::Cancel { connection, sequence } => self.forget_attempt(connection, sequence),
+                Action::Cancel { connection, sequence } => self.remove_attempt(connection, sequence),
                 Action::Probe { connection, sequence } => self.probes.push((connection, sequence)),
                 Action::Close { connection } => {
                     self.established.remove(&connection);
@@ -111,7 +117,7 @@
                 }
                 Action::Complete { call, outcome } => {
                     let deadline_ms =
-                        self.calls.get(&call).map_or(f64::INFINITY, |expected| expected.deadline_ms);
+                        self.calls.get(&call).map_or(f64::INFINITY, |started| started.deadline_ms);
                     assert!(self.now_ms <= deadline_ms + 1e-6, "{call:?} ended late");
                     assert!(!self.cancelled.contains(&call));
                     assert_eq!(self.outcomes.insert(call, outcome), None, "{call:?} ended twice");
@@ -120,7 +126,7 @@
         }
     }
 
-    fn forget_attempt(&mut self, connection: ConnectionId, sequence: i32) {
+    fn remove_attempt(&mut self, connection: ConnectionId, sequence: i32) {
         self.in_flight.retain(|sent| (sent.connection, sent.sequence) != (connection, sequence));
     }
 
@@ -133,7 +139,8 @@
         (!connections.is_empty()).then(|| connections[usize::from(n) % connections.len()])
     }
 
-    /// `proves_not_run` tells that the answer proves that the attempt did not run.
+    /// Responds to an attempt. `proves_not_run` states whether the response proves that the attempt did not
+    /// run.
     fn answer(
         &mut self,
         caller: &mut Caller,
@@ -142,29 +149,30 @@
         message: impl Fn(i32) -> Message<'static>,
     ) {
         let Some(InFlight { connection, sequence, call, .. }) = self.pick_attempt(n) else { return };
-        self.forget_attempt(connection, sequence);
+        self.remove_attempt(connection, sequence);
         if proves_not_run {
-            self.unproven.entry(call).and_modify(|unproven| *unproven -= 1);
+            self.may_have_run.entry(call).and_modify(|count| *count -= 1);
         }
         caller.handle_message(self.now_ms, connection, &message(sequence));
     }
 
-    fn pass(&mut self, caller: &mut Caller, span_ms: f64) {
-        let end_ms = self.now_ms + span_ms;
+    /// Advances the time and handles all timeouts in between.
+    fn advance(&mut self, caller: &mut Caller, duration_ms: f64) {
+        let end_ms = self.now_ms + duration_ms;
         while let Some(at_ms) = caller.poll_timeout().filter(|at_ms| *at_ms <= end_ms) {
             self.now_ms = self.now_ms.max(at_ms);
             caller.handle_timeout(self.now_ms);
-            self.carry_out(caller);
+            self.execute_actions(caller);
         }
         self.now_ms = end_ms;
     }
 
     fn close(&mut self, caller: &mut Caller, connection: ConnectionId, reason: CloseReason) {
         let Some(closing_ms) = self.established.remove(&connection) else { return };
-        // What crossed the endpoint's `closing` was never read there.
+        // The endpoint never read attempts within the closing race.
         for sent in self.in_flight.iter().filter(|sent| sent.connection == connection) {
             if closing_ms.is_some_and(|closing_ms| sent.sent_ms >= closing_ms - 50.0) {
-                self.unproven.entry(sent.call).and_modify(|unproven| *unproven -= 1);
+                self.may_have_run.entry(sent.call).and_modify(|count| *count -= 1);
             }
         }
         self.in_flight.retain(|sent| sent.connection != connection);
@@ -176,7 +184,7 @@
         let idempotency = [Idempotent, Keyed, NonIdempotent][usize::from(kind) % 3];
         let deadline_ms = self.now_ms + f64::from(timeout_ms);
         let id = caller.start_call(self.now_ms, &spec(idempotency, deadline_ms));
-        self.calls.insert(id, Expected { idempotency, deadline_ms });
+        self.calls.insert(id, StartedCall { idempotency, deadline_ms });
     }
 
     fn cancel_call(&mut self, caller: &mut Caller, n: u8) {
@@ -198,7 +206,7 @@
         }
     }
 
-    fn take(&mut self, caller: &mut Caller, step: Step) {
+    fn execute_step(&mut self, caller: &mut Caller, step: Step) {
         let now_ms = self.now_ms;
         match step {
             Step::Call { kind, timeout_ms } => self.start_call(caller, kind, timeout_ms),
@@ -215,7 +223,7 @@
             Step::Exception(n) => self.answer(caller, n, false, |seqid| Message::Exception {
                 seqid,
                 permanent: n % 2 == 0,
-                what: b"",
+                message: b"",
             }),
             Step::Connect { succeeds } => self.connect(caller, succeeds),
             Step::Close { connection, malformed } => {
@@ -227,29 +235,29 @@
             }
             Step::Closing(n) => {
                 if let Some(connection) = self.pick_connection(n) {
-                    let sent = self.established.entry(connection);
-                    sent.and_modify(|sent_ms| *sent_ms = sent_ms.or(Some(now_ms)));
+                    let closing = self.established.entry(connection);
+                    closing.and_modify(|closing_ms| *closing_ms = closing_ms.or(Some(now_ms)));
                     caller.handle_message(now_ms, connection, &Message::Closing);
                 }
             }
-            Step::UnknownAnswer(n) => {
+            Step::UnknownResponse(n) => {
                 if let Some(connection) = self.pick_connection(n) {
                     caller.handle_message(now_ms, connection, &SUCCEEDED(1 << 20));
                 }
             }
-            Step::Pass { span_ms } => self.pass(caller, f64::from(span_ms)),
+            Step::Advance { duration_ms } => self.advance(caller, f64::from(duration_ms)),
             Step::ClockGoesBack => caller.handle_timeout(now_ms - 500.0),
             Step::UpdateEndpoints(count) => {
                 let from = u16::from(count) % 3;
                 caller.update_endpoints(now_ms, &list(from..from + u16::from(count)));
             }
         }
-        self.carry_out(caller);
+        self.execute_actions(caller);
         self.answer_probes(caller);
-        self.carry_out(caller);
+        self.execute_actions(caller);
     }
 
-    /// Endpoints answer their health checks, most of the time.
+    /// Responds to the health checks, except on every fifth connection.
     fn answer_probes(&mut self, caller: &mut Caller) {
         for (connection, seqid) in std::mem::take(&mut self.probes) {
             if self.established.contains_key(&connection) && connection.0 % 5 != 0 {
@@ -272,65 +280,67 @@
             let in_second =
                 |times: &[f64]| times.iter().filter(|t| **t <= *at_ms && **t > at_ms - 1000.0).count() as f64;
             let allowed = fraction * in_second(&self.first_attempts) + 2.0;
-            assert!(in_second(&self.retries) <= allowed, "the budget is overdrawn");
+            assert!(in_second(&self.retries) <= allowed, "more retries than the budget allows");
         }
     }
 }
 
-fn play(steps: &[Step], hedged: bool, endpoints: u16) {
+/// Runs the steps and then five more seconds, and checks the invariants.
+fn run(steps: &[Step], hedged: bool, endpoints: u16) {
     let hedge_percentile = hedged.then_some(90.0);
     let config = ClientConfig { seed: 5, hedge_percentile, ..ClientConfig::default() };
     let fraction = config.retry_budget_fraction;
     let mut caller = Caller::new(config).expect("valid settings");
     caller.update_endpoints(0.0, &list(0..endpoints));
-    let mut world = World { now_ms: 1.0, ..World::default() };
+    let mut simulation = Simulation { now_ms: 1.0, ..Simulation::default() };
     for step in steps {
-        world.take(&mut caller, *step);
+        simulation.execute_step(&mut caller, *step);
     }
-    world.pass(&mut caller, 5000.0);
-    world.carry_out(&mut caller);
-    world.assert_every_call_has_ended_once();
+    simulation.advance(&mut caller, 5000.0);
+    simulation.execute_actions(&mut caller);
+    simulation.assert_every_call_has_ended_once();
     let calls = caller.dispatcher.calls();
-    let left = (calls.len(), calls.bytes(), calls.ready_count(), calls.timer_count());
-    assert_eq!(left, (0, 0, 0, 0));
-    assert!(no_attempt_is_counted(&caller));
-    world.assert_budget_holds_in_every_second(fraction);
+    let remaining = (calls.len(), calls.bytes(), calls.ready_count(), calls.timer_count());
+    assert_eq!(remaining, (0, 0, 0, 0));
+    assert!(nothing_is_in_flight(&caller));
+    simulation.assert_budget_holds_in_every_second(fraction);
 }
 
-/// A call that backs off is placed just as the clock has gone back behind the last timeout. The time that the backend is told must
-/// be counted from the time that the caller knows. Found by chance.
+/// A call that backs off is sent just after the clock has gone back to before the last timeout. The timeout
+/// in the attempt must count from the state machine's own time, which does not go back. A random sequence
+/// found this case.
 #[test]
-fn timeout_is_counted_from_the_known_time_when_the_clock_goes_back() {
+fn timeout_counts_from_the_state_machines_time_when_the_clock_goes_back() {
     let connect = Step::Connect { succeeds: true };
     let steps = [
         Step::UpdateEndpoints(2),
         Step::Call { kind: 0, timeout_ms: 2 },
         Step::Call { kind: 0, timeout_ms: 2 },
         connect,
-        Step::UnknownAnswer(0),
+        Step::UnknownResponse(0),
         connect,
-        Step::UnknownAnswer(0),
-        Step::Pass { span_ms: 77 },
+        Step::UnknownResponse(0),
+        Step::Advance { duration_ms: 77 },
         Step::Call { kind: 0, timeout_ms: 1083 },
-        Step::Pass { span_ms: 1081 },
+        Step::Advance { duration_ms: 1081 },
         connect,
         Step::Succeed(0),
-        Step::Pass { span_ms: 293 },
+        Step::Advance { duration_ms: 293 },
         Step::Call { kind: 0, timeout_ms: 8 },
         Step::Call { kind: 0, timeout_ms: 2 },
-        Step::Pass { span_ms: 4 },
+        Step::Advance { duration_ms: 4 },
         Step::ClockGoesBack,
     ];
-    play(&steps, false, 0);
+    run(&steps, false, 0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn under_any_order_of_events_each_call_ends_once_in_time_and_nothing_is_left(
+    fn random_events_end_each_call_once_in_time_and_leave_no_state(
         steps in steps(), hedged in any::<bool>(), endpoints in 0u16..6,
     ) {
-        play(&steps, hedged, endpoints);
+        run(&steps, hedged, endpoints);
     }
 }
--- a/crates/plovershelf-client/src/caller/throttle.rs
+++ b/crates/plovershelf-client/src/caller/throttle.rs
@@ -1,28 +1,30 @@
-//! Decides whether a first attempt of a request class is sent or rejected locally (adaptive throttling).
+//! Decides whether to send a first attempt of a request class or to reject it locally (adaptive throttling).
 //!
-//! Inputs: calls of the class that ended, and whether endpoints accepted them; both fade over a window in milliseconds.
+//! Inputs: the numbers of ended and of accepted calls of the class. Both decay exponentially over a window in
+//! milliseconds.
 //!
-//! Rule: with `e` calls ended, `a` accepted, a ratio `k` and `t` calls trusted beforehand, a call is rejected with the
-//! probability `(e - k (a + t)) / (e + 1)`, or never where that is below 0.
+//! Rule: with `e` ended calls, `a` accepted calls, the ratio `k` and `p` accepted calls assumed in advance, a
+//! call is rejected with the probability `(e - k (a + p)) / (e + 1)`, or never if that is negative.
 //!
-//! Why: once endpoints reject most of a class, each further request only costs them its reading. Local rejections count as ended, so
-//! that less demand opens the throttle again. Calls in flight count for nothing: counted as ended they would reject the first
-//! calls of a client. Source: "Handling Overload" in Site Reliability Engineering, client-side throttling.
+//! Rationale: while endpoints reject most calls of a class, each further request only adds the cost of
+//! reading it. Local rejections count as ended, so that the throttle opens again when the demand falls. Calls
+//! in flight are not counted: if they counted as ended, the throttle would reject the first calls of a
+//! client. Source: "Handling Overload" in Site Reliability Engineering, client-side throttling.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
 use crate::config::ClientConfig;
 
-/// Calls taken for accepted beforehand, so that the first few rejections close nothing.
-const TRUSTED_CALLS: f64 = 5.0;
+/// Number of accepted calls assumed in advance, so that the first few rejections do not throttle a class.
+const ASSUMED_ACCEPTED_CALLS: f64 = 5.0;
 
-/// What the end of a call says about the endpoints' load.
+/// Whether endpoints accepted a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Acceptance {
-    /// They took it, whatever came of it.
+    /// No endpoint rejected the call because of load, whatever its outcome.
     Accepted,
-    /// They rejected it, or advised against it.
+    /// The call was rejected or excluded by backpressure.
     Rejected,
 }
 
@@ -30,10 +32,12 @@
 pub(super) struct Throttle {
     ratio: f64,
     window_ms: f64,
+    /// Exponentially decaying number of ended calls.
     ended: f64,
+    /// Exponentially decaying number of accepted calls.
     accepted: f64,
-    /// When the counts last faded; `NaN` before the first call.
-    faded_ms: f64,
+    /// When the decay was last applied, in milliseconds; `NaN` before the first call.
+    decayed_at_ms: f64,
 }
 
 impl Throttle {
@@ -43,35 +47,37 @@
             window_ms: config.throttle_window_ms,
             ended: 0.0,
             accepted: 0.0,
-            faded_ms: f64::NAN,
+            decayed_at_ms: f64::NAN,
         }
     }
 
-    /// May a call that is made now be sent?
+    /// Returns whether a call that starts now may be sent. Counts a rejected call as ended.
     pub(super) fn admits(&mut self, now_ms: f64, random: &mut Pcg32) -> bool {
-        self.fade(now_ms);
-        let rejected_fraction =
-            (self.ended - self.ratio * (self.accepted + TRUSTED_CALLS)) / (self.ended + 1.0);
-        let admitted = rejected_fraction <= 0.0 || random.random::<f64>() >= rejected_fraction;
+        self.decay(now_ms);
+        let rejection_probability =
+            (self.ended - self.ratio * (self.accepted + ASSUMED_ACCEPTED_CALLS)) / (self.ended + 1.0);
+        let admitted = rejection_probability <= 0.0 || random.random::<f64>() >= rejection_probability;
         if !admitted {
             self.ended += 1.0;
         }
         admitted
     }
 
-    /// A call that was admitted has ended.
+    /// Records the end of an admitted call.
     pub(super) fn record(&mut self, now_ms: f64, acceptance: Acceptance) {
-        self.fade(now_ms);
+        self.decay(now_ms);
         self.ended += 1.0;
         self.accepted += f64::from(acceptance == Acceptance::Accepted);
     }
 
-    fn fade(&mut self, now_ms: f64) {
-        let elapsed_ms = if self.faded_ms.is_nan() { 0.0 } else { (now_ms - self.faded_ms).max(0.0) };
-        let left = (-elapsed_ms / self.window_ms).exp();
-        self.ended *= left;
-        self.accepted *= left;
-        self.faded_ms = now_ms;
+    /// Applies the exponential decay since the last update to both counts.
+    fn decay(&mut self, now_ms: f64) {
+        let elapsed_ms =
+            if self.decayed_at_ms.is_nan() { 0.0 } else { (now_ms - self.decayed_at_ms).max(0.0) };
+        let factor = (-elapsed_ms / self.window_ms).exp();
+        self.ended *= factor;
+        self.accepted *= factor;
+        self.decayed_at_ms = now_ms;
     }
 }
 
--- a/crates/plovershelf-client/src/caller/throttle/tests.rs
+++ b/crates/plovershelf-client/src/caller/throttle/tests.rs
@@ -1,24 +1,25 @@
 use super::*;
 use rand::SeedableRng;
 
-/// Endpoints accept a tenth of the demand, later all of it. The throttle sends a small multiple of what is accepted, and opens again.
+/// Endpoints accept a tenth of the demand, later all of it. The throttle must send a small multiple of the
+/// accepted calls, and then open again.
 #[test]
-fn throttle_sends_a_multiple_of_what_is_accepted_and_opens_again() {
+fn throttle_sends_a_multiple_of_the_accepted_calls_and_opens_again() {
     let (mut throttle, mut random) = (Throttle::new(&ClientConfig::default()), Pcg32::seed_from_u64(7));
-    let (mut sent_late, mut room) = (0, 0);
-    // A hundred a second; endpoints accept ten a second.
+    let (mut sent_of_last_1000, mut capacity) = (0, 0);
+    // 100 calls per second, of which endpoints accept at most ten.
     for n in 0..6000 {
         let now_ms = f64::from(n) * 10.0;
-        room = if n % 10 == 0 { 1 } else { room };
+        capacity = if n % 10 == 0 { 1 } else { capacity };
         let sent = throttle.admits(now_ms, &mut random);
         if sent {
-            throttle.record(now_ms, if room > 0 { Acceptance::Accepted } else { Acceptance::Rejected });
-            room = 0;
+            throttle.record(now_ms, if capacity > 0 { Acceptance::Accepted } else { Acceptance::Rejected });
+            capacity = 0;
         }
-        sent_late += u32::from(sent && n >= 5000);
+        sent_of_last_1000 += u32::from(sent && n >= 5000);
     }
-    assert!((50..400).contains(&sent_late), "{sent_late} of 1000");
-    let all_after = (0..4000).filter(|n| {
+    assert!((50..400).contains(&sent_of_last_1000), "{sent_of_last_1000} of 1000");
+    let sent_of_last_100 = (0..4000).filter(|n| {
         let now_ms = 60_000.0 + f64::from(*n) * 10.0;
         let sent = throttle.admits(now_ms, &mut random);
         if sent {
@@ -26,5 +27,5 @@
         }
         sent && *n >= 3900
     });
-    assert_eq!(all_after.count(), 100);
+    assert_eq!(sent_of_last_100.count(), 100);
 }
--- a/crates/plovershelf-client/src/caller/timers/tests.rs
+++ b/crates/plovershelf-client/src/caller/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timers_expire_in_the_order_of_their_times_and_a_cancelled_one_does_not() {
+fn timers_expire_in_the_order_of_their_times_unless_cancelled() {
     let mut timers = TimerQueue::new();
     for (at_ms, timer) in [(30.0, 'c'), (10.0, 'a'), (20.0, 'b'), (10.0, 'd')] {
         timers.schedule(at_ms, timer);
--- a/crates/plovershelf-client/src/client.rs
+++ b/crates/plovershelf-client/src/client.rs
@@ -1,4 +1,4 @@
-//! Handles by which a host program makes calls. They reach the client's task through a queue of commands.
+//! Handles that a host program makes calls with. They send commands to the client's task through a queue.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,38 +15,38 @@
 use crate::endpoint_list::EndpointList;
 use crate::request::{Request, Response};
 
-/// What a handle asks of the client's task.
+/// Command of a handle to the client's task.
 pub(crate) enum Command {
     Call {
-        number: u64,
+        call_number: u64,
         request: Box<Request>,
         deadline: Instant,
         response: Sender<Response>,
     },
     /// The future of a call was dropped, before or after its response.
     Dropped {
-        number: u64,
+        call_number: u64,
     },
     UpdateEndpoints(EndpointList),
     Counters(Sender<Counters>),
     Close(Sender<()>),
 }
 
-/// What all handles of a client share with its task.
+/// State that all handles of a client share with its task.
 pub(crate) struct Shared {
     commands: Sender<Command>,
-    /// Calls that wait for their response; it bounds the queue.
+    /// Number of calls that wait for their response. Its limit also bounds the queue of commands.
     pending: AtomicUsize,
     max_pending: usize,
-    last_number: AtomicU64,
+    next_call_number: AtomicU64,
 }
 
 impl Shared {
     pub(crate) fn new(commands: Sender<Command>, max_pending: usize) -> Self {
-        Shared { commands, pending: AtomicUsize::new(0), max_pending, last_number: AtomicU64::new(0) }
+        Shared { commands, pending: AtomicUsize::new(0), max_pending, next_call_number: AtomicU64::new(0) }
     }
 
-    /// Takes a place among the pending calls, if one is free.
+    /// Counts a new pending call. Returns false if the limit is reached.
     fn reserve(&self) -> bool {
         let reserved = self.pending.fetch_add(1, Ordering::Relaxed) < self.max_pending;
         if !reserved {
@@ -55,13 +55,13 @@
         reserved
     }
 
-    /// A call is no longer pending.
+    /// Records that a call is no longer pending.
     pub(crate) fn release(&self) {
         self.pending.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A handle of a client. Clones share its endpoints, connections and budgets.
+/// Handle of a client. Clones share its endpoints, connections and budgets.
 #[derive(Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -72,44 +72,45 @@
         Client { shared }
     }
 
-    /// Makes a call; it has exactly one [`Response`], by its deadline. Dropping the future cancels the call at the backend.
+    /// Makes a call. The future resolves to exactly one [`Response`] by the deadline; dropping it cancels the
+    /// call at the backend.
     pub fn call(&self, request: Request) -> PendingCall {
         let deadline = Instant::now() + request.timeout;
-        let number = self.shared.last_number.fetch_add(1, Ordering::Relaxed);
-        if let Some(fault) = request.fault() {
-            return PendingCall::ended(number, Response::Invalid(fault));
+        let call_number = self.shared.next_call_number.fetch_add(1, Ordering::Relaxed);
+        if let Some(error) = request.validation_error() {
+            return PendingCall::ended(call_number, Response::Invalid(error));
         }
         if !self.shared.reserve() {
-            return PendingCall::ended(number, not_sent(NotSentReason::LimitReached));
+            return PendingCall::ended(call_number, not_sent(NotSentReason::LimitReached));
         }
         let (response, receiver) = async_channel::bounded(1);
-        let command = Command::Call { number, request: Box::new(request), deadline, response };
+        let command = Command::Call { call_number, request: Box::new(request), deadline, response };
         if self.shared.commands.try_send(command).is_err() {
             self.shared.release();
-            return PendingCall::ended(number, not_sent(NotSentReason::Closed));
+            return PendingCall::ended(call_number, not_sent(NotSentReason::Closed));
         }
-        PendingCall { shared: Some(self.shared.clone()), number, response: Ok(Box::pin(receiver)) }
+        PendingCall { shared: Some(self.shared.clone()), call_number, response: Ok(Box::pin(receiver)) }
     }
 
-    /// The same without an executor: blocks the thread until the response.
+    /// Makes a call and blocks the thread until its response.
     pub fn call_blocking(&self, request: Request) -> Response {
         async_io::block_on(self.call(request))
     }
 
-    /// Replaces the endpoints; an empty list changes nothing.
+    /// Replaces the list of endpoints. An empty list is ignored.
     pub fn set_endpoints(&self, endpoints: &[SocketAddr]) {
         let list = EndpointList::from_addresses(endpoints);
         let _ = self.shared.commands.try_send(Command::UpdateEndpoints(list));
     }
 
-    /// Totals since the start; zeros once the client is closed.
+    /// Returns the totals since the start, or zeros once the client is closed.
     pub async fn counters(&self) -> Counters {
         let (sender, receiver) = async_channel::bounded(1);
         let _ = self.shared.commands.try_send(Command::Counters(sender));
         receiver.recv().await.unwrap_or_default()
     }
 
-    /// Ends all calls and connections.
+    /// Ends all calls and closes all connections.
     pub async fn close(&self) {
         let (sender, receiver) = async_channel::bounded(1);
         let _ = self.shared.commands.try_send(Command::Close(sender));
@@ -121,18 +122,19 @@
     Response::NotSent { reason, retry_after: None }
 }
 
-/// A call that waits for its response.
+/// Future of a call's response.
 #[must_use = "a call whose future is dropped is cancelled"]
 pub struct PendingCall {
     shared: Option<Arc<Shared>>,
-    number: u64,
-    /// Where the response comes from, or the response that was there at once.
+    call_number: u64,
+    /// Channel that delivers the response, or the response itself if the call ended immediately.
     response: Result<Pin<Box<Receiver<Response>>>, Option<Response>>,
 }
 
 impl PendingCall {
-    fn ended(number: u64, response: Response) -> Self {
-        PendingCall { shared: None, number, response: Err(Some(response)) }
+    /// Returns a call that ended before it reached the client's task.
+    fn ended(call_number: u64, response: Response) -> Self {
+        PendingCall { shared: None, call_number, response: Err(Some(response)) }
     }
 }
 
@@ -156,7 +158,7 @@
 impl Drop for PendingCall {
     fn drop(&mut self) {
         if let Some(shared) = &self.shared {
-            let _ = shared.commands.try_send(Command::Dropped { number: self.number });
+            let _ = shared.commands.try_send(Command::Dropped { call_number: self.call_number });
         }
     }
 }
--- a/crates/plovershelf-client/src/config.rs
+++ b/crates/plovershelf-client/src/config.rs
@@ -1,93 +1,109 @@
-//! Settings of a client: limits, times and rates, each with its unit, its default and the range in which it is accepted.
+//! Settings of a client with their units, defaults and valid ranges.
 
 use plovershelf::api::BackpressureSignal;
 
-/// Settings of one client. Times are milliseconds. [`ClientConfig::validate`] checks the ranges.
+/// Settings of one client. Fields with the suffix `_ms` are in milliseconds. [`ClientConfig::validate`]
+/// checks the ranges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientConfig {
-    /// Seed of all random draws; 0 (the default) has [`ClientBuilder`](crate::ClientBuilder) draw one, and who drives a
-    /// [`Caller`](crate::Caller) sets it. Clients of one fleet must differ in it, since the spread of their reconnects depends on it.
+    /// Seed of all random draws. With 0 (the default), [`ClientBuilder`](crate::ClientBuilder) draws a seed;
+    /// code that drives a [`Caller`](crate::Caller) itself must set one. Clients of one fleet must have
+    /// different seeds, because the spread of their reconnects depends on it.
     pub seed: u64,
-    /// Index of this client in its fleet, from 0. Consecutive indices give the most even subsets; with `None` (the default) the
-    /// place on the ring is drawn.
+    /// Index of this client in its fleet, from 0. Consecutive indices give the most even subsets. With `None`
+    /// (the default), the client draws a random position on the ring.
     pub subset_index: Option<u64>,
-    /// Whether calls about the same subject go to the same endpoint while that has no more than its share. Default: false.
+    /// Whether calls with the same subject go to the same endpoint while its load is within a bound. Default:
+    /// false.
     pub subject_affinity: bool,
-    /// Calls open at once; one more ends at once as [`NotSentReason::LimitReached`](crate::NotSentReason::LimitReached). Default: 4096.
+    /// Maximum number of open calls. Further calls end immediately with
+    /// [`NotSentReason::LimitReached`](crate::NotSentReason::LimitReached). Default: 4096.
     pub max_open_calls: usize,
-    /// Bytes that open calls may hold together. Default: 8 MiB.
+    /// Maximum memory of all open calls, in bytes. Default: 8 MiB.
     pub max_open_bytes: usize,
-    /// Request classes with statistics of their own; classes beyond this share those of the last. Default: 64.
+    /// Maximum number of request classes with their own statistics. Further classes share the statistics of
+    /// the last one. Default: 64.
     pub max_request_classes: usize,
-    /// Attempts in flight on one connection. Default: 32.
+    /// Maximum number of attempts in flight on one connection. Default: 32.
     pub max_in_flight_per_connection: usize,
-    /// Connections to one endpoint. Default: 4.
+    /// Maximum number of connections to one endpoint. Default: 4.
     pub max_connections_per_endpoint: usize,
-    /// Connections in all. Default: 64.
+    /// Maximum number of connections to all endpoints. Default: 64.
     pub max_connections: usize,
-    /// Endpoints that this client talks to, of however many are listed. Default: 20.
+    /// Maximum number of listed endpoints that this client uses. Default: 20.
     pub subset_size: usize,
-    /// Endpoints taken from a list that is handed in, of which the rest is ignored; an endpoint file with more is refused. Default: 10,000.
+    /// Maximum length of the endpoint list. The rest of a longer list is ignored; a longer endpoint file is
+    /// rejected. Default: 10,000.
     pub max_endpoints: usize,
-    /// Retries in any second, as a fraction of the first attempts in it. Default: 0.07.
+    /// Maximum number of retries in any second, as a fraction of the first attempts in that second. Default:
+    /// 0.07.
     pub retry_budget_fraction: f64,
-    /// One retry is allowed at this interval even if the fraction allows none; a fraction of 0 allows none at all. Default: 10 s.
+    /// Interval at which one retry is allowed even if the fraction allows none. Has no effect with a fraction
+    /// of 0. Default: 10 s.
     pub min_retry_interval_ms: f64,
-    /// Calls of a class are rejected locally once endpoints accept less than one in this many. Default: 2.
+    /// Ratio of ended to accepted calls of a class above which further calls are rejected locally. Default:
+    /// 2.
     pub throttle_ratio: f64,
-    /// Window over which acceptance is counted for throttling. Default: 10 s.
+    /// Decay time constant of the counts for throttling. Default: 10 s.
     pub throttle_window_ms: f64,
-    /// Round trip that is assumed until one was measured. Default: 1 ms.
+    /// Round trip that is assumed before the first measurement. Default: 1 ms.
     pub initial_round_trip_ms: f64,
-    /// Window over which the fastest time of a class and the fastest round trip are remembered. Default: 5 s.
+    /// Window over which the lowest latency of a class and the lowest round trip are taken. Default: 5 s.
     pub latency_window_ms: f64,
-    /// What backends mean by the value that they advise. Default: nothing.
+    /// Meaning of the backpressure level that backends send. Default: none, the level is ignored.
     pub backpressure: BackpressureSignal,
-    /// How long an advised value holds. Default: 1 s.
+    /// Time after which a received backpressure level expires. Default: 1 s.
     pub backpressure_ttl_ms: f64,
-    /// A longer Retry-After is cut to this. Default: 60 s.
+    /// Upper bound of a Retry-After; longer ones are reduced to it. Default: 60 s.
     pub max_retry_after_ms: f64,
-    /// A request written less than this before `closing` was received, and never answered, was never read. Default: 50 ms.
+    /// An attempt without a response that was sent at most this long before `closing` was received counts as
+    /// never read. Default: 50 ms.
     pub closing_race_ms: f64,
-    /// How long an endpoint that drains or reports itself unready is chosen last. Default: 1 s.
+    /// Time for which an endpoint that is draining or not ready is chosen last. Default: 1 s.
     pub draining_hold_ms: f64,
-    /// An endpoint is ejected when at least this fraction of its attempts fails. Default: 0.5.
+    /// Fraction of failed attempts from which an endpoint is ejected. Default: 0.5.
     pub ejection_failure_fraction: f64,
-    /// Failures in the window below which an endpoint is not ejected. Default: 5.
+    /// Minimum number of failures in the window for an ejection. Default: 5.
     pub ejection_min_failures: f64,
-    /// Window over which attempts count for ejection. Default: 5 s.
+    /// Decay time constant of the counts for ejection. Default: 5 s.
     pub ejection_window_ms: f64,
-    /// Length of the first ejection; each further one doubles it. Default: 250 ms.
+    /// Upper bound of the first ejection; it doubles with each further ejection. Default: 250 ms.
     pub base_ejection_ms: f64,
-    /// Longest ejection. Default: 10 s.
+    /// Upper bound of any ejection. Default: 10 s.
     pub max_ejection_ms: f64,
-    /// Slow start after an ejection: time in which the endpoint's traffic rises to its usual share. Default: 3 s.
+    /// Duration of the slow start after an ejection, in which the endpoint's share of the traffic increases
+    /// linearly. Default: 3 s.
     pub slow_start_ms: f64,
-    /// Panic threshold: with a smaller fraction of endpoints healthy, ejections are ignored. Default: 0.5.
+    /// Fraction of healthy endpoints below which ejections are ignored (panic threshold). Default: 0.5.
     pub panic_threshold: f64,
-    /// After the first loss of an endpoint, clients reconnect at places spread evenly over this time. Default: 3 s.
+    /// Time over which the clients of a fleet spread their reconnects after the first loss of an endpoint.
+    /// Default: 3 s.
     pub reconnect_spread_ms: f64,
-    /// Upper bound of the backoff with full jitter after further losses. Default: 4 s.
+    /// Upper bound of the full-jitter backoff after further losses. Default: 4 s.
     pub max_reconnect_backoff_ms: f64,
-    /// Reconnects that can be made at once after a calm period. Default: 10.
+    /// Burst size of the token bucket for reconnects. Default: 10.
     pub reconnect_burst: f64,
-    /// Reconnects a second after that. Default: 2.
+    /// Refill rate of the token bucket for reconnects, per second. Default: 2.
     pub reconnects_per_second: f64,
-    /// Time in which a connection must be established. Default: 1 s.
+    /// Time within which a connection must be established. Default: 1 s.
     pub connect_timeout_ms: f64,
-    /// A connection with attempts in flight that has been silent for this long is health-checked. Default: 250 ms.
+    /// Time without a received message after which a connection with attempts in flight is health-checked.
+    /// Default: 250 ms.
     pub probe_after_ms: f64,
-    /// Time in which a health check must be answered. Default: 500 ms.
+    /// Time within which the endpoint must respond to a health check. Default: 500 ms.
     pub probe_timeout_ms: f64,
-    /// An unused connection is closed after this. Default: 5 s.
+    /// Time after which an unused connection is closed if its endpoint has other connections or was removed.
+    /// Default: 5 s.
     pub idle_timeout_ms: f64,
-    /// The same for the only connection to an endpoint. Default: 60 s.
+    /// Time after which an unused connection is closed if it is the only one of its endpoint. Default: 60 s.
     pub last_idle_timeout_ms: f64,
-    /// How long endpoints that left the list still serve while no other is connected. Default: 5 s.
+    /// Time for which removed endpoints remain in use while no endpoint of the new list is connected.
+    /// Default: 5 s.
     pub make_before_break_ms: f64,
-    /// An idempotent call is hedged once it takes longer than this percentile of its class. Default: no hedging.
+    /// Latency percentile of its class after which an idempotent call is hedged. Default: `None`, which turns
+    /// hedging off.
     pub hedge_percentile: Option<f64>,
-    /// Interval between two checks for idle, silent and slow connections. Default: 50 ms.
+    /// Interval of the check for idle, unresponsive and not yet established connections. Default: 50 ms.
     pub sweep_interval_ms: f64,
 }
 
@@ -139,60 +155,62 @@
     }
 }
 
-/// A setting outside its range.
+/// A setting is outside its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// A count.
-    #[error("{name} = {value}: a whole number from {min} to {max}")]
+    /// A count is outside its range.
+    #[error("{name} = {value}: must be a whole number from {min} to {max}")]
     Count {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         value: usize,
-        /// The least that is accepted.
+        /// Smallest valid value.
         min: usize,
-        /// The most that is accepted.
+        /// Largest valid value.
         max: usize,
     },
-    /// A time, rate or fraction.
-    #[error("{name} = {value}: a number from {min} to {max}")]
-    Measure {
-        /// The setting.
+    /// A time, rate or fraction is outside its range.
+    #[error("{name} = {value}: must be a number from {min} to {max}")]
+    Number {
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         value: f64,
-        /// The least that is accepted.
+        /// Smallest valid value.
         min: f64,
-        /// The most that is accepted.
+        /// Largest valid value.
         max: f64,
     },
 }
 
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Above this, work could run twice: an older request may have been read before `closing` was written.
+/// Largest valid `closing_race_ms`. With a larger value a request could run twice, because an older attempt
+/// may have been read before the endpoint wrote `closing`.
 const MAX_CLOSING_RACE_MS: f64 = 50.0;
 
 impl ClientConfig {
-    /// Checks all ranges.
+    /// Checks that all settings are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first setting that is outside its range.
+    /// Returns an error for the first setting that is outside its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         for (name, value, min, max) in self.counts() {
             if !(min..=max).contains(&value) {
                 return Err(ConfigError::Count { name, value, min, max });
             }
         }
-        for (name, value, min, max) in self.measures() {
+        for (name, value, min, max) in self.numbers() {
             if !(min..=max).contains(&value) {
-                return Err(ConfigError::Measure { name, value, min, max });
+                return Err(ConfigError::Number { name, value, min, max });
             }
         }
         Ok(())
     }
 
+    /// Returns the name, value, minimum and maximum of each count.
     fn counts(&self) -> [(&'static str, usize, usize, usize); 8] {
         [
             ("max_open_calls", self.max_open_calls, 1, 1_000_000),
@@ -206,7 +224,8 @@
         ]
     }
 
-    fn measures(&self) -> [(&'static str, f64, f64, f64); 29] {
+    /// Returns the name, value, minimum and maximum of each time, rate and fraction.
+    fn numbers(&self) -> [(&'static str, f64, f64, f64); 29] {
         [
             ("retry_budget_fraction", self.retry_budget_fraction, 0.0, 1.0),
             ("min_retry_interval_ms", self.min_retry_interval_ms, 100.0, HOUR_MS),
--- a/crates/plovershelf-client/src/endpoint_list.rs
+++ b/crates/plovershelf-client/src/endpoint_list.rs
@@ -1,52 +1,52 @@
-//! The list of endpoints as text: an address a line, like `127.0.0.1:9090`; what stands behind `#` is a comment.
+//! The text format of an endpoint list: one address per line, such as `127.0.0.1:9090`; `#` starts a comment.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// How much of a wrong line an error shows, in characters.
-const MAX_SHOWN: usize = 60;
+/// Maximum number of characters of an invalid line that an error shows.
+const MAX_SHOWN_CHARS: usize = 60;
 
-/// Endpoints in the order in which they were named, each once.
+/// Addresses of endpoints in their listed order, without duplicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointList {
-    /// The addresses.
+    /// Addresses of the endpoints.
     pub addresses: Vec<SocketAddr>,
-    /// How often an address was named again.
+    /// Number of duplicate addresses that were dropped.
     pub duplicates: usize,
 }
 
-/// Why a text is no list of endpoints. The list of before stays in use.
+/// Reason why a text is not a valid endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// A line is no address.
-    #[error("line {line}: {found:?} is no address; one looks like 127.0.0.1:9090")]
+    /// A line is not an address with a port.
+    #[error("line {line}: {found:?} is not an address with a port, such as 127.0.0.1:9090")]
     InvalidLine {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What stands there.
+        /// Beginning of the line without its comment.
         found: String,
     },
-    /// No address is named.
-    #[error("it names no member; an address a line is wanted, like 127.0.0.1:9090")]
+    /// The list contains no address.
+    #[error("the list contains no endpoint; expected one address per line, such as 127.0.0.1:9090")]
     Empty,
-    /// More addresses are named than are taken.
-    #[error("it names more than {max} members")]
+    /// The list contains too many addresses.
+    #[error("the list contains more than {max} endpoints")]
     TooLong {
-        /// The most that are taken.
+        /// Maximum number of addresses.
         max: usize,
     },
 }
 
 impl EndpointList {
-    /// Parses a text with at most `max` addresses.
+    /// Parses a text with at most `max` different addresses.
     ///
     /// # Errors
     ///
-    /// A text that names no endpoint, or a line that is none. A list that is too long is an error, as half a list is worse than
-    /// the one of before.
+    /// Returns an error if a line is not an address, if there is no address, or if there are more than `max`.
+    /// A longer list is not truncated, because the previous list is better than a part of the new one.
     pub fn parse(text: &str, max: usize) -> Result<Self, EndpointListError> {
         let mut list = EndpointList::default();
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for (index, line) in text.lines().enumerate() {
             let entry = line.split('#').next().unwrap_or("").trim();
             if entry.is_empty() {
@@ -54,9 +54,9 @@
             }
             let address = parse_address(entry).ok_or_else(|| EndpointListError::InvalidLine {
                 line: index + 1,
-                found: entry.chars().take(MAX_SHOWN).collect(),
+                found: entry.chars().take(MAX_SHOWN_CHARS).collect(),
             })?;
-            if !known.insert(address) {
+            if !seen.insert(address) {
                 list.duplicates += 1;
                 continue;
             }
@@ -72,12 +72,12 @@
         }
     }
 
-    /// A list of addresses that are at hand.
+    /// Creates a list from addresses and drops duplicates.
     pub fn from_addresses(addresses: &[SocketAddr]) -> Self {
         let mut list = EndpointList::default();
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for address in addresses {
-            if known.insert(*address) {
+            if seen.insert(*address) {
                 list.addresses.push(*address);
             } else {
                 list.duplicates += 1;
@@ -87,6 +87,7 @@
     }
 }
 
+/// Parses an address; a port of 0 is not valid.
 fn parse_address(entry: &str) -> Option<SocketAddr> {
     entry.parse().ok().filter(|address: &SocketAddr| address.port() != 0)
 }
--- a/crates/plovershelf-client/src/lib.rs
+++ b/crates/plovershelf-client/src/lib.rs
@@ -1,13 +1,13 @@
 #![doc = include_str!("../README.md")]
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `request` | a request as a host program describes it, and its response |
-//! | `client`, `builder` | handles that make calls; how a client is built |
-//! | `config` | settings, their ranges and defaults |
-//! | `endpoint_list` | the list of endpoints as text |
-//! | `caller` | the state machine that decides when, where and how often a call is sent |
-//! | `transport` | the task that carries out its actions on sockets |
+//! | `request` | requests of a host program and their responses |
+//! | `client`, `builder` | handles that make calls; builder of a client |
+//! | `config` | settings with their ranges and defaults |
+//! | `endpoint_list` | text format of the endpoint list |
+//! | `caller` | state machine that decides when, where and how often to send a call |
+//! | `transport` | task that executes the state machine's actions on sockets |
 
 mod builder;
 mod caller;
--- a/crates/plovershelf-client/src/request.rs
+++ b/crates/plovershelf-client/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as a host program describes it, and the response that it gets.
+//! Requests of a host program and their responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::caller::{CallOutcome, NotSentReason};
 
-/// The longest body that backends take.
+/// Longest body that backends accept, in bytes.
 pub const MAX_BODY_BYTES: usize = 2 << 10;
 const MAX_NAME_BYTES: usize = 128;
 const MAX_PRIORITY: f64 = 0.9999;
 const DEFAULT_PRIORITY: f64 = 0.5;
 const DEFAULT_FOOTPRINT_KB: f64 = 10.0;
 
-/// One request.
+/// A request with its deadline, idempotency and scheduling properties.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub(crate) class: Arc<str>,
@@ -32,7 +32,7 @@
 }
 
 impl Request {
-    /// An idempotent request of a class, whose client waits for so long.
+    /// Creates an idempotent request of a class. The call ends after `timeout` at the latest.
     pub fn new(class: impl Into<Arc<str>>, body: impl Into<Arc<[u8]>>, timeout: Duration) -> Self {
         Request {
             class: class.into(),
@@ -48,106 +48,108 @@
         }
     }
 
-    /// The tenant, as the backends' settings name it.
+    /// Sets the name of the tenant, as in the settings of the backends. Default: empty.
     pub fn tenant(mut self, tenant: impl Into<Arc<str>>) -> Self {
         self.tenant = tenant.into();
         self
     }
 
-    /// The request may be retried with this key, by which a backend knows it again; 128 bytes at most.
+    /// Sets an idempotency key of at most 128 bytes, by which a backend recognizes retries of the request.
     pub fn idempotency_key(mut self, key: impl Into<Arc<str>>) -> Self {
         (self.idempotency, self.idempotency_key) = (Idempotency::Keyed, Some(key.into()));
         self
     }
 
-    /// The request may run once at most: it is retried only on proof that it did not run.
+    /// Marks the request as non-idempotent: it is retried only if no attempt can have run.
     pub fn non_idempotent(mut self) -> Self {
         (self.idempotency, self.idempotency_key) = (Idempotency::NonIdempotent, None);
         self
     }
 
-    /// From 0 to under 1; the lowest is shed first. Default: 0.5.
+    /// Sets the priority, from 0 to less than 1. Backends shed the lowest priority first. Default: 0.5.
     pub fn priority(mut self, priority: f64) -> Self {
         self.priority =
             if priority.is_finite() { priority.clamp(0.0, MAX_PRIORITY) } else { DEFAULT_PRIORITY };
         self
     }
 
-    /// What the request reads, for subject affinity and shared responses.
+    /// Sets the key of the data that the request reads, for subject affinity and shared responses.
     pub fn subject(mut self, subject: u64) -> Self {
         self.subject = Some(subject);
         self
     }
 
-    /// Memory that a backend books for it, above 0 and under 2,000 KB. Default: 10 KB.
+    /// Sets the memory that a backend reserves for the request, more than 0 and less than 2,000 KB. Default:
+    /// 10 KB.
     pub fn footprint_kb(mut self, footprint_kb: f64) -> Self {
         self.footprint_kb = footprint_kb;
         self
     }
 
-    /// How much work it is expected to be, in milliseconds of one core.
+    /// Sets the expected work of the request, in milliseconds of one core. Other than positive finite values
+    /// clear it.
     pub fn work_hint_ms(mut self, work_ms: f64) -> Self {
         self.work_hint_ms = Some(work_ms).filter(|work_ms| work_ms.is_finite() && *work_ms > 0.0);
         self
     }
 
-    /// Why no backend would take it, if that is so.
-    pub(crate) fn fault(&self) -> Option<&'static str> {
+    /// Returns why every backend would reject the request as invalid, or `None` if it is valid.
+    pub(crate) fn validation_error(&self) -> Option<&'static str> {
         let checks = [
             (self.body.len() > MAX_BODY_BYTES, "the body is longer than 2 KiB"),
             (
                 self.class.is_empty() || self.class.len() > MAX_NAME_BYTES,
-                "the offering's name has no fit length",
+                "the name of the request class is empty or longer than 128 bytes",
             ),
             (self.tenant.len() > MAX_NAME_BYTES, "the tenant's name is longer than 128 bytes"),
             (
                 self.idempotency_key.as_ref().is_some_and(|key| key.len() > MAX_IDEMPOTENCY_KEY_BYTES),
-                "the ticket is longer than 128 bytes",
+                "the idempotency key is longer than 128 bytes",
             ),
             (
                 !(self.footprint_kb > 0.0 && self.footprint_kb < MEMORY_LIMIT_KB),
                 "the footprint is not between 0 and 2000 KB",
             ),
         ];
-        checks.iter().find(|(is_wrong, _)| *is_wrong).map(|(_, fault)| *fault)
+        checks.iter().find(|(is_invalid, _)| *is_invalid).map(|(_, error)| *error)
     }
 }
 
-/// The response to a request; each request gets exactly one.
+/// Response to a request. Each request has exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The bytes that the run made.
+    /// The result of the request.
     Succeeded(Vec<u8>),
     /// A backend rejected the request without running it.
     Rejected {
-        /// The Retry-After that the backend gave.
+        /// Retry-After of the rejection, if it had one.
         retry_after: Option<Duration>,
-        /// Whether another backend may accept it.
+        /// Whether another backend may accept the request.
         retry_elsewhere: bool,
     },
-    /// It failed.
+    /// The request failed.
     Failed {
-        /// Whether it may have had its effect.
+        /// Whether the request may have taken effect.
         may_have_run: bool,
     },
-    /// Its deadline passed.
+    /// The deadline passed before a result was received.
     DeadlineExceeded {
-        /// Whether it may have had its effect.
+        /// Whether the request may have taken effect.
         may_have_run: bool,
     },
-    /// It was never sent.
+    /// The request was not sent to any backend.
     NotSent {
-        /// Why.
+        /// Reason why the request was not sent.
         reason: NotSentReason,
-        /// When another request may fare better, as far as that is known.
+        /// Time after which a new request may succeed, if known.
         retry_after: Option<Duration>,
     },
-    /// No backend would take it as it is; the text says why.
+    /// Every backend would reject the request as invalid; the text gives the reason.
     Invalid(&'static str),
 }
 
 impl Response {
-    /// The response to a call with this outcome, and with this result if it succeeded.
+    /// Converts the outcome of a call; `result` is used if it succeeded.
     pub(crate) fn new(outcome: CallOutcome, result: &[u8]) -> Self {
         let duration = |ms: Option<f64>| ms.map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0));
         match outcome {
--- a/crates/plovershelf-client/src/transport/connection.rs
+++ b/crates/plovershelf-client/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: frames in, frames out, until either side ends it.
+//! Reads and writes the frames of one connection until either side closes it.
 
 use std::cell::Cell;
 use std::io;
@@ -12,39 +12,40 @@
 
 use crate::caller::ConnectionId;
 
-/// The longest frame that a backend may send: a result of 4 KiB, its signals, and reserve.
+/// Longest frame that is accepted from a backend: a result of 4 KiB with its signals and a reserve.
 const MAX_FRAME_BYTES: usize = 16 << 10;
+/// Number of bytes that one read requests.
 const READ_BYTES: usize = 4 << 10;
 
-/// Why what came on a connection can't be read.
+/// Reason why the received bytes are malformed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedStream {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("the connection ends inside a frame")]
+    #[error("the connection ended inside a frame")]
     Truncated,
 }
 
-/// What a connection reports to the task that owns the caller.
+/// Event of a connection, sent to the task that drives the state machine.
 pub(super) enum Event {
     Connected(ConnectionId),
     ConnectFailed(ConnectionId),
-    /// A whole frame without its length.
+    /// A complete frame without its length prefix.
     Frame(ConnectionId, Vec<u8>),
     Closed {
         connection: ConnectionId,
-        /// What was wrong with the last bytes, if anything.
+        /// Set if the peer sent malformed bytes.
         malformed: Option<MalformedStream>,
     },
 }
 
-/// Frames to write, and how many bytes of them are not written yet.
+/// Frames to write, and the number of their bytes that are not written yet.
 pub(super) struct Outgoing {
     pub(super) frames: Receiver<Vec<u8>>,
     pub(super) unwritten: Rc<Cell<usize>>,
 }
 
-/// Serves one connection; dropping the future ends it.
+/// Opens and serves one connection. Dropping the future closes it.
 pub(super) async fn serve(
     connection: ConnectionId,
     address: SocketAddr,
@@ -63,7 +64,8 @@
     let _ = events.send(Event::Closed { connection, malformed }).await;
 }
 
-/// Writes frames. It never ends: what the peer wrote before it closed is read first.
+/// Writes frames. The future never completes, not even after an error, so that the reader still gets
+/// everything that the peer wrote before it closed the connection.
 async fn write(stream: &Async<TcpStream>, outgoing: Outgoing) -> Option<MalformedStream> {
     let Outgoing { frames, unwritten } = outgoing;
     while let Ok(mut bytes) = frames.recv().await {
@@ -78,7 +80,7 @@
     future::pending().await
 }
 
-/// Reports whole frames until the connection ends; hands back what is wrong with bytes that are none.
+/// Reports complete frames until the connection ends. Returns the error if the peer sent malformed bytes.
 async fn read(
     stream: &Async<TcpStream>,
     connection: ConnectionId,
@@ -86,28 +88,28 @@
 ) -> Option<MalformedStream> {
     let mut bytes: Vec<u8> = Vec::new();
     loop {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            match codec::decode_first(&bytes[used..], MAX_FRAME_BYTES) {
+            match codec::decode_first(&bytes[consumed..], MAX_FRAME_BYTES) {
                 Ok(Some((frame, length))) => {
                     if events.send(Event::Frame(connection, frame.to_vec())).await.is_err() {
                         return None;
                     }
-                    used += length;
+                    consumed += length;
                 }
                 Ok(None) => break,
                 Err(error) => return Some(error.into()),
             }
         }
-        bytes.drain(..used);
+        bytes.drain(..consumed);
         if bytes.is_empty() && bytes.capacity() > MAX_FRAME_BYTES {
             bytes = Vec::new();
         }
-        let kept = bytes.len();
-        bytes.resize(kept + READ_BYTES, 0);
-        let got: io::Result<usize> = (&mut &*stream).read(&mut bytes[kept..]).await;
-        bytes.truncate(kept + got.as_ref().copied().unwrap_or(0));
-        match got {
+        let buffered = bytes.len();
+        bytes.resize(buffered + READ_BYTES, 0);
+        let read: io::Result<usize> = (&mut &*stream).read(&mut bytes[buffered..]).await;
+        bytes.truncate(buffered + read.as_ref().copied().unwrap_or(0));
+        match read {
             Ok(count) if count > 0 => {}
             _ if !bytes.is_empty() => return Some(MalformedStream::Truncated),
             _ => return None,
--- a/crates/plovershelf-client/src/transport/driver.rs
+++ b/crates/plovershelf-client/src/transport/driver.rs
@@ -1,4 +1,5 @@
-//! The task that owns a caller: hands it the commands of handles and the events of connections, and carries out its actions.
+//! The task that drives a [`Caller`]: passes it the commands of handles and the events of connections, and
+//! executes its actions.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -23,16 +24,18 @@
 use crate::endpoint_list::EndpointList;
 use crate::request::{Request, Response};
 
-/// A peer that leaves more than this unread has stopped reading.
+/// A peer counts as no longer reading once more bytes than this wait to be written to its connection.
 const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
-/// Events or commands that are taken before others have their turn.
-const BATCH: usize = 64;
-/// Events that connections may report before the driver takes them.
+/// Maximum number of further events or commands that are handled in one iteration, so that neither starves
+/// the other.
+const MAX_BATCH: usize = 64;
+/// Capacity of the queue of connection events.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// Memory that a call occupies beside its body.
+/// Memory that is accounted for a call in addition to its body.
 const CALL_OVERHEAD_BYTES: usize = 512;
 
-/// The queue of commands. What is left in it when its task ends would keep its senders waiting for good.
+/// Queue of commands that discards its remaining commands when it is dropped. Otherwise the handles that sent
+/// them would wait forever for a response.
 struct CommandQueue(Receiver<Command>);
 
 impl Drop for CommandQueue {
@@ -42,41 +45,42 @@
     }
 }
 
-/// The driver's end of a connection.
+/// The driver's handle of a connection.
 struct ConnectionHandle {
     frames: Sender<Vec<u8>>,
+    /// Number of bytes that wait to be written.
     unwritten: Rc<Cell<usize>>,
-    /// Dropping it ends the connection.
+    /// Dropping the task closes the connection.
     _task: Task<()>,
 }
 
 struct PendingRequest {
-    number: u64,
+    call_number: u64,
     request: Box<Request>,
     response: Sender<Response>,
 }
 
-/// What the driver waits for.
+/// Reason why the driver continues after waiting. `None` means that the channel is closed.
 enum Wakeup {
     Command(Option<Command>),
     Event(Option<Event>),
     Timeout,
 }
 
-/// Whether the driver goes on.
+/// Whether the driver continues to run.
 #[derive(PartialEq, Eq)]
 enum Flow {
     Continue,
     Stop,
 }
 
-/// The timer, set anew only where its time changes.
-struct Alarm {
+/// A timer that is reset only if its expiry changes.
+struct DeadlineTimer {
     timer: Timer,
     at_ms: Option<f64>,
 }
 
-impl Alarm {
+impl DeadlineTimer {
     fn set(&mut self, start: Instant, at_ms: Option<f64>) {
         if self.at_ms.map(f64::to_bits) == at_ms.map(f64::to_bits) {
             return;
@@ -104,8 +108,8 @@
     connections: HashMap<ConnectionId, ConnectionHandle>,
     pending: HashMap<CallId, PendingRequest>,
     calls_by_number: HashMap<u64, CallId>,
-    events: Sender<Event>,
-    reported: Receiver<Event>,
+    event_sender: Sender<Event>,
+    event_receiver: Receiver<Event>,
     endpoint_file: Option<EndpointFile>,
     shared: Weak<Shared>,
 }
@@ -117,7 +121,7 @@
         endpoint_file: Option<EndpointFile>,
         shared: Weak<Shared>,
     ) -> Self {
-        let (events, reported) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let (event_sender, event_receiver) = async_channel::bounded(MAX_QUEUED_EVENTS);
         Driver {
             caller,
             client_number,
@@ -127,41 +131,41 @@
             connections: HashMap::new(),
             pending: HashMap::new(),
             calls_by_number: HashMap::new(),
-            events,
-            reported,
+            event_sender,
+            event_receiver,
             endpoint_file,
             shared,
         }
     }
 
-    /// Runs until a command closes the client, or no handle is left.
+    /// Runs until a command closes the client or the last handle is dropped.
     pub(crate) async fn run(mut self, list: EndpointList, commands: Receiver<Command>) {
         self.start = Instant::now();
         self.caller.update_endpoints(0.0, &list);
-        self.carry_out(&[]);
+        self.execute_actions(&[]);
         let executor = self.executor.clone();
-        executor.run(self.drive(CommandQueue(commands))).await;
+        executor.run(self.run_loop(CommandQueue(commands))).await;
     }
 
-    async fn drive(&mut self, queue: CommandQueue) {
+    async fn run_loop(&mut self, queue: CommandQueue) {
         let commands = &queue.0;
-        let reported = self.reported.clone();
-        let mut alarm = Alarm { timer: Timer::never(), at_ms: None };
+        let event_receiver = self.event_receiver.clone();
+        let mut timer = DeadlineTimer { timer: Timer::never(), at_ms: None };
         loop {
-            alarm.set(self.start, self.next_timeout_ms());
+            timer.set(self.start, self.next_timeout_ms());
             let command = async { Wakeup::Command(commands.recv().await.ok()) };
-            let event = async { Wakeup::Event(reported.recv().await.ok()) };
-            let wakeup = future::or(event, future::or(alarm.expired(), command)).await;
+            let event = async { Wakeup::Event(event_receiver.recv().await.ok()) };
+            let wakeup = future::or(event, future::or(timer.expired(), command)).await;
             if self.handle_wakeup(wakeup, commands) == Flow::Stop {
                 return;
             }
             let now_ms = self.now_ms();
             if self.caller.poll_timeout().is_some_and(|at_ms| at_ms <= now_ms) {
                 self.caller.handle_timeout(now_ms);
-                self.carry_out(&[]);
+                self.execute_actions(&[]);
             }
             self.check_endpoint_file(now_ms);
-            // Handles that ask without end must not keep the connections from their turn.
+            // Lets the connection tasks run even if commands arrive without pause.
             future::yield_now().await;
         }
     }
@@ -179,8 +183,8 @@
         match wakeup {
             Wakeup::Event(Some(event)) => {
                 self.handle_event(event);
-                for _ in 0..BATCH {
-                    let Ok(event) = self.reported.try_recv() else { break };
+                for _ in 0..MAX_BATCH {
+                    let Ok(event) = self.event_receiver.try_recv() else { break };
                     self.handle_event(event);
                 }
                 Flow::Continue
@@ -188,7 +192,7 @@
             Wakeup::Event(None) => Flow::Stop,
             Wakeup::Timeout => Flow::Continue,
             Wakeup::Command(Some(command)) => self.handle_commands(command, commands),
-            // The last handle is gone, and nobody waits for a call.
+            // The last handle was dropped, so no call has a receiver for its response.
             Wakeup::Command(None) => self.close(),
         }
     }
@@ -197,8 +201,8 @@
         if self.handle_command(first) == Flow::Stop {
             return Flow::Stop;
         }
-        for _ in 0..BATCH {
-            // A closed queue is left for the next turn.
+        for _ in 0..MAX_BATCH {
+            // The next iteration handles a closed queue.
             if commands.is_empty() || commands.is_closed() {
                 break;
             }
@@ -213,33 +217,33 @@
     fn handle_command(&mut self, command: Command) -> Flow {
         let now_ms = self.now_ms();
         match command {
-            Command::Call { number, request, deadline, response } => {
-                let spec = self.spec_of(&request, deadline);
+            Command::Call { call_number, request, deadline, response } => {
+                let spec = self.call_spec(&request, deadline);
                 let call = self.caller.start_call(now_ms, &spec);
-                self.calls_by_number.insert(number, call);
-                self.pending.insert(call, PendingRequest { number, request, response });
+                self.calls_by_number.insert(call_number, call);
+                self.pending.insert(call, PendingRequest { call_number, request, response });
             }
-            Command::Dropped { number } => {
-                if let Some(call) = self.calls_by_number.get(&number).copied() {
+            Command::Dropped { call_number } => {
+                if let Some(call) = self.calls_by_number.get(&call_number).copied() {
                     self.caller.cancel_call(now_ms, call);
-                    self.forget(call);
+                    self.remove_pending(call);
                 }
             }
             Command::UpdateEndpoints(list) => self.caller.update_endpoints(now_ms, &list),
             Command::Counters(sender) => drop(sender.try_send(self.caller.counters())),
             Command::Close(_done) => return self.close(),
         }
-        self.carry_out(&[]);
+        self.execute_actions(&[]);
         Flow::Continue
     }
 
     fn close(&mut self) -> Flow {
         self.caller.close(self.now_ms());
-        self.carry_out(&[]);
+        self.execute_actions(&[]);
         Flow::Stop
     }
 
-    fn spec_of(&self, request: &Request, deadline: Instant) -> CallSpec {
+    fn call_spec(&self, request: &Request, deadline: Instant) -> CallSpec {
         CallSpec {
             class: request.class.clone(),
             idempotency: request.idempotency,
@@ -250,9 +254,9 @@
         }
     }
 
-    fn forget(&mut self, call: CallId) -> Option<PendingRequest> {
+    fn remove_pending(&mut self, call: CallId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&call)?;
-        self.calls_by_number.remove(&pending.number);
+        self.calls_by_number.remove(&pending.call_number);
         if let Some(shared) = self.shared.upgrade() {
             shared.release();
         }
@@ -279,7 +283,7 @@
             }
             Event::Frame(connection, frame) => return self.handle_frame(now_ms, connection, &frame),
         }
-        self.carry_out(&[]);
+        self.execute_actions(&[]);
     }
 
     fn handle_frame(&mut self, now_ms: f64, connection: ConnectionId, frame: &[u8]) {
@@ -290,32 +294,33 @@
                     codec::Response::Succeeded { result, .. } => result,
                     _ => &[],
                 };
-                self.carry_out(result);
+                self.execute_actions(result);
             }
             Err(error) => {
                 let fault = error.to_string();
                 tracing::warn!(event = "malformed_message", connection = connection.0, fault);
                 self.caller.handle_connection_closed(now_ms, connection, CloseReason::Malformed);
                 self.connections.remove(&connection);
-                self.carry_out(&[]);
+                self.execute_actions(&[]);
             }
         }
     }
 
-    /// Carries out actions until there are none. `result` is that of the answer that was just handled.
-    fn carry_out(&mut self, result: &[u8]) {
+    /// Executes actions until there are none. `result` is the result in the response that was just handled,
+    /// if any.
+    fn execute_actions(&mut self, result: &[u8]) {
         loop {
             let actions = self.caller.poll_actions();
             if actions.is_empty() {
                 return;
             }
             for action in actions {
-                self.carry_out_one(action, result);
+                self.execute_action(action, result);
             }
         }
     }
 
-    fn carry_out_one(&mut self, action: Action, result: &[u8]) {
+    fn execute_action(&mut self, action: Action, result: &[u8]) {
         match action {
             Action::Connect { connection, address } => self.connect(connection, address),
             Action::Send { connection, sequence, call, timeout_ms, kind } => {
@@ -331,7 +336,7 @@
     }
 
     fn complete(&mut self, call: CallId, outcome: CallOutcome, result: &[u8]) {
-        if let Some(pending) = self.forget(call) {
+        if let Some(pending) = self.remove_pending(call) {
             let _ = pending.response.try_send(Response::new(outcome, result));
         }
     }
@@ -341,7 +346,7 @@
         let (frames, receiver) = async_channel::unbounded();
         let unwritten = Rc::new(Cell::new(0));
         let outgoing = Outgoing { frames: receiver, unwritten: unwritten.clone() };
-        let serve = connection::serve(connection, address, outgoing, self.events.clone());
+        let serve = connection::serve(connection, address, outgoing, self.event_sender.clone());
         let handle = ConnectionHandle { frames, unwritten, _task: self.executor.spawn(serve) };
         self.connections.insert(connection, handle);
     }
@@ -377,13 +382,13 @@
     fn next_attempt_id(&mut self) -> AttemptId {
         let mut id: AttemptId = [0; 16];
         let bits: u64 = self.attempt_ids.random();
-        for (place, digit) in id.iter_mut().enumerate() {
-            *digit = b"0123456789abcdef"[(bits >> (4 * place) & 15) as usize];
+        for (index, digit) in id.iter_mut().enumerate() {
+            *digit = b"0123456789abcdef"[(bits >> (4 * index) & 15) as usize];
         }
         id
     }
 
-    /// Hands a frame to a connection. A peer that has stopped reading is lost.
+    /// Queues a frame on a connection. Closes the connection if its peer has stopped reading.
     fn write(&mut self, connection: ConnectionId, frame: Vec<u8>) {
         let Some(handle) = self.connections.get(&connection) else { return };
         handle.unwritten.set(handle.unwritten.get() + frame.len());
@@ -401,10 +406,10 @@
                 let (count, duplicates) = (list.addresses.len(), list.duplicates);
                 tracing::info!(event = "endpoints_updated", count, duplicates);
                 self.caller.update_endpoints(now_ms, &list);
-                self.carry_out(&[]);
+                self.execute_actions(&[]);
             }
             Some(Err(error)) => {
-                tracing::warn!(event = "endpoints_kept", "the list of before stays: {error}");
+                tracing::warn!(event = "endpoints_kept", "keeping the previous endpoint list: {error}");
             }
             None => {}
         }
--- a/crates/plovershelf-client/src/transport/endpoint_file.rs
+++ b/crates/plovershelf-client/src/transport/endpoint_file.rs
@@ -1,4 +1,4 @@
-//! A file that lists endpoints, watched for changes.
+//! An endpoint file that is reloaded when it changes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,37 +6,38 @@
 
 use crate::endpoint_list::{EndpointList, EndpointListError};
 
-/// Interval between two checks; a change counts when two checks agree on it.
+/// Interval between two checks of the file. A change is loaded once two consecutive checks find the same
+/// version.
 const CHECK_INTERVAL_MS: f64 = 250.0;
 
-/// Why an endpoint file is not used. The text names the file.
+/// Reason why an endpoint file could not be loaded. The message includes the path.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointFileError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the error.
         source: std::io::Error,
     },
-    /// It is not text.
-    #[error("{}: it is not UTF-8", .path.display())]
+    /// The file is not UTF-8.
+    #[error("{}: the file is not valid UTF-8", .path.display())]
     NotUtf8 {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// It is no list of endpoints.
+    /// The file is not a valid endpoint list.
     #[error("{}: {source}", .path.display())]
     List {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the error.
         source: EndpointListError,
     },
 }
 
-/// What tells one state of a file from another.
+/// Metadata by which a change of the file is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     modified: Option<SystemTime>,
@@ -47,14 +48,15 @@
 pub(crate) struct EndpointFile {
     path: PathBuf,
     max_endpoints: usize,
-    /// The version that was read last, and that of the last check; `None` while there is no such file.
-    read: Option<FileVersion>,
-    seen: Option<FileVersion>,
+    /// Version that was loaded last; `None` if the file did not exist.
+    loaded: Option<FileVersion>,
+    /// Version that the last check found; `None` if the file did not exist.
+    checked: Option<FileVersion>,
     next_check_ms: f64,
 }
 
 impl EndpointFile {
-    /// Reads the file for the first time.
+    /// Loads the file.
     pub(crate) fn open(
         path: PathBuf,
         max_endpoints: usize,
@@ -62,27 +64,28 @@
         let list = read_list(&path, max_endpoints)?;
         let version = version(&path);
         let next_check_ms = CHECK_INTERVAL_MS;
-        Ok((EndpointFile { path, max_endpoints, read: version, seen: version, next_check_ms }, list))
+        Ok((EndpointFile { path, max_endpoints, loaded: version, checked: version, next_check_ms }, list))
     }
 
     pub(crate) fn next_check_ms(&self) -> f64 {
         self.next_check_ms
     }
 
-    /// Reads the file again if it has changed and two checks agree, so that one that is being written counts only once it is
-    /// whole; `None` where there is nothing new.
+    /// Checks the file if that is due, and reloads it if it has changed. A change is loaded only once two
+    /// consecutive checks find the same version, because the file may still be being written. Returns `None`
+    /// if nothing was loaded.
     pub(crate) fn check(&mut self, now_ms: f64) -> Option<Result<EndpointList, EndpointFileError>> {
         if self.next_check_ms > now_ms {
             return None;
         }
         self.next_check_ms = now_ms + CHECK_INTERVAL_MS;
-        let seen = version(&self.path);
-        let is_settled = seen == self.seen;
-        self.seen = seen;
-        if !is_settled || seen == self.read {
+        let found = version(&self.path);
+        let is_stable = found == self.checked;
+        self.checked = found;
+        if !is_stable || found == self.loaded {
             return None;
         }
-        self.read = seen;
+        self.loaded = found;
         Some(read_list(&self.path, self.max_endpoints))
     }
 }
--- a/crates/plovershelf-client/src/transport/mod.rs
+++ b/crates/plovershelf-client/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Carries out the actions of a [`Caller`](crate::Caller) on sockets. It decides nothing: one task owns the caller, and one more
-//! serves each connection.
+//! Executes the actions of a [`Caller`](crate::Caller) on sockets. One task drives the state machine, and one
+//! task serves each connection.
 
 mod connection;
 mod driver;
@@ -11,7 +11,8 @@
 pub(crate) use self::endpoint_file::EndpointFile;
 pub use self::endpoint_file::EndpointFileError;
 
-/// Bits that no other process has, from the source that seeds the standard library's tables.
+/// Returns random bits that differ between processes, from the random seed of the standard library's hash
+/// maps and the process id.
 pub(crate) fn entropy() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
--- a/crates/plovershelf-client/tests/pins.rs
+++ b/crates/plovershelf-client/tests/pins.rs
@@ -1,8 +1,8 @@
-//! Decisions of the caller's state machine under random events, held against a fixture: every action with its numbers, every time-out,
-//! and its counters. A change of form changes none of them.
+//! Compares the decisions of the client's state machine under random events with a fixture: every action with
+//! its values, every timeout and the counters. Refactorings must not change any of them.
 //!
-//! `cargo test -p plovershelf-client --test pins -- --ignored write_missing_fixture` writes the fixture where there is none; one that is
-//! there is left as it is.
+//! `cargo test -p plovershelf-client --test pins -- --ignored write_missing_fixture` writes the fixture if it
+//! does not exist. It never overwrites one.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/decisions.txt")
 }
 
-/// Settings that reach different rules, by name.
+/// Named settings that exercise different rules.
 fn scenarios() -> Vec<(&'static str, ClientConfig)> {
     [placement_scenarios(), fault_scenarios()].concat()
 }
@@ -108,19 +108,21 @@
     ]
 }
 
-struct Played {
+/// A run of the state machine with simulated endpoints.
+struct Simulation {
     caller: Caller,
     random: Pcg64,
-    now: f64,
-    asked: Vec<ConnectionId>,
-    up: Vec<ConnectionId>,
-    out: Vec<(ConnectionId, i32)>,
+    now_ms: f64,
+    connecting: Vec<ConnectionId>,
+    established: Vec<ConnectionId>,
+    /// Attempts and health checks without a response. Health checks have negative sequence numbers.
+    unanswered: Vec<(ConnectionId, i32)>,
     calls: Vec<CallId>,
     overloaded: bool,
     trace: Trace,
 }
 
-/// Folds what is traced into a hash (FNV-1a), as the text of some thousand actions is long.
+/// Hash (FNV-1a) of the trace, since the text of thousands of actions would be too long for a fixture.
 struct Trace {
     hash: u64,
     actions: usize,
@@ -128,6 +130,7 @@
 }
 
 impl Trace {
+    /// Adds the current line to the hash and clears it.
     fn fold(&mut self) {
         for byte in self.line.bytes() {
             self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
@@ -177,11 +180,11 @@
         counters.connects_failed,
         counters.connections_lost,
         counters.protocol_faults,
-        counters.late_answers,
+        counters.late_responses,
     ]
 }
 
-impl Played {
+impl Simulation {
     fn poll_actions(&mut self) {
         loop {
             let actions = self.caller.poll_actions();
@@ -190,40 +193,40 @@
             }
             for action in actions {
                 self.trace.actions += 1;
-                self.carry_out(&action);
+                self.execute_action(&action);
                 self.trace.fold();
             }
         }
-        let timeout = self.caller.poll_timeout().map_or("-".to_string(), |at| format!("{at:.3}"));
+        let timeout = self.caller.poll_timeout().map_or("-".to_string(), |at_ms| format!("{at_ms:.3}"));
         let _ = write!(self.trace.line, "W {timeout};");
         self.trace.fold();
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute_action(&mut self, action: &Action) {
         if let Action::Close { connection } = action {
-            self.forget(*connection);
+            self.remove_connection(*connection);
         }
         let line = &mut self.trace.line;
         let _ = match action {
             Action::Connect { connection, address } => {
-                self.asked.push(*connection);
+                self.connecting.push(*connection);
                 write!(line, "C {} {address};", connection.0)
             }
             Action::Send { connection, sequence, call, timeout_ms, kind } => {
-                self.out.push((*connection, *sequence));
+                self.unanswered.push((*connection, *sequence));
                 let is_retry = *kind == AttemptKind::Retry;
                 write!(line, "S {} {sequence} {} {timeout_ms:.3} {is_retry};", connection.0, call.0)
             }
             Action::Cancel { connection, sequence } => {
-                // Half of what is cancelled is answered all the same.
+                // Attempts with an odd sequence number get a response even though they were cancelled.
                 if sequence % 2 == 0 {
-                    self.out.retain(|out| out != &(*connection, *sequence));
+                    self.unanswered.retain(|unanswered| unanswered != &(*connection, *sequence));
                 }
                 write!(line, "X {} {sequence};", connection.0)
             }
             Action::Probe { connection, sequence } => {
                 if connection.0 % 5 != 0 {
-                    self.out.push((*connection, -sequence));
+                    self.unanswered.push((*connection, -sequence));
                 }
                 write!(line, "P {} {sequence};", connection.0)
             }
@@ -235,21 +238,22 @@
         };
     }
 
-    fn forget(&mut self, connection: ConnectionId) {
-        self.asked.retain(|other| *other != connection);
-        self.up.retain(|other| *other != connection);
-        self.out.retain(|(other, _)| *other != connection);
+    fn remove_connection(&mut self, connection: ConnectionId) {
+        self.connecting.retain(|other| *other != connection);
+        self.established.retain(|other| *other != connection);
+        self.unanswered.retain(|(other, _)| *other != connection);
     }
 
-    fn pick<T: Copy>(&mut self, of: fn(&Self) -> &Vec<T>) -> Option<T> {
-        let count = of(self).len();
-        (count > 0).then(|| self.random.random_range(0..count)).map(|place| of(self)[place])
+    /// Picks a random element of a list.
+    fn pick<T: Copy>(&mut self, list: fn(&Self) -> &Vec<T>) -> Option<T> {
+        let count = list(self).len();
+        (count > 0).then(|| self.random.random_range(0..count)).map(|index| list(self)[index])
     }
 
-    /// Answers something that is out; health checks stand there by negative numbers.
+    /// Responds to a random attempt or health check.
     fn answer(&mut self) {
-        let Some((connection, seqid)) = self.pick(|played| &played.out) else { return };
-        self.out.retain(|out| out != &(connection, seqid));
+        let Some((connection, seqid)) = self.pick(|simulation| &simulation.unanswered) else { return };
+        self.unanswered.retain(|unanswered| unanswered != &(connection, seqid));
         let signals = ServerSignals {
             backpressure: self.random.random_bool(0.3).then(|| self.random.random_range(0.0..1.5)),
             retry_after_ms: self.random.random_bool(0.2).then(|| self.random.random_range(1.0..300.0)),
@@ -259,27 +263,28 @@
         let message = if seqid < 0 {
             Response::Health { seqid: -seqid, ready: self.random.random_bool(0.8), signals }
         } else {
-            // Overloaded endpoints reject most; a stray answer is rare, as it ends its connection.
+            // Overloaded endpoints reject most attempts. Unknown sequence numbers are rare, because they end
+            // the connection.
             let kind = self.random.random_range(0..60);
             match if self.overloaded && kind < 33 { 34 } else { kind } {
                 0..33 => Response::Succeeded { seqid, result: b"", signals },
                 33..47 => Response::Rejected { seqid, signals },
                 47..56 => Response::Failed { seqid, signals },
-                56..59 => Response::Exception { seqid, permanent, what: b"" },
+                56..59 => Response::Exception { seqid, permanent, message: b"" },
                 _ => Response::Succeeded { seqid: 1 << 20, result: b"", signals },
             }
         };
-        self.caller.handle_message(self.now, connection, &message);
+        self.caller.handle_message(self.now_ms, connection, &message);
     }
 
     fn connect(&mut self) {
-        let Some(connection) = self.pick(|played| &played.asked) else { return };
-        self.asked.retain(|other| *other != connection);
+        let Some(connection) = self.pick(|simulation| &simulation.connecting) else { return };
+        self.connecting.retain(|other| *other != connection);
         if self.random.random_bool(0.85) {
-            self.up.push(connection);
-            self.caller.handle_connected(self.now, connection);
+            self.established.push(connection);
+            self.caller.handle_connected(self.now_ms, connection);
         } else {
-            self.caller.handle_connect_failed(self.now, connection);
+            self.caller.handle_connect_failed(self.now_ms, connection);
         }
     }
 
@@ -290,30 +295,31 @@
             class: class.into(),
             idempotency: idempotency[self.random.random_range(0..3)],
             priority: self.random.random(),
-            deadline_ms: self.now + self.random.random_range(5.0..1500.0),
+            deadline_ms: self.now_ms + self.random.random_range(5.0..1500.0),
             subject: self.random.random_range(0..4),
             bytes: self.random.random_range(1..600),
         };
-        let id = self.caller.start_call(self.now, &spec);
+        let id = self.caller.start_call(self.now_ms, &spec);
         self.calls.push(id);
     }
 
-    fn pass(&mut self, span_ms: f64) {
-        let end = self.now + span_ms;
-        while let Some(at) = self.caller.poll_timeout().filter(|at| *at <= end) {
-            self.now = self.now.max(at);
-            self.caller.handle_timeout(self.now);
+    /// Advances the time and handles all timeouts in between.
+    fn advance(&mut self, duration_ms: f64) {
+        let end_ms = self.now_ms + duration_ms;
+        while let Some(at_ms) = self.caller.poll_timeout().filter(|at_ms| *at_ms <= end_ms) {
+            self.now_ms = self.now_ms.max(at_ms);
+            self.caller.handle_timeout(self.now_ms);
             self.poll_actions();
         }
-        self.now = end;
+        self.now_ms = end_ms;
     }
 
     fn update_endpoints(&mut self) {
         let from: u16 = self.random.random_range(0..4);
         let count: u16 = self.random.random_range(0..7);
-        let all: Vec<SocketAddr> =
+        let addresses: Vec<SocketAddr> =
             (from..from + count).map(|n| SocketAddr::from(([127, 0, 0, 1], 9000 + n))).collect();
-        self.caller.update_endpoints(self.now, &EndpointList::from_addresses(&all));
+        self.caller.update_endpoints(self.now_ms, &EndpointList::from_addresses(&addresses));
     }
 
     fn step(&mut self) {
@@ -322,85 +328,87 @@
             200..520 => self.answer(),
             520..700 => self.connect(),
             700..960 => {
-                let span_ms = self.random.random_range(0.0..40.0);
-                self.pass(span_ms);
+                let duration_ms = self.random.random_range(0.0..40.0);
+                self.advance(duration_ms);
             }
             960..975 => {
-                if let Some(id) = self.pick(|played| &played.calls) {
+                if let Some(id) = self.pick(|simulation| &simulation.calls) {
                     self.calls.retain(|other| *other != id);
-                    self.caller.cancel_call(self.now, id);
+                    self.caller.cancel_call(self.now_ms, id);
                 }
             }
             975..985 => {
-                if let Some(connection) = self.pick(|played| &played.up) {
-                    self.forget(connection);
+                if let Some(connection) = self.pick(|simulation| &simulation.established) {
+                    self.remove_connection(connection);
                     let malformed = self.random.random_bool(0.3);
                     let reason = if malformed { CloseReason::Malformed } else { CloseReason::Ended };
-                    self.caller.handle_connection_closed(self.now, connection, reason);
+                    self.caller.handle_connection_closed(self.now_ms, connection, reason);
                 }
             }
             985..992 => {
-                if let Some(connection) = self.pick(|played| &played.up) {
-                    self.caller.handle_message(self.now, connection, &Response::Closing);
+                if let Some(connection) = self.pick(|simulation| &simulation.established) {
+                    self.caller.handle_message(self.now_ms, connection, &Response::Closing);
                 }
             }
-            992..996 => self.pass(700.0),
+            992..996 => self.advance(700.0),
             996..999 => self.update_endpoints(),
-            _ => self.caller.handle_timeout(self.now - 500.0),
+            _ => self.caller.handle_timeout(self.now_ms - 500.0),
         }
         self.poll_actions();
     }
 }
 
-/// A line of the fixture: name, seed, actions, hash of the trace, counters.
-fn play(name: &str, config: ClientConfig, seed: u64) -> String {
-    let all: Vec<SocketAddr> = (0..5).map(|n| SocketAddr::from(([127, 0, 0, 1], 9000 + n))).collect();
-    let mut caller = Caller::new(ClientConfig { seed, ..config }).expect("settings within their ranges");
-    caller.update_endpoints(0.0, &EndpointList::from_addresses(&all));
-    let mut played = Played {
+/// Runs a scenario and returns its line of the fixture: name, seed, number of actions, hash of the trace,
+/// counters.
+fn run(name: &str, config: ClientConfig, seed: u64) -> String {
+    let addresses: Vec<SocketAddr> = (0..5).map(|n| SocketAddr::from(([127, 0, 0, 1], 9000 + n))).collect();
+    let mut caller = Caller::new(ClientConfig { seed, ..config }).expect("valid settings");
+    caller.update_endpoints(0.0, &EndpointList::from_addresses(&addresses));
+    let mut simulation = Simulation {
         caller,
         random: Pcg64::seed_from_u64(seed + 1000),
-        now: 1.0,
-        asked: Vec::new(),
-        up: Vec::new(),
-        out: Vec::new(),
+        now_ms: 1.0,
+        connecting: Vec::new(),
+        established: Vec::new(),
+        unanswered: Vec::new(),
         calls: Vec::new(),
         overloaded: name == "small_bounds",
         trace: Trace { hash: 0xcbf2_9ce4_8422_2325, actions: 0, line: String::new() },
     };
     for _ in 0..STEPS {
-        played.step();
+        simulation.step();
     }
-    let _ = write!(played.trace.line, "{} {};", played.caller.open_calls(), played.caller.connection_count());
-    played.trace.fold();
-    played.caller.close(played.now);
-    played.poll_actions();
-    let counters = totals(&played.caller.counters()).map(|count| count.to_string()).join(",");
-    format!("{name} {seed} {} {:016x} {counters}", played.trace.actions, played.trace.hash)
+    let (open_calls, connections) = (simulation.caller.open_calls(), simulation.caller.connection_count());
+    let _ = write!(simulation.trace.line, "{open_calls} {connections};");
+    simulation.trace.fold();
+    simulation.caller.close(simulation.now_ms);
+    simulation.poll_actions();
+    let counters = totals(&simulation.caller.counters()).map(|count| count.to_string()).join(",");
+    format!("{name} {seed} {} {:016x} {counters}", simulation.trace.actions, simulation.trace.hash)
 }
 
 fn all_lines() -> Vec<String> {
     let each = |(name, config): (&'static str, ClientConfig)| {
-        (1..=SEEDS).map(move |seed| play(name, config.clone(), seed)).collect::<Vec<_>>()
+        (1..=SEEDS).map(move |seed| run(name, config.clone(), seed)).collect::<Vec<_>>()
     };
     scenarios().into_iter().flat_map(each).collect()
 }
 
 #[test]
-fn decisions_under_random_events_are_the_pinned_ones() {
-    let text = std::fs::read_to_string(fixture()).expect("the fixture is there");
+fn decisions_under_random_events_match_the_fixture() {
+    let text = std::fs::read_to_string(fixture()).expect("the fixture exists");
     let pinned: Vec<&str> = text.lines().collect();
-    let played = all_lines();
-    for (pinned, played) in pinned.iter().zip(&played) {
-        assert_eq!(pinned, played);
+    let lines = all_lines();
+    for (pinned, line) in pinned.iter().zip(&lines) {
+        assert_eq!(pinned, line);
     }
-    assert_eq!(pinned.len(), played.len());
+    assert_eq!(pinned.len(), lines.len());
 }
 
 #[test]
-#[ignore = "writes the fixture where there is none"]
+#[ignore = "writes the fixture if it does not exist"]
 fn write_missing_fixture() {
     if !fixture().exists() {
-        std::fs::write(fixture(), all_lines().join("\n") + "\n").expect("written");
+        std::fs::write(fixture(), all_lines().join("\n") + "\n").expect("the fixture is writable");
     }
 }
--- a/crates/plovershelf-codec/src/agent.rs
+++ b/crates/plovershelf-codec/src/agent.rs
@@ -1,102 +1,103 @@
-//! Lines exchanged with the agent that owns the cores: commands to it, notices from it.
+//! Protocol of the agent that owns the cores: commands to the agent and notices from it, as lines of text.
 
-use crate::lines::{malformed, measure, number, push_body, take_body, take_line, words, MalformedLine};
+use crate::lines::{malformed, non_negative, number, push_body, take_body, take_line, words, MalformedLine};
 use crate::{attempt_id, AttemptId};
 
-/// Gauges that one sample may hold.
+/// Maximum number of gauges in a sample.
 const MAX_GAUGES: usize = 16;
-/// Words of a notice beside the gauges of a sample.
+/// Maximum number of words of a notice, not counting the gauges of a sample.
 const MAX_WORDS: usize = 8;
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// It returned a result.
+    /// The run returned a result.
     Succeeded,
-    /// It returned an error.
+    /// The run returned an error.
     Failed,
-    /// It was cancelled.
+    /// The run was cancelled.
     Interrupted,
-    /// It never started, which proves that it had no effect.
+    /// The run never started, so it certainly had no effect.
     NotStarted,
 }
 
-/// What the agent reports. Notices with a number come once each, and again on a new connection.
+/// Message from the agent. The agent sends each numbered notice once per connection and repeats it on a new
+/// connection.
 #[derive(Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The agent is up.
+    /// First notice on a connection.
     Greeting {
-        /// The cores have just started.
+        /// Whether the cores have just started.
         fresh: bool,
-        /// For how long the agent has been up.
+        /// Uptime of the agent in milliseconds.
         up_for_ms: f64,
     },
     /// A run has ended.
     RunEnded {
-        /// Place in the order of notices.
+        /// Sequence number of the notice.
         number: u64,
-        /// The attempt that ran.
+        /// Attempt that the run belongs to.
         id: AttemptId,
-        /// How it ended.
+        /// Result of the run.
         over: RunResult,
-        /// What it returned.
+        /// Bytes that the run returned.
         result: &'a [u8],
     },
-    /// A run waits for an outbound call.
+    /// A run waits for the reply to a call of the dependency.
     CallRequested {
-        /// Place in the order of notices.
+        /// Sequence number of the notice.
         number: u64,
-        /// The attempt that runs.
+        /// Attempt that the run belongs to.
         id: AttemptId,
-        /// What it asks of the dependency.
+        /// Body of the call.
         call: &'a [u8],
     },
-    /// The reply to `sample`.
+    /// Response to a `sample` command.
     Sampled {
-        /// The tag of the command.
+        /// Tag of the command.
         tag: &'a [u8],
-        /// The gauges, in the order of the settings.
+        /// Values of the gauges, in the order of the settings.
         gauges: Vec<f64>,
     },
-    /// The agent did not carry out a command.
+    /// The agent rejected a command.
     CommandRejected {
-        /// The command's first word.
+        /// First word of the command.
         command: &'a [u8],
-        /// What it was about: an attempt, or the tag of a sample.
+        /// Subject of the command: an attempt id, or the tag of a sample.
         about: &'a [u8],
     },
-    /// A notice that says nothing to this version.
+    /// A numbered notice without information for this version.
     Skipped {
-        /// Place in the order of notices.
+        /// Sequence number of the notice.
         number: u64,
     },
 }
 
-/// Decodes the first notice and the bytes it takes; `None` until it is complete.
+/// Decodes the first notice and returns it with its length in bytes, or `None` if it is not complete yet.
 ///
 /// # Errors
-/// A line that is no notice, or a body longer than `max_body` bytes.
+/// Returns an error if the line is not a notice or if the body is longer than `max_body` bytes.
 pub fn decode_first(read: &[u8], max_body: usize) -> Result<Option<(Notice<'_>, usize)>, MalformedLine> {
     let Some((line, used)) = take_line(read)? else { return Ok(None) };
     let parts: Vec<&[u8]> = words(line).take(MAX_WORDS + MAX_GAUGES).collect();
     let notice = match parts[..] {
-        [b"greeting", state, up_for] => greeting(state, up_for),
+        [b"greeting", state, uptime] => greeting(state, uptime),
         [b"outcome", n, id, over, _, length] => {
             let (Some(number), Some(id), Some(over)) = (number(n), attempt_id(id), run_result(over)) else {
-                return malformed("an outcome does not parse", line);
+                return malformed("malformed outcome notice", line);
             };
             let body = take_body(read, line, used, length, max_body)?;
             return Ok(body.map(|(result, end)| (Notice::RunEnded { number, id, over, result }, end)));
         }
         [b"request", n, id, length] => {
             let (Some(number), Some(id)) = (number(n), attempt_id(id)) else {
-                return malformed("a call does not parse", line);
+                return malformed("malformed request notice", line);
             };
             let body = take_body(read, line, used, length, max_body)?;
             return Ok(body.map(|(call, end)| (Notice::CallRequested { number, id, call }, end)));
         }
         [b"sampled", tag, ref values @ ..] if values.len() <= MAX_GAUGES => {
-            let gauges: Option<Vec<f64>> = values.iter().map(|value| measure(value)).collect();
+            let gauges: Option<Vec<f64>> = values.iter().map(|value| non_negative(value)).collect();
             gauges.map(|gauges| Notice::Sampled { tag, gauges })
         }
         [b"refusal", command, about] => Some(Notice::CommandRejected { command, about }),
@@ -105,17 +106,17 @@
     };
     match notice {
         Some(notice) => Ok(Some((notice, used))),
-        None => malformed("not a notice", line),
+        None => malformed("malformed or unknown notice", line),
     }
 }
 
-fn greeting<'a>(state: &[u8], up_for: &[u8]) -> Option<Notice<'a>> {
+fn greeting<'a>(state: &[u8], uptime: &[u8]) -> Option<Notice<'a>> {
     let fresh = match state {
         b"booting" => true,
         b"steady" => false,
         _ => return None,
     };
-    measure(up_for).map(|up_for_ms| Notice::Greeting { fresh, up_for_ms })
+    non_negative(uptime).map(|up_for_ms| Notice::Greeting { fresh, up_for_ms })
 }
 
 fn run_result(word: &[u8]) -> Option<RunResult> {
@@ -128,36 +129,37 @@
     })
 }
 
-/// Asks for all notices after this number.
+/// Encodes the command that requests all notices with a number above `last_read`.
 pub fn subscribe(last_read: u64) -> Vec<u8> {
     format!("subscribe {last_read}\r\n").into_bytes()
 }
 
-/// Starts a run.
+/// Encodes the command that starts a run of an attempt.
 pub fn launch(id: &AttemptId, class: &str, body: &[u8]) -> Vec<u8> {
     let mut line = [b"launch ", &id[..], b" ", class.as_bytes()].concat();
     push_body(&mut line, body);
     line
 }
 
-/// Cancels a run.
+/// Encodes the command that cancels a run.
 pub fn cancel_run(id: &AttemptId) -> Vec<u8> {
     [b"freeze ", &id[..], b"\r\n"].concat()
 }
 
-/// Continues a run without the call that it waits for, where the site allows that.
+/// Encodes the command that continues a run without the call that it waits for. Not all deployments allow
+/// this.
 pub fn skip_call(id: &AttemptId) -> Vec<u8> {
     [b"forgo ", &id[..], b"\r\n"].concat()
 }
 
-/// Hands a run the reply to its call.
+/// Encodes the command that passes the reply to its call to a run.
 pub fn deliver(id: &AttemptId, reply: &[u8]) -> Vec<u8> {
     let mut line = [b"deliver ", &id[..]].concat();
     push_body(&mut line, reply);
     line
 }
 
-/// Asks for the gauges; the answer carries the tag.
+/// Encodes the command that requests the gauges. The response contains the tag.
 pub fn sample(tag: u64) -> Vec<u8> {
     format!("sample {tag}\r\n").into_bytes()
 }
--- a/crates/plovershelf-codec/src/dependency.rs
+++ b/crates/plovershelf-codec/src/dependency.rs
@@ -1,27 +1,31 @@
-//! Lines exchanged with the dependency that all backends share.
+//! Protocol of the dependency that all backends share: calls to it and replies from it, as lines of text.
 
 use crate::lines::{malformed, push_body, take_body, take_line, words, MalformedLine};
 use crate::{attempt_id, AttemptId};
 
-/// What the dependency replies to a call.
+/// Error text of a reply whose first word is not an attempt id.
+const INVALID_ATTEMPT_ID: &str = "the reply has no valid attempt id";
+
+/// Reply of the dependency to a call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
-    /// It executed the call; the result.
+    /// The dependency executed the call and returned this result.
     Done(&'a [u8]),
-    /// It rejected the call, which never executed.
+    /// The dependency rejected the call without executing it.
     Rejected,
     /// The call failed and may have taken effect.
     Failed,
-    /// The call timed out or its run has ended; it may have taken effect.
+    /// The call timed out or its run has ended; the call may have taken effect.
     Expired,
-    /// No run waits for the call, which never executed.
+    /// No run waits for the call, so the dependency did not execute it.
     NoWaitingRun,
 }
 
-/// Decodes the first reply: the call's attempt, the reply, and the bytes it takes; `None` until it is complete.
+/// Decodes the first reply and returns the id of its attempt, the reply and its length in bytes, or `None` if
+/// it is not complete yet.
 ///
 /// # Errors
-/// A line that is no reply, or a body longer than `max_body` bytes.
+/// Returns an error if the line is not a reply or if the body is longer than `max_body` bytes.
 pub fn decode_first(
     read: &[u8],
     max_body: usize,
@@ -30,7 +34,7 @@
     let parts: Vec<&[u8]> = words(line).take(4).collect();
     let (id, reply) = match parts[..] {
         [id, b"DONE", length] => {
-            let Some(id) = attempt_id(id) else { return malformed("an answer names no call", line) };
+            let Some(id) = attempt_id(id) else { return malformed(INVALID_ATTEMPT_ID, line) };
             let body = take_body(read, line, used, length, max_body)?;
             return Ok(body.map(|(result, end)| (id, Reply::Done(result), end)));
         }
@@ -38,15 +42,15 @@
         [id, b"ERROR"] => (id, Reply::Failed),
         [id, b"PAST"] => (id, Reply::Expired),
         [id, b"EMPTY"] => (id, Reply::NoWaitingRun),
-        _ => return malformed("not an answer", line),
+        _ => return malformed("malformed or unknown reply", line),
     };
     match attempt_id(id) {
         Some(id) => Ok(Some((id, reply, used))),
-        None => malformed("an answer names no call", line),
+        None => malformed(INVALID_ATTEMPT_ID, line),
     }
 }
 
-/// Places a call; its time-out is sent in whole milliseconds, at least one.
+/// Encodes a call. Its timeout is rounded down to whole milliseconds, but to at least one.
 pub fn call(id: &AttemptId, timeout_ms: f64, body: &[u8]) -> Vec<u8> {
     let timeout = format!(" {}", timeout_ms.max(1.0).floor() as u64);
     let mut line = [b"OP ", &id[..], timeout.as_bytes()].concat();
@@ -54,7 +58,7 @@
     line
 }
 
-/// Tells the dependency that nobody waits for a call any more.
+/// Encodes the cancellation of a call.
 pub fn abandon(id: &AttemptId) -> Vec<u8> {
     [b"UNOP ", &id[..], b"\r\n"].concat()
 }
--- a/crates/plovershelf-codec/src/front/binary_protocol.rs
+++ b/crates/plovershelf-codec/src/front/binary_protocol.rs
@@ -1,14 +1,15 @@
-//! Reading and writing of Thrift's strict binary protocol, as far as the front needs it.
+//! Reader and writer of Thrift's strict binary protocol, limited to what clients and backends exchange.
 //!
 //! Source: the Thrift binary protocol specification ("Message", "Struct", "List and Set", "Map").
 
 use thiserror::Error;
 
-/// Depth to which values may be nested, fields that one map may hold: bounds beside the frame's own size.
+/// Maximum nesting depth of values. It bounds the recursion, which the length of the frame does not.
 pub(super) const MAX_NESTED: u32 = 16;
+/// Maximum number of entries of a map of fields.
 const MAX_FIELDS: usize = 64;
 
-/// The version word of a strict message; its lowest byte is the message's type.
+/// Version word of a strict message. Its lowest byte contains the message type.
 const STRICT_VERSION: u32 = 0x8001_0000;
 const STRICT_MASK: u32 = 0xffff_0000;
 
@@ -18,7 +19,7 @@
 pub(super) const EXCEPTION: u8 = 3;
 pub(super) const ONEWAY: u8 = 4;
 
-/// Types of values.
+/// Value types.
 const STOP: u8 = 0;
 pub(super) const BOOL: u8 = 2;
 const BYTE: u8 = 3;
@@ -32,70 +33,70 @@
 const SET: u8 = 14;
 const LIST: u8 = 15;
 
-/// Bytes of a frame's length.
+/// Length of a frame's length prefix, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are no message of this protocol.
+/// Error of a malformed frame or of a message that the peer must not send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The frame is longer than any may be.
+    /// The frame is longer than the limit.
     #[error("a frame is too long")]
     TooLong,
-    /// The frame's length is negative.
+    /// The length of the frame is negative.
     #[error("a frame has a negative length")]
     NegativeFrameLength,
-    /// A value is cut off.
+    /// The frame ends inside a value.
     #[error("the frame ends inside a value")]
     Truncated,
-    /// A value's length is negative.
+    /// The length of a value is negative.
     #[error("a negative length")]
     NegativeLength,
-    /// Values are nested deeper than any message needs.
+    /// Values are nested deeper than the limit.
     #[error("values are nested too deep")]
     NestedTooDeep,
     /// The type of a value is unknown.
     #[error("a value of an unknown type")]
     UnknownType,
-    /// A map that holds something else than text.
+    /// The keys or values of a map of fields are not strings.
     #[error("the fields are not text")]
     FieldsNotText,
-    /// A map with more fields than any message needs.
+    /// A map of fields has more entries than the limit.
     #[error("too many fields")]
     TooManyFields,
-    /// The first word is not the strict protocol's version.
+    /// The first word is not the version of the strict protocol.
     #[error("not the strict binary protocol")]
-    NotStrict,
-    /// A client sent something else than a call.
+    UnsupportedVersion,
+    /// A client sent a message that is neither a call nor a one-way message.
     #[error("not a call")]
     NotACall,
-    /// A cancellation without a sequence number.
+    /// A cancellation has no sequence number.
     #[error("no sequence number is named")]
-    NoSequenceNumber,
-    /// A backend answered a health check with an exception.
-    #[error("a health check is answered with an exception")]
-    HealthException,
-    /// A backend sent something that answers no message.
-    #[error("no answer to anything")]
-    NotAnAnswer,
-    /// A response without its result.
-    #[error("an answer without a result")]
-    NoResult,
-    /// A reply without a value.
-    #[error("a reply holds nothing")]
+    MissingSequenceNumber,
+    /// A backend responded to a health check with a declared exception.
+    #[error("the response to a health check is an exception")]
+    HealthCheckException,
+    /// A backend sent a message that is not a known response or one-way message.
+    #[error("unexpected message")]
+    UnexpectedMessage,
+    /// A response has no result.
+    #[error("the response has no result")]
+    MissingResult,
+    /// A reply has neither a result nor an exception.
+    #[error("the reply is empty")]
     EmptyReply,
 }
 
-/// A field's name and its value.
+/// Name and value of a field.
 pub(super) type TextField<'a> = (&'a [u8], &'a [u8]);
 
-/// The beginning of a message.
+/// Header of a message.
 pub(super) struct Header<'a> {
     pub(super) message_type: u8,
     pub(super) method: &'a [u8],
     pub(super) seqid: i32,
 }
 
-/// Reads values out of one frame.
+/// Reads the values of one frame.
 pub(super) struct Reader<'a> {
     unread: &'a [u8],
 }
@@ -137,13 +138,13 @@
     pub(super) fn header(&mut self) -> Result<Header<'a>, FrameError> {
         let version = u32::from_be_bytes(self.array()?);
         if version & STRICT_MASK != STRICT_VERSION {
-            return Err(FrameError::NotStrict);
+            return Err(FrameError::UnsupportedVersion);
         }
         let method = self.binary()?;
         Ok(Header { message_type: version as u8, method, seqid: self.i32()? })
     }
 
-    /// The type and number of the next field, or `None` at the end of the struct.
+    /// Returns the type and number of the next field, or `None` at the end of the struct.
     pub(super) fn field(&mut self) -> Result<Option<(u8, i16)>, FrameError> {
         match self.u8()? {
             STOP => Ok(None),
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Skips a value. The depth guards against a stack overflow by a frame that nests without end.
+    /// Skips a value. `depth` is the remaining nesting depth; without the limit, a deeply nested frame would
+    /// overflow the stack.
     pub(super) fn skip(&mut self, value_type: u8, depth: u32) -> Result<(), FrameError> {
         if depth == 0 {
             return Err(FrameError::NestedTooDeep);
@@ -187,6 +189,7 @@
         }
     }
 
+    /// Reads a map of strings to strings.
     pub(super) fn text_map(&mut self) -> Result<Vec<TextField<'a>>, FrameError> {
         let types = (self.u8()?, self.u8()?);
         let count = self.count()?;
@@ -200,12 +203,13 @@
     }
 }
 
-/// Writes one frame.
+/// Writes the values of one frame.
 pub(super) struct Writer {
     frame: Vec<u8>,
 }
 
 impl Writer {
+    /// Starts a frame with the header of a message.
     pub(super) fn message(message_type: u8, method: &str, seqid: i32) -> Self {
         let mut writer = Writer { frame: vec![0; LENGTH_BYTES] };
         writer.raw(&(STRICT_VERSION | u32::from(message_type)).to_be_bytes());
@@ -236,7 +240,7 @@
         self.raw(&number.to_be_bytes());
     }
 
-    /// A map of the fields that are there.
+    /// Writes a map field with the entries that are not `None`.
     pub(super) fn text_map(&mut self, number: i16, fields: &[Option<(&str, &[u8])>]) {
         self.field(MAP, number);
         self.raw(&[STRING, STRING]);
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Ends the structs that are open and writes the frame's length.
+    /// Ends the open structs, sets the length prefix and returns the frame.
     pub(super) fn finish(mut self, open_structs: usize) -> Vec<u8> {
         self.frame.resize(self.frame.len() + open_structs, STOP);
         let length = (self.frame.len() - LENGTH_BYTES) as u32;
--- a/crates/plovershelf-codec/src/front/client.rs
+++ b/crates/plovershelf-codec/src/front/client.rs
@@ -1,4 +1,4 @@
-//! The clients' side of the front: what they send, and what they receive from a backend.
+//! The client's side of the protocol: encodes messages to a backend and decodes those from it.
 
 use super::binary_protocol::{
     FrameError, Header, Reader, Writer, BOOL, CALL, EXCEPTION, I32, MAP, MAX_NESTED, ONEWAY, REPLY, STRING,
@@ -6,98 +6,98 @@
 };
 pub use super::decode_first;
 use super::{ExceptionKind, ServerSignals};
-use crate::lines::measure;
+use crate::lines::non_negative;
 use crate::AttemptId;
 
-/// One attempt of a request, as its client describes it.
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt<'a> {
     /// Name of the request class.
     pub class: &'a str,
-    /// New with every attempt.
+    /// Id of the attempt, unique to each attempt.
     pub id: AttemptId,
-    /// When this attempt was handed over, in Unix milliseconds.
+    /// Time at which the client sends the attempt, in Unix milliseconds.
     pub sent_ms: u64,
-    /// The client's number.
+    /// Number that identifies the client.
     pub caller: u32,
     /// Name of the tenant.
     pub tenant: &'a str,
-    /// How long the client waits for this attempt, from `sent_ms` on.
+    /// Timeout of the attempt in milliseconds, counted from `sent_ms`.
     pub timeout_ms: Option<f64>,
-    /// Memory to book for it in KiB, above 0 and under 2,000.
+    /// Memory to reserve for the request in KiB, more than 0 and less than 2,000.
     pub memory_kb: f64,
-    /// Priority, from 0 to under 1.
+    /// Priority, from 0 to less than 1.
     pub rank: f64,
-    /// What a read is about.
+    /// Key of the data that a read accesses.
     pub object: Option<u64>,
-    /// By what a retry of a keyed request is recognised.
+    /// Key by which a retry of the request is recognized.
     pub idempotency_key: Option<&'a str>,
-    /// Core time that it is expected to need.
+    /// Core time that the request is expected to need, in milliseconds.
     pub work_hint_ms: Option<f64>,
-    /// It is not the first attempt. Backends that do not know the field skip it.
+    /// Whether the attempt is a retry. Backends that do not know the field ignore it.
     pub marked_retry: bool,
-    /// What the run is given.
+    /// Input of the run.
     pub body: &'a [u8],
 }
 
-/// What a backend sends.
+/// Message from a backend.
 #[derive(Debug, PartialEq)]
 pub enum Response<'a> {
-    /// The result of a run.
+    /// The request succeeded.
     Succeeded {
         /// Sequence number of the request.
         seqid: i32,
-        /// The result.
+        /// Result of the run.
         result: &'a [u8],
-        /// What the backend says of itself.
+        /// Signals of the backend.
         signals: ServerSignals,
     },
-    /// The attempt never ran.
+    /// The attempt was rejected and did not run.
     Rejected {
         /// Sequence number of the request.
         seqid: i32,
-        /// What the backend says of itself.
+        /// Signals of the backend.
         signals: ServerSignals,
     },
     /// The attempt failed and may have taken effect.
     Failed {
         /// Sequence number of the request.
         seqid: i32,
-        /// What the backend says of itself.
+        /// Signals of the backend.
         signals: ServerSignals,
     },
-    /// The backend does not accept what was sent.
+    /// The backend does not accept the message.
     Exception {
         /// Sequence number of the message.
         seqid: i32,
-        /// Every other backend would say the same.
+        /// Whether every other backend would respond with the same exception.
         permanent: bool,
-        /// What is wrong.
-        what: &'a [u8],
+        /// Text of the exception.
+        message: &'a [u8],
     },
-    /// The answer to a health check.
+    /// Response to a health check.
     Health {
         /// Sequence number of the health check.
         seqid: i32,
-        /// The backend is ready for requests.
+        /// Whether the backend is ready for requests.
         ready: bool,
-        /// What the backend says of itself.
+        /// Signals of the backend.
         signals: ServerSignals,
     },
-    /// No new request is to come on this connection.
+    /// The backend reads no more requests on the connection.
     Closing,
-    /// An unknown message that wants no answer.
+    /// An unknown one-way message, which is ignored.
     Other,
 }
 
-/// Encodes a request as a complete frame.
+/// Encodes an attempt as a complete frame.
 pub fn dispatch(seqid: i32, attempt: &Attempt<'_>) -> Vec<u8> {
     let mut writer = Writer::message(CALL, "dispatch", seqid);
     let sent = attempt.sent_ms.to_string();
     let caller = attempt.caller.to_string();
     let memory = format!("{:.1}", attempt.memory_kb.clamp(0.1, 1999.9));
     let rank = format!("{:.4}", attempt.rank.clamp(0.0, 0.9999));
-    // Rounded down, so that a backend never believes in more time than there is.
+    // Rounded down, so that the backend's deadline is never later than the client's.
     let timeout = attempt.timeout_ms.map(|timeout| format!("{}", timeout.max(0.0).floor() as u64));
     let hint = attempt.work_hint_ms.map(|hint| format!("{hint:.1}"));
     let object = attempt.object.map(|object| format!("{object:016x}"));
@@ -121,7 +121,7 @@
     writer.finish(1)
 }
 
-/// The client no longer waits for the request of this sequence number.
+/// Encodes the cancellation of the request with this sequence number.
 pub fn cancel(seqid: i32) -> Vec<u8> {
     let mut writer = Writer::message(ONEWAY, "cancelRequest", 0);
     writer.field(I32, 1);
@@ -129,7 +129,7 @@
     writer.finish(1)
 }
 
-/// A health check.
+/// Encodes a health check.
 pub fn alive(seqid: i32) -> Vec<u8> {
     let mut writer = Writer::message(CALL, "alive", seqid);
     writer.field(BOOL, 1);
@@ -137,41 +137,42 @@
     writer.finish(1)
 }
 
-/// Decodes a backend's message out of one frame without its length.
+/// Decodes a backend's message from a frame without its length prefix.
 ///
 /// # Errors
-/// The frame is no message of a backend.
+/// Returns an error if the frame is malformed or is not a message that a backend sends.
 pub fn decode_response(frame: &[u8]) -> Result<Response<'_>, FrameError> {
     let mut reader = Reader::new(frame);
     let Header { message_type, method, seqid } = reader.header()?;
     match (message_type, method) {
         (REPLY, b"dispatch") => read_dispatch_reply(&mut reader, seqid),
         (REPLY, b"alive") => match read_reply(&mut reader)? {
-            Reply { number: 0, good, signals, .. } => Ok(Response::Health { seqid, ready: good, signals }),
-            _ => Err(FrameError::HealthException),
+            Reply { number: 0, flag, signals, .. } => Ok(Response::Health { seqid, ready: flag, signals }),
+            _ => Err(FrameError::HealthCheckException),
         },
         (EXCEPTION, _) => read_exception(&mut reader, seqid),
         (ONEWAY, b"closing") => Ok(Response::Closing),
         (ONEWAY, _) => Ok(Response::Other),
-        _ => Err(FrameError::NotAnAnswer),
+        _ => Err(FrameError::UnexpectedMessage),
     }
 }
 
-/// The struct that a reply holds.
+/// The result struct or declared exception in a reply.
 #[derive(Default)]
 struct Reply<'a> {
-    /// Its number in the method's definition: 0 is the result, others are declared exceptions.
+    /// Field number in the method's definition: 0 for the result, others for declared exceptions.
     number: i16,
     result: Option<&'a [u8]>,
     signals: ServerSignals,
-    good: bool,
+    /// Success of a request, or readiness in the response to a health check.
+    flag: bool,
 }
 
 fn read_dispatch_reply<'a>(reader: &mut Reader<'a>, seqid: i32) -> Result<Response<'a>, FrameError> {
     let Reply { number, result, signals, .. } = read_reply(reader)?;
     match (number, result) {
         (0, Some(result)) => Ok(Response::Succeeded { seqid, result, signals }),
-        (0, None) => Err(FrameError::NoResult),
+        (0, None) => Err(FrameError::MissingResult),
         (1, _) => Ok(Response::Rejected { seqid, signals }),
         _ => Ok(Response::Failed { seqid, signals }),
     }
@@ -194,7 +195,7 @@
         match (value_type, field, number) {
             (STRING, 1, 0) => reply.result = Some(reader.binary()?),
             (MAP, 2, 0) | (MAP, 1, 1 | 2) => reply.signals = read_signals(reader)?,
-            (BOOL, 3, 0) => reply.good = reader.u8()? != 0,
+            (BOOL, 3, 0) => reply.flag = reader.u8()? != 0,
             _ => reader.skip(value_type, MAX_NESTED)?,
         }
     }
@@ -205,8 +206,8 @@
     let mut signals = ServerSignals::default();
     for (name, value) in reader.text_map()? {
         match name {
-            b"v" => signals.backpressure = measure(value),
-            b"w" => signals.retry_after_ms = measure(value),
+            b"v" => signals.backpressure = non_negative(value),
+            b"w" => signals.retry_after_ms = non_negative(value),
             b"l" => signals.no_retry_elsewhere = value == b"1",
             _ => {}
         }
@@ -215,17 +216,17 @@
 }
 
 fn read_exception<'a>(reader: &mut Reader<'a>, seqid: i32) -> Result<Response<'a>, FrameError> {
-    let (mut what, mut kind) = (&b""[..], 0);
+    let (mut message, mut kind) = (&b""[..], 0);
     while let Some((value_type, field)) = reader.field()? {
         match (value_type, field) {
-            (STRING, 1) => what = reader.binary()?,
+            (STRING, 1) => message = reader.binary()?,
             (I32, 2) => kind = reader.i32()?,
             _ => reader.skip(value_type, MAX_NESTED)?,
         }
     }
-    let permanent = [ExceptionKind::UnknownMethod, ExceptionKind::WrongType, ExceptionKind::Protocol];
-    let permanent = permanent.iter().any(|one| *one as i32 == kind);
-    Ok(Response::Exception { seqid, permanent, what })
+    let permanent_kinds = [ExceptionKind::UnknownMethod, ExceptionKind::WrongType, ExceptionKind::Protocol];
+    let permanent = permanent_kinds.iter().any(|permanent_kind| *permanent_kind as i32 == kind);
+    Ok(Response::Exception { seqid, permanent, message })
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-codec/src/front/client/tests.rs
+++ b/crates/plovershelf-codec/src/front/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::front::{self, ExceptionKind, Message};
 
-fn one<'a>(body: &'a [u8]) -> Attempt<'a> {
+fn attempt<'a>(body: &'a [u8]) -> Attempt<'a> {
     Attempt {
         class: "plan",
         id: *b"9b1f03aa5c7e2d41",
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn a_backend_reads_what_a_caller_writes() {
+fn backend_decodes_messages_of_the_client() {
     let body: Vec<u8> = (0..=255).collect();
-    let frame = dispatch(7, &one(&body));
+    let frame = dispatch(7, &attempt(&body));
     let Ok(Message::Dispatch { seqid: 7, request }) = front::decode(&frame[4..]) else {
         panic!("not a dispatch")
     };
@@ -36,20 +36,25 @@
 }
 
 #[test]
-fn a_first_try_without_extras_carries_no_field_that_older_backends_lack() {
-    let plain =
-        Attempt { object: None, idempotency_key: None, work_hint_ms: None, marked_retry: false, ..one(b"x") };
-    let frame = dispatch(1, &plain);
-    let Ok(Message::Dispatch { request, .. }) = front::decode(&frame[4..]) else { panic!("no dispatch") };
+fn optional_fields_are_omitted_for_older_backends() {
+    let minimal = Attempt {
+        object: None,
+        idempotency_key: None,
+        work_hint_ms: None,
+        marked_retry: false,
+        ..attempt(b"x")
+    };
+    let frame = dispatch(1, &minimal);
+    let Ok(Message::Dispatch { request, .. }) = front::decode(&frame[4..]) else { panic!("not a dispatch") };
     assert!(!request.marked_retry);
     assert_eq!((request.object, request.idempotency_key, request.work_hint_ms), (0, None, None));
 }
 
 #[test]
-fn a_caller_hears_each_kind_of_answer_with_its_words() {
+fn client_decodes_each_kind_of_response_with_its_signals() {
     let signals =
         ServerSignals { backpressure: Some(0.25), retry_after_ms: Some(120.0), no_retry_elsewhere: true };
-    let said = [
+    let cases = [
         (
             front::succeeded(1, b"result", &signals),
             Response::Succeeded { seqid: 1, result: b"result", signals },
@@ -62,34 +67,34 @@
         (front::health(4, false, &signals), Response::Health { seqid: 4, ready: false, signals }),
         (
             front::exception(5, "dispatch", ExceptionKind::Protocol, "no"),
-            Response::Exception { seqid: 5, permanent: true, what: b"no" },
+            Response::Exception { seqid: 5, permanent: true, message: b"no" },
         ),
         (
             front::exception(6, "dispatch", ExceptionKind::Internal, "later"),
-            Response::Exception { seqid: 6, permanent: false, what: b"later" },
+            Response::Exception { seqid: 6, permanent: false, message: b"later" },
         ),
         (front::closing(), Response::Closing),
     ];
-    for (frame, expected) in &said {
+    for (frame, expected) in &cases {
         assert_eq!(decode_first(frame, 8 << 10), Ok(Some((&frame[4..], frame.len()))));
         assert_eq!(decode_response(&frame[4..]).as_ref(), Ok(expected));
     }
 }
 
 #[test]
-fn frames_cut_short_or_changed_are_faults_and_never_panic() {
+fn truncated_frames_are_errors_and_corrupt_ones_do_not_panic() {
     let signals =
         ServerSignals { backpressure: Some(0.25), retry_after_ms: Some(120.0), no_retry_elsewhere: true };
-    let whole = front::succeeded(1, b"result", &signals);
-    for end in 4..whole.len() {
-        assert!(decode_response(&whole[4..end]).is_err(), "{end}");
-        assert_eq!(decode_first(&whole[..end], 8 << 10), Ok(None));
+    let frame = front::succeeded(1, b"result", &signals);
+    for end in 4..frame.len() {
+        assert!(decode_response(&frame[4..end]).is_err(), "{end}");
+        assert_eq!(decode_first(&frame[..end], 8 << 10), Ok(None));
     }
-    for place in 4..whole.len() {
+    for index in 4..frame.len() {
         for bit in 0..8 {
-            let mut changed = whole.clone();
-            changed[place] ^= 1 << bit;
-            let _ = decode_response(&changed[4..]);
+            let mut corrupt = frame.clone();
+            corrupt[index] ^= 1 << bit;
+            let _ = decode_response(&corrupt[4..]);
         }
     }
     assert!(decode_first(&3_000_000_000u32.to_be_bytes(), 8 << 10).is_err());
--- a/crates/plovershelf-codec/tests/pins.rs
+++ b/crates/plovershelf-codec/tests/pins.rs
@@ -1,8 +1,9 @@
-//! Bytes of every message of every protocol that this package knows, held against fixtures that never change: a peer of another
-//! version reads and writes these. Each value has fields that differ, so that two that are swapped show.
+//! Compares the bytes of every message of every protocol with fixtures. The fixtures must never change,
+//! because peers of other versions exchange these bytes. All fields of a value differ, so that swapped fields
+//! are detected.
 //!
-//! `cargo test -p plovershelf-codec --test pins -- --ignored write_missing_fixtures` writes a fixture that is not there yet; one that
-//! is there is left as it is.
+//! `cargo test -p plovershelf-codec --test pins -- --ignored write_missing_fixtures` writes the fixtures that
+//! do not exist. It never overwrites one.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -18,7 +19,8 @@
 const MAX_BODY: usize = 64;
 const MAX_FRAME: usize = 8 << 10;
 
-type Named = (&'static str, Vec<u8>);
+/// Name and bytes of a message.
+type NamedMessage = (&'static str, Vec<u8>);
 
 fn fixture(protocol: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/fixtures/{protocol}.txt"))
@@ -29,13 +31,14 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    assert_eq!(text.len() % 2, 0, "half a byte in {text}");
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex")).collect()
+    assert_eq!(text.len() % 2, 0, "odd number of digits in {text}");
+    let digits = |index: usize| &text[index..index + 2];
+    (0..text.len()).step_by(2).map(|index| u8::from_str_radix(digits(index), 16).expect("hex")).collect()
 }
 
-/// The fixture's bytes by name.
+/// Returns the messages of the fixture by name.
 fn pinned(protocol: &str) -> BTreeMap<String, Vec<u8>> {
-    let text = std::fs::read_to_string(fixture(protocol)).expect("the fixture is there");
+    let text = std::fs::read_to_string(fixture(protocol)).expect("the fixture exists");
     let line = |line: &str| {
         let (name, bytes) = line.split_once(' ').expect("a name and bytes");
         (name.to_string(), unhex(bytes))
@@ -43,16 +46,16 @@
     text.lines().map(line).collect()
 }
 
-/// Every message has its bytes, and the fixture has no other.
-fn assert_bytes_are_pinned(protocol: &str, encoded: &[Named]) {
+/// Asserts that every message has its bytes in the fixture, and that the fixture has no other message.
+fn assert_matches_fixture(protocol: &str, encoded: &[NamedMessage]) {
     let pinned = pinned(protocol);
     for (name, bytes) in encoded {
         assert_eq!(pinned.get(*name).map(|bytes| hex(bytes)), Some(hex(bytes)), "{protocol}: {name}");
     }
-    assert_eq!(pinned.len(), encoded.len(), "{protocol}: the fixture names messages that are not encoded");
+    assert_eq!(pinned.len(), encoded.len(), "{protocol}: the fixture has messages that are not encoded");
 }
 
-// ---- the front: what a caller writes ----------------------------------------------------------------------
+// ---- messages of clients ----------------------------------------------------------------------------------
 
 fn full_attempt() -> Attempt<'static> {
     Attempt {
@@ -72,7 +75,7 @@
     }
 }
 
-fn plain_attempt() -> Attempt<'static> {
+fn minimal_attempt() -> Attempt<'static> {
     Attempt {
         class: "quote",
         id: OTHER_ID,
@@ -90,16 +93,16 @@
     }
 }
 
-fn client_frames() -> Vec<Named> {
+fn client_frames() -> Vec<NamedMessage> {
     vec![
         ("dispatch_full", client::dispatch(7, &full_attempt())),
-        ("dispatch_plain", client::dispatch(8, &plain_attempt())),
+        ("dispatch_plain", client::dispatch(8, &minimal_attempt())),
         ("cancel", client::cancel(9)),
         ("alive", client::alive(10)),
     ]
 }
 
-// ---- the front: what a backend writes ---------------------------------------------------------------------
+// ---- messages of backends ---------------------------------------------------------------------------------
 
 const ALL_SIGNALS: ServerSignals =
     ServerSignals { backpressure: Some(0.625), retry_after_ms: Some(120.0), no_retry_elsewhere: true };
@@ -112,8 +115,9 @@
 const NO_RETRY_ALONE: ServerSignals =
     ServerSignals { backpressure: None, retry_after_ms: None, no_retry_elsewhere: true };
 
-fn backend_frames() -> Vec<Named> {
-    let complaint = |seqid, kind: ExceptionKind, what: &str| front::exception(seqid, "dispatch", kind, what);
+fn backend_frames() -> Vec<NamedMessage> {
+    let exception =
+        |seqid, kind: ExceptionKind, message: &str| front::exception(seqid, "dispatch", kind, message);
     vec![
         ("succeeded", front::succeeded(21, b"\0result\xff", &ALL_SIGNALS)),
         ("succeeded_no_words", front::succeeded(22, b"", &NO_SIGNALS)),
@@ -125,25 +129,25 @@
         ("scrapped_no_words", front::failed(28, &NO_SIGNALS)),
         ("health_fit", front::health(29, true, &BACKPRESSURE_ALONE)),
         ("health_unfit", front::health(30, false, &NO_SIGNALS)),
-        ("exception_unknown_method", complaint(31, ExceptionKind::UnknownMethod, "no such method")),
-        ("exception_wrong_type", complaint(32, ExceptionKind::WrongType, "this is no oneway message")),
-        ("exception_internal", complaint(33, ExceptionKind::Internal, "later")),
+        ("exception_unknown_method", exception(31, ExceptionKind::UnknownMethod, "no such method")),
+        ("exception_wrong_type", exception(32, ExceptionKind::WrongType, "this is no oneway message")),
+        ("exception_internal", exception(33, ExceptionKind::Internal, "later")),
         ("exception_protocol", front::exception(34, "alive", ExceptionKind::Protocol, "no body is there")),
         ("closing", front::closing()),
     ]
 }
 
-fn frames() -> Vec<Named> {
+fn frames() -> Vec<NamedMessage> {
     [client_frames(), backend_frames()].concat()
 }
 
 #[test]
-fn frames_of_the_front_have_the_pinned_bytes() {
-    assert_bytes_are_pinned("front", &frames());
+fn frames_match_the_fixture() {
+    assert_matches_fixture("front", &frames());
 }
 
 #[test]
-fn pinned_frames_of_callers_decode_to_the_values_they_were_made_of() {
+fn pinned_frames_of_clients_decode_to_their_values() {
     let pinned = pinned("front");
     let full = Request {
         class: "checkout",
@@ -158,7 +162,7 @@
         marked_retry: true,
         body: b"\0body\r\n\xff",
     };
-    let plain = Request {
+    let minimal = Request {
         class: "quote",
         id: OTHER_ID,
         sent_ms: 1_764_576_000_456.0,
@@ -173,7 +177,7 @@
     };
     let expected = [
         ("dispatch_full", Message::Dispatch { seqid: 7, request: full }),
-        ("dispatch_plain", Message::Dispatch { seqid: 8, request: plain }),
+        ("dispatch_plain", Message::Dispatch { seqid: 8, request: minimal }),
         ("cancel", Message::Cancel { seqid: 9 }),
         ("alive", Message::Alive { seqid: 10 }),
     ];
@@ -186,12 +190,12 @@
 }
 
 #[test]
-fn pinned_frames_of_backends_decode_to_the_values_they_were_made_of() {
+fn pinned_frames_of_backends_decode_to_their_values() {
     let pinned = pinned("front");
-    let complaint = |seqid, permanent, what: &'static str| Response::Exception {
+    let exception = |seqid, permanent, message: &'static str| Response::Exception {
         seqid,
         permanent,
-        what: what.as_bytes(),
+        message: message.as_bytes(),
     };
     let expected = [
         ("succeeded", Response::Succeeded { seqid: 21, result: b"\0result\xff", signals: ALL_SIGNALS }),
@@ -204,10 +208,10 @@
         ("scrapped_no_words", Response::Failed { seqid: 28, signals: NO_SIGNALS }),
         ("health_fit", Response::Health { seqid: 29, ready: true, signals: BACKPRESSURE_ALONE }),
         ("health_unfit", Response::Health { seqid: 30, ready: false, signals: NO_SIGNALS }),
-        ("exception_unknown_method", complaint(31, true, "no such method")),
-        ("exception_wrong_type", complaint(32, true, "this is no oneway message")),
-        ("exception_internal", complaint(33, false, "later")),
-        ("exception_protocol", complaint(34, true, "no body is there")),
+        ("exception_unknown_method", exception(31, true, "no such method")),
+        ("exception_wrong_type", exception(32, true, "this is no oneway message")),
+        ("exception_internal", exception(33, false, "later")),
+        ("exception_protocol", exception(34, true, "no body is there")),
         ("closing", Response::Closing),
     ];
     for (name, value) in &expected {
@@ -220,7 +224,7 @@
 
 // ---- the agent --------------------------------------------------------------------------------------------
 
-fn agent_commands() -> Vec<Named> {
+fn agent_commands() -> Vec<NamedMessage> {
     vec![
         ("subscribe", agent::subscribe(41)),
         ("launch", agent::launch(&ID, "checkout", b"b\r\n\xff")),
@@ -231,8 +235,8 @@
     ]
 }
 
-/// Lines that the agent writes and this package only reads.
-fn agent_notices() -> Vec<Named> {
+/// Lines that the agent sends; this crate does not encode them.
+fn agent_notices() -> Vec<NamedMessage> {
     let lines: [(&str, &[u8]); 11] = [
         ("greeting_booting", b"greeting booting 12\r\n"),
         ("greeting_steady", b"greeting steady 3456.5\r\n"),
@@ -250,21 +254,21 @@
 }
 
 #[test]
-fn lines_of_the_agent_have_the_pinned_bytes() {
-    assert_bytes_are_pinned("agent", &[agent_commands(), agent_notices()].concat());
+fn lines_of_the_agent_match_the_fixture() {
+    assert_matches_fixture("agent", &[agent_commands(), agent_notices()].concat());
 }
 
 #[test]
 fn pinned_notices_of_the_agent_decode_to_their_values() {
     let pinned = pinned("agent");
-    let outcome = |number, id, over, result: &'static [u8]| Notice::RunEnded { number, id, over, result };
+    let run_ended = |number, id, over, result: &'static [u8]| Notice::RunEnded { number, id, over, result };
     let expected = [
         ("greeting_booting", Notice::Greeting { fresh: true, up_for_ms: 12.0 }),
         ("greeting_steady", Notice::Greeting { fresh: false, up_for_ms: 3456.5 }),
-        ("outcome_success", outcome(7, ID, RunResult::Succeeded, b"a\r\nbc")),
-        ("outcome_failure", outcome(8, OTHER_ID, RunResult::Failed, b"x")),
-        ("outcome_interrupted", outcome(9, ID, RunResult::Interrupted, b"")),
-        ("outcome_nothing", outcome(10, OTHER_ID, RunResult::NotStarted, b"")),
+        ("outcome_success", run_ended(7, ID, RunResult::Succeeded, b"a\r\nbc")),
+        ("outcome_failure", run_ended(8, OTHER_ID, RunResult::Failed, b"x")),
+        ("outcome_interrupted", run_ended(9, ID, RunResult::Interrupted, b"")),
+        ("outcome_nothing", run_ended(10, OTHER_ID, RunResult::NotStarted, b"")),
         ("request", Notice::CallRequested { number: 11, id: ID, call: b"call" }),
         ("sampled", Notice::Sampled { tag: b"3", gauges: vec![0.5, 12.0, 0.25, 24.0] }),
         ("refusal_of_a_run", Notice::CommandRejected { command: b"launch", about: &ID }),
@@ -273,15 +277,15 @@
     ];
     for (name, value) in &expected {
         let bytes = &pinned[*name];
-        let (notice, used) = agent::decode_first(bytes, MAX_BODY).expect("it parses").expect("it is whole");
+        let (notice, used) = agent::decode_first(bytes, MAX_BODY).expect("valid").expect("complete");
         assert_eq!((&notice, used), (value, bytes.len()), "{name}");
     }
     assert_eq!(expected.len(), agent_notices().len());
 }
 
-// ---- the dependency that backends share -------------------------------------------------------------------
+// ---- the shared dependency --------------------------------------------------------------------------------
 
-fn dependency_calls() -> Vec<Named> {
+fn dependency_calls() -> Vec<NamedMessage> {
     vec![
         ("call", dependency::call(&ID, 250.9, b"x\r\n")),
         ("call_at_least_a_millisecond", dependency::call(&OTHER_ID, 0.2, b"")),
@@ -289,8 +293,8 @@
     ]
 }
 
-/// Lines that the dependency writes and this package only reads.
-fn dependency_answers() -> Vec<Named> {
+/// Lines that the dependency sends; this crate does not encode them.
+fn dependency_replies() -> Vec<NamedMessage> {
     let lines: [(&str, &[u8]); 5] = [
         ("answer_done", b"9b1f03aa5c7e2d41 DONE 4\r\n\r\n\xff\0\r\n"),
         ("answer_wait", b"00d4e5f6a7b8c9f3 WAIT\r\n"),
@@ -302,12 +306,12 @@
 }
 
 #[test]
-fn lines_of_the_dependency_have_the_pinned_bytes() {
-    assert_bytes_are_pinned("dependency", &[dependency_calls(), dependency_answers()].concat());
+fn lines_of_the_dependency_match_the_fixture() {
+    assert_matches_fixture("dependency", &[dependency_calls(), dependency_replies()].concat());
 }
 
 #[test]
-fn pinned_answers_of_the_dependency_decode_to_their_values() {
+fn pinned_replies_of_the_dependency_decode_to_their_values() {
     let pinned = pinned("dependency");
     let expected = [
         ("answer_done", ID, Reply::Done(b"\r\n\xff\0")),
@@ -324,7 +328,7 @@
 
 // ---- the service registry ---------------------------------------------------------------------------------
 
-fn heartbeats() -> Vec<Named> {
+fn heartbeats() -> Vec<NamedMessage> {
     vec![
         ("beat_ready", registry::heartbeat("n3", false)),
         ("beat_draining", registry::heartbeat("backend-0004", true)),
@@ -332,24 +336,24 @@
 }
 
 #[test]
-fn beats_to_the_registry_have_the_pinned_bytes() {
-    assert_bytes_are_pinned("registry", &heartbeats());
+fn heartbeats_match_the_fixture() {
+    assert_matches_fixture("registry", &heartbeats());
 }
 
 #[test]
-#[ignore = "writes fixtures that are not there"]
+#[ignore = "writes the fixtures that do not exist"]
 fn write_missing_fixtures() {
     let all = [
         ("front", frames()),
         ("agent", [agent_commands(), agent_notices()].concat()),
-        ("dependency", [dependency_calls(), dependency_answers()].concat()),
+        ("dependency", [dependency_calls(), dependency_replies()].concat()),
         ("registry", heartbeats()),
     ];
     for (protocol, messages) in all {
         if !fixture(protocol).exists() {
             let lines: String =
                 messages.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
-            std::fs::write(fixture(protocol), lines).expect("written");
+            std::fs::write(fixture(protocol), lines).expect("the fixture is writable");
         }
     }
 }
