--- a/crates/plovershelf-server/src/agent_link.rs
+++ b/crates/plovershelf-server/src/agent_link.rs
@@ -1,15 +1,15 @@
-//! The link with the agent that owns the cores: kept open, and taken up again where it broke.
+//! The link with the agent that runs requests on its cores. The task connects again whenever the link breaks.
 //!
-//! | state of a link | left by |
+//! | state of a link | left when |
 //! | --- | --- |
-//! | connecting | connected: subscribed; failed: again, after a pause that doubles |
-//! | subscribed after the last notice; the agent accepts no command | its greeting: catching up |
-//! | catching up: the notices that were missed come | the answer to the fence, which stands behind them: up |
-//! | up: commands go out, notices come in | an error: connecting; the address changes: handing over |
-//! | handing over: a successor is connected, no command goes out any more | the answer to a second fence proves that all commands were read: the successor is subscribed |
+//! | connecting | connected: subscribed; failed: retried after a pause that doubles each time |
+//! | subscribed from the last notice read; the agent accepts no command yet | its greeting arrives: catching up |
+//! | catching up: the agent sends the missed notices | the fence, which follows them, is answered: up |
+//! | up: commands and notices flow | an error: connecting; the address changes: handing over |
+//! | handing over: a successor is connected and no further commands are written | a second fence is answered, so all commands were read: the successor is subscribed |
 //!
-//! A fence is a sample of tag [`FENCE_TAG`]. Commands of a link that ends by an error may have been read or not; the event
-//! loop settles what follows from that.
+//! A fence is a sample with tag [`FENCE_TAG`]. If a link ends with an error, the agent may or may not have read its
+//! last commands; the event loop then recovers.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -27,36 +27,37 @@
 use crate::limits::Limits;
 use crate::streams::{recv_batch, with_timeout, write_all, ReadBuffer};
 
-/// The tag of the sample that tells that all before it was read. The event loop's own begin at 1.
+/// Tag of the fence sample, whose answer confirms that all earlier commands were read. The event loop's own tags
+/// begin at 1.
 const FENCE_TAG: u64 = 0;
 
-/// What a link reports to, and its bounds.
+/// Task that keeps the link with the agent.
 pub(crate) struct AgentLinks {
-    /// Where the agent is; it may change.
+    /// Address of the agent; it may change at runtime.
     pub(crate) address: Rc<Cell<SocketAddr>>,
-    /// Tells that the address may have changed: then the new link is made before the old one is left.
-    pub(crate) moved: Receiver<()>,
+    /// Signals that the address may have changed. The new link is then connected before the old one is closed.
+    pub(crate) address_changed: Receiver<()>,
     pub(crate) events: Sender<Event>,
     pub(crate) limits: Rc<Limits>,
 }
 
-/// A connection and where it leads.
+/// A connection and the address to which it was made.
 struct Connected {
     stream: Async<TcpStream>,
     address: SocketAddr,
 }
 
-/// What outlives a link.
+/// Progress that carries over from one link to the next.
 #[derive(Default)]
 struct Progress {
-    /// Number of the last notice that was handed on.
+    /// Number of the last notice that was passed on.
     last_read: u64,
-    /// The present link has been greeted.
+    /// True once the agent has greeted on the present link.
     is_greeted: bool,
 }
 
 impl AgentLinks {
-    /// Keeps a link until nobody receives its events any more.
+    /// Keeps a link until the event queue is closed.
     pub(crate) async fn run(self) {
         let mut progress = Progress::default();
         let mut pause_ms = self.limits.min_reconnect_ms;
@@ -105,11 +106,11 @@
         Ok(Connected { stream: with_timeout(self.limits.connect_timeout_ms, connecting).await?, address })
     }
 
-    /// A connection to where the agent has moved, once it has left `from`.
+    /// Connects to the agent's new address once the address differs from `from`.
     async fn connect_to_new_address(&self, from: SocketAddr) -> Connected {
         loop {
             while self.address.get() == from {
-                if self.moved.recv().await.is_err() {
+                if self.address_changed.recv().await.is_err() {
                     future::pending::<()>().await;
                 }
             }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// One link from its first line to its end: the connection that follows it, or an error.
+    /// Drives one link until it ends. Returns its successor's connection after a handover, or an error.
     async fn drive(&self, connected: Connected, progress: &mut Progress) -> io::Result<Connected> {
         let Connected { stream, address } = connected;
         let (events, limits) = (&self.events, &*self.limits);
@@ -145,8 +146,8 @@
     }
 }
 
-fn protocol_error(what: impl Into<String>) -> io::Error {
-    io::Error::other(what.into())
+fn protocol_error(message: impl Into<String>) -> io::Error {
+    io::Error::other(message.into())
 }
 
 async fn drive_link(
@@ -158,7 +159,7 @@
 ) -> io::Result<Connected> {
     stream.get_ref().set_nodelay(true)?;
     let (sender, commands) = async_channel::bounded::<Vec<u8>>(limits.command_queue);
-    // Before the agent is up it accepts no command; before all that was missed has been read, none but the fence.
+    // The agent accepts no command until it is up, and only the fence until all missed notices have been read.
     write_all(stream, &agent::subscribe(progress.last_read), limits.write_timeout_ms).await?;
     let link = Link { stream, commands, is_up: Cell::new(false), limits };
     let next = RefCell::new(None);
@@ -166,7 +167,7 @@
         let connected = successor.await;
         *next.borrow_mut() = Some(connected);
         link.commands.close();
-        // Where no command could be written, nothing has to be proven.
+        // If no command could be written on this link, no fence is needed.
         if link.is_up.get() {
             future::pending::<()>().await;
         }
@@ -174,14 +175,14 @@
     };
     let notices = NoticeReader::new(&link, sender, progress, events);
     future::or(notices.run(), future::or(link.write_commands(), follow)).await?;
-    next.take().ok_or_else(|| protocol_error("it ended unasked"))
+    next.take().ok_or_else(|| protocol_error("the link ended without a successor"))
 }
 
-/// What the reader and the writer of one link share.
+/// State that the reader and the writer of one link share.
 struct Link<'a> {
     stream: &'a Async<TcpStream>,
     commands: Receiver<Vec<u8>>,
-    /// All missed notices have come; commands may be written.
+    /// True once all missed notices have arrived, so that commands may be written.
     is_up: Cell<bool>,
     limits: &'a Limits,
 }
@@ -191,8 +192,8 @@
         write_all(self.stream, &agent::sample(FENCE_TAG), self.limits.write_timeout_ms).await
     }
 
-    /// Writes commands; where there will be no more, asks for the proof that all were read, and ends with an error where
-    /// it does not come.
+    /// Writes commands. When the queue is closed, writes the final fence and fails if its answer doesn't come within
+    /// the handover timeout.
     async fn write_commands(&self) -> io::Result<()> {
         while let Some(bytes) = recv_batch(&self.commands).await {
             write_all(self.stream, &bytes, self.limits.write_timeout_ms).await?;
@@ -200,36 +201,36 @@
         if self.is_up.get() {
             self.write_fence().await?;
             Timer::after(Duration::from_millis(self.limits.handover_timeout_ms)).await;
-            return Err(protocol_error("it did not say that it had read all before it was left"));
+            return Err(protocol_error("no answer to the final fence in time"));
         }
         future::pending().await
     }
 }
 
-/// How the agent greeted.
+/// The agent's greeting.
 #[derive(Clone, Copy)]
 struct Greeting {
     fresh: bool,
     up_for_ms: f64,
 }
 
-/// What a notice leads to.
+/// Effect of a notice on its link.
 enum NoticeEffect {
-    /// The event to hand on, if there is one.
+    /// The link continues; the event, if any, is passed on.
     Continue(Option<AgentEvent>),
-    /// All commands of this link were read, and its successor takes over.
+    /// The agent has read all commands of this link, and its successor takes over.
     HandedOver,
 }
 
-/// Reads the notices of one link.
+/// Reader of the notices of one link.
 struct NoticeReader<'a> {
     link: &'a Link<'a>,
     progress: &'a mut Progress,
     events: &'a Sender<Event>,
     greeting: Option<Greeting>,
-    /// Notices were lost before the link was up.
+    /// True if notices were lost before the link was up.
     missed_notices: bool,
-    /// The way for commands, until the event loop has it.
+    /// Sender of the command queue, until it is passed to the event loop.
     sender: Option<Sender<Vec<u8>>>,
 }
 
@@ -244,7 +245,7 @@
         NoticeReader { link, progress, events, greeting, missed_notices, sender }
     }
 
-    /// Hands on notices until the link ends, or is handed over.
+    /// Passes notices on until the link ends or is handed over.
     async fn run(mut self) -> io::Result<()> {
         let limits = self.link.limits;
         let mut buffer = ReadBuffer::new(limits.max_line_bytes, limits.read_chunk_bytes);
@@ -261,16 +262,17 @@
             buffer.consume(used);
             if let Some(event) = event {
                 let sent = self.events.send(Event::Agent(event)).await;
-                sent.map_err(|_| protocol_error("the program ends"))?;
+                sent.map_err(|_| protocol_error("the program is exiting"))?;
             }
-            // Only now: what waits for the queue when the link ends is asked for again on the next.
+            // Updated only after the event is queued: if the link ends while an event waits for the queue, the next
+            // link must ask for its notice again.
             self.progress.last_read = self.progress.last_read.max(number.unwrap_or(0));
         }
     }
 
     async fn handle_notice(&mut self, notice: Notice<'_>) -> io::Result<NoticeEffect> {
         let last_read = self.progress.last_read;
-        // Notices come in order, so what lies between is lost; while a link is up, the agent may skip some.
+        // Notices arrive in order, so a gap means lost notices. While a link is up the agent may skip numbers.
         self.missed_notices |= !self.link.is_up.get() && follows_gap(&notice, last_read);
         let is_new = notice_number(&notice).is_none_or(|number| is_new_notice(number, last_read));
         let event = match notice {
@@ -287,7 +289,7 @@
             Notice::Sampled { tag, gauges } => return self.handle_sample(tag, gauges),
             Notice::CommandRejected { command, about } => Some(AgentEvent::CommandRejected {
                 command: String::from_utf8_lossy(command).into_owned(),
-                about: about.to_vec(),
+                argument: about.to_vec(),
             }),
             Notice::Skipped { .. } => None,
         };
@@ -296,7 +298,7 @@
 
     async fn handle_greeting(&mut self, greeting: Greeting) -> io::Result<()> {
         if self.greeting.is_some() {
-            return Err(protocol_error("it greeted twice"));
+            return Err(protocol_error("the agent greeted twice"));
         }
         self.progress.is_greeted = true;
         self.greeting = Some(greeting);
@@ -305,7 +307,7 @@
 
     fn handle_sample(&mut self, tag: &[u8], gauges: Vec<f64>) -> io::Result<NoticeEffect> {
         let tag = std::str::from_utf8(tag).ok().and_then(|tag| tag.parse().ok());
-        let Some(tag) = tag else { return Err(protocol_error("a sample with a foreign tag")) };
+        let Some(tag) = tag else { return Err(protocol_error("a sample with an unknown tag")) };
         match (tag, self.greeting, self.sender.take()) {
             (FENCE_TAG, Some(Greeting { fresh, up_for_ms }), Some(commands)) => {
                 self.link.is_up.set(true);
@@ -322,7 +324,7 @@
     }
 }
 
-/// The place of a notice in the order of all, where it has one.
+/// Returns the number of a notice, if it has one.
 fn notice_number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
         Notice::RunEnded { number, .. }
@@ -332,19 +334,19 @@
     }
 }
 
-/// Notices before this one were never sent.
+/// Returns whether notices before this one are missing.
 fn follows_gap(notice: &Notice<'_>, last_read: u64) -> bool {
     notice_number(notice).is_some_and(|number| number > last_read.saturating_add(1))
 }
 
-/// Each notice counts once, however often it is repeated.
+/// Returns whether a notice is new. Repeated notices are ignored.
 fn is_new_notice(number: u64, last_read: u64) -> bool {
     if number > last_read.saturating_add(1) {
         tracing::warn!(
             event = "notices_lost",
             last_read,
             number,
-            "notices between {last_read} and {number} were never told"
+            "notices between {last_read} and {number} were never received"
         );
     }
     number > last_read
--- a/crates/plovershelf-server/src/client_io.rs
+++ b/crates/plovershelf-server/src/client_io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of one client's connection.
+//! Reading and writing of a client connection.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use crate::outbox::UnwrittenBytes;
 use crate::streams::{recv_batch, with_timeout, write_all, ReadBuffer};
 
-/// Reads frames until the connection ends, and what comes after them is discarded, up to a bound.
+/// Reads frames until the connection ends. After a read error it discards a bounded amount of further input.
 pub(crate) async fn read_until_end(
     state: &ConnectionState,
     connection: ConnectionId,
@@ -28,8 +28,8 @@
     }
 }
 
-/// Hands on frames until the connection ends. Returns what is wrong where frames can't be told apart any more or do not
-/// come in time: the first of a connection, and the rest of each that has begun.
+/// Passes frames on until the connection ends. Returns an error if the input can't be split into frames any more, or
+/// if the first frame of the connection or the rest of a started frame takes too long.
 async fn read_frames(
     state: &ConnectionState,
     connection: ConnectionId,
@@ -50,26 +50,26 @@
                 let frame = frame.to_vec();
                 buffer.consume(used);
                 complete_by = None;
-                // Counted before it waits for the queue, so that its connection is not considered idle.
+                // Counted before waiting for the queue, so that the connection doesn't appear idle.
                 state.frame_queued();
                 if events.send(Event::Frame { connection, frame }).await.is_err() {
                     return None;
                 }
-                // A client that sends at full speed takes turns with the others.
+                // Yields so that one fast client doesn't starve the others.
                 future::yield_now().await;
             }
             Ok(None) => {
                 if complete_by.is_none() && !buffer.is_empty() {
                     complete_by = Some(Instant::now() + timeout);
                 }
-                let late = async {
+                let timed_out = async {
                     match complete_by {
                         Some(instant) => Timer::at(instant).await,
                         None => future::pending().await,
                     };
                     None
                 };
-                match future::or(async { Some(buffer.fill(stream).await) }, late).await {
+                match future::or(async { Some(buffer.fill(stream).await) }, timed_out).await {
                     Some(Ok(true)) => {}
                     Some(_) => return None,
                     None => return Some(ReadError::Timeout),
@@ -80,24 +80,24 @@
     }
 }
 
-/// Reads and discards until the connection ends, up to a bound. Guards against the reset that closing over unread bytes
-/// would cause, which takes the last response from its peer.
+/// Reads and discards a bounded amount of input until the connection ends. Closing a socket with unread bytes would
+/// reset the connection, and the peer could lose the last response.
 async fn discard_input(state: &ConnectionState, limits: &Limits) {
     let Some(mut stream) = state.stream() else { return };
     let mut bytes = vec![0; limits.read_chunk_bytes];
-    let mut left = limits.max_linger_bytes;
-    while left > 0 {
+    let mut remaining_bytes = limits.max_linger_bytes;
+    while remaining_bytes > 0 {
         match stream.read(&mut bytes).await {
-            Ok(count) if count > 0 => left = left.saturating_sub(count),
+            Ok(count) if count > 0 => remaining_bytes = remaining_bytes.saturating_sub(count),
             _ => return,
         }
         future::yield_now().await;
     }
-    // The rest is left unread until the writer ends the connection.
+    // The rest stays unread until the writer ends the connection.
     Timer::after(Duration::from_millis(limits.linger_ms)).await;
 }
 
-/// Writes frames until there are no more, then lingers until the reader has ended, up to a time.
+/// Writes frames until the queue is closed, then lingers until the reader has ended or the linger time has passed.
 pub(crate) async fn write_until_end(
     state: Rc<ConnectionState>,
     frames: Receiver<Vec<u8>>,
@@ -107,15 +107,16 @@
 ) {
     write_frames(&state, frames, &unwritten, limits.write_timeout_ms).await;
     state.handle(PhaseEvent::LastWritten);
-    // A peer that still writes would lose the last response if this side just closed.
-    let is_crowded = state.connection_count() > limits.crowded_connections;
-    let linger_ms = if is_crowded { limits.linger_ms_when_crowded } else { limits.linger_ms };
+    // If this side closed at once, a peer that is still writing could lose the last response.
+    let is_above_threshold = state.connection_count() > limits.eviction_threshold;
+    let linger_ms = if is_above_threshold { limits.linger_ms_under_pressure } else { limits.linger_ms };
     let _ = with_timeout(linger_ms, async { Ok(reader_ended.recv().await) }).await;
     state.handle(PhaseEvent::Drained);
     unwritten.clear();
 }
 
-/// Writes frames in order until there are no more or the peer reads none for too long. No further frame can be queued then.
+/// Writes frames in order until the queue is closed or the peer stops reading. No further frame can be queued
+/// afterwards.
 pub(crate) async fn write_frames(
     state: &ConnectionState,
     frames: Receiver<Vec<u8>>,
--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -1,8 +1,9 @@
-//! This backend's node of the cluster: a thread of its own with a listener, a connection a peer and a file, which drives the
-//! state machine that decides. Nothing of it is on the event loop's time, and where it ends the backend serves on alone.
+//! Cluster membership of this backend. A separate thread has a listener, a link to each peer and a storage file, and
+//! drives the [`ClusterNode`] state machine. It uses no time of the event loop, and if it ends the backend continues
+//! to serve without it.
 //!
-//! The ordinary path: a frame or a timeout reaches [`Driver`], which passes it to the state machine, saves what is to be
-//! saved, and only then sends what is to be sent.
+//! A frame or a timeout reaches [`Driver`], which passes it to the state machine, persists the records that it
+//! returns, and only then sends its messages.
 
 mod driver_heartbeat;
 mod failover;
@@ -37,18 +38,18 @@
 use replication::{HandoffEnd, ReplicationDriver};
 use storage::{Opened, Storage};
 
-/// How often the node is told whether the event loop is ready.
+/// Interval at which the node's readiness is updated from the event loop's heartbeat.
 const READINESS_INTERVAL_MS: f64 = 200.0;
-/// Events that wait for the driver; more are dropped, as a network drops.
+/// Capacity of the driver's inbox; further events are dropped, as on a network.
 const INBOX: usize = 1024;
-/// Events that are handled between two looks at the time.
+/// Events handled before the timeouts are checked again.
 const MAX_EVENTS_PER_TURN: usize = 64;
-/// Storage that failed is tried again after this.
+/// Pause before failed storage is retried.
 const STORAGE_RETRY_MS: f64 = 500.0;
-/// The driver wakes at least so often.
+/// Longest wait of the driver.
 const MAX_WAIT_MS: f64 = 1000.0;
 
-/// The wall clock; a test may tell the program that it is off.
+/// Returns the wall clock in Unix milliseconds. `PLOVERSHELF_TEST_CLOCK_OFF_MS` shifts it in tests.
 fn wall_ms() -> u64 {
     let offset = std::env::var("PLOVERSHELF_TEST_CLOCK_OFF_MS");
     let offset = offset.ok().and_then(|offset| offset.parse::<f64>().ok()).unwrap_or(0.0);
@@ -56,44 +57,44 @@
     (since + offset).max(0.0) as u64
 }
 
-/// All that can happen to the driver from outside.
+/// An input of the cluster's driver.
 pub enum Incoming {
-    /// Something came over a connection.
+    /// An event of an incoming link.
     Link(LinkEvent),
-    /// A configuration is to be committed under its key.
+    /// Proposes a configuration under its key.
     ProposeConfiguration {
-        /// One more than the version there is.
+        /// Version of the value: one more than the present version.
         version: u64,
-        /// The value.
+        /// The encoded configuration.
         bytes: Vec<u8>,
     },
-    /// What the event loop wants of replication.
+    /// A command of the event loop for replication.
     Replication(ReplicationCommand),
-    /// The drain notice: replicated records are to be handed off within so long.
+    /// Drain notice: replicated records are handed off to other members.
     DrainNotice {
-        /// How long.
+        /// Time for the handoff, in milliseconds.
         within_ms: f64,
     },
-    /// A value that is to be committed, for trials.
+    /// Proposes a value under any key; used by trials.
     ProposeValue {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// One more than the version there is.
+        /// Version of the value: one more than the present version.
         version: u64,
-        /// The value.
+        /// The encoded value.
         bytes: Vec<u8>,
     },
 }
 
 impl From<LinkEvent> for Incoming {
-    fn from(heard: LinkEvent) -> Self {
-        Incoming::Link(heard)
+    fn from(event: LinkEvent) -> Self {
+        Incoming::Link(event)
     }
 }
 
-/// Starts the cluster's thread. What the sender takes reaches it.
+/// Starts the cluster's thread. Returns the sender of its inputs.
 ///
-/// Errors: the listener or the storage can't be had, in one line.
+/// Returns an error of one line if the listener or the storage can't be opened.
 pub fn start(
     setup: Setup,
     name: String,
@@ -107,7 +108,7 @@
     let failover = start_failover(&setup)?;
     let (inbox, incoming) = async_channel::bounded(INBOX);
     let config_distribution = start_config_distribution(&setup, name, inbox.clone())?;
-    let own = inbox.clone();
+    let link_events = inbox.clone();
     let run = move || {
         let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
         let listening = match Async::new(listener) {
@@ -115,18 +116,18 @@
                 executor,
                 listener,
                 Rc::from(setup.name.as_str()),
-                own,
+                link_events,
                 links::CLUSTER_LINKS,
             ),
-            Err(error) => return tracing::error!("the group ends: {error}"),
+            Err(error) => return tracing::error!("the cluster's thread ends, its listener failed: {error}"),
         };
         executor.spawn(listening).detach();
         let links = OutgoingLinks::new(executor, &setup.name, setup.ways.clone(), links::CLUSTER_LINKS, None);
         let node = ClusterNode::new(startup, now_ms());
-        let (own, boot_id) = (node.node().id, node.swim().own().boot_id);
+        let (own_id, boot_id) = (node.node().id, node.swim().own().boot_id);
         let replication = setup.replication.clone().zip(replication_events);
         let replication =
-            replication.map(|(config, events)| ReplicationDriver::new(own, boot_id, config, events));
+            replication.map(|(config, events)| ReplicationDriver::new(own_id, boot_id, config, events));
         let driver = Driver {
             config_distribution,
             reported_consensus: ConsensusState::default(),
@@ -139,7 +140,7 @@
             links,
             heartbeat,
             readiness_at_ms: 0.0,
-            awaiting_recovery: Vec::new(),
+            recovery_requesters: Vec::new(),
             notices: LogLimit::new(MAX_LINES_PER_S),
         };
         async_io::block_on(executor.run(driver.run(incoming)));
@@ -151,7 +152,8 @@
     Ok(inbox)
 }
 
-/// What the node starts from, by the operator's file and its folder; and its storage, where it has a folder.
+/// Returns the startup parameters of the node from the operator's file and the opened storage, and the storage if a
+/// folder is configured.
 fn node_startup(setup: &Setup, name: &str, opened: Opened) -> (Startup, Option<Storage>) {
     let node = NodeInfo {
         id: opened.header.id,
@@ -172,14 +174,14 @@
     (startup, opened.storage)
 }
 
-/// Failover between zones, where the operator's file has it.
+/// Creates the failover driver, if zones are configured.
 fn start_failover(setup: &Setup) -> Result<Option<failover::FailoverDriver>, String> {
     let Some(zones) = setup.zones.clone() else { return Ok(None) };
     let failover = failover::FailoverDriver::new(zones, &setup.zone, now_ms());
     failover.map(Some).map_err(|error| error.to_string())
 }
 
-/// Configuration distribution from this member, where the operator's file has it: the queue of its thread.
+/// Starts configuration distribution from this member, if it is configured. Returns the sender of its inputs.
 fn start_config_distribution(
     setup: &Setup,
     name: String,
@@ -195,29 +197,29 @@
 
 struct Driver {
     node: ClusterNode,
-    /// Where configuration is distributed from here: the queue of its thread.
+    /// Inputs of the configuration distribution thread, if this member is an origin.
     config_distribution: Option<Sender<config_distribution::Input>>,
-    /// What that thread was told last.
+    /// State that was last reported to that thread.
     reported_consensus: ConsensusState,
     replication: Option<ReplicationDriver>,
     failover: Option<failover::FailoverDriver>,
-    /// The cluster's name.
+    /// Name of the cluster.
     cluster: String,
     storage: Option<Storage>,
-    /// When storage that failed is tried again.
+    /// Time at which failed storage is retried.
     storage_retry_at_ms: Option<f64>,
     links: OutgoingLinks,
     heartbeat: Arc<DriverHeartbeat>,
     readiness_at_ms: f64,
-    /// Who waits to hear what came of a recovery.
-    awaiting_recovery: Vec<Sender<Answer>>,
+    /// Senders of the answers to pending recovery commands.
+    recovery_requesters: Vec<Sender<Answer>>,
     notices: LogLimit,
 }
 
 impl Driver {
     async fn run(mut self, incoming: Receiver<Incoming>) {
         let node = self.node.node();
-        tracing::info!(event = "cluster_node_started", node_id = %in_hex(node.id), listen = %node.address, "member of a cluster");
+        tracing::info!(event = "cluster_node_started", node_id = %format_node_id(node.id), listen = %node.address, "the cluster node has started");
         loop {
             let wait_ms = (self.poll_timeout() - now_ms()).clamp(0.0, MAX_WAIT_MS);
             let event = future::or(async { incoming.recv().await.ok() }, async {
@@ -225,7 +227,7 @@
                 None
             })
             .await;
-            // The time first: a process that was paused finds that out before it hears or does anything else.
+            // Timeouts first: after a pause of the process its leases must expire before it handles any input.
             self.handle_timeout();
             let more = std::iter::from_fn(|| incoming.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
             event.into_iter().chain(more).for_each(|event| self.handle_event(event));
@@ -235,8 +237,8 @@
     fn poll_timeout(&self) -> f64 {
         let replication = self.replication.as_ref().map_or(f64::INFINITY, ReplicationDriver::poll_timeout);
         let failover = self.failover.as_ref().map_or(f64::INFINITY, failover::FailoverDriver::poll_timeout);
-        let own = self.readiness_at_ms.min(self.storage_retry_at_ms.unwrap_or(f64::INFINITY));
-        self.node.poll_timeout().min(replication).min(failover).min(own)
+        let driver_timeout_ms = self.readiness_at_ms.min(self.storage_retry_at_ms.unwrap_or(f64::INFINITY));
+        self.node.poll_timeout().min(replication).min(failover).min(driver_timeout_ms)
     }
 
     fn handle_timeout(&mut self) {
@@ -256,13 +258,14 @@
             replication.handle_timeout(now_ms);
         }
         self.plan_traffic(now_ms);
-        self.carry_out();
+        self.apply_actions();
         self.leave_once_handed_off(now_ms);
     }
 
     fn plan_traffic(&mut self, now_ms: f64) {
         let Some(failover) = self.failover.as_mut() else { return };
-        let failover::Due { report, proposal } = failover.handle_timeout(now_ms, &self.heartbeat, &self.node);
+        let failover::DueActions { report, proposal } =
+            failover.handle_timeout(now_ms, &self.heartbeat, &self.node);
         if let Some((leader, bytes)) = report {
             let from = self.node.node().id;
             send_subsystem(&mut self.links, &self.node, leader, &Wire::Subsystem { from, to: leader, bytes });
@@ -278,16 +281,19 @@
         };
         match end {
             HandoffEnd::Complete | HandoffEnd::DeadlinePassed { remaining: 0 } => {
-                tracing::info!(event = "handoff_complete", "all that was held for others stands elsewhere");
+                tracing::info!(
+                    event = "handoff_complete",
+                    "all replicated records are stored on other members"
+                );
             }
             HandoffEnd::DeadlinePassed { remaining } => tracing::warn!(
                 event = "handoff_incomplete",
                 records = remaining,
-                "time is over before others had all that was held for them"
+                "the handoff deadline passed before other members stored all replicated records"
             ),
         }
         self.node.leave(now_ms);
-        self.carry_out();
+        self.apply_actions();
     }
 
     fn handle_event(&mut self, event: Incoming) {
@@ -296,7 +302,7 @@
             Incoming::Link(LinkEvent::Message { wire, is_local, answer }) => {
                 self.handle_wire(now_ms, *wire, is_local, answer)
             }
-            Incoming::Link(LinkEvent::PeerError(what)) => self.log_notice(&what),
+            Incoming::Link(LinkEvent::PeerError(message)) => self.log_notice(&message),
             Incoming::ProposeConfiguration { version, bytes } => {
                 self.node.propose(now_ms, CONFIG_KEY, version, bytes);
             }
@@ -310,7 +316,7 @@
             }
             Incoming::DrainNotice { within_ms } => self.handle_drain_notice(now_ms, within_ms),
         }
-        self.carry_out();
+        self.apply_actions();
     }
 
     fn handle_wire(&mut self, now_ms: f64, wire: Wire, is_local: bool, answer: Sender<Answer>) {
@@ -319,8 +325,8 @@
             Wire::Question(question) => self.handle_question(now_ms, question, is_local, answer),
             Wire::Answer(_) | Wire::ConfigDistribution { .. } => {}
             Wire::Subsystem { from, to, bytes } => {
-                let own = self.node.node().id;
-                if let Some(failover) = self.failover.as_mut().filter(|_| to == own) {
+                let own_id = self.node.node().id;
+                if let Some(failover) = self.failover.as_mut().filter(|_| to == own_id) {
                     failover.handle_report(now_ms, from, &bytes);
                 } else if let Some(replication) = self.replication.as_mut() {
                     replication.handle_message(now_ms, from, to, &bytes);
@@ -329,7 +335,7 @@
         }
     }
 
-    /// With replication it stays a member until its records are handed off; without it leaves at once.
+    /// Starts leaving the cluster. With replication the node remains a member until its records are handed off.
     fn handle_drain_notice(&mut self, now_ms: f64, within_ms: f64) {
         if let Some(distribution) = self.config_distribution.take() {
             let _ = distribution.try_send(config_distribution::Input::Shutdown);
@@ -343,7 +349,7 @@
         }
     }
 
-    /// Commands that change something are taken from this machine alone.
+    /// Answers a question. Commands that change state are accepted only from this machine.
     fn handle_question(&mut self, now_ms: f64, question: Question, is_local: bool, answer: Sender<Answer>) {
         let answered = match question {
             Question::Copies | Question::Ticket { .. } => {
@@ -362,22 +368,22 @@
             }
             Question::Replace { voter } => match self.node.replace_voter(now_ms, &voter) {
                 Ok(()) => Answer::Done(format!("{voter} is being replaced as a voter")),
-                Err(why) => Answer::Refused(why.to_string()),
+                Err(reason) => Answer::Refused(reason.to_string()),
             },
             Question::Recover { lost } => match self.node.recover(now_ms, &lost) {
                 Ok(()) => {
-                    tracing::warn!(event = "epoch_recovery_started", lost = %lost.join(","), "a new epoch is asked for");
-                    self.awaiting_recovery.push(answer);
+                    tracing::warn!(event = "epoch_recovery_started", lost = %lost.join(","), "recovery with a new epoch was requested");
+                    self.recovery_requesters.push(answer);
                     return;
                 }
-                Err(why) => Answer::Refused(why.to_string()),
+                Err(reason) => Answer::Refused(reason.to_string()),
             },
         };
         let _ = answer.try_send(answered);
     }
 
-    /// Saves first, then sends.
-    fn carry_out(&mut self) {
+    /// Carries out the node's actions. Records are persisted before messages that depend on them are sent.
+    fn apply_actions(&mut self) {
         let Actions { save, mut send, events } = self.node.poll_actions();
         let saved = match self.storage.as_mut() {
             Some(storage) if !save.is_empty() => storage.append(&save, self.node.raft().persistent()),
@@ -401,7 +407,7 @@
 
     fn handle_storage_failed(&mut self, error: &std::io::Error) {
         if self.storage_retry_at_ms.is_none() {
-            tracing::error!(event = "storage_failed", "the cluster's storage takes nothing: {error}; this member votes and acknowledges nothing until it does");
+            tracing::error!(event = "storage_failed", "writing the cluster's storage failed: {error}; this member neither votes nor acknowledges until a write succeeds");
         }
         let now_ms = now_ms();
         self.node.handle_storage_failed(now_ms);
@@ -413,15 +419,15 @@
         match storage.rewrite(self.node.raft().persistent()) {
             Ok(()) => {
                 self.storage_retry_at_ms = None;
-                tracing::info!(event = "storage_restored", "the cluster's storage works again");
+                tracing::info!(event = "storage_restored", "the cluster's storage is writable again");
                 self.node.handle_storage_restored(now_ms);
             }
             Err(_) => self.storage_retry_at_ms = Some(now_ms + STORAGE_RETRY_MS),
         }
     }
 
-    /// Reports the committed configuration, whichever way it came here. A report that the queue has no room for is repeated with
-    /// the next one.
+    /// Reports the committed configuration to its distribution thread, whether it was committed here or came with a
+    /// snapshot. A report that finds the queue full is repeated with the next one.
     fn report_consensus(&mut self) {
         let Some(distribution) = &self.config_distribution else { return };
         let leader = self.node.leader().and_then(|id| self.node.name_of(id));
@@ -441,7 +447,7 @@
         }
     }
 
-    /// What replication sends goes over the cluster's connections, to whom the view says.
+    /// Sends the replicator's messages over the cluster's links to the members that the view names.
     fn send_replication(&mut self) {
         let Some(replication) = self.replication.as_mut() else { return };
         let (from, messages) = replication.poll_actions();
@@ -452,10 +458,10 @@
         }
     }
 
-    /// Logs what others do, where the present second has room for it.
-    fn log_notice(&mut self, what: &str) {
+    /// Logs a notice about other members, within the limit of log lines per second.
+    fn log_notice(&mut self, message: &str) {
         if self.notices.admit(now_ms()).is_admitted {
-            tracing::warn!(event = "cluster_notice", "{what}");
+            tracing::warn!(event = "cluster_notice", "{message}");
         }
     }
 
@@ -468,7 +474,7 @@
     fn report(&mut self, event: Event) {
         match event {
             Event::View(view) => {
-                // The committed state may have come as a snapshot, with a plan in it.
+                // A snapshot of the committed state may contain a traffic plan.
                 self.apply_traffic_plan();
                 if let Some(replication) = self.replication.as_mut() {
                     replication.update_view(now_ms(), &view);
@@ -476,24 +482,32 @@
                 let (number, members) = (view.number, view.members.len());
                 tracing::info!(event = "view_changed", number, members, "view {number}")
             }
-            Event::Lease(Some(_)) => tracing::debug!(event = "lease_acquired", "may act"),
-            Event::Lease(None) => tracing::info!(event = "lease_expired", "may not act by the view"),
+            Event::Lease(Some(_)) => tracing::debug!(event = "lease_acquired", "acquired a lease"),
+            Event::Lease(None) => tracing::info!(event = "lease_expired", "the lease has expired"),
             Event::Leader(leader) => {
                 let name = leader.and_then(|id| self.node.name_of(id)).unwrap_or_default();
                 tracing::info!(event = "leader_changed", name, "leader {name:?}")
             }
             Event::ValueCommitted { key, version } => {
-                tracing::debug!(event = "value_committed", key, version, "committed");
+                tracing::debug!(event = "value_committed", key, version, "a value was committed");
                 self.apply_traffic_plan();
             }
             Event::ProposalAnswered { .. } => {}
             Event::RecoveryEnded(outcome) => {
                 let answer = match outcome {
-                    Ok(number) => Answer::Done(format!("council {number} has begun")),
-                    Err(why) => Answer::Refused(why.to_string()),
+                    Ok(number) => {
+                        tracing::warn!(
+                            event = "epoch_recovery_ended",
+                            "recovery succeeded with epoch {number}"
+                        );
+                        Answer::Done(format!("council {number} has begun"))
+                    }
+                    Err(reason) => {
+                        tracing::warn!(event = "epoch_recovery_ended", "recovery failed: {reason}");
+                        Answer::Refused(reason.to_string())
+                    }
                 };
-                tracing::warn!(event = "epoch_recovery_ended", "{answer:?}");
-                self.awaiting_recovery.drain(..).for_each(|waits| drop(waits.try_send(answer.clone())));
+                self.recovery_requesters.drain(..).for_each(|waits| drop(waits.try_send(answer.clone())));
             }
             Event::Notice(notice) => self.log_notice(&notice.to_string()),
         }
@@ -507,7 +521,7 @@
     }
 }
 
-/// A node id as logs and commands show it.
-fn in_hex(id: NodeId) -> String {
+/// Formats a node id as in logs and commands.
+fn format_node_id(id: NodeId) -> String {
     format!("{:016x}", id.0)
 }
--- a/crates/plovershelf-server/src/cluster/driver_heartbeat.rs
+++ b/crates/plovershelf-server/src/cluster/driver_heartbeat.rs
@@ -1,6 +1,6 @@
-//! What the event loop tells of itself without being asked: when it last turned, whether it is ready, and what it counted.
+//! Progress, readiness and traffic counts of the event loop, shared with the cluster's thread.
 //!
-//! The event loop writes, the cluster's thread reads; neither ever waits for the other.
+//! The event loop writes and the cluster's thread reads; neither blocks the other.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,48 +8,48 @@
 
 use super::{now_ms, TrafficCounts};
 
-/// The event loop turns at least once a second, so one that has not for longer is stuck.
+/// Age of the last heartbeat above which the event loop counts as stuck. The loop turns at least once per second.
 const STUCK_MS: f64 = 2000.0;
-/// Figures before those of the bands: cores, answers, answers in time.
+/// Index of the first band's value, after cores, answers and answers in time.
 const FIRST_BAND: usize = 3;
 
-/// Shared between the event loop and the cluster's thread.
+/// Heartbeat of the event loop, shared with the cluster's thread.
 #[derive(Default)]
 pub struct DriverHeartbeat {
     at_ms: AtomicU64,
     ready: AtomicU64,
-    /// Bits of f64 figures: cores; answers, and those in time; work asked by bands.
-    figures: [AtomicU64; FIRST_BAND + PRIORITY_BANDS],
+    /// Bits of `f64` values: cores, answers, answers in time, and demand per band.
+    values: [AtomicU64; FIRST_BAND + PRIORITY_BANDS],
 }
 
 impl DriverHeartbeat {
-    /// The event loop turns.
+    /// Records that the event loop makes progress, and whether it is ready.
     pub fn record(&self, ready: bool) {
         self.at_ms.store(now_ms() as u64, Ordering::Relaxed);
         self.ready.store(u64::from(ready), Ordering::Relaxed);
     }
 
-    /// What the event loop has counted since its start.
+    /// Records the counts since the start of the event loop.
     pub fn record_counts(&self, cores: f64, counts: &TrafficCounts) {
-        let figures = [cores, counts.answered, counts.in_time].into_iter().chain(counts.demand_ms);
-        for (place, figure) in self.figures.iter().zip(figures) {
-            place.store(figure.to_bits(), Ordering::Relaxed);
+        let values = [cores, counts.answered, counts.in_time].into_iter().chain(counts.demand_ms);
+        for (slot, value) in self.values.iter().zip(values) {
+            slot.store(value.to_bits(), Ordering::Relaxed);
         }
     }
 
-    fn figure(&self, place: usize) -> f64 {
-        f64::from_bits(self.figures[place].load(Ordering::Relaxed))
+    fn value(&self, index: usize) -> f64 {
+        f64::from_bits(self.values[index].load(Ordering::Relaxed))
     }
 
     pub(super) fn cores(&self) -> f64 {
-        self.figure(0)
+        self.value(0)
     }
 
     pub(super) fn traffic_counts(&self) -> TrafficCounts {
         TrafficCounts {
-            demand_ms: std::array::from_fn(|band| self.figure(FIRST_BAND + band)),
-            answered: self.figure(1),
-            in_time: self.figure(2),
+            demand_ms: std::array::from_fn(|band| self.value(FIRST_BAND + band)),
+            answered: self.value(1),
+            in_time: self.value(2),
         }
     }
 
--- a/crates/plovershelf-server/src/cluster/failover.rs
+++ b/crates/plovershelf-server/src/cluster/failover.rs
@@ -1,12 +1,12 @@
-//! Failover on the cluster's thread: load reports to the leader, plans as the cluster commits them, answers to callers and
+//! Failover on the cluster's thread: load reports to the leader, committed traffic plans, and answers to callers and
 //! operators.
 //!
 //! | input | when |
 //! | --- | --- |
-//! | `handle_timeout` | a period is over, or the leader changed: reports where it follows, plans where it leads |
-//! | `handle_report` | a member's report came |
-//! | `handle_committed` | the cluster committed a plan |
-//! | `handle_request` | a caller or an operator asks |
+//! | `handle_timeout` | a period has passed or the leader changed: a follower reports its load, the leader plans |
+//! | `handle_report` | another member has sent a report |
+//! | `handle_committed` | the cluster has committed a plan |
+//! | `handle_request` | a caller or an operator has sent a request |
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,47 +21,48 @@
 
 use super::DriverHeartbeat;
 
-/// The key under which the plan is committed.
+/// Key under which the traffic plan is committed.
 pub(super) const PLAN_KEY: &str = "zones";
-/// A new leader hears from all first, for so long; they report at once when they know of it.
+/// Time for which a new leader waits for reports before it plans. Members report as soon as they learn of a new
+/// leader.
 const NEW_LEADER_WAIT_MS: f64 = 1000.0;
-/// A proposal that was not committed within this is given up.
+/// Time after which a proposal that is not committed counts as lost.
 const PROPOSAL_TIMEOUT_MS: f64 = 2000.0;
-/// Revisions that the status remembers.
+/// Plan revisions in the status history.
 const MAX_HISTORY: usize = 32;
-/// Counts are compared over so many periods.
+/// Number of periods over which counts are compared.
 const COUNTED_PERIODS: usize = 4;
-/// Fewer answers say nothing of how many are in time.
+/// Fewer answers than this don't give a meaningful fraction in time.
 const MIN_ANSWERS: f64 = 10.0;
-/// Callers whose reports wait for the next period, at most.
+/// Most caller reports that wait for the next period.
 const MAX_WAITING_CALLERS: usize = 4 * MAX_CALLER_REPORTS;
-/// The longest validity that a status tells, in milliseconds.
+/// Upper bound of the remaining validity in a status, in milliseconds.
 const MAX_REMAINING_MS: f64 = 1e9;
 
-/// This member's zone has no section in the operator's file.
+/// Error if the operator's file has no section for this member's zone.
 #[derive(Debug, Error)]
 #[error("zone = {zone:?} has no section [zone {zone}]")]
 pub(super) struct UnknownZoneError {
     zone: String,
 }
 
-/// Counts of the driver since its start.
+/// Traffic counts since the start of the event loop.
 #[derive(Clone, Copy, Default)]
 pub struct TrafficCounts {
-    /// Work asked by bands, in core-milliseconds.
+    /// Requested core time per priority band, in core-milliseconds.
     pub demand_ms: [f64; PRIORITY_BANDS],
-    /// Answers.
+    /// Number of answers.
     pub answered: f64,
-    /// Answers in time.
+    /// Number of answers in time.
     pub in_time: f64,
 }
 
-/// What a period asks for.
+/// Actions that are due after a period.
 #[derive(Default)]
-pub(super) struct Due {
-    /// A report, and the leader that it goes to.
+pub(super) struct DueActions {
+    /// Receiver and content of a load report: the leader gets it.
     pub(super) report: Option<(NodeId, Vec<u8>)>,
-    /// A plan to commit, under its version.
+    /// Version and content of a plan to propose.
     pub(super) proposal: Option<(u64, Vec<u8>)>,
 }
 
@@ -72,7 +73,7 @@
     proposed_ms: f64,
 }
 
-/// One member's part of failover.
+/// Failover state of this member.
 pub(super) struct FailoverDriver {
     own_zone: usize,
     own_zone_name: String,
@@ -89,7 +90,7 @@
 }
 
 impl FailoverDriver {
-    /// # Errors
+    /// Returns an error if the topology lacks this member's zone.
     /// The zone of this member is none of those.
     pub(super) fn new(zones: Zones, own_zone_name: &str, now_ms: f64) -> Result<Self, UnknownZoneError> {
         let own_zone = zones.topology.index_of(own_zone_name);
@@ -111,21 +112,22 @@
         })
     }
 
-    /// When `handle_timeout` is next due.
+    /// Returns the time at which `handle_timeout` is next due.
     pub(super) fn poll_timeout(&self) -> f64 {
         self.next_period_ms
     }
 
-    /// Once a period, and at once when the leader changed: this member's report to the leader, or where it leads the next plan.
+    /// Once per period, and at once after a change of leader, returns a load report to the leader, or the next plan
+    /// if this member leads.
     pub(super) fn handle_timeout(
         &mut self,
         now_ms: f64,
         heartbeat: &DriverHeartbeat,
         node: &ClusterNode,
-    ) -> Due {
+    ) -> DueActions {
         let leader = node.leader();
         if now_ms < self.next_period_ms && leader == self.reported_to {
-            return Due::default();
+            return DueActions::default();
         }
         self.reported_to = leader;
         self.next_period_ms = now_ms + self.planner.config().period_ms;
@@ -136,15 +138,15 @@
             self.leads_since_ms = None;
             let report = MemberReport { zone: self.own_zone_name.clone(), load, callers };
             let report = leader.map(|leader| (leader, encode_payload(&report)));
-            return Due { report, proposal: None };
+            return DueActions { report, proposal: None };
         }
         self.reports.handle_report(now_ms, node.node().id.0, self.own_zone, load);
         self.handle_caller_reports(now_ms, callers);
         self.update_members(node);
-        Due { report: None, proposal: self.propose(now_ms, node) }
+        DueActions { report: None, proposal: self.propose(now_ms, node) }
     }
 
-    /// A member's report came. One that is malformed, or of an unknown zone, is left out.
+    /// Handles the report of another member. Reports that are malformed or name an unknown zone are ignored.
     pub(super) fn handle_report(&mut self, now_ms: f64, from: NodeId, bytes: &[u8]) {
         let Ok(MemberReport { zone, load, callers }) = decode::<MemberReport>(bytes) else { return };
         if let Some(zone) = self.planner.topology().index_of(&zone) {
@@ -153,7 +155,7 @@
         self.handle_caller_reports(now_ms, callers);
     }
 
-    /// The cluster committed a plan.
+    /// Handles a committed traffic plan.
     pub(super) fn handle_committed(&mut self, now_ms: f64, version: u64, bytes: &[u8]) {
         let Ok(plan) = decode::<TrafficPlan>(bytes) else { return };
         let is_changed = plan.revision != self.planner.committed().revision;
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Answers a caller or an operator. What changes something is taken only by the leader, on its own machine.
+    /// Answers a caller or an operator. Requests that change the plan are accepted only by the leader and from its
+    /// own machine.
     pub(super) fn handle_request(
         &mut self,
         now_ms: f64,
@@ -241,7 +244,7 @@
             remaining_ms: (self.follower.expires_ms() - now_ms).clamp(0.0, MAX_REMAINING_MS),
             leader: node.leader().and_then(|id| node.name_of(id)),
             forecast: is_leader.then(|| self.planner.forecast(now_ms, &self.reports, &[])),
-            history: self.history.iter().map(|(at_ms, what)| (now_ms - at_ms, what.clone())).collect(),
+            history: self.history.iter().map(|(at_ms, message)| (now_ms - at_ms, message.clone())).collect(),
         }
     }
 
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Members that drain are none of those that a plan counts on.
+    /// Updates the members on which a plan counts; draining members are excluded.
     fn update_members(&mut self, node: &ClusterNode) {
         let topology = self.planner.topology();
         let members = node.view().members.iter().filter(|(_, member)| !member.draining);
@@ -283,7 +286,8 @@
         self.reports.update_members(&zones);
     }
 
-    /// The next plan to commit. A new leader waits until it has heard from all, and for its last proposal.
+    /// Returns the next plan to propose. A new leader first waits for reports, and a pending proposal must be
+    /// committed or time out.
     fn propose(&mut self, now_ms: f64, node: &ClusterNode) -> Option<(u64, Vec<u8>)> {
         let leads_since_ms = *self.leads_since_ms.get_or_insert(now_ms);
         let is_pending = self.proposal.is_some_and(|Proposal { version, proposed_ms }| {
--- a/crates/plovershelf-server/src/cluster/replication.rs
+++ b/crates/plovershelf-server/src/cluster/replication.rs
@@ -1,4 +1,5 @@
-//! Replication's part of the cluster's thread: the state machine between the event loop's requests, the links and the clock.
+//! Replication on the cluster's thread: connects the [`Replicator`] to the event loop's requests, the links and the
+//! clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,91 +10,94 @@
     Event, IdempotencyKey, Member, Message, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
 };
 
-/// What the event loop wants for one of its open requests, by its number there.
+/// A command of the event loop for one of its open requests.
 pub enum ReplicationCommand {
-    /// It is to be launched, within so long; its outcome is retained for so long.
+    /// Reserves the key of a request that is to be launched.
     Reserve {
-        /// The request's number.
+        /// Id of the request in the event loop.
         id: u32,
-        /// What it is known by on all members.
+        /// Idempotency key of the request, the same on all members.
         key: IdempotencyKey,
-        /// It may be launched for so long from when this is handled.
+        /// Time within which the request may be launched, in milliseconds.
         within_ms: f64,
-        /// Its outcome is kept for so long.
+        /// Time for which the outcome is retained, in milliseconds.
         retention_ms: f64,
     },
-    /// Its run ended.
+    /// Replicates the outcome of a run that has ended.
     Complete {
-        /// The request's number.
+        /// Id of the request in the event loop.
         id: u32,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
     },
-    /// It was given up: released unless it was launched.
+    /// Releases the reservation of an abandoned request, unless the request was launched.
     Cancel {
-        /// The request's number.
+        /// Id of the request in the event loop.
         id: u32,
     },
-    /// It was to be launched and never was.
+    /// Releases the reservation of a request whose launch the agent never carried out.
     CancelLaunch {
-        /// The request's number.
+        /// Id of the request in the event loop.
         id: u32,
     },
 }
 
-/// What the event loop is told of its requests, by its number for each.
+/// A replication event of an open request, identified by its id in the event loop.
 pub enum ReplicationEvent {
-    /// It holds its key and is to be launched.
+    /// The reservation is stored, and the request is to be launched.
     Launch(u32),
-    /// Another attempt under its key has this outcome.
+    /// Another attempt with the same key has completed with this outcome.
     AlreadyCompleted(u32, Outcome),
-    /// All replicas have its outcome.
+    /// All replicas have stored the outcome.
     OutcomeReplicated(u32, Outcome),
-    /// What there is to answer with if the deadline comes before all replicas have it.
+    /// Enough replicas have stored this outcome to answer with it, if the deadline expires before the remaining ones
+    /// confirm.
     OutcomeProvisional(u32, Outcome),
-    /// It does not get its key in time, and did not run.
+    /// The key could not be reserved in time, and the request has not run.
     Rejected(u32),
-    /// This member may leave: its records are stored elsewhere, or its time for that is over.
+    /// The handoff is complete or its deadline has passed, so this member may leave.
     HandoffEnded,
 }
 
-/// How handing records off has ended.
+/// Result of handing records off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HandoffEnd {
     Complete,
-    /// The deadline came first; for so many records and requests it is not certain that others have them.
+    /// The deadline passed. It is not certain that other members have the remaining records and requests.
     DeadlinePassed {
         remaining: usize,
     },
 }
 
-/// A member as replication knows it: one start of its process, as what a process stored is gone with it though its folder may be kept.
-/// Without this a process that is back at once would count as one that confirmed what it no longer has.
+/// Returns the replica id of a member, which differs for each start of its process. Records are kept in memory, so
+/// they are lost with the process even if its folder remains. With the member's id alone, a process that restarts
+/// quickly would count as having confirmed records that it no longer has.
 fn replica_id(member: NodeId, boot_id: u64) -> NodeId {
     let hash = (member.0 ^ boot_id.rotate_left(29)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     NodeId(hash ^ hash >> 31)
 }
 
-/// Names the machine of a member: its host where the view has several, else its whole address.
-fn machine(seat: &ViewMember, hosts: &BTreeSet<std::net::IpAddr>) -> String {
+/// Returns an identifier of a member's machine: its host if the view has several hosts, else its full address.
+fn machine(view_member: &ViewMember, hosts: &BTreeSet<std::net::IpAddr>) -> String {
     if hosts.len() > 1 {
-        seat.address.ip().to_string()
+        view_member.address.ip().to_string()
     } else {
-        seat.address.to_string()
+        view_member.address.to_string()
     }
 }
 
-/// The state machine of replication, and which of the event loop's requests its own numbers mean.
+/// The replicator, with the mapping between its request ids and those of the event loop.
 pub(super) struct ReplicationDriver {
     local: NodeId,
-    /// Members of the view by their replica ids.
+    /// Member ids of the view, by replica id.
     members: BTreeMap<NodeId, NodeId>,
     replicator: Replicator,
-    /// The event loop's numbers by the state machine's, and the other way round.
+    /// Event loop ids by replicator id.
     open: BTreeMap<RequestId, u32>,
+    /// Replicator ids by event loop id.
     requests: BTreeMap<u32, RequestId>,
     events: Sender<ReplicationEvent>,
-    /// Until when this member hands its records off, once it leaves.
+    /// Deadline of the handoff, once this member leaves.
     handoff_deadline_ms: Option<f64>,
 }
 
@@ -120,7 +124,7 @@
         &self.replicator
     }
 
-    /// The member behind a replica id of the view.
+    /// Returns the member with a replica id, if the view has it.
     pub(super) fn member(&self, replica: NodeId) -> Option<NodeId> {
         self.members.get(&replica).copied()
     }
@@ -150,16 +154,20 @@
         }
     }
 
-    /// No key is placed on a member that leaves.
+    /// Applies a new view. Members that are leaving get weight 0, so that no key is placed on them.
     pub(super) fn update_view(&mut self, now_ms: f64, view: &View) {
-        let hosts: BTreeSet<_> = view.members.values().map(|seat| seat.address.ip()).collect();
-        let member = |(id, seat): (&NodeId, &ViewMember)| Member {
-            id: replica_id(*id, seat.boot_id),
-            zone: seat.zone.clone(),
-            machine: machine(seat, &hosts),
-            weight: if seat.draining { 0.0 } else { 1.0 },
+        let hosts: BTreeSet<_> = view.members.values().map(|view_member| view_member.address.ip()).collect();
+        let member = |(id, view_member): (&NodeId, &ViewMember)| Member {
+            id: replica_id(*id, view_member.boot_id),
+            zone: view_member.zone.clone(),
+            machine: machine(view_member, &hosts),
+            weight: if view_member.draining { 0.0 } else { 1.0 },
         };
-        self.members = view.members.iter().map(|(id, seat)| (replica_id(*id, seat.boot_id), *id)).collect();
+        self.members = view
+            .members
+            .iter()
+            .map(|(id, view_member)| (replica_id(*id, view_member.boot_id), *id))
+            .collect();
         let members = view.members.iter().map(member).collect();
         self.replicator.update_view(now_ms, ViewNumber(view.number), members);
     }
@@ -169,7 +177,8 @@
         self.replicator.update_suspected(now_ms, replicas.map(|(replica, _)| *replica).collect());
     }
 
-    /// A message that cannot be read, or is for another start of the process, is dropped.
+    /// Handles a message of another replica. Messages that can't be decoded or that address an earlier start of this
+    /// process are dropped.
     pub(super) fn handle_message(&mut self, now_ms: f64, from: NodeId, to: NodeId, bytes: &[u8]) {
         if to != self.local {
             return;
@@ -187,13 +196,13 @@
         self.replicator.poll_timeout().min(self.handoff_deadline_ms.unwrap_or(f64::INFINITY))
     }
 
-    /// This member leaves: its records are to be stored elsewhere by the deadline.
+    /// Starts handing records off to other members.
     pub(super) fn start_handoff(&mut self, now_ms: f64, deadline_ms: f64) {
         self.handoff_deadline_ms.get_or_insert(deadline_ms);
         self.replicator.start_handoff(now_ms);
     }
 
-    /// Once, when handing off is complete or its deadline has come.
+    /// Returns the result of the handoff once, when it is complete or its deadline has passed.
     pub(super) fn poll_handoff(&mut self, now_ms: f64) -> Option<HandoffEnd> {
         let deadline_ms = self.handoff_deadline_ms?;
         let complete = self.replicator.is_handoff_complete();
@@ -206,12 +215,13 @@
         Some(if complete { HandoffEnd::Complete } else { HandoffEnd::DeadlinePassed { remaining } })
     }
 
-    /// Tells the event loop its events, and returns what goes to other members: the local replica id, then receivers and bytes.
+    /// Passes events to the event loop. Returns the local replica id and the messages to other replicas, each as
+    /// receiver and bytes.
     pub(super) fn poll_actions(&mut self) -> (NodeId, Vec<(NodeId, Vec<u8>)>) {
         let actions = self.replicator.poll_actions();
         for event in actions.events {
             if let Some(event) = self.driver_event(event) {
-                // The channel is unbounded, and holds no more than the event loop has open.
+                // The channel is unbounded, and it holds at most as many events as the event loop has open requests.
                 let _ = self.events.try_send(event);
             }
         }
@@ -219,7 +229,7 @@
         (self.local, actions.messages.into_iter().map(encode).collect())
     }
 
-    /// An event with the event loop's number; the last one of a request forgets both numbers.
+    /// Converts an event to the event loop's ids. The last event of a request removes its ids.
     fn driver_event(&mut self, event: Event) -> Option<ReplicationEvent> {
         Some(match event {
             Event::Launch(request) => ReplicationEvent::Launch(*self.open.get(&request)?),
--- a/crates/plovershelf-server/src/cluster/replication/tests.rs
+++ b/crates/plovershelf-server/src/cluster/replication/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// A process is back under its member's name and has lost all that the one before it confirmed. To replication it must be another
-/// member, or its missing records would prove that nothing was launched.
+/// A process restarts under its member's name and has lost the records that its predecessor confirmed. It must be a
+/// new replica, or its missing records would count as proof that nothing was launched.
 #[test]
 fn restarted_member_is_another_replica() {
     let (events, _received) = async_channel::unbounded();
     let mut driver = ReplicationDriver::new(NodeId(1), 7, ReplicationConfig::default(), events);
     let view = |number: u64, boot_id: u64| {
-        let seat = |boot_id: u64| ViewMember {
+        let view_member = |boot_id: u64| ViewMember {
             name: "n".into(),
             zone: "z".into(),
             region: "r".into(),
@@ -15,7 +15,10 @@
             draining: false,
             boot_id,
         };
-        View { number, members: BTreeMap::from([(NodeId(1), seat(7)), (NodeId(2), seat(boot_id))]) }
+        View {
+            number,
+            members: BTreeMap::from([(NodeId(1), view_member(7)), (NodeId(2), view_member(boot_id))]),
+        }
     };
     driver.update_view(0.0, &view(1, 20));
     let before = replica_id(NodeId(2), 20);
--- a/crates/plovershelf-server/src/cluster/replication_status.rs
+++ b/crates/plovershelf-server/src/cluster/replication_status.rs
@@ -1,13 +1,13 @@
-//! What people may ask of replication at this member.
+//! Status of replication for operators' commands.
 
 use plovershelf_cluster::status::{Answer, KeyStatus, Question, RecordStatus, ReplicationStatus};
 use plovershelf_cluster::{ClusterNode, NodeId};
 use plovershelf_replication::{IdempotencyKey, Outcome};
 
-use super::in_hex;
+use super::format_node_id;
 use super::replication::ReplicationDriver;
 
-/// Answers a question about replicas, or refuses it where there are none.
+/// Answers a question about replicated records. Refuses it if replication is not configured.
 pub(super) fn answer(driver: Option<&ReplicationDriver>, node: &ClusterNode, question: Question) -> Answer {
     let Some(driver) = driver else {
         return Answer::Refused("there are no copies here: group.ini has no section [copies]".into());
@@ -22,17 +22,17 @@
 }
 
 fn member_name(node: &ClusterNode, id: NodeId) -> String {
-    node.name_of(id).unwrap_or_else(|| in_hex(id))
+    node.name_of(id).unwrap_or_else(|| format_node_id(id))
 }
 
 fn replica_name(driver: &ReplicationDriver, node: &ClusterNode, replica: NodeId) -> String {
-    driver.member(replica).map_or_else(|| in_hex(replica), |member| member_name(node, member))
+    driver.member(replica).map_or_else(|| format_node_id(replica), |member| member_name(node, member))
 }
 
 fn key_status(driver: &ReplicationDriver, node: &ClusterNode, key: IdempotencyKey) -> KeyStatus {
     let replicator = driver.replicator();
     let name = |replica: &NodeId| replica_name(driver, node, *replica);
-    let held = replicator.record(key).map(|record| RecordStatus {
+    let record_status = replicator.record(key).map(|record| RecordStatus {
         executor: name(&record.reservation.executor),
         replica_set: record.replica_set.iter().map(name).collect(),
         state: match &record.outcome {
@@ -49,7 +49,7 @@
         view: replicator.view().0,
         hash: format!("{:032x}", key.0),
         replica_set: replicator.replica_set(key).iter().map(name).collect(),
-        record: held,
+        record: record_status,
     }
 }
 
--- a/crates/plovershelf-server/src/cluster/storage.rs
+++ b/crates/plovershelf-server/src/cluster/storage.rs
@@ -1,4 +1,5 @@
-//! The node's storage: one file of records, appended to and brought to the disk before anything is sent of them.
+//! Storage of the node: one file of records, which are synced to disk before any message that depends on them is
+//! sent.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -13,51 +14,51 @@
 
 use crate::entropy::random_id;
 
-/// The file within the folder.
+/// Name of the file in the folder.
 const FILE_NAME: &str = "group.log";
-/// A file is rewritten when it has grown over this and over [`REWRITE_GROWTH`] times what it was then.
+/// Size above which a file is rewritten, if it also exceeds [`REWRITE_GROWTH`] times its size after the last rewrite.
 const REWRITE_BYTES: u64 = 256 << 10;
 const REWRITE_GROWTH: u64 = 4;
-/// A file that is longer is not this program's.
+/// Size above which a file can't have been written by this program.
 const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// Why the storage can't be used.
+/// Error of opening the storage.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StorageError {
-    /// The system says so.
+    /// An I/O operation failed.
     #[error("the group's folder {}: {source}", folder.display())]
     Io { folder: PathBuf, source: io::Error },
-    /// Another process has it.
+    /// Another process has locked the file.
     #[error("the group's folder {}: another process uses it", folder.display())]
     InUse { folder: PathBuf },
-    /// The file is none that this program wrote.
+    /// The file is longer than any that this program writes.
     #[error("{}: longer than any that this program writes", path.display())]
     TooLong { path: PathBuf },
-    /// The file is another's.
+    /// The file belongs to another node or cluster.
     #[error("{}: {source}", path.display())]
     Foreign { path: PathBuf, source: ForeignFile },
 }
 
-/// A node's file, open and locked.
+/// The node's file, open and locked.
 pub(super) struct Storage {
     path: PathBuf,
     file: File,
     length: u64,
-    /// How long it was when it was rewritten last.
+    /// Size of the file after the last rewrite, in bytes.
     rewritten_length: u64,
     header: FileHeader,
 }
 
-/// What a node starts with. Without a folder nothing is kept, and each start is a new node.
+/// State with which a node starts. Without a folder nothing is persisted, and each start is a new node.
 pub(super) struct Opened {
     pub(super) storage: Option<Storage>,
     pub(super) header: FileHeader,
     pub(super) persistent: Option<PersistentState<ClusterState>>,
 }
 
-/// What the folder holds, or a new node in it. A file that is corrupt is put aside.
+/// Restores the node from its folder, or creates a new one. A corrupt file is copied aside first.
 ///
-/// Errors: the folder can't be used, or the file is another's.
+/// Returns an error if the folder can't be used or the file belongs to another node.
 pub(super) fn open(setup: &Setup, name: &str, created_at_ms: u64) -> Result<Opened, StorageError> {
     let header = FileHeader {
         magic: storage::MAGIC,
@@ -75,11 +76,11 @@
     if !bytes.is_empty() {
         match storage::read_file(&bytes, &setup.name, name) {
             ReadOutcome::Restored { header, persistent, valid_bytes } => {
-                storage.keep_valid(valid_bytes, bytes.len()).map_err(failed)?;
+                storage.truncate_to_valid(valid_bytes, bytes.len()).map_err(failed)?;
                 storage.header = header.clone();
                 return Ok(Opened { storage: Some(storage), header, persistent: Some(*persistent) });
             }
-            ReadOutcome::Corrupt(why) => storage.put_aside(created_at_ms, &why).map_err(failed)?,
+            ReadOutcome::Corrupt(reason) => storage.copy_aside(created_at_ms, &reason).map_err(failed)?,
             ReadOutcome::Foreign(source) => return Err(StorageError::Foreign { path: storage.path, source }),
         }
     }
@@ -88,7 +89,7 @@
 }
 
 impl Storage {
-    /// Opens the file for this process alone, and reads it.
+    /// Opens and locks the file, and reads its content.
     fn lock(folder: &Path, header: FileHeader) -> Result<(Self, Vec<u8>), StorageError> {
         let failed = |source: io::Error| StorageError::Io { folder: folder.to_path_buf(), source };
         let path = folder.join(FILE_NAME);
@@ -106,35 +107,35 @@
         Ok((Storage { path, file, length: 0, rewritten_length: 0, header }, bytes))
     }
 
-    /// Drops a last record that was not written whole.
-    fn keep_valid(&mut self, valid_bytes: usize, all_bytes: usize) -> io::Result<()> {
+    /// Truncates the file to its valid records, dropping an incomplete last one.
+    fn truncate_to_valid(&mut self, valid_bytes: usize, all_bytes: usize) -> io::Result<()> {
         (self.length, self.rewritten_length) = (valid_bytes as u64, valid_bytes as u64);
         if valid_bytes < all_bytes {
             tracing::warn!(
                 event = "storage_truncated",
                 bytes = all_bytes - valid_bytes,
-                "{}: its last record was not whole and is left out",
+                "{}: dropped an incomplete last record",
                 self.path.display()
             );
         }
         self.file.set_len(valid_bytes as u64)
     }
 
-    fn put_aside(&self, created_at_ms: u64, why: &storage::Corruption) -> io::Result<()> {
-        let aside = self.path.with_extension(format!("spoilt-{created_at_ms}"));
-        fs::copy(&self.path, &aside)?;
+    fn copy_aside(&self, created_at_ms: u64, reason: &storage::Corruption) -> io::Result<()> {
+        let copy_path = self.path.with_extension(format!("spoilt-{created_at_ms}"));
+        fs::copy(&self.path, &copy_path)?;
         tracing::error!(
             event = "storage_corrupt",
-            "{}: {why}; kept aside as {}, this member begins anew",
+            "{}: {reason}; copied to {}, this member starts as a new node",
             self.path.display(),
-            aside.display()
+            copy_path.display()
         );
         Ok(())
     }
 
-    /// Appends records, which are on the disk when this returns. What could not be written whole is taken back.
+    /// Appends records and syncs them to disk. A partial write is truncated.
     ///
-    /// Errors: the system says so; nothing was kept.
+    /// Returns the I/O error; no record was appended then.
     pub(super) fn append(
         &mut self,
         records: &[Record<ClusterState>],
@@ -144,7 +145,7 @@
             return self.rewrite(persistent);
         }
         let bytes: Vec<u8> = records.iter().flat_map(storage::encode_record).collect();
-        check_test_full()?;
+        simulate_full_disk()?;
         let written = self.file.write_all_at(&bytes, self.length).and_then(|()| self.file.sync_data());
         match written {
             Ok(()) => self.length += bytes.len() as u64,
@@ -153,18 +154,19 @@
         written
     }
 
-    /// Writes a whole file beside the old one, which it then replaces.
+    /// Writes a new file and replaces the old one with it.
     ///
-    /// Errors: the system says so; the old file is still there.
+    /// Returns the I/O error; the old file remains in place then.
     pub(super) fn rewrite(&mut self, persistent: &PersistentState<ClusterState>) -> io::Result<()> {
-        check_test_full()?;
+        simulate_full_disk()?;
         let bytes = storage::encode_file(&self.header, persistent);
-        let beside = self.path.with_extension("new");
-        let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&beside)?;
+        let new_path = self.path.with_extension("new");
+        let mut file =
+            OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&new_path)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
-        fs::rename(&beside, &self.path)?;
+        fs::rename(&new_path, &self.path)?;
         if let Some(folder) = self.path.parent() {
             File::open(folder)?.sync_all()?;
         }
@@ -174,8 +176,8 @@
     }
 }
 
-/// A test says by a file that the disk is full.
-fn check_test_full() -> io::Result<()> {
+/// Simulates a full disk while the file that `PLOVERSHELF_TEST_FOLDER_FULL` names exists.
+fn simulate_full_disk() -> io::Result<()> {
     let full = std::env::var_os("PLOVERSHELF_TEST_FOLDER_FULL").is_some_and(|path| Path::new(&path).exists());
     if full {
         return Err(io::ErrorKind::StorageFull.into());
--- a/crates/plovershelf-server/src/config_distribution.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -1,18 +1,19 @@
-//! Configuration distribution on real sockets: connections, timers and queues around [`plovershelf_config_distribution`].
+//! Configuration distribution over sockets: links, timers and queues for [`plovershelf_config_distribution`].
 //!
-//! A listener's driver runs on a thread of its own, beside the backend's driver; an origin's beside the cluster's thread, so that a
-//! whole fleet that asks at once keeps the consensus group from nothing. Trials put many on one executor.
+//! The driver of a listener runs on a thread of its own beside the backend's driver. The driver of an origin runs
+//! beside the cluster's thread, so that simultaneous requests of a whole fleet don't delay the consensus group.
+//! Trials run many drivers on one executor.
 //!
-//! The ordinary path of a change: the cluster's thread passes what was committed to an origin's driver, which sends it
-//! to its relays; they send it to their leaves; each listener's driver publishes what is in force to its subscriber.
+//! The cluster's thread passes a committed change to the origin's driver, which sends it to its relays. The relays
+//! send it to their leaves, and each listener's driver publishes the configuration in force to its subscriber.
 //!
-//! | module | its job |
+//! | module | job |
 //! | --- | --- |
-//! | [`admin`] | what people ask of a process, and what it answers |
-//! | `driver` | carries out what the node decides |
-//! | `origin` | proposals on their way to the consensus group, and what it committed |
-//! | `storage` | the table of an origin, kept in a folder |
-//! | `subscriber` | who receives what is in force |
+//! | [`admin`] | requests of operators' commands and their answers |
+//! | `driver` | drives the distribution node |
+//! | `origin` | proposals to the consensus group, and committed changes |
+//! | `storage` | file with the table of an origin |
+//! | `subscriber` | receivers of the configuration in force |
 
 pub mod admin;
 mod driver;
@@ -36,21 +37,21 @@
 use origin::Propose;
 use storage::{StorageError, TableFile};
 
-/// Inputs that wait for a driver; more are dropped, as a network drops.
+/// Capacity of a driver's input queue; further inputs are dropped, as on a network.
 const MAX_QUEUED_INPUTS: usize = 1024;
 
-/// Where a process of configuration distribution runs and whom it hears from.
+/// Address, location and peers of a process that takes part in configuration distribution.
 #[derive(Clone, Debug)]
 pub struct DistributionSetup {
-    /// The cluster's name; connections of others are closed.
+    /// Name of the cluster; links of other clusters are closed.
     pub cluster: String,
-    /// Where it is reached.
+    /// Address on which the process listens.
     pub listen: SocketAddr,
-    /// The zone it runs in.
+    /// Zone of the process.
     pub zone: String,
-    /// The region of the zone.
+    /// Region of the zone.
     pub region: String,
-    /// Where origins are reached; an origin has the others here.
+    /// Addresses of the origins; for an origin, of the other origins.
     pub origins: Vec<SocketAddr>,
     /// Intervals, timeouts and fan-outs.
     pub config: DistributionConfig,
@@ -63,59 +64,59 @@
     }
 }
 
-/// Why a driver does not start, in one line.
+/// Error of starting a driver.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The address can't be listened on.
     #[error("the listener of changes on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The listener can't be waited on.
+    /// The listener can't be registered with the reactor.
     #[error("{address}: {source}")]
     Poll {
-        /// Its address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// There is no thread to run it on.
+    /// The driver's thread can't be started.
     #[error("the thread of changes: {0}")]
     Thread(#[source] std::io::Error),
-    /// What an earlier start stored can't be used.
+    /// The stored table can't be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The operator's list of tenants can't be used.
+    /// The operator's initial table can't be used.
     #[error(transparent)]
     InitialTable(#[from] file::InitialTableError),
 }
 
-/// All that can happen to a driver from outside.
+/// An input of a driver.
 pub enum Input {
-    /// Something came over a connection.
+    /// An event of an incoming link.
     Received(LinkEvent),
-    /// A connection ended, or could not be made.
+    /// An outgoing link broke or could not be opened.
     ConnectionLost(SocketAddr),
-    /// The consensus group's state, from the cluster's thread to an origin.
+    /// State of the consensus group, from the cluster's thread to an origin.
     Consensus(ConsensusState),
-    /// The process is about to end: others are notified, and the driver ends.
+    /// The process is about to exit: the driver notifies its peers and ends.
     Shutdown,
 }
 
 impl From<LinkEvent> for Input {
-    fn from(heard: LinkEvent) -> Self {
-        Input::Received(heard)
+    fn from(event: LinkEvent) -> Self {
+        Input::Received(event)
     }
 }
 
-/// Starts a listener's driver on a thread of its own.
+/// Starts the driver of a listener on a thread of its own. Returns the sender of its inputs.
 ///
 /// # Errors
 ///
-/// Its address can't be listened on, or no thread can be had.
+/// Returns an error if the address can't be listened on or the thread can't be started.
 pub fn start_listener(
     setup: DistributionSetup,
     name: String,
@@ -125,12 +126,12 @@
     run_on_thread(Startup::listener(setup, name, subscriber), listener)
 }
 
-/// Starts a listener's driver on an executor that others are on too. It ends, with its socket and connections, when the
-/// task is dropped.
+/// Starts the driver of a listener on an executor that other drivers may share. Dropping the task ends the driver,
+/// its socket and its links.
 ///
 /// # Errors
 ///
-/// Its address can't be listened on.
+/// Returns an error if the address can't be listened on.
 pub fn spawn_listener(
     executor: &'static LocalExecutor<'static>,
     setup: DistributionSetup,
@@ -141,12 +142,12 @@
     Ok(executor.spawn(driver::run(executor, Startup::listener(setup, name, subscriber), listener)?))
 }
 
-/// Starts an origin's driver on a thread of its own. It is sent the consensus group's state whenever that changes, and
-/// proposes changes with `propose`.
+/// Starts the driver of an origin on a thread of its own. The caller sends it each new state of the consensus group,
+/// and it proposes changes with `propose`.
 ///
 /// # Errors
 ///
-/// Its address can't be listened on, what its files hold can't be used, or no thread can be had.
+/// Returns an error if the address can't be listened on, a file can't be used or the thread can't be started.
 pub(crate) fn start_origin(
     cluster: &plovershelf_config::group::Group,
     file: &file::Origin,
@@ -174,7 +175,7 @@
     run_on_thread(startup, listener)
 }
 
-/// What a driver starts with.
+/// Startup parameters of a driver.
 struct Startup {
     setup: DistributionSetup,
     name: String,
@@ -184,7 +185,7 @@
     inputs: (Sender<Input>, Receiver<Input>),
 }
 
-/// What an origin has besides: its way to the consensus group, and where its table is stored.
+/// Additional startup parameters of an origin: how it proposes changes and where its table is stored.
 struct OriginStartup {
     propose: Propose,
     file: Option<TableFile>,
@@ -208,7 +209,7 @@
         let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
         match driver::run(executor, startup, listener) {
             Ok(driver) => async_io::block_on(executor.run(driver)),
-            Err(error) => tracing::error!("changes are not carried: {error}"),
+            Err(error) => tracing::error!("configuration distribution does not start: {error}"),
         }
     };
     let thread = std::thread::Builder::new().name("changes".into()).spawn(run);
--- a/crates/plovershelf-server/src/config_distribution/admin.rs
+++ b/crates/plovershelf-server/src/config_distribution/admin.rs
@@ -1,58 +1,60 @@
-//! What people ask of a process that distributes configuration, and what it answers. Encoded by position.
+//! Requests of operators' commands to a process of configuration distribution, and their answers. Both are encoded by
+//! position.
 
 use plovershelf_config_distribution::{Change, Edit, NodeStatus};
 use serde::{Deserialize, Serialize};
 
-/// The part of the product that a question is for, and the key under which the consensus group commits changes.
+/// Identifies questions to configuration distribution, and is the key under which the consensus group commits
+/// changes.
 pub const KEY: &str = "config";
 
-/// A question of an operator's command.
+/// A request of an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AdminRequest {
-    /// What is in force, and where.
+    /// Requests the status of the process.
     Status,
-    /// The last changes.
+    /// Requests the most recent changes.
     History,
-    /// A change of quotas, to an origin.
+    /// Proposes a change of quotas to an origin.
     Propose {
-        /// At least one, each for another tenant.
+        /// Edits of the change: at least one, and at most one per tenant.
         edits: Vec<Edit>,
-        /// The number that the change is to follow on, where that matters.
+        /// Number of the change that this one must directly follow, if given.
         after: Option<u64>,
     },
 }
 
-/// The answer.
+/// The answer to an [`AdminRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AdminResponse {
-    /// To [`AdminRequest::Status`].
+    /// Answer to [`AdminRequest::Status`].
     Status(Box<StatusReport>),
-    /// To [`AdminRequest::History`], oldest first.
+    /// Answer to [`AdminRequest::History`], oldest change first.
     History(Vec<Change>),
-    /// The change is committed; one line that says so.
+    /// The change is committed; one line of text.
     Committed(String),
-    /// Why not, in one line.
+    /// The request is rejected; the reason in one line.
     Rejected(String),
 }
 
-/// What is in force in one process.
+/// Status of one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Of its node.
+    /// Status of the distribution node.
     pub node: NodeStatus,
-    /// Whether it is an origin.
+    /// True if the process is an origin.
     pub is_origin: bool,
-    /// Of an origin.
+    /// State of the consensus group, if the process is an origin.
     pub consensus: Option<ConsensusReport>,
 }
 
-/// What an origin heard last of its consensus group.
+/// State of the consensus group as an origin last received it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusReport {
-    /// The newest number that was committed.
+    /// Newest committed number.
     pub number: u64,
-    /// Its name, where one is known.
+    /// Name of the leader, if one is known.
     pub leader: Option<String>,
-    /// Whether a majority is heard of, so that changes can be committed now.
+    /// True if the leader is in contact with a majority, so that changes can be committed now.
     pub has_quorum: bool,
 }
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what the node decides: connections, the clock, answers to people, updates to the subscriber.
+//! Drives the distribution node: links, clock, answers to operators and updates to the subscriber.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -23,28 +23,28 @@
 use crate::links::{self, now_ms, LinkEvent, LinkLimits, OutgoingLinks};
 use crate::log_limit::{LogLimit, MAX_LINES_PER_S};
 
-/// Lost connections that wait to be passed to the node.
-const MAX_QUEUED_LOSSES: usize = 256;
-/// Inputs that are handled before time is looked at again.
-const INPUTS_A_TURN: usize = 64;
-/// The longest sleep, whatever the node asks for.
+/// Capacity of the queue of lost links to the node.
+const MAX_QUEUED_LOST_LINKS: usize = 256;
+/// Inputs handled before the timeouts are checked again.
+const MAX_INPUTS_PER_TURN: usize = 64;
+/// Longest wait of the driver.
 const MAX_SLEEP_MS: f64 = 1000.0;
-/// An update that the subscriber did not take is offered again after this.
+/// Pause before an update that the subscriber's queue rejected is offered again.
 const PUBLISH_RETRY_MS: f64 = 50.0;
-/// Listeners that may ask an origin at once, as when a release starts all of them anew.
+/// Listeners that may contact an origin at the same time, as when a release restarts all of them.
 const MAX_SIMULTANEOUS_REQUESTS: usize = 1024;
-/// Connections beside those to parent and children: backups, alternates, people.
+/// Links in addition to those with parent and children: backup parents, alternates and operators' commands.
 const SPARE_CONNECTIONS: usize = 32;
-/// A connection that carries nothing for longer than a few heartbeats is not needed.
+/// Idle time after which a link is closed; a link in use carries a heartbeat more often than this.
 const IDLE_CONNECTION_MS: u64 = 4000;
-/// For how long the last messages may take to be written.
+/// Time for writing the last messages before the driver ends.
 const SHUTDOWN_FLUSH_MS: u64 = 200;
 
-/// A driver's whole life, with its socket.
+/// Returns a future that runs a driver until it is shut down.
 ///
 /// # Errors
 ///
-/// The socket can't be waited on.
+/// Returns an error if the socket can't be registered with the reactor.
 pub(super) fn run(
     executor: &'static LocalExecutor<'static>,
     startup: Startup,
@@ -54,10 +54,10 @@
     let address = setup.listen;
     let listener = Async::new(listener).map_err(|source| StartError::Poll { address, source })?;
     let role = if origin.is_some() { Role::Origin } else { Role::Listener };
-    let bounds = connection_bounds(role, &setup.config);
-    let (lost, losses) = async_channel::bounded(MAX_QUEUED_LOSSES);
-    let links = OutgoingLinks::new(executor, &setup.cluster, BTreeMap::new(), bounds, Some(lost));
-    let accepting = links::accept_links(executor, listener, Rc::from(setup.cluster.as_str()), sender, bounds);
+    let limits = link_limits(role, &setup.config);
+    let (lost_link_sender, lost_links) = async_channel::bounded(MAX_QUEUED_LOST_LINKS);
+    let links = OutgoingLinks::new(executor, &setup.cluster, BTreeMap::new(), limits, Some(lost_link_sender));
+    let accepting = links::accept_links(executor, listener, Rc::from(setup.cluster.as_str()), sender, limits);
     let node = NodeInfo {
         name: name.clone(),
         zone: setup.zone,
@@ -73,22 +73,26 @@
         origin: origin.map(|origin| Origin::new(origin.propose, origin.file)),
         warnings: LogLimit::new(MAX_LINES_PER_S),
     };
-    // Those that read connections end when nobody takes from the queue any more.
+    // The tasks that read links end once the receiver of the queue is dropped.
     let accepting = executor.spawn(accepting);
     Ok(async move {
-        driver.run(inputs, losses).await;
+        driver.run(inputs, lost_links).await;
         drop(accepting);
     })
 }
 
-/// Connections in and out, by how many hear from one and how many may ask it.
-fn connection_bounds(role: Role, config: &DistributionConfig) -> LinkLimits {
+/// Returns bounds on the links in each direction, from the fan-out and the number of simultaneous requests.
+fn link_limits(role: Role, config: &DistributionConfig) -> LinkLimits {
     let tree = 2 * config.fan_out.max(config.origin_fan_out) + SPARE_CONNECTIONS;
-    let each_way = match role {
+    let per_direction = match role {
         Role::Origin => tree + MAX_SIMULTANEOUS_REQUESTS,
         Role::Listener => 2 * tree,
     };
-    LinkLimits { max_outgoing: each_way, max_incoming: each_way, idle_timeout_ms: IDLE_CONNECTION_MS }
+    LinkLimits {
+        max_outgoing: per_direction,
+        max_incoming: per_direction,
+        idle_timeout_ms: IDLE_CONNECTION_MS,
+    }
 }
 
 struct Driver {
@@ -100,34 +104,34 @@
 }
 
 impl Driver {
-    async fn run(mut self, inputs: Receiver<Input>, losses: Receiver<SocketAddr>) {
+    async fn run(mut self, inputs: Receiver<Input>, lost_links: Receiver<SocketAddr>) {
         let node = self.node.info();
         tracing::info!(
             event = "config_distribution_started",
             listen = %node.address,
             zone = %node.zone,
-            "changes are carried here"
+            "configuration distribution started"
         );
         loop {
             let wait_ms = (self.poll_timeout() - now_ms()).clamp(0.0, MAX_SLEEP_MS);
             let received = async { inputs.recv().await.ok() };
-            let lost = async { losses.recv().await.ok().map(Input::ConnectionLost) };
+            let lost_link = async { lost_links.recv().await.ok().map(Input::ConnectionLost) };
             let timeout = async {
                 Timer::after(Duration::from_secs_f64(wait_ms / 1000.0)).await;
                 None
             };
-            let first = future::or(received, future::or(lost, timeout)).await;
+            let first = future::or(received, future::or(lost_link, timeout)).await;
             self.handle_timeout();
-            let more = std::iter::from_fn(|| inputs.try_recv().ok()).take(INPUTS_A_TURN);
+            let more = std::iter::from_fn(|| inputs.try_recv().ok()).take(MAX_INPUTS_PER_TURN);
             for input in first.into_iter().chain(more) {
                 if matches!(input, Input::Shutdown) {
                     self.node.close();
-                    self.carry_out();
+                    self.apply_actions();
                     Timer::after(Duration::from_millis(SHUTDOWN_FLUSH_MS)).await;
                     return;
                 }
                 self.handle_input(input);
-                self.carry_out();
+                self.apply_actions();
             }
         }
     }
@@ -146,7 +150,7 @@
             origin.handle_timeout(now_ms);
         }
         self.publisher.flush();
-        self.carry_out();
+        self.apply_actions();
     }
 
     fn handle_input(&mut self, input: Input) {
@@ -160,7 +164,7 @@
                 Wire::Question(question) => self.handle_question(question, is_local, answer),
                 Wire::Envelope(_) | Wire::Answer(_) | Wire::Subsystem { .. } => {}
             },
-            Input::Received(LinkEvent::PeerError(what)) => self.warn(&what),
+            Input::Received(LinkEvent::PeerError(message)) => self.warn(&message),
             Input::Shutdown => {}
             Input::ConnectionLost(address) => self.node.handle_connection_lost(now_ms, address),
             Input::Consensus(state) => {
@@ -186,13 +190,13 @@
             Ok(AdminRequest::Propose { edits, after }) => {
                 self.propose(edits, after, is_local, Box::new(respond));
             }
-            Err(why) => respond(AdminResponse::Rejected(why)),
+            Err(reason) => respond(AdminResponse::Rejected(reason)),
         }
     }
 
-    /// A change that somebody proposes, which an origin takes from its own machine alone.
+    /// Proposes a change of an operator's command. Only an origin accepts it, and only from its own machine.
     fn propose(&mut self, edits: Vec<Edit>, after: Option<u64>, is_local: bool, respond: Respond) {
-        let reject = |why: &str| AdminResponse::Rejected(why.into());
+        let reject = |reason: &str| AdminResponse::Rejected(reason.into());
         let Some(origin) = self.origin.as_mut() else {
             return respond(reject("this is a listener: changes are proposed to a source"));
         };
@@ -206,7 +210,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_actions(&mut self) {
         let actions = self.node.poll_actions();
         let address = self.node.info().address;
         for (to, message) in actions.messages {
@@ -215,14 +219,14 @@
         }
         for event in actions.events {
             match event {
-                Event::DeltaApplied { version, edits } => self.on_delta_applied(version, &edits),
-                Event::SnapshotApplied { version } => self.on_snapshot_applied(version),
+                Event::DeltaApplied { version, edits } => self.handle_delta_applied(version, &edits),
+                Event::SnapshotApplied { version } => self.handle_snapshot_applied(version),
                 Event::Warning(warning) => self.warn(&warning.to_string()),
             }
         }
     }
 
-    fn on_delta_applied(&mut self, version: Version, edits: &[Edit]) {
+    fn handle_delta_applied(&mut self, version: Version, edits: &[Edit]) {
         tracing::info!(
             event = "config_applied",
             number = version.number,
@@ -233,13 +237,13 @@
         self.store();
     }
 
-    fn on_snapshot_applied(&mut self, version: Version) {
+    fn handle_snapshot_applied(&mut self, version: Version) {
         let tenants = self.node.table().len();
         tracing::info!(
             event = "config_applied",
             number = version.number,
             tenants,
-            "all as of change {version}"
+            "snapshot of change {version}"
         );
         self.publisher.publish_snapshot(now_ms(), version, self.node.table());
         self.store();
@@ -251,14 +255,14 @@
         }
     }
 
-    fn warn(&mut self, what: &str) {
+    fn warn(&mut self, message: &str) {
         if self.warnings.admit(now_ms()).is_admitted {
-            tracing::warn!(event = "config_distribution_warning", "{what}");
+            tracing::warn!(event = "config_distribution_warning", "{message}");
         }
     }
 }
 
-/// What is asked of this part of the product; else what is wrong with the question, in one line.
+/// Decodes a question to configuration distribution, or returns the reason for which it is rejected.
 fn admin_request(question: Question) -> Result<AdminRequest, String> {
     let Question::Part { part, bytes } = question else {
         return Err("changes are carried here, and nothing else is asked of this address".into());
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -1,12 +1,12 @@
-//! An origin's side: proposals on their way to the consensus group, what it committed, and the table stored in a folder.
+//! State of an origin: proposals to the consensus group, committed changes and the stored table.
 //!
-//! | state of a proposal | event | next |
+//! | state of a proposal | event | next state |
 //! | --- | --- | --- |
-//! | proposed | the retry interval is over | proposed, to the group once more; a number is committed once |
-//! | proposed | its number is committed with its bytes | answered: committed |
-//! | proposed | its number is committed with other bytes | answered: rejected, with what took the number |
-//! | proposed | a later number is committed | answered: rejected, as its own number's change is not known here |
-//! | proposed | the deadline is over | answered: rejected, with what keeps the group from committing |
+//! | proposed | the retry interval passes | proposed again to the group, which commits each number only once |
+//! | proposed | its number is committed with its content | answered: committed |
+//! | proposed | its number is committed with other content | answered: rejected, with the change that has the number |
+//! | proposed | a later number is committed | answered: rejected, because the change of its own number is unknown here |
+//! | proposed | the deadline passes | answered: rejected, with the reason for which the group can't commit |
 
 use plovershelf_cluster::wire::{decode, encode_payload, FrameError};
 use plovershelf_config_distribution::{Change, Edit, QuotaTable, Version};
@@ -14,39 +14,40 @@
 use super::admin::{AdminResponse, ConsensusReport};
 use super::storage::TableFile;
 
-/// A proposal is answered within this, whatever came of it: sooner than the link (`links`) and the command give up waiting.
+/// Time within which a proposal is answered: less than the timeouts of the link (`links`) and of the command.
 const PROPOSAL_TIMEOUT_MS: f64 = 4000.0;
-/// Its way to the leader may be lost, so it is sent again.
+/// Interval at which a proposal is repeated, as it may be lost on its way to the leader.
 const PROPOSAL_RETRY_MS: f64 = 700.0;
-/// Proposals that wait for the consensus group at once; more are refused.
+/// Most pending proposals; further ones are rejected.
 const MAX_PROPOSALS: usize = 16;
 
-/// What the consensus group committed last, as the cluster's thread reports it.
+/// State of the consensus group with its newest commit, as the cluster's thread reports it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusState {
-    /// The epoch of the consensus group, which grows when the group is founded anew.
+    /// Epoch of the consensus group; each recovery of the group increments it.
     pub epoch: u64,
-    /// The newest number; 0 while nothing was committed.
+    /// Newest committed number, or 0 before the first commit.
     pub number: u64,
-    /// The encoded change of that number.
+    /// Encoded change of that number.
     pub entry: Vec<u8>,
-    /// The name of its leader, where one is known.
+    /// Name of the leader, if one is known.
     pub leader: Option<String>,
-    /// Whether a majority is heard of.
+    /// True if the leader is in contact with a majority.
     pub has_quorum: bool,
 }
 
-/// What the group committed is no change, as after an entry of another version of the program.
+/// Error of decoding a committed change, for instance one that another version of the program encoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("the council's word {number} can't be read: {source}")]
-pub(super) struct UnreadableEntry {
+#[error("committed change {number} can't be decoded: {source}")]
+pub(super) struct UndecodableEntry {
     number: u64,
     source: FrameError,
 }
 
-/// Proposes an encoded change for a number to the consensus group. Nothing comes back but the group's state.
+/// Proposes an encoded change under a number to the consensus group. The result shows only in the group's reported
+/// state.
 pub(crate) type Propose = Box<dyn Fn(u64, Vec<u8>) + Send>;
-/// Answers the one who asked.
+/// Sends the answer to an operator's command.
 pub(super) type Respond = Box<dyn FnOnce(AdminResponse)>;
 
 struct Proposal {
@@ -57,11 +58,11 @@
     respond: Respond,
 }
 
-/// What is committed, and what is proposed.
+/// Committed state and pending proposals of an origin.
 pub(super) struct Origin {
     propose: Propose,
     consensus: ConsensusState,
-    /// The version of what was committed last.
+    /// Version of the newest committed change.
     newest: Version,
     proposals: Vec<Proposal>,
     file: Option<TableFile>,
@@ -82,25 +83,26 @@
         ConsensusReport { number: *number, leader: leader.clone(), has_quorum: *has_quorum }
     }
 
-    /// When [`Origin::handle_timeout`] is to be called next.
+    /// Returns the time at which [`Origin::handle_timeout`] is next due.
     pub(super) fn poll_timeout(&self) -> f64 {
         let next_ms = |proposal: &Proposal| proposal.deadline_ms.min(proposal.retry_at_ms);
         self.proposals.iter().map(next_ms).fold(f64::INFINITY, f64::min)
     }
 
-    /// Proposes `change` for the group's next number. It is answered when that number is committed, or at the deadline.
+    /// Proposes `change` under the group's next number. It is answered when that number is committed or the deadline
+    /// passes.
     pub(super) fn propose(&mut self, now_ms: f64, change: &Change, respond: Respond) {
         let (number, entry) = (self.consensus.number + 1, encode_payload(change));
-        if let Some(why) = self.refusal(change, entry.len()) {
-            return respond(AdminResponse::Rejected(why));
+        if let Some(reason) = self.rejection_reason(change, entry.len()) {
+            return respond(AdminResponse::Rejected(reason));
         }
         let (deadline_ms, retry_at_ms) = (now_ms + PROPOSAL_TIMEOUT_MS, now_ms);
         self.proposals.push(Proposal { number, entry, deadline_ms, retry_at_ms, respond });
         self.handle_timeout(now_ms);
     }
 
-    /// Why a change is not proposed at all.
-    fn refusal(&self, change: &Change, length: usize) -> Option<String> {
+    /// Returns the reason for which a change is rejected without being proposed.
+    fn rejection_reason(&self, change: &Change, length: usize) -> Option<String> {
         if self.proposals.len() >= MAX_PROPOSALS {
             return Some(format!(
                 "{MAX_PROPOSALS} changes are being agreed on here already; try again in a moment"
@@ -116,7 +118,7 @@
         (length > max).then(|| format!("a change of {length} bytes: {max} at most"))
     }
 
-    /// Sends again what is not committed yet, and answers what is late.
+    /// Repeats pending proposals that are due, and rejects those whose deadline has passed.
     pub(super) fn handle_timeout(&mut self, now_ms: f64) {
         for proposal in &mut self.proposals {
             if proposal.retry_at_ms <= now_ms && now_ms < proposal.deadline_ms {
@@ -124,23 +126,24 @@
                 (self.propose)(proposal.number, proposal.entry.clone());
             }
         }
-        for late in self.proposals.extract_if(.., |proposal| proposal.deadline_ms <= now_ms) {
-            let why = not_committed(&self.consensus, late.number);
-            (late.respond)(AdminResponse::Rejected(why));
+        for expired in self.proposals.extract_if(.., |proposal| proposal.deadline_ms <= now_ms) {
+            let reason = not_committed(&self.consensus, expired.number);
+            (expired.respond)(AdminResponse::Rejected(reason));
         }
     }
 
-    /// The group's state; what it committed that was not known here yet.
+    /// Handles a new state of the group, and answers proposals whose number is committed. Returns the newly committed
+    /// change, if there is one.
     ///
     /// # Errors
     ///
-    /// What it committed can't be read.
+    /// Returns an error if the committed change can't be decoded.
     pub(super) fn handle_consensus(
         &mut self,
         state: ConsensusState,
-    ) -> Option<Result<Change, UnreadableEntry>> {
-        let known = (self.consensus.epoch, self.consensus.number);
-        let is_new = (state.epoch, state.number) != known && state.number > 0;
+    ) -> Option<Result<Change, UndecodableEntry>> {
+        let previous = (self.consensus.epoch, self.consensus.number);
+        let is_new = (state.epoch, state.number) != previous && state.number > 0;
         self.consensus = state;
         if !is_new {
             return None;
@@ -163,11 +166,11 @@
                 self.newest = change.version;
                 Some(Ok(change))
             }
-            Err(source) => Some(Err(UnreadableEntry { number, source })),
+            Err(source) => Some(Err(UndecodableEntry { number, source })),
         }
     }
 
-    /// Stores what is in force here.
+    /// Stores the table in force.
     pub(super) fn store(&mut self, table: &QuotaTable) {
         if let Some(file) = &mut self.file {
             file.store(table);
@@ -175,9 +178,9 @@
     }
 }
 
-/// To one whose proposal met its deadline.
+/// Returns the rejection of a proposal whose deadline has passed.
 fn not_committed(consensus: &ConsensusState, number: u64) -> String {
-    let why = match consensus {
+    let reason = match consensus {
         ConsensusState { leader: None, .. } => "no leader is known".to_string(),
         ConsensusState { leader: Some(leader), has_quorum: false, .. } => {
             format!("no majority is heard of; {leader} led last")
@@ -185,13 +188,13 @@
         ConsensusState { leader: Some(leader), .. } => format!("{leader} leads and did not decide on it"),
     };
     format!(
-        "not agreed in {} s: {why}. It may still come into force as number {number}: ask `config history` before it \
+        "not agreed in {} s: {reason}. It may still come into force as number {number}: ask `config history` before it \
          is proposed anew",
         PROPOSAL_TIMEOUT_MS / 1000.0,
     )
 }
 
-/// To one whose number went to another change.
+/// Returns the rejection of a proposal whose number another change has taken.
 fn superseded(change: &Change) -> String {
     let more = match change.edits.len() {
         0 | 1 => String::new(),
@@ -204,7 +207,7 @@
     )
 }
 
-/// To one whose number was committed while only a later one came here.
+/// Returns the rejection of a proposal whose number was committed while only a later one was reported here.
 fn unknown_outcome(proposed: u64, committed: u64) -> String {
     format!(
         "number {proposed} is decided on and {committed} too, and which change it was did not come here: ask `config \
--- a/crates/plovershelf-server/src/config_distribution/storage.rs
+++ b/crates/plovershelf-server/src/config_distribution/storage.rs
@@ -1,7 +1,7 @@
-//! The table of an origin, kept in a folder, so that it is there when all origins start at once.
+//! File with the table of an origin, so that the table survives a simultaneous restart of all origins.
 //!
-//! The file holds a frame with version and digest, then one frame for each chunk of the table. It is written beside the
-//! old one and renamed, so that a crash leaves the one or the other.
+//! The file contains a frame with version and digest, followed by one frame per chunk of the table. A new file is
+//! written beside the old one and renamed over it, so that a crash leaves one of the two intact.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
@@ -10,55 +10,55 @@
 use plovershelf_cluster::wire::{decode, encode_payload, frame, read_frame, FrameError};
 use plovershelf_config_distribution::{Chunk, Entry, QuotaTable, SnapshotBuilder, SnapshotError, Version};
 
-/// Of the file: the longest table with room to spare.
+/// Largest accepted file: the longest table with a margin.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Why a file can't be used, in one line.
+/// Error of loading a table.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// Longer than any table.
+    /// The file is longer than any table.
     #[error("{}: longer than {max} bytes", path.display(), max = MAX_FILE_BYTES)]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// It is corrupt or truncated.
+    /// The file is corrupt or truncated.
     #[error("{}: {source}; move it away to begin from the others' content", path.display())]
     Corrupt {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause of the corruption.
         source: CorruptTable,
     },
 }
 
-/// What is wrong with the bytes of a file.
+/// Reason for which the content of a file is invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum CorruptTable {
-    /// A frame or what stands in it is corrupt.
+    /// A frame or its content is corrupt.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The last frame is not whole.
+    /// The last frame is incomplete.
     #[error("it ends too early")]
     Truncated,
-    /// The entries are not valid, or not those of the first frame's digest.
+    /// The entries are invalid or don't match the digest of the first frame.
     #[error(transparent)]
     Table(#[from] SnapshotError),
 }
 
-/// The table that an earlier start stored.
+/// Loads the stored table. Returns `None` if there is no file.
 ///
 /// # Errors
 ///
-/// The file is there and can't be used.
+/// Returns an error if the file exists and can't be used.
 pub(super) fn load(path: &Path) -> Result<Option<QuotaTable>, StorageError> {
     let cannot_read = |source| StorageError::Read { path: path.to_path_buf(), source };
     let bytes = match std::fs::metadata(path) {
@@ -90,27 +90,27 @@
     }
 }
 
-/// Where an origin's table is stored.
+/// File in which an origin's table is stored.
 pub(super) struct TableFile {
     path: PathBuf,
-    /// The last attempt failed, which is logged once.
-    fails: bool,
+    /// True if the last write failed, so that further failures are not logged.
+    has_failed: bool,
 }
 
 impl TableFile {
     pub(crate) fn new(path: PathBuf) -> Self {
-        TableFile { path, fails: false }
+        TableFile { path, has_failed: false }
     }
 
     pub(super) fn store(&mut self, table: &QuotaTable) {
         match write(&self.path, table) {
-            Ok(()) => self.fails = false,
-            Err(error) if !self.fails => {
-                self.fails = true;
+            Ok(()) => self.has_failed = false,
+            Err(error) if !self.has_failed => {
+                self.has_failed = true;
                 let file = self.path.display();
                 tracing::error!(
                     event = "config_not_persisted",
-                    "{file}: {error}; what is in force is held in memory alone"
+                    "{file}: {error}; the configuration in force is only in memory"
                 );
             }
             Err(_) => {}
@@ -119,8 +119,8 @@
 }
 
 fn write(path: &Path, table: &QuotaTable) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
+    let new_path = path.with_extension("new");
+    let mut file = File::create(&new_path)?;
     file.write_all(&frame(&encode_payload(&(table.version(), table.digest()))))?;
     let mut after = None::<String>;
     loop {
@@ -132,7 +132,7 @@
         after = entries.last().map(|entry| entry.tenant.clone()).or(after);
     }
     file.sync_all()?;
-    std::fs::rename(&beside, path)
+    std::fs::rename(&new_path, path)
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-server/src/config_distribution/subscriber.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -1,23 +1,23 @@
-//! Who receives what is in force: a backend's driver, or a trial that counts.
+//! Receivers of the configuration in force: the driver of a backend, or a trial.
 
 use std::collections::BTreeMap;
 
 use async_channel::{Sender, TrySendError};
 use plovershelf_config_distribution::{Edit, QuotaTable, Version};
 
-/// Tenants' quotas that are in force from now on.
+/// An update of tenant quotas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaUpdate {
-    /// In force from now on.
+    /// Version that is now in force.
     pub version: Version,
-    /// These are all that there are: tenants beyond them have the quotas that they started with.
+    /// True if the update lists all quotas. Tenants that it lacks fall back to their startup quotas.
     pub is_snapshot: bool,
-    /// By tenant, in requests a second; none where the tenant was removed.
+    /// Quotas by tenant, in requests per second; `None` if the tenant was removed.
     pub quotas: BTreeMap<Box<str>, Option<f64>>,
 }
 
 impl QuotaUpdate {
-    /// Takes in what came into force after this.
+    /// Merges a later update into this one.
     fn merge(&mut self, later: QuotaUpdate) {
         if later.is_snapshot {
             *self = later;
@@ -28,28 +28,28 @@
     }
 }
 
-/// A version that came into force in a process, for trials that count.
+/// A version that came into force in a process, as trials observe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionInForce {
-    /// Of the process.
+    /// Name of the process.
     pub name: String,
-    /// In force from now on.
+    /// Version that came into force.
     pub version: Version,
-    /// By the clock of [`now_ms`](crate::links::now_ms), which all processes of a machine share.
+    /// Time by the clock of [`now_ms`](crate::links::now_ms), which all processes of a machine share.
     pub at_ms: f64,
 }
 
-/// Who receives updates.
+/// Receiver of updates.
 pub enum Subscriber {
-    /// A backend's driver. What it has not taken yet is merged with what comes, so it is bounded by the table.
+    /// The driver of a backend. Updates that it has not received yet are merged, so the table bounds their size.
     Quotas(Sender<QuotaUpdate>),
-    /// A trial that counts.
+    /// A trial that observes versions.
     Versions(Sender<VersionInForce>),
-    /// Nobody.
+    /// No receiver.
     Nobody,
 }
 
-/// What is still to be published, and to whom.
+/// Pending update and its receiver.
 pub(super) struct Publisher {
     name: String,
     subscriber: Subscriber,
@@ -61,7 +61,7 @@
         Publisher { name, subscriber, pending: None }
     }
 
-    /// These edits led to the table.
+    /// Publishes edits that were applied to the table.
     pub(super) fn publish_delta(&mut self, now_ms: f64, version: Version, edits: &[Edit]) {
         self.publish(now_ms, version, || QuotaUpdate {
             version,
@@ -70,7 +70,7 @@
         });
     }
 
-    /// The table came as a whole.
+    /// Publishes a table that was received as a snapshot.
     pub(super) fn publish_snapshot(&mut self, now_ms: f64, version: Version, table: &QuotaTable) {
         self.publish(now_ms, version, || QuotaUpdate {
             version,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Whether something waits because nobody took it.
+    /// Returns whether an update waits because the subscriber's queue was full.
     pub(super) fn has_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Offers what waits.
+    /// Offers the pending update to the subscriber again.
     pub(super) fn flush(&mut self) {
         let Subscriber::Quotas(to) = &self.subscriber else { return };
         if let Some(update) = self.pending.take() {
--- a/crates/plovershelf-server/src/connection_state.rs
+++ b/crates/plovershelf-server/src/connection_state.rs
@@ -1,12 +1,12 @@
-//! State of a client's connection, and what the tasks of one connection share.
+//! State of a client connection that its tasks share.
 //!
-//! | phase | what the peer sends | what this side sends |
+//! | phase | input from the peer | output of this side |
 //! | --- | --- | --- |
-//! | `Open` | is accepted | responses |
-//! | `ClosingAnnounced` | crossed the announcement and is accepted | responses |
-//! | `Discarding` | is read and discarded | responses to what was read before |
-//! | `Draining` | is read and discarded, up to a time and a size | nothing: the write side is shut down |
-//! | `Closed` | is not read | nothing: the descriptor goes with its last holder |
+//! | `Open` | accepted | responses |
+//! | `ClosingAnnounced` | accepted, as it may have crossed the announcement | responses |
+//! | `Discarding` | read and discarded | responses to earlier requests |
+//! | `Draining` | read and discarded, up to a time and a size | none: the write side is shut down |
+//! | `Closed` | not read | none: the descriptor is closed when its last owner drops it |
 //!
 //! | event | from | to |
 //! | --- | --- | --- |
@@ -16,9 +16,9 @@
 //! | `Drained` | `Draining` | `Closed` |
 //! | `Abort` | all | `Closed` |
 //!
-//! A request is handed on only in the first two phases, in which it can still be answered. The descriptor is closed only
-//! after `Draining` or when the peer is gone: a close over unread bytes would reset the connection, and the peer would
-//! lose the last response.
+//! Requests are passed on only in the first two phases, in which they can still be answered. The descriptor is closed
+//! only after `Draining` or once the peer has gone: closing a socket with unread bytes would reset the connection,
+//! and the peer would lose the last response.
 
 use std::cell::Cell;
 use std::net::{Shutdown, TcpStream};
@@ -26,7 +26,7 @@
 
 use async_io::Async;
 
-/// How far a connection is on its way to its end; see the module's table.
+/// Phase of a connection on its way to being closed; see the module's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Open,
@@ -36,23 +36,23 @@
     Closed,
 }
 
-/// What moves a connection towards its end.
+/// An event that advances the phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PhaseEvent {
-    /// The peer was told to send nothing new.
+    /// The closing was announced, so that the peer sends no new requests.
     AnnounceClosing,
-    /// What the peer sends is not accepted any longer.
+    /// Further input is no longer accepted.
     Discard,
-    /// No more frames will go out, and all are written.
+    /// All frames are written and no more will follow.
     LastWritten,
-    /// The peer has closed its side too, or the bounds of the drain are reached.
+    /// The peer has closed its side too, or a bound of the drain is reached.
     Drained,
-    /// The peer is gone or reads nothing.
+    /// The peer has gone or has stopped reading.
     Abort,
 }
 
 impl Phase {
-    /// The phase after an event; a connection never goes back.
+    /// Returns the phase after an event. The phase never moves backwards.
     pub(crate) fn after(self, event: PhaseEvent) -> Phase {
         match (self, event) {
             (Phase::Closed, _) | (_, PhaseEvent::Abort) | (Phase::Draining, PhaseEvent::Drained) => {
@@ -65,22 +65,22 @@
         }
     }
 
-    /// Whether a request that comes now can still be answered.
+    /// Returns whether a request that arrives in this phase can still be answered.
     pub(crate) fn accepts_requests(self) -> bool {
         matches!(self, Phase::Open | Phase::ClosingAnnounced)
     }
 }
 
-/// What the reader, the writer and the event loop share of one connection.
+/// State of one connection that the reader, the writer and the event loop share.
 ///
-/// The descriptor goes with the last of them, and the slot after it, so that the count of slots is never below that of
-/// descriptors.
+/// The descriptor is closed when the last of them drops this state, and the slot is released after it, so that the
+/// number of slots is never below the number of descriptors.
 pub(crate) struct ConnectionState {
     phase: Cell<Phase>,
     queued_frames: Cell<usize>,
     has_partial_frame: Cell<bool>,
     stream: Option<Async<TcpStream>>,
-    /// Held by each connection; its count tells how many there are.
+    /// Cloned by each connection; the reference count is the number of connections.
     slot: Rc<()>,
 }
 
@@ -103,12 +103,12 @@
         self.stream.as_ref()
     }
 
-    /// Connections that exist, those that are ending among them.
+    /// Returns the number of connections, including those that are ending.
     pub(crate) fn connection_count(&self) -> usize {
         Rc::strong_count(&self.slot)
     }
 
-    /// The one place where the phase changes, with what a change does to the socket.
+    /// Advances the phase and shuts down the socket accordingly. All phase changes go through this method.
     pub(crate) fn handle(&self, event: PhaseEvent) {
         let from = self.phase.get();
         let to = from.after(event);
@@ -123,17 +123,17 @@
         }
     }
 
-    /// A frame was read and is about to wait for the event loop.
+    /// Records that a frame was read and waits for the event loop.
     pub(crate) fn frame_queued(&self) {
         self.queued_frames.set(self.queued_frames.get() + 1);
     }
 
-    /// The event loop has received a frame.
+    /// Records that the event loop has received a frame.
     pub(crate) fn frame_received(&self) {
         self.queued_frames.set(self.queued_frames.get().saturating_sub(1));
     }
 
-    /// A complete frame of the peer waits for the event loop.
+    /// Returns whether a complete frame waits for the event loop.
     pub(crate) fn has_queued_frame(&self) -> bool {
         self.queued_frames.get() > 0
     }
@@ -142,12 +142,12 @@
         self.has_partial_frame.set(has_partial_frame);
     }
 
-    /// The rest of a frame that has begun has not come yet.
+    /// Returns whether a frame has been received in part.
     pub(crate) fn has_partial_frame(&self) -> bool {
         self.has_partial_frame.get()
     }
 
-    /// Something that the peer sent has not reached the event loop.
+    /// Returns whether received input has not reached the event loop yet.
     pub(crate) fn has_unhandled_input(&self) -> bool {
         let has_unread =
             |stream: &Async<TcpStream>| stream.get_ref().peek(&mut [0]).is_ok_and(|count| count > 0);
--- a/crates/plovershelf-server/src/connection_state/tests.rs
+++ b/crates/plovershelf-server/src/connection_state/tests.rs
@@ -11,11 +11,11 @@
 ];
 
 #[test]
-fn no_step_leads_back_and_each_connection_can_end() {
-    let place = |phase| PHASES.iter().position(|p| *p == phase).expect("a phase");
+fn phases_never_move_backwards_and_can_always_end() {
+    let index = |phase| PHASES.iter().position(|other| *other == phase).expect("a phase");
     for phase in PHASES {
         for event in EVENTS {
-            assert!(place(phase.after(event)) >= place(phase), "{phase:?} {event:?}");
+            assert!(index(phase.after(event)) >= index(phase), "{phase:?} {event:?}");
         }
         assert_eq!(phase.after(PhaseEvent::LastWritten).after(PhaseEvent::Drained), Phase::Closed);
         assert_eq!(phase.after(PhaseEvent::Abort), Phase::Closed);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn nothing_is_taken_once_it_could_not_be_answered() {
+fn discarding_phases_never_accept_requests_again() {
     for phase in PHASES.into_iter().filter(|phase| !phase.accepts_requests()) {
         assert!(EVENTS.iter().all(|event| !phase.after(*event).accepts_requests()), "{phase:?}");
     }
@@ -31,9 +31,9 @@
     assert!(Phase::Open.after(PhaseEvent::AnnounceClosing).accepts_requests());
 }
 
-/// The write side is shut before the descriptor goes, whatever ends it on this side.
+/// Whatever ends a connection on this side must shut down its write side before its descriptor is closed.
 #[test]
-fn a_connection_that_this_side_ends_is_drained_first() {
+fn connection_closed_by_this_side_is_drained_first() {
     for phase in PHASES.into_iter().filter(|phase| *phase != Phase::Closed) {
         for event in EVENTS.into_iter().filter(|event| *event != PhaseEvent::Abort) {
             let closes = phase.after(event) == Phase::Closed;
--- a/crates/plovershelf-server/src/deduplication.rs
+++ b/crates/plovershelf-server/src/deduplication.rs
@@ -1,30 +1,30 @@
-//! Deduplication records: which request holds a key, whether it ran, and its result, so that a retry gets the first one's
-//! answer instead of a second run.
+//! Deduplication records: which request holds a key, whether it ran, and its result, so that a retry gets the
+//! recorded result instead of a second run.
 //!
-//! These are the records of this process alone. Where replication is on, a key that is unknown here is reserved with its replicas
-//! (`cluster::replication`) before its request is launched.
+//! These records belong to this process alone. With replication, a key that is unknown here is also reserved with its
+//! replicas (`cluster::replication`) before its request is launched.
 //!
-//! | state of a key | left by |
+//! | state of a key | left when |
 //! | --- | --- |
-//! | unknown | `insert` by its first request: open |
-//! | open, not run | a run begins: open, ran; its request ends: unknown, or completed where another backend had a result |
-//! | open, ran | its request ends: completed, with a result or without |
-//! | completed | the window and a grace are over: unknown |
+//! | unknown | its first request arrives (`insert`): open |
+//! | open, not run | a run starts: open, ran; its request ends: unknown, or completed if another backend had a result |
+//! | open, ran | its request ends: completed, with or without a result |
+//! | completed | its window and a grace have passed: unknown |
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use plovershelf::api::Idempotency;
 
-/// What a request has for the object that it reads where it reads none.
+/// Object of a request that reads none.
 pub(crate) const NO_OBJECT: u64 = 0;
 
-/// By what a duplicate is recognised.
+/// Key by which duplicates are recognised.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeduplicationKey {
-    /// The class with an idempotency key.
+    /// A class with an idempotency key.
     Idempotency(usize, Box<str>),
-    /// The class with the object of a read.
+    /// A class with the object of a read.
     Read(usize, u64),
 }
 
@@ -43,49 +43,50 @@
     }
 }
 
-/// A hash of a body, to tell a duplicate from another request under the same key.
+/// Returns a hash of a body, which distinguishes a duplicate from another request with the same key.
 pub(crate) fn body_hash(body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     body.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A request that looks for its key.
+/// Parameters of looking a request up by its key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lookup {
     pub(crate) body_hash: u64,
     pub(crate) arrived_ms: f64,
-    /// A completed request counts however long ago, and without a result; else only one whose result is recent.
+    /// True for keyed requests, which match a completed request of any age, with or without a result. Other requests
+    /// match only one with a recent result.
     pub(crate) is_keyed: bool,
-    /// How recent a result has to be.
+    /// Greatest age of a result that is_match as recent, in milliseconds.
     pub(crate) max_age_ms: f64,
 }
 
-/// What is known under a key.
+/// Result of a lookup.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Known {
-    Nothing,
-    /// The request that this one repeats.
+pub(crate) enum LookupResult {
+    NoRecord,
+    /// The request is a duplicate of the one with this id.
     DuplicateOf(u32),
-    /// Another body was sent under this key, and has run, or not yet.
+    /// Another body was sent with this key; `ran` tells whether that request has run.
     OtherBody {
         ran: bool,
     },
 }
 
-/// What a duplicate finds of the request that it repeats.
+/// Result of joining a duplicate to the request that it repeats.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Joined<'a> {
-    /// It has not ended; the duplicate waits.
+    /// The request has not ended, and the duplicate waits for it.
     Waiting,
     Result(&'a [u8]),
     NoResult,
 }
 
 enum RecordState {
-    /// Queued or running; it has run, or may have.
+    /// The request is queued or running; `ran` tells whether a run has started.
     Open { ran: bool },
-    /// It ran and ended; the result may be missing.
+    /// The request has run and ended. The result is missing if the run failed or the result was too large to keep.
     Completed { result: Option<Box<[u8]>>, at_ms: f64 },
 }
 
@@ -103,24 +104,25 @@
     body_hash: u64,
     expires_ms: f64,
     state: RecordState,
-    /// Duplicates that wait for the holder.
+    /// Ids of the duplicates that wait for the holder.
     waiting: Vec<u32>,
 }
 
-/// Bounds of the records.
+/// Bounds on the records.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DeduplicationLimits {
     pub(crate) max_keys: usize,
-    /// Results of all records together; beyond it, records are kept without theirs.
+    /// Most bytes of results in all records; further records are stored without their result.
     pub(crate) max_result_bytes: usize,
-    /// Records outlive their window by this, for requests that are read late.
+    /// Time for which a record is kept after its window, for requests that are read late, in milliseconds.
     pub(crate) grace_ms: f64,
 }
 
-/// The records of all keys.
+/// Records of all keys.
 pub(crate) struct DeduplicationRecords {
     records: BTreeMap<DeduplicationKey, Record>,
-    /// Duplicates that wait for a holder whose key another request has taken over after its window.
+    /// Duplicates that wait for a displaced holder: one whose window has passed and whose key another request has
+    /// taken.
     waiting_for_displaced: BTreeMap<u32, Vec<u32>>,
     result_bytes: usize,
     limits: DeduplicationLimits,
@@ -136,43 +138,43 @@
         }
     }
 
-    /// No further key can be remembered.
+    /// Returns whether no further key can be recorded.
     pub(crate) fn is_full(&self) -> bool {
         self.records.len() >= self.limits.max_keys
     }
 
-    /// A request holds the key from now on.
+    /// Records a request as the holder of a key.
     pub(crate) fn insert(&mut self, key: DeduplicationKey, holder: u32, body_hash: u64, expires_ms: f64) {
         let state = RecordState::Open { ran: false };
         let record = Record { holder, body_hash, expires_ms, state, waiting: Vec::new() };
         if let Some(displaced) = self.records.insert(key, record) {
             self.result_bytes -= displaced.state.result_bytes();
-            // The window is over while the run is not: those that wait for it still learn of its end.
+            // The window has passed but the run has not ended: duplicates that wait for it must still get its end.
             if !displaced.waiting.is_empty() {
                 self.waiting_for_displaced.insert(displaced.holder, displaced.waiting);
             }
         }
     }
 
-    /// What a request finds under its key.
-    pub(crate) fn lookup(&self, key: &DeduplicationKey, lookup: Lookup) -> Known {
+    /// Looks a request up by its key.
+    pub(crate) fn lookup(&self, key: &DeduplicationKey, lookup: Lookup) -> LookupResult {
         let unexpired = |record: &&Record| record.expires_ms > lookup.arrived_ms;
-        let Some(record) = self.records.get(key).filter(unexpired) else { return Known::Nothing };
-        let (counts, ran) = match &record.state {
+        let Some(record) = self.records.get(key).filter(unexpired) else { return LookupResult::NoRecord };
+        let (is_match, ran) = match &record.state {
             RecordState::Open { ran } => (true, *ran),
             RecordState::Completed { result, at_ms } => {
                 let is_recent = result.is_some() && lookup.arrived_ms - at_ms <= lookup.max_age_ms;
                 (lookup.is_keyed || is_recent, true)
             }
         };
-        match (counts, record.body_hash == lookup.body_hash) {
-            (false, _) => Known::Nothing,
-            (true, true) => Known::DuplicateOf(record.holder),
-            (true, false) => Known::OtherBody { ran },
+        match (is_match, record.body_hash == lookup.body_hash) {
+            (false, _) => LookupResult::NoRecord,
+            (true, true) => LookupResult::DuplicateOf(record.holder),
+            (true, false) => LookupResult::OtherBody { ran },
         }
     }
 
-    /// A duplicate waits for the holder of the key, or gets its result.
+    /// Joins a duplicate to the holder of a key: it waits, or gets the recorded result.
     pub(crate) fn join(&mut self, key: &DeduplicationKey, duplicate: u32) -> Joined<'_> {
         let Some(record) = self.records.get_mut(key) else { return Joined::NoResult };
         match &record.state {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// A run of the holder begins.
+    /// Records that a run of the holder has started.
     pub(crate) fn handle_run_started(&mut self, key: &DeduplicationKey, holder: u32) {
         let record = self.records.get_mut(key).filter(|record| record.holder == holder);
         if let Some(RecordState::Open { ran }) = record.map(|record| &mut record.state) {
@@ -194,8 +196,8 @@
         }
     }
 
-    /// The holder ended, with a result or without; the duplicates that wait for it are returned. A key whose holder never
-    /// ran is forgotten.
+    /// Records the end of the holder, with or without a result, and returns the duplicates that waited for it. The
+    /// key of a holder that never ran is removed.
     pub(crate) fn handle_end(
         &mut self,
         key: &DeduplicationKey,
@@ -220,7 +222,7 @@
         waiting
     }
 
-    /// Forgets what is over.
+    /// Removes records whose window and grace have passed.
     pub(crate) fn remove_expired(&mut self, now_ms: f64) {
         let expired_before_ms = now_ms - self.limits.grace_ms;
         let is_kept = |record: &Record| record.expires_ms > expired_before_ms || !record.waiting.is_empty();
--- a/crates/plovershelf-server/src/deduplication/tests.rs
+++ b/crates/plovershelf-server/src/deduplication/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Nine keys, ten bytes of results, a second of grace.
+/// Returns records with nine keys, ten bytes of results and a grace of one second.
 fn records() -> DeduplicationRecords {
     DeduplicationRecords::new(DeduplicationLimits { max_keys: 9, max_result_bytes: 10, grace_ms: 1000.0 })
 }
@@ -10,34 +10,34 @@
 }
 
 #[test]
-fn results_stay_within_their_bytes_and_their_window() {
+fn results_are_bounded_in_size_and_expire_with_their_window() {
     let mut records = records();
-    let mark = |n: u32| DeduplicationKey::Idempotency(0, n.to_string().into());
+    let key = |n: u32| DeduplicationKey::Idempotency(0, n.to_string().into());
     for n in 1..=3 {
-        records.insert(mark(n), n, 0, 500.0);
-        records.handle_run_started(&mark(n), n);
-        records.handle_end(&mark(n), n, Some(b"12345"), 0.0);
+        records.insert(key(n), n, 0, 500.0);
+        records.handle_run_started(&key(n), n);
+        records.handle_end(&key(n), n, Some(b"12345"), 0.0);
     }
-    assert_eq!(records.join(&mark(2), 9), Joined::Result(b"12345"));
-    assert_eq!(records.join(&mark(3), 9), Joined::NoResult);
-    assert_eq!(records.lookup(&mark(3), keyed_at(499.0)), Known::DuplicateOf(3));
-    assert_eq!(records.lookup(&mark(3), keyed_at(500.0)), Known::Nothing);
+    assert_eq!(records.join(&key(2), 9), Joined::Result(b"12345"));
+    assert_eq!(records.join(&key(3), 9), Joined::NoResult);
+    assert_eq!(records.lookup(&key(3), keyed_at(499.0)), LookupResult::DuplicateOf(3));
+    assert_eq!(records.lookup(&key(3), keyed_at(500.0)), LookupResult::NoRecord);
     records.remove_expired(1600.0);
-    records.insert(mark(4), 4, 0, 5000.0);
-    records.handle_end(&mark(4), 4, Some(b"1234567890"), 2000.0);
-    assert_eq!(records.join(&mark(4), 9), Joined::Result(b"1234567890"));
+    records.insert(key(4), 4, 0, 5000.0);
+    records.handle_end(&key(4), 4, Some(b"1234567890"), 2000.0);
+    assert_eq!(records.join(&key(4), 9), Joined::Result(b"1234567890"));
 }
 
-/// A run may outlast the window of its key; the next of that key begins anew and takes the mark.
+/// A run may take longer than the window of its key. The next request with that key then becomes its holder.
 #[test]
-fn duplicates_of_a_run_that_outlasts_its_window_learn_of_its_end() {
+fn duplicates_get_the_result_of_a_run_that_outlasts_its_window() {
     let mut records = records();
-    let mark = DeduplicationKey::Idempotency(0, "t".into());
-    records.insert(mark.clone(), 1, 0, 500.0);
-    records.handle_run_started(&mark, 1);
-    assert_eq!(records.join(&mark, 2), Joined::Waiting);
-    assert_eq!(records.lookup(&mark, keyed_at(500.0)), Known::Nothing);
-    records.insert(mark.clone(), 3, 0, 1000.0);
-    assert_eq!(records.handle_end(&mark, 1, Some(b"x"), 600.0), [2]);
-    assert_eq!(records.lookup(&mark, keyed_at(700.0)), Known::DuplicateOf(3));
+    let key = DeduplicationKey::Idempotency(0, "t".into());
+    records.insert(key.clone(), 1, 0, 500.0);
+    records.handle_run_started(&key, 1);
+    assert_eq!(records.join(&key, 2), Joined::Waiting);
+    assert_eq!(records.lookup(&key, keyed_at(500.0)), LookupResult::NoRecord);
+    records.insert(key.clone(), 3, 0, 1000.0);
+    assert_eq!(records.handle_end(&key, 1, Some(b"x"), 600.0), [2]);
+    assert_eq!(records.lookup(&key, keyed_at(700.0)), LookupResult::DuplicateOf(3));
 }
--- a/crates/plovershelf-server/src/dependency.rs
+++ b/crates/plovershelf-server/src/dependency.rs
@@ -1,14 +1,15 @@
-//! Outbound calls to the dependency that all backends share: a small pool of connections, and which of them takes a call.
+//! Outbound calls to the dependency that all backends share, over a small pool of connections.
 //!
-//! Each connection mostly carries one call at a time, so that one that breaks costs no other call. A connection never
-//! carries two calls of one attempt, as a second copy of the first reply would be taken for that to the second call.
+//! Most connections carry one call at a time, so that a broken connection rarely affects other calls. A connection
+//! never carries two calls of the same attempt, because a duplicate of the first reply would be matched to the second
+//! call.
 //!
-//! | call | connection |
+//! | state of the pool | chosen connection |
 //! | --- | --- |
-//! | there is an idle connection that may take it | the one used last, so that the others fall idle |
-//! | none is idle, and there are fewer than allowed | a new one |
-//! | there are as many as allowed | the one with fewest calls in flight |
-//! | none may take it, and the spare ones are used up | none: the call ends as not executed |
+//! | an idle connection is usable | the most recently used one, so that the others become idle |
+//! | none is idle, and the pool is below its limit | a new one |
+//! | the pool is at its limit | the one with the fewest calls in flight |
+//! | no connection is usable, and the spare ones are used up | none: the call ends as not executed |
 
 mod connection;
 
@@ -26,10 +27,10 @@
 use crate::limits::Limits;
 use connection::{run_connection, CallsInFlight, Latency};
 
-/// What outbound calls need of the program.
+/// Task that manages the pool of connections to the dependency.
 pub(crate) struct DependencyCalls {
     pub(crate) executor: &'static LocalExecutor<'static>,
-    /// Where the dependency is; it may change, and there may be none.
+    /// Address of the dependency; it may change at runtime, and `None` means that there is no dependency.
     pub(crate) address: Rc<Cell<Option<SocketAddr>>>,
     pub(crate) commands: Receiver<CallCommand>,
     pub(crate) events: Sender<Event>,
@@ -37,7 +38,7 @@
 }
 
 impl DependencyCalls {
-    /// Places and abandons calls until there are no more commands.
+    /// Handles commands until their queue is closed.
     pub(crate) async fn run(self) {
         let latency = Rc::new(Latency::new(self.limits.clone()));
         let mut connections: Vec<PooledConnection> = Vec::new();
@@ -48,8 +49,9 @@
                 }
                 continue;
             };
-            // One that takes no more calls ends with the last that it has in flight.
-            connections.retain(|one| !(one.is_used_up(address, &self.limits) && one.is_idle()));
+            // A retired connection ends with its last call in flight; the pool then drops it.
+            connections
+                .retain(|connection| !(connection.is_retired(address, &self.limits) && connection.is_idle()));
             match command {
                 CallCommand::Place { id, number, timeout_ms, body } => {
                     let Some(connection) = self.choose(&mut connections, &id, address, &latency) else {
@@ -59,7 +61,9 @@
                     connection.place(id, number, dependency::call(&id, timeout_ms, &body));
                 }
                 CallCommand::Abandon { id } => {
-                    if let Some(connection) = connections.iter().find(|one| one.carries(&id)) {
+                    if let Some(connection) =
+                        connections.iter().find(|connection| connection.has_in_flight(&id))
+                    {
                         connection.abandon(&id);
                     }
                 }
@@ -72,7 +76,7 @@
         let _ = self.events.send(Event::CallEnded { id, result }).await;
     }
 
-    /// The connection for one more call; see the module's table.
+    /// Chooses the connection for a call; see the module's table.
     fn choose<'a>(
         &self,
         connections: &'a mut Vec<PooledConnection>,
@@ -81,22 +85,22 @@
         latency: &Rc<Latency>,
     ) -> Option<&'a PooledConnection> {
         let limits = &self.limits;
-        let candidates = connections.iter().enumerate().filter_map(|(place, one)| {
-            let in_flight = one.in_flight_beside(id, address, limits)?;
-            Some(((in_flight, one.idle_ms()), place))
+        let candidates = connections.iter().enumerate().filter_map(|(index, connection)| {
+            let in_flight = connection.in_flight_if_usable(id, address, limits)?;
+            Some(((in_flight, connection.idle_ms()), index))
         });
         let best = candidates.min();
         let is_full = connections.len() >= limits.max_dependency_connections;
         let max_with_spare = limits.max_dependency_connections + limits.spare_dependency_connections;
-        let place = match best {
-            Some(((in_flight, _), place)) if in_flight == 0 || is_full => place,
+        let index = match best {
+            Some(((in_flight, _), index)) if in_flight == 0 || is_full => index,
             None if connections.len() >= max_with_spare => return None,
             _ => {
                 connections.push(self.open(address, latency.clone()));
                 connections.len() - 1
             }
         };
-        Some(&connections[place])
+        Some(&connections[index])
     }
 
     fn open(&self, address: SocketAddr, latency: Rc<Latency>) -> PooledConnection {
@@ -108,7 +112,7 @@
     }
 }
 
-/// A connection as the pool sees it.
+/// A connection in the pool.
 struct PooledConnection {
     address: SocketAddr,
     calls: Rc<RefCell<CallsInFlight>>,
@@ -116,10 +120,12 @@
 }
 
 impl PooledConnection {
-    /// It takes no further calls.
-    fn is_used_up(&self, address: SocketAddr, limits: &Limits) -> bool {
+    /// Returns whether the connection accepts no further calls.
+    fn is_retired(&self, address: SocketAddr, limits: &Limits) -> bool {
         let calls = self.calls.borrow();
-        calls.is_retired() || self.address != address || calls.carried() >= limits.max_calls_per_connection
+        calls.is_retired()
+            || self.address != address
+            || calls.total_calls() >= limits.max_calls_per_connection
     }
 
     fn is_idle(&self) -> bool {
@@ -130,15 +136,15 @@
         self.calls.borrow().idle_ms()
     }
 
-    /// How many calls one more of this attempt would be beside, if it may take one at all.
-    fn in_flight_beside(&self, id: &AttemptId, address: SocketAddr, limits: &Limits) -> Option<usize> {
+    /// Returns the number of calls in flight on this connection, or `None` if it can't take a call of this attempt.
+    fn in_flight_if_usable(&self, id: &AttemptId, address: SocketAddr, limits: &Limits) -> Option<usize> {
         let calls = self.calls.borrow();
         let is_stale = calls.idle_ms() >= limits.dependency_idle_ms;
-        let is_usable = !self.is_used_up(address, limits) && !is_stale && !calls.has_carried(id);
+        let is_usable = !self.is_retired(address, limits) && !is_stale && !calls.was_used_by(id);
         is_usable.then_some(calls.in_flight())
     }
 
-    fn carries(&self, id: &AttemptId) -> bool {
+    fn has_in_flight(&self, id: &AttemptId) -> bool {
         self.calls.borrow().contains(id)
     }
 
--- a/crates/plovershelf-server/src/dependency/connection.rs
+++ b/crates/plovershelf-server/src/dependency/connection.rs
@@ -1,11 +1,11 @@
-//! One connection to the dependency, from its first call until it breaks, is used up, or has been idle for long enough.
+//! A connection to the dependency, from its first call until it breaks, reaches its call limit or stays idle.
 //!
-//! | state | left by |
+//! | state | left when |
 //! | --- | --- |
-//! | connecting | connected: open; an error or the time-out: ended, and none of its calls was executed |
-//! | open | an error, a malformed line, a partial reply, silence: ended, calls whose bytes may have gone are lost |
+//! | connecting | connected: open; an error or a timeout: ended, and none of its calls was executed |
+//! | open | an error, a malformed line, a partial reply, no reply for too long: ended, and calls that may have been written are lost |
 //! | open, retired | its last call ends: ended |
-//! | open, idle for too long | ended |
+//! | open, idle past the limit | ended |
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,21 +29,21 @@
     then.elapsed().as_millis() as u64
 }
 
-/// A call that has not ended.
+/// A call in flight.
 struct CallInFlight {
     number: CallNumber,
     since: Instant,
-    /// Its bytes may have gone out.
+    /// True once the call may have been written to the socket.
     is_written: bool,
 }
 
-/// The calls of one connection.
+/// Calls of one connection.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     in_flight: BTreeMap<AttemptId, CallInFlight>,
-    /// All that the connection has carried.
-    carried: BTreeSet<AttemptId>,
-    /// It takes no further calls.
+    /// Ids of all calls that the connection has carried.
+    call_ids: BTreeSet<AttemptId>,
+    /// True if the connection accepts no further calls.
     is_retired: bool,
     last_reply: Option<Instant>,
 }
@@ -57,46 +57,46 @@
         self.in_flight.len()
     }
 
-    pub(super) fn carried(&self) -> usize {
-        self.carried.len()
+    pub(super) fn total_calls(&self) -> usize {
+        self.call_ids.len()
     }
 
     pub(super) fn contains(&self, id: &AttemptId) -> bool {
         self.in_flight.contains_key(id)
     }
 
-    pub(super) fn has_carried(&self, id: &AttemptId) -> bool {
-        self.carried.contains(id)
+    pub(super) fn was_used_by(&self, id: &AttemptId) -> bool {
+        self.call_ids.contains(id)
     }
 
     pub(super) fn is_retired(&self) -> bool {
         self.is_retired
     }
 
-    /// Time since the last reply, where nothing is in flight.
+    /// Returns the time since the last reply, or 0 while calls are in flight, in milliseconds.
     pub(super) fn idle_ms(&self) -> u64 {
         self.last_reply.filter(|_| self.in_flight.is_empty()).map_or(0, ms_since)
     }
 
     pub(super) fn insert(&mut self, id: AttemptId, number: CallNumber, since: Instant) {
         self.in_flight.insert(id, CallInFlight { number, since, is_written: false });
-        self.carried.insert(id);
+        self.call_ids.insert(id);
     }
 
-    /// Nobody waits for a call any more. Whether the dependency would have replied is not known, so with nothing else in
-    /// flight the connection is retired.
+    /// Drops a call whose reply is no longer needed. It is unknown whether the dependency would have replied, so a
+    /// connection with no other call in flight is retired.
     pub(super) fn abandon(&mut self, id: &AttemptId) {
         self.in_flight.remove(id);
         self.is_retired |= self.in_flight.is_empty();
     }
 
-    /// A reply came. Those to calls that were abandoned come too late to count, as do second copies.
+    /// Records a reply and returns its call. Replies to abandoned calls and duplicate replies return `None`.
     fn handle_reply(&mut self, id: &AttemptId) -> Option<CallInFlight> {
         self.last_reply = Some(Instant::now());
         self.in_flight.remove(id)
     }
 
-    /// All calls that are queued go out now.
+    /// Marks all queued calls as written.
     fn mark_written(&mut self) {
         self.in_flight.values_mut().for_each(|call| call.is_written = true);
     }
@@ -111,8 +111,8 @@
     }
 }
 
-/// Mean latency of calls, from which follows after how long a connection counts as dead. Calls that were cut off count
-/// too, so that a dependency that slows down is not taken for a dead one.
+/// Mean latency of calls, from which the reply timeout of a connection follows. Calls that timed out count too, so
+/// that a dependency that slows down is not mistaken for one that has failed.
 pub(super) struct Latency {
     mean_ms: Cell<f64>,
     limits: Rc<Limits>,
@@ -128,10 +128,10 @@
         self.mean_ms.set(mean_ms + self.limits.latency_weight * (took_ms as f64 - mean_ms));
     }
 
-    /// Time without a reply after which a connection counts as dead.
-    fn silence_ms(&self) -> u64 {
-        let silence_ms = (self.limits.silence_multiple * self.mean_ms.get()) as u64;
-        silence_ms.clamp(self.limits.min_silence_ms, self.limits.max_silence_ms)
+    /// Returns the time without a reply after which a connection counts as broken, in milliseconds.
+    fn reply_timeout_ms(&self) -> u64 {
+        let reply_timeout_ms = (self.limits.reply_timeout_multiple * self.mean_ms.get()) as u64;
+        reply_timeout_ms.clamp(self.limits.min_reply_timeout_ms, self.limits.max_reply_timeout_ms)
     }
 }
 
@@ -148,15 +148,15 @@
         Ok(stream) => {
             let connection =
                 Connection { stream, calls: &calls, lines: &lines, events: &events, latency: &latency };
-            // What was in flight on a connection that broke proves nothing.
+            // It is unknown whether the calls in flight on a broken connection were executed.
             (CallOutcome::ConnectionLost, connection.run().await.err())
         }
         Err(error) => (CallOutcome::NotExecuted, Some(error)),
     };
     let in_flight = calls.borrow_mut().retire();
     if let Some(error) = error {
-        let what = format!("a dependency's connection with {} calls: {error}", in_flight.len());
-        let _ = events.send(Event::PeerError(what)).await;
+        let message = format!("a dependency connection with {} calls ended: {error}", in_flight.len());
+        let _ = events.send(Event::PeerError(message)).await;
     }
     for (id, CallInFlight { number, is_written, .. }) in in_flight {
         let outcome = if is_written { outcome } else { CallOutcome::NotExecuted };
@@ -174,13 +174,13 @@
 }
 
 impl Connection<'_> {
-    /// Ends without an error where the connection is used up or idle, with one where it broke.
+    /// Runs until the connection is retired or idle, or returns an error if it breaks.
     async fn run(&self) -> io::Result<()> {
         self.stream.get_ref().set_nodelay(true)?;
         future::or(self.read(), future::or(self.write(), self.watch())).await
     }
 
-    /// No call is in flight, and none will come.
+    /// Returns whether no call is in flight and none will follow.
     fn is_finished(&self) -> bool {
         let calls = self.calls.borrow();
         calls.is_empty() && (calls.is_retired() || self.lines.is_closed())
@@ -188,31 +188,32 @@
 
     async fn write(&self) -> io::Result<()> {
         while let Some(bytes) = recv_batch(self.lines).await {
-            // What has not been taken from the queue before this has surely never been executed.
+            // Calls that were not taken from the queue before this point were certainly not executed.
             self.calls.borrow_mut().mark_written();
             write_all(&self.stream, &bytes, self.latency.limits.write_timeout_ms).await?;
             if self.is_finished() {
                 return Ok(());
             }
         }
-        // No more calls come; it ends with the last in flight.
+        // No more calls follow; the connection ends with its last call in flight.
         if self.is_finished() {
             return Ok(());
         }
         future::pending().await
     }
 
-    /// Ends the connection when it has been silent for too long, or idle.
+    /// Ends the connection if a reply takes too long, or if the connection stays idle.
     async fn watch(&self) -> io::Result<()> {
         let limits = &self.latency.limits;
         loop {
-            let interval_ms = limits.silence_check_ms.min(self.latency.silence_ms() / 4);
+            let interval_ms = limits.reply_check_interval_ms.min(self.latency.reply_timeout_ms() / 4);
             Timer::after(Duration::from_millis(interval_ms)).await;
             let calls = self.calls.borrow();
-            let silence_ms = self.latency.silence_ms();
-            if let Some(longest_ms) = calls.longest_ms().filter(|longest_ms| *longest_ms >= silence_ms) {
+            let reply_timeout_ms = self.latency.reply_timeout_ms();
+            if let Some(longest_ms) = calls.longest_ms().filter(|longest_ms| *longest_ms >= reply_timeout_ms)
+            {
                 self.latency.update(longest_ms);
-                return Err(io::Error::other("it is silent"));
+                return Err(io::Error::other("no reply within the timeout"));
             }
             if calls.idle_ms() >= limits.dependency_idle_ms {
                 return Ok(());
@@ -247,12 +248,13 @@
         }
     }
 
-    /// Reads more; false at the end of the stream. A reply that has begun is complete soon, or never.
+    /// Reads more bytes. Returns false at the end of the stream. Once a reply has begun, its remaining bytes must
+    /// arrive within the reply timeout.
     async fn fill(&self, buffer: &mut ReadBuffer) -> io::Result<bool> {
         let has_begun = !buffer.is_empty();
         let reading = buffer.fill(&self.stream);
         if has_begun {
-            with_timeout(self.latency.limits.reply_timeout_ms, reading).await
+            with_timeout(self.latency.limits.partial_reply_timeout_ms, reading).await
         } else {
             reading.await
         }
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -1,20 +1,21 @@
-//! The event loop: the one task that owns the [`Backend`] and everything that is open.
+//! The event loop: a single task that owns the [`Backend`], all client connections and all open requests.
 //!
-//! An input is an [`Event`] from the queue, the drain notice, or a [`Timeout`] that has come due. It becomes a call of the
-//! backend ([`Driver::decide`]), whose effects become commands and responses. The driver never waits for a queue out of it:
-//! one that is full is treated as a peer that reads nothing, so that full queues can't block each other.
+//! Each input is an [`Event`] from the inbox, the drain notice or an expired [`Timeout`]. The loop passes it to the
+//! backend ([`Driver::decide`]) and turns the returned effects into commands and responses. The driver never blocks
+//! on an outgoing queue: it treats a full queue as a peer that has stopped reading, so that two full queues can't
+//! deadlock.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `open_request` | a request from its arrival until nothing of it is left |
-//! | `requests` | carries out state changes: start, call, answer, end |
-//! | `clients` | frames of clients, and the state of their connections |
-//! | `admission` | checks of a request before the backend is asked |
-//! | `agent` | the agent's notices, commands to it, what a broken link left in doubt |
+//! | `open_request` | state of one request from its arrival until its removal |
+//! | `requests` | applies the backend's effects: starts, calls, answers and ends of requests |
+//! | `clients` | client frames and connection state |
+//! | `admission` | request validation and deduplication before the backend decides |
+//! | `agent` | agent notices, agent commands and recovery of a broken link |
 //! | `calls` | outbound calls and their replies |
-//! | `bulkheads` | bulkheads, where an operator has set any |
-//! | `replication` | replication of keyed requests, where a cluster has it |
-//! | `tenant_quotas` | quotas that change while the program serves |
+//! | `bulkheads` | bulkheads, if a plan is configured |
+//! | `replication` | replication of keyed requests, if a cluster is configured |
+//! | `tenant_quotas` | tenant quotas that change at runtime |
 
 mod admission;
 mod agent;
@@ -45,46 +46,46 @@
 use crate::event::{CallCommand, ConnectionId, Event};
 use crate::limits::Limits;
 use crate::log_limit::LogLimit;
-use agent::CommandLog;
+use agent::CommandCounters;
 pub(crate) use bulkheads::check_bulkheads;
 use bulkheads::BulkheadState;
 use clients::ClientConnection;
 use open_request::OpenRequest;
 use tenant_quotas::InitialQuotas;
 
-/// Longest wait for an event where no time-out is near.
+/// Longest wait for an event when no timeout is scheduled sooner.
 const MAX_WAIT_MS: f64 = 1000.0;
-/// Core time that a request is taken to need before any has run.
+/// Assumed core time per request until the first runs have been measured.
 const INITIAL_WORK_MS: f64 = 20.0;
 
-/// What the driver does by itself when its time has come.
+/// An action that the driver has scheduled for a later time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timeout {
-    /// The backend's earliest deadline.
+    /// The backend's earliest deadline expires.
     Deadline,
-    /// The backend's periodic measurement.
+    /// The backend's periodic measurement is due.
     Periodic,
-    /// The gauges that were asked for with this tag have not come in time.
+    /// The agent has not answered the sample with this tag in time.
     Gauges(u64),
-    /// Clients are told to close their connections before the grace is over.
+    /// The driver announces the closing of all client connections, shortly before the grace ends.
     AnnounceClosing,
-    /// The grace is over: no further connections are accepted.
+    /// The grace ends: the listener stops accepting connections.
     RefuseConnections,
-    /// Connections that were told to close and are idle are closed.
+    /// The driver closes idle connections whose closing was announced.
     CloseAnnounced,
     /// The program exits.
     Exit,
 }
 
-/// A time-out in the order in which it comes due: the bits of its time, what it is, and a number that tells two apart.
+/// A timeout in due order: the bits of its time, the action, and a sequence number that makes the entry unique.
 type ScheduledTimeout = (u64, Timeout, u64);
 
-/// How far the end of accepting is.
+/// State of the listener as the driver controls it.
 enum ListenerState {
     Open {
         _until_dropped: Sender<()>,
     },
-    /// What stands in the listen queue is still accepted.
+    /// The listener accepts only the connections that are already in its listen queue.
     Closing,
     Closed,
 }
@@ -92,7 +93,8 @@
 /// Queues between the driver and the other tasks.
 pub(crate) struct DriverQueues {
     pub(crate) inbox: Receiver<Event>,
-    /// The drain notice, with the time at which it came. It overtakes the inbox, as its terms run from then on.
+    /// Delivers the drain notice with its arrival time. It bypasses the inbox because the grace and the stop time
+    /// count from that arrival time.
     pub(crate) notice: Receiver<f64>,
     pub(crate) calls: Sender<CallCommand>,
 }
@@ -101,28 +103,29 @@
 enum Input {
     Event(Event),
     DrainNotice(f64),
-    /// A time-out may have come due.
+    /// The timer has expired, so a timeout may be due.
     TimerExpired,
     QueueClosed,
 }
 
-/// The event loop and all that it owns.
+/// The event loop and all the state that it owns.
 pub(crate) struct Driver {
     queues: DriverQueues,
     draining: Rc<Cell<bool>>,
     listener: ListenerState,
     limits: Rc<Limits>,
     startup: Startup,
-    /// From the drain notice to the kill.
+    /// Time from the drain notice to the forced kill, in milliseconds.
     stop_ms: f64,
-    /// None until the agent is up.
+    /// `None` until the agent is up.
     backend: Option<Backend>,
     now_ms: f64,
 
     timeouts: BTreeSet<ScheduledTimeout>,
     timeouts_scheduled: u64,
     timer: Timer,
-    /// What the timer is set for, as the bits of a time: setting it anew costs system calls.
+    /// The time for which the timer is set, as the bits of an `f64`. The driver resets the timer only when this
+    /// changes, because each reset costs system calls.
     timer_set_for: Option<u64>,
 
     connections: BTreeMap<ConnectionId, ClientConnection>,
@@ -132,13 +135,13 @@
     open_bytes: usize,
     last_request_id: u32,
     deduplication: DeduplicationRecords,
-    /// Runs that ended inside the driver, to be handed to the backend in the same turn.
+    /// Runs that ended inside the driver and are reported to the backend at the end of the current turn.
     ended_runs: VecDeque<(u32, RunOutcome)>,
 
     agent: Option<Sender<Vec<u8>>>,
-    commands: CommandLog,
+    commands: CommandCounters,
     calls_placed: u64,
-    /// Tag of the sample whose gauges the periodic measurement waits for.
+    /// Tag of the sample whose gauges the periodic measurement awaits.
     awaited_gauges: Option<u64>,
 
     backpressure: Option<f64>,
@@ -149,27 +152,27 @@
 
     bulkheads: Option<BulkheadState>,
     bulkheads_logged_ms: f64,
-    /// Counts for the cluster's traffic plan.
+    /// Counters for the cluster's traffic plan.
     counters: cluster::TrafficCounts,
     runs_since_sample: f64,
     work_ms: f64,
     sampled_ms: f64,
-    /// Shows the cluster that this loop makes progress.
+    /// Reports to the cluster that the event loop makes progress.
     heartbeat: Option<Arc<cluster::DriverHeartbeat>>,
     initial_quotas: Option<InitialQuotas>,
-    /// Takes requests for replication, where keyed requests are replicated.
+    /// Sends requests to the replication driver, if keyed requests are replicated.
     replication: Option<Sender<cluster::Incoming>>,
-    /// What this backend holds for others stands elsewhere, or there is nothing.
+    /// True if this backend holds no records for other nodes, or has handed all of them off.
     is_handed_off: bool,
 }
 
-/// The system's clock, in Unix milliseconds.
+/// Returns the system clock in Unix milliseconds.
 pub(crate) fn unix_ms() -> f64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
 }
 
 impl Driver {
-    /// A driver whose backend starts when the agent is up. Dropping `listening` ends accepting.
+    /// Returns a driver that starts its backend once the agent is up. Dropping `listening` stops the listener.
     pub(crate) fn new(
         startup: Startup,
         stop_ms: f64,
@@ -207,7 +210,7 @@
             deduplication,
             ended_runs: VecDeque::new(),
             agent: None,
-            commands: CommandLog::default(),
+            commands: CommandCounters::default(),
             calls_placed: 0,
             awaited_gauges: None,
             backpressure: None,
@@ -229,10 +232,10 @@
         }
     }
 
-    /// With bulkheads as an operator has set them.
+    /// Adds the bulkheads of an operator's plan.
     ///
     /// # Errors
-    /// What the plan has against the backend's configuration.
+    /// Returns an error if the plan contradicts the backend's configuration.
     pub(crate) fn with_bulkheads(
         mut self,
         plan: Option<plovershelf_bulkhead::BulkheadPlan>,
@@ -241,27 +244,27 @@
         Ok(self)
     }
 
-    /// Shows a cluster that the loop makes progress.
+    /// Adds a heartbeat that reports to the cluster that the event loop makes progress.
     pub(crate) fn with_heartbeat(mut self, heartbeat: Option<Arc<cluster::DriverHeartbeat>>) -> Self {
         self.heartbeat = heartbeat;
         self
     }
 
-    /// With tenants' quotas that may change.
-    pub(crate) fn with_changes(mut self, is_on: bool) -> Self {
+    /// Enables tenant quotas that change at runtime.
+    pub(crate) fn with_changing_quotas(mut self, is_on: bool) -> Self {
         self.initial_quotas = is_on.then(|| InitialQuotas::new(&self.startup.config.tenant_quotas_per_s));
         self
     }
 
-    /// With keyed requests that are replicated.
+    /// Enables replication of keyed requests.
     pub(crate) fn with_replication(mut self, replication: Option<Sender<cluster::Incoming>>) -> Self {
         self.is_handed_off = replication.is_none();
         self.replication = replication;
         self
     }
 
-    /// Handles inputs until the drain notice has been carried out. Returns how long there is until the end, in which the
-    /// last responses may still go out.
+    /// Handles inputs until the drain is complete. Returns the time left until the process exits, in which the last
+    /// responses may still be written.
     pub(crate) async fn run(&mut self) -> Duration {
         while !self.is_over {
             self.update_clock();
@@ -293,13 +296,13 @@
         Duration::from_secs_f64(left_ms.clamp(self.limits.exit_margin_ms / 2.0, max_ms) / 1000.0)
     }
 
-    /// Whether the exit comes within a span.
+    /// Returns whether the program exits within `within_ms`.
     fn is_about_to_exit(&self, within_ms: f64) -> bool {
         let exit = self.timeouts.iter().find(|(_, timeout, _)| *timeout == Timeout::Exit);
         exit.is_some_and(|(time, ..)| f64::from_bits(*time) - self.now_ms <= within_ms)
     }
 
-    /// The next event or notice, or nothing where a time-out comes first.
+    /// Waits for the next event or drain notice, or for the timer.
     async fn next_input(&mut self) -> Input {
         self.set_timer();
         let DriverQueues { inbox, notice, .. } = &self.queues;
@@ -318,7 +321,7 @@
         future::or(notices, future::or(events, expiry)).await
     }
 
-    /// Sets the timer for the next time-out, or for a while where none is near.
+    /// Sets the timer to the next timeout, or to [`MAX_WAIT_MS`] if none is scheduled.
     fn set_timer(&mut self) {
         let next = self.timeouts.first().map(|(time, ..)| *time);
         if self.timer_set_for != next || next.is_none() {
@@ -332,7 +335,7 @@
         self.timeouts.first().map_or(MAX_WAIT_MS, |(time, ..)| until(*time))
     }
 
-    /// The system's clock, which never goes back here.
+    /// Advances the driver's clock to the system clock; it never goes backwards.
     fn update_clock(&mut self) {
         self.now_ms = self.now_ms.max(unix_ms());
     }
@@ -343,7 +346,7 @@
         self.timeouts.insert((time, timeout, self.timeouts_scheduled));
     }
 
-    /// Handles the first time-out if its time has come; false where none has.
+    /// Handles the earliest timeout if it is due. Returns whether one was due.
     fn handle_due_timeout(&mut self) -> bool {
         let now_ms = self.now_ms;
         let due = self.timeouts.first().filter(|(time, ..)| f64::from_bits(*time) <= now_ms).copied();
@@ -378,10 +381,10 @@
             Event::Connected { connection, outbox } => self.handle_connected(connection, outbox),
             Event::Frame { connection, frame } => self.handle_frame(connection, frame),
             Event::Disconnected { connection, error } => self.handle_disconnected(connection, error),
-            Event::Crowded { why, open } => self.handle_crowded(&why, open),
+            Event::ConnectionsExhausted { reason, open } => self.handle_connections_exhausted(&reason, open),
             Event::ListenerClosed => self.listener = ListenerState::Closed,
             Event::Agent(event) => self.handle_agent_event(event),
-            Event::PeerError(what) => self.log_peer_error(&what),
+            Event::PeerError(message) => self.log_peer_error(&message),
             Event::CallEnded { id, result } => self.handle_call_ended(id, result),
             Event::Replication(event) => self.handle_replication_event(event),
             Event::Bulkheads(plan) => self.replace_bulkheads(plan),
@@ -389,12 +392,14 @@
         }
     }
 
-    /// What follows from an input inside the driver itself.
+    /// Completes a turn: reports runs that ended inside the driver, checks for the end of the drain and updates the
+    /// heartbeat.
     fn finish_turn(&mut self) {
         while let Some((id, outcome)) = self.ended_runs.pop_front() {
             self.decide(|backend, now_ms| backend.handle_run_ended(now_ms, id, outcome));
         }
-        let is_idle = || self.connections.is_empty() && self.requests.values().all(|one| one.is_answered);
+        let is_idle =
+            || self.connections.is_empty() && self.requests.values().all(|request| request.is_answered);
         let accepts = !matches!(self.listener, ListenerState::Closed);
         self.is_over |= self.is_grace_over && !accepts && self.is_handed_off && is_idle();
         if let Some(heartbeat) = &self.heartbeat {
@@ -403,7 +408,7 @@
         }
     }
 
-    /// Asks the backend and carries out what it says.
+    /// Asks the backend for a decision and applies the effects that it returns.
     fn decide(&mut self, ask: impl FnOnce(&mut Backend, f64) -> Effects) {
         let now_ms = self.now_ms;
         if let Some(effects) = self.backend.as_mut().map(|backend| ask(backend, now_ms)) {
@@ -415,17 +420,19 @@
         self.decide(|backend, now_ms| backend.handle_timeout(now_ms, timer, gauges));
     }
 
-    /// The drain notice came at this time; its terms count from then on, however late it is handled.
+    /// Starts the drain. The grace and the stop time count from `noticed_ms`, however late the driver handles the
+    /// notice.
     fn handle_drain_notice(&mut self, noticed_ms: f64) {
         if self.draining.replace(true) {
             return;
         }
-        tracing::info!(event = "drain_notice", "told to leave");
+        tracing::info!(event = "drain_notice", "drain notice received");
         let late_ms = (self.now_ms - noticed_ms).clamp(0.0, self.stop_ms);
         let stop_ms = self.stop_ms - late_ms;
         let grace_ms = self.startup.config.drain_grace_ms - late_ms;
         let refuse_ms = grace_ms.min(stop_ms - self.limits.min_refuse_margin_ms);
-        // What comes inside the grace is run, so clients keep their connections until shortly before its end.
+        // Requests that arrive within the grace still run, so clients keep their connections until shortly before its
+        // end.
         self.schedule((refuse_ms - self.limits.closing_lead_ms).max(0.0), Timeout::AnnounceClosing);
         self.schedule(refuse_ms.max(0.0), Timeout::RefuseConnections);
         self.schedule((stop_ms - self.limits.exit_margin_ms).max(0.0), Timeout::Exit);
@@ -434,7 +441,8 @@
         });
     }
 
-    /// The grace is over. What comes from now on would only be rejected: refused connections send it elsewhere sooner.
+    /// Ends the grace. Requests that arrive from now on would only be rejected; refusing their connections makes
+    /// clients turn to other backends sooner.
     fn refuse_connections(&mut self) {
         self.is_grace_over = true;
         if matches!(self.listener, ListenerState::Open { .. }) {
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -1,4 +1,5 @@
-//! Checks of a request before the backend is asked, and its entry into the table of open requests.
+//! Validation and deduplication of a request before the backend decides, and its entry into the table of open
+//! requests.
 
 use std::ops::Range;
 
@@ -10,75 +11,76 @@
 use super::replication::ReplicationStage;
 use super::Driver;
 use crate::broken;
-use crate::deduplication::{body_hash, DeduplicationKey, Known, Lookup, NO_OBJECT};
+use crate::deduplication::{body_hash, DeduplicationKey, Lookup, LookupResult, NO_OBJECT};
 use crate::event::ConnectionId;
 
-/// Why a request is not accepted.
+/// The reason for which the driver rejects a request without asking the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RejectReason {
-    /// Its class is none of the settings'.
+    /// The settings have no class of this name.
     #[error("no such class")]
     UnknownClass,
-    /// Its tenant is none of the settings'.
+    /// The settings have no tenant of this name.
     #[error("no such tenant")]
     UnknownTenant,
     /// The connection has too many unanswered requests.
     #[error("too many are open on this connection")]
     TooManyOpen,
-    /// Its body is longer than any may be.
+    /// The body is longer than the configured maximum.
     #[error("the body is too long")]
     BodyTooLong,
-    /// An open request has the same attempt.
+    /// Another open request has the same attempt id.
     #[error("the id is in use")]
     AttemptInUse,
     /// The agent is not up yet.
     #[error("not started yet")]
     NotStarted,
-    /// The time at which it was sent can't be. Guards against a measure of time unread that one request spoils.
+    /// The sent time is too far from the present. Without this check a single request could distort the measured time
+    /// in receive buffers.
     #[error("field \"s\" is out of bounds")]
     SentOutOfBounds,
-    /// Its key belongs to a request with another body that has run.
+    /// The key belongs to a request with another body, and that request has run.
     #[error("the key is another request's")]
     KeyInUse,
-    /// The same, and nothing of the other has run: which of the two is wrong is not known yet.
+    /// The key belongs to a request with another body that has not run, so either of the two may be the faulty one.
     #[error("the key is another request's")]
-    KeyHeld,
-    /// No more keys can be remembered, and without that nothing of it may run.
-    #[error("more keys are to be remembered than memory allows")]
-    NoMemoryForKey,
+    KeyReserved,
+    /// The deduplication table is full, and a keyed request must not run without an entry in it.
+    #[error("the deduplication table is full")]
+    DeduplicationTableFull,
 }
 
 impl RejectReason {
-    /// It may be another client's fault, or nobody's.
-    pub(super) fn may_be_innocent(self) -> bool {
+    /// Returns whether the rejection may have a cause other than a fault of this client.
+    pub(super) fn may_be_other_clients_fault(self) -> bool {
         matches!(
             self,
             RejectReason::AttemptInUse
                 | RejectReason::NotStarted
                 | RejectReason::KeyInUse
-                | RejectReason::KeyHeld
+                | RejectReason::KeyReserved
         )
     }
 }
 
-/// A frame with a request.
+/// A request frame received from a client.
 pub(super) struct RequestFrame {
     pub(super) connection: ConnectionId,
     pub(super) seqid: i32,
     pub(super) attempt: plovershelf_codec::AttemptId,
     pub(super) frame: Vec<u8>,
-    /// Where in the frame the body is.
+    /// Range of the body within `frame`.
     pub(super) body: Range<usize>,
 }
 
-/// A request for the backend, with the key by which its duplicates are known.
+/// A validated request for the backend, with its deduplication key.
 pub(super) struct CheckedRequest {
     request: Request,
     key: Option<DeduplicationKey>,
     body_hash: u64,
 }
 
-/// What the deduplication records say of a request.
+/// Result of looking a request up in the deduplication records.
 struct Deduplicated {
     key: Option<DeduplicationKey>,
     body_hash: u64,
@@ -86,7 +88,7 @@
 }
 
 impl Driver {
-    /// The request as the backend needs it.
+    /// Validates a request and converts it into the backend's form.
     pub(super) fn check_request(
         &self,
         connection: ConnectionId,
@@ -145,31 +147,31 @@
         let body_hash = key.as_ref().map_or(0, |_| body_hash(request.body));
         let max_age_ms = self.startup.config.shared_response_ms;
         let lookup = Lookup { body_hash, arrived_ms, is_keyed, max_age_ms };
-        let lookup_key = key.as_ref().filter(|_| !broken::forgets_keys());
-        let known = lookup_key.map(|key| self.deduplication.lookup(key, lookup));
-        let (key, duplicate_of) = match known {
-            Some(Known::Nothing) if self.deduplication.is_full() && is_keyed => {
-                return Err(RejectReason::NoMemoryForKey);
+        let lookup_key = key.as_ref().filter(|_| !broken::ignores_keys());
+        let found = lookup_key.map(|key| self.deduplication.lookup(key, lookup));
+        let (key, duplicate_of) = match found {
+            Some(LookupResult::NoRecord) if self.deduplication.is_full() && is_keyed => {
+                return Err(RejectReason::DeduplicationTableFull);
             }
-            Some(Known::Nothing) if self.deduplication.is_full() => (None, None),
-            None | Some(Known::Nothing) => (key, None),
-            Some(Known::DuplicateOf(holder)) => (key, Some(holder)),
-            // A read of something else shares nothing and runs by itself.
-            Some(Known::OtherBody { .. }) if !is_keyed => (None, None),
-            // Guards against an answer that no run made for this request: its body differs from the one that ran.
-            Some(Known::OtherBody { ran: true }) => return Err(RejectReason::KeyInUse),
-            Some(Known::OtherBody { ran: false }) => return Err(RejectReason::KeyHeld),
+            Some(LookupResult::NoRecord) if self.deduplication.is_full() => (None, None),
+            None | Some(LookupResult::NoRecord) => (key, None),
+            Some(LookupResult::DuplicateOf(holder)) => (key, Some(holder)),
+            // A read with another body is unrelated to the recorded one: it runs without sharing a result.
+            Some(LookupResult::OtherBody { .. }) if !is_keyed => (None, None),
+            // Rejecting the request prevents a wrong response: the recorded result belongs to another body.
+            Some(LookupResult::OtherBody { ran: true }) => return Err(RejectReason::KeyInUse),
+            Some(LookupResult::OtherBody { ran: false }) => return Err(RejectReason::KeyReserved),
         };
         Ok(Deduplicated { key, body_hash, duplicate_of })
     }
 
-    /// Enters a request into the table and asks the backend.
+    /// Adds a request to the table of open requests and asks the backend for a decision.
     pub(super) fn open_request(&mut self, frame: RequestFrame, checked: CheckedRequest) {
         let RequestFrame { connection, seqid, attempt, frame, body } = frame;
         let CheckedRequest { mut request, key, body_hash } = checked;
         let bytes = frame.len() + self.limits.request_overhead_bytes;
         if self.open_bytes + bytes > self.limits.max_open_bytes {
-            self.log_peer_error("more is open than memory allows");
+            self.log_peer_error("open requests exceed the memory limit");
             self.send(connection, front::rejected(seqid, &ServerSignals::default()));
             return;
         }
@@ -197,7 +199,7 @@
             body_hash,
             replication: ReplicationStage::default(),
             provisional_outcome: None,
-            is_failure_told: false,
+            is_failure_reported: false,
         };
         self.requests.insert(request.id, open);
         self.count_demand(request.class, request.work_hint_ms);
@@ -213,7 +215,8 @@
         }
     }
 
-    /// Counts demand for the cluster's traffic plan: work by bands of value, against the class of the highest.
+    /// Counts demand for the cluster's traffic plan: core time per priority band, where a class's band follows from
+    /// its value relative to the highest value of any class.
     fn count_demand(&mut self, class: usize, work_hint_ms: Option<f64>) {
         if self.heartbeat.is_none() {
             return;
