--- a/crates/plovershelf-server/src/driver/agent.rs
+++ b/crates/plovershelf-server/src/driver/agent.rs
@@ -1,16 +1,18 @@
-//! The agent's notices, commands to it, and what a broken link left in doubt.
+//! Agent notices, agent commands and recovery after a broken link.
 //!
-//! A command is proven to be read when a sample that was written after it is answered: a sample's tag is its place in the
-//! order of commands. A launch of which that is not known when a link breaks is in doubt:
+//! Commands are numbered in the order in which they are written, and the tag of a sample is its own number. When the
+//! agent answers a sample, it has read all commands up to that number. If a link breaks before a launch is known to
+//! have been read, that launch is in doubt:
 //!
-//! | the run | the launch in doubt |
+//! | kind of run | recovery of a launch in doubt |
 //! | --- | --- |
-//! | idempotent | is written again: for a run under way that does nothing, one that has just ended runs again |
-//! | other, its client still waits | stays in doubt until the agent reports it or its deadline |
-//! | other, answered | nothing is waited for |
+//! | idempotent | the launch is written again; this has no effect on a run in progress, but repeats a run that has just ended |
+//! | other, client still waits | the launch stays in doubt until the agent reports the run or its deadline expires |
+//! | other, already answered | the driver stops waiting for the run |
 //!
-//! A reply to a call that may be lost with a link is not simply written again, as the run may wait for a later one: the call
-//! is placed again, and its reply delivered when the agent proves that the run still waits for it.
+//! A reply to a call that may have been lost with the link can't simply be written again, because the run may by now
+//! wait for the reply to a later call. The driver places the call again and delivers its reply only after the agent
+//! has confirmed that the run still waits for it.
 
 use async_channel::Sender;
 use plovershelf::admission::Backend;
@@ -22,23 +24,23 @@
 use super::{Driver, Timeout};
 use crate::event::AgentEvent;
 
-/// Place of a command in the order of all, from 1.
+/// Position of a command in the order of all commands to the agent, from 1.
 pub(super) type CommandNumber = u64;
 
-/// Spans between samples that say something of the work of a request.
+/// Longest span between two samples from which the work per request is estimated, in milliseconds.
 const MAX_SAMPLE_SPAN_MS: f64 = 5000.0;
-/// Runs that the mean work of a request looks back on.
-const WORK_MEMORY_RUNS: f64 = 50.0;
+/// Number of runs over which the mean work per request is averaged.
+const MEAN_WORK_RUNS: f64 = 50.0;
 
-/// How many commands were written, and how many of them the agent has surely read.
+/// Counts commands written to the agent and those that it is known to have read.
 #[derive(Default)]
-pub(super) struct CommandLog {
+pub(super) struct CommandCounters {
     written: CommandNumber,
     read: CommandNumber,
 }
 
-impl CommandLog {
-    /// The number of the next command.
+impl CommandCounters {
+    /// Returns the number that the next command will have.
     pub(super) fn next(&self) -> CommandNumber {
         self.written + 1
     }
@@ -61,14 +63,14 @@
     }
 }
 
-/// What has to be done for open requests when a link is up again.
+/// Actions for open requests once a link is up again.
 #[derive(Default)]
 struct Recovery {
-    /// Launches that are written again.
+    /// Requests whose launch is written again.
     relaunch: Vec<u32>,
-    /// Replies that no link took.
+    /// Replies that could not be written to any link.
     deliver: Vec<(u32, Vec<u8>)>,
-    /// Calls that are placed again, as their replies may be lost.
+    /// Requests whose call is placed again because its reply may be lost.
     replay_call: Vec<u32>,
 }
 
@@ -78,7 +80,7 @@
             AgentEvent::Up { fresh, up_for_ms, commands, missed_notices } => {
                 self.handle_agent_up(fresh, up_for_ms, commands);
                 if missed_notices {
-                    self.settle_missed_notices();
+                    self.resolve_missed_notices();
                 }
             }
             AgentEvent::Down { all_commands_read } => {
@@ -90,18 +92,20 @@
             AgentEvent::RunEnded { id, result, body } => self.handle_run_result(id, result, body),
             AgentEvent::CallRequested { id, call } => self.handle_call_requested(id, call),
             AgentEvent::Sampled { tag, gauges } => self.handle_sample(tag, gauges),
-            AgentEvent::CommandRejected { command, about } => self.handle_command_rejected(&command, &about),
+            AgentEvent::CommandRejected { command, argument } => {
+                self.handle_command_rejected(&command, &argument)
+            }
         }
     }
 
-    // ---- the link ------------------------------------------------------------------------------------
+    // ---- link ----------------------------------------------------------------------------------------
 
     pub(super) fn handle_agent_up(&mut self, fresh: bool, up_for_ms: f64, commands: Sender<Vec<u8>>) {
         self.agent = Some(commands);
         if self.backend.is_some() {
             self.recover_link();
         } else if !self.draining.get() {
-            // One that was told to drain before its agent came up accepts nothing any more.
+            // A backend that got the drain notice before its agent was up accepts no requests.
             self.start_backend(fresh, up_for_ms);
         }
     }
@@ -114,7 +118,7 @@
         let state = if fresh { "fresh" } else { "warm" };
         tracing::info!(event = "agent_up", fresh, "the agent is up, {state}");
         self.apply_effects(effects);
-        // One run a core until the backend announces its capacity.
+        // Allows one run per core until the backend announces its capacity.
         let runs = self.startup.config.cores;
         let calls = self.startup.config.dependency_share.unwrap_or(f64::MAX);
         self.update_bulkheads(runs, calls);
@@ -125,7 +129,7 @@
         tracing::info!(
             event = "agent_link_recovered",
             launches = relaunch.len(),
-            "the agent's link is back, {} launches are written anew",
+            "the agent's link is up again, {} launches are written again",
             relaunch.len()
         );
         relaunch.into_iter().for_each(|id| self.start_run(id));
@@ -135,30 +139,30 @@
         }
     }
 
-    /// Decides for each open request what the broken link may have lost; see the module's table.
+    /// Determines what the broken link may have lost for each open request; see the module's table.
     fn plan_recovery(&mut self) -> Recovery {
         let mut recovery = Recovery::default();
         for (id, request) in &mut self.requests {
             let idempotency = self.startup.config.classes[request.class].idempotency;
             let is_idempotent = idempotency == Idempotency::Idempotent;
             let call = &mut request.call;
-            // Whether the run still waits for a reply that may be lost, the dependency knows.
+            // Only the dependency knows whether the run still waits for a reply that may be lost.
             let may_be_lost = call.delivered.is_some_and(|number| !self.commands.is_read(number))
-                || call.unproven.is_some();
+                || call.unconfirmed.is_some();
             if may_be_lost && !request.is_answered && is_idempotent {
-                (call.delivered, call.unproven, call.is_replay) = (None, None, true);
+                (call.delivered, call.unconfirmed, call.is_replay) = (None, None, true);
                 recovery.replay_call.push(*id);
             }
             let is_in_doubt = match request.launch {
                 LaunchState::Sent(number) => !self.commands.is_read(number) && !request.is_confirmed,
-                // No link took it, so it is written anyhow.
+                // No link ever carried this launch, so it is written in any case.
                 LaunchState::Unsent | LaunchState::None => false,
             };
             if request.launch == LaunchState::Unsent || (is_in_doubt && is_idempotent) {
                 recovery.relaunch.push(*id);
             }
             request.is_in_doubt = is_in_doubt;
-            // Over for its client, perhaps never started, and not to be started again: nothing is waited for.
+            // The client already has its answer and the run must not be repeated: the driver stops waiting for it.
             if is_in_doubt && request.is_answered && !is_idempotent {
                 self.ended_runs.push_back((*id, RunOutcome::NotStarted));
             }
@@ -169,17 +173,18 @@
         recovery
     }
 
-    /// The agent remembers a bounded number of notices: ends before those are never reported. Idempotent requests are started
-    /// again, which does nothing where they still run; for the rest nothing more is waited for.
-    fn settle_missed_notices(&mut self) {
-        let launched = self.requests.iter().filter(|(_, one)| one.launch != LaunchState::None);
+    /// Resolves runs whose end may have been reported in notices that the agent no longer has, since it keeps a
+    /// bounded number of them. Idempotent requests are launched again, which has no effect on a run in progress; the
+    /// others count as failed.
+    fn resolve_missed_notices(&mut self) {
+        let launched = self.requests.iter().filter(|(_, request)| request.launch != LaunchState::None);
         let launched: Vec<u32> = launched.map(|(id, _)| *id).collect();
-        self.log_peer_error(&format!("the agent forgot notices: {} runs are in doubt", launched.len()));
+        self.log_peer_error(&format!("the agent dropped notices: {} runs are in doubt", launched.len()));
         for id in launched {
             let Some(request) = self.requests.get(&id) else { continue };
             match self.startup.config.classes[request.class].idempotency {
                 Idempotency::Idempotent if !request.is_answered => self.start_run(id),
-                // Answered, or failed for its client: it may have run, and is never run again.
+                // The run may have happened, so a request that isn't idempotent is never launched again.
                 _ => self.ended_runs.push_back((id, RunOutcome::Failed)),
             }
         }
@@ -201,7 +206,7 @@
         self.handle_run_ended(id, outcome, body);
     }
 
-    /// A run has ended as its client and the duplicates learn of it.
+    /// Records the end of a run and completes the duplicates that wait for its result.
     pub(super) fn handle_run_ended(&mut self, id: u32, outcome: RunOutcome, result: Vec<u8>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.result = result;
@@ -213,7 +218,7 @@
 
     fn handle_call_requested(&mut self, attempt: AttemptId, call: Vec<u8>) {
         let Some(&id) = self.request_by_attempt.get(&attempt) else { return };
-        // The call that was placed again is not the one that the run waits for.
+        // This call is not the one that was placed again, so the driver abandons the replay.
         let is_replayed = |request: &OpenRequest| request.call.is_replay && request.call.number.is_some();
         if self.requests.get(&id).is_some_and(is_replayed) {
             self.abandon_call(id);
@@ -223,7 +228,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             (request.is_confirmed, request.is_in_doubt) = (true, false);
             let state = &mut request.call;
-            (state.delivered, state.is_replay, state.unproven) = (None, false, None);
+            (state.delivered, state.is_replay, state.unconfirmed) = (None, false, None);
             state.body = call;
         }
         self.decide(|backend, now_ms| backend.handle_call_requested(now_ms, id));
@@ -231,46 +236,48 @@
 
     fn handle_sample(&mut self, tag: u64, gauges: Vec<f64>) {
         self.commands.record_read(tag);
-        self.deliver_proven();
+        self.deliver_confirmed();
         if self.awaited_gauges == Some(tag) {
             self.awaited_gauges = None;
             let gauges = self.startup.gauges(gauges);
             if self.heartbeat.is_some() {
-                self.learn_work(gauges.cores_busy);
+                self.update_mean_work(gauges.cores_busy);
             }
             self.handle_backend_timeout(Timer::Periodic, gauges);
         }
     }
 
-    fn handle_command_rejected(&mut self, command: &str, about: &[u8]) {
-        let shown = String::from_utf8_lossy(about);
-        self.log_peer_error(&format!("the agent refused {command:?} for {shown:?}"));
-        let ("launch", Ok(attempt)) = (command, AttemptId::try_from(about)) else { return };
-        // No client sends what the agent does not know.
+    fn handle_command_rejected(&mut self, command: &str, argument: &[u8]) {
+        let argument_text = String::from_utf8_lossy(argument);
+        self.log_peer_error(&format!("the agent rejected command {command:?} for {argument_text:?}"));
+        let ("launch", Ok(attempt)) = (command, AttemptId::try_from(argument)) else { return };
+        // A rejected launch means a faulty client: the agent accepts every launch that a client of this system can
+        // cause.
         let request = self.request_by_attempt.get(&attempt).and_then(|id| self.requests.get(id));
         let connection = request.filter(|request| !request.is_answered).map(|request| request.connection);
         self.handle_run_result(attempt, RunResult::NotStarted, Vec::new());
         if let Some(connection) = connection {
-            self.stop_reading(connection, "the agent knows nothing of what it sends");
+            self.stop_reading(connection, "the agent rejected a launch for its request");
         }
     }
 
-    /// Mean core time of a request: what the cores were busy with since the last sample, shared by the runs that ended.
-    fn learn_work(&mut self, cores_busy: Option<f64>) {
+    /// Updates the mean core time per request from the core time used since the last sample, divided by the runs that
+    /// ended in that time.
+    fn update_mean_work(&mut self, cores_busy: Option<f64>) {
         let span_ms = self.now_ms - std::mem::replace(&mut self.sampled_ms, self.now_ms);
         let runs = std::mem::take(&mut self.runs_since_sample);
         let work_ms = cores_busy.unwrap_or(0.0) * self.startup.config.cores * span_ms;
         if runs >= 1.0 && span_ms > 0.0 && span_ms < MAX_SAMPLE_SPAN_MS && work_ms > 0.0 {
-            self.work_ms += (work_ms / runs - self.work_ms) * (runs / (runs + WORK_MEMORY_RUNS));
+            self.work_ms += (work_ms / runs - self.work_ms) * (runs / (runs + MEAN_WORK_RUNS));
         }
     }
 
     // ---- commands ------------------------------------------------------------------------------------
 
-    /// Writes a command; returns its number, or `None` while there is no link.
+    /// Writes a command to the agent. Returns its number, or `None` while there is no link.
     pub(super) fn send_command(&mut self, bytes: Vec<u8>) -> Option<CommandNumber> {
         if self.agent.as_ref()?.try_send(bytes).is_err() {
-            // The link is gone or accepts nothing: it is dropped, which opens a new one.
+            // The link has ended or its queue is full. Dropping the sender makes the link task connect again.
             self.agent = None;
             return None;
         }
@@ -304,21 +311,25 @@
         request.call.undelivered = number.is_none().then_some(reply);
     }
 
-    /// Replies to calls that were placed again go to runs of which nothing was heard up to a sample behind them: so they wait
-    /// for this reply and for no later one.
-    fn deliver_proven(&mut self) {
-        let is_proven = |request: &OpenRequest| {
-            request.call.unproven.as_ref().is_some_and(|unproven| self.commands.is_read(unproven.proven_by))
+    /// Delivers the replies of replayed calls whose sample has been answered. The agent reported nothing of these
+    /// runs before that sample, so they still wait for exactly this reply.
+    fn deliver_confirmed(&mut self) {
+        let is_reply_confirmed = |request: &OpenRequest| {
+            request
+                .call
+                .unconfirmed
+                .as_ref()
+                .is_some_and(|unconfirmed| self.commands.is_read(unconfirmed.confirmed_by))
         };
-        let proven = self.requests.iter().filter(|(_, request)| is_proven(request));
-        let proven: Vec<u32> = proven.map(|(id, _)| *id).collect();
-        for id in proven {
-            let unproven = self.requests.get_mut(&id).and_then(|request| request.call.unproven.take());
-            unproven.into_iter().for_each(|unproven| self.deliver(id, unproven.reply));
+        let confirmed = self.requests.iter().filter(|(_, request)| is_reply_confirmed(request));
+        let confirmed: Vec<u32> = confirmed.map(|(id, _)| *id).collect();
+        for id in confirmed {
+            let unconfirmed = self.requests.get_mut(&id).and_then(|request| request.call.unconfirmed.take());
+            unconfirmed.into_iter().for_each(|unconfirmed| self.deliver(id, unconfirmed.reply));
         }
     }
 
-    /// Asks for the gauges; without a link the measurement goes on without them.
+    /// Requests the gauges for a periodic measurement. Without a link the measurement proceeds without gauges.
     pub(super) fn start_periodic_measurement(&mut self) {
         self.close_idle();
         self.deduplication.remove_expired(self.now_ms);
--- a/crates/plovershelf-server/src/driver/bulkheads.rs
+++ b/crates/plovershelf-server/src/driver/bulkheads.rs
@@ -1,5 +1,5 @@
-//! Bulkheads, where an operator has set any: they learn from the backend's state changes, and the backend is given their
-//! capacities at each of its periodic measurements. Without an operator's file nothing here is reached.
+//! Bulkheads of an operator's plan. They observe the backend's state changes, and the backend gets their capacities
+//! at each of its periodic measurements. Without a plan this module does nothing.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,27 @@
 
 use super::Driver;
 
-/// A bulkhead is not taken to want more than this, however many of its requests were rejected.
-const MAX_WANTED: usize = 64;
-/// What is left of a peak at each update, and how many times the peak is kept free.
+/// Upper bound of the demand that rejected requests add to a bulkhead.
+const MAX_REJECTED_DEMAND: usize = 64;
+/// Fraction of a peak that remains after each update, and the factor by which headroom exceeds the peak.
 const PEAK_RETAINED_FRACTION: f64 = 0.97;
 const PEAK_HEADROOM: f64 = 1.5;
-/// Calls where the dependency is not shared, and the most of either kind.
+/// Call capacity if the dependency is not shared, and the upper bound of the total capacity of either kind.
 const UNSHARED_CALLS: usize = 10_000;
 const MAX_CAPACITY: f64 = 10_000.0;
 
-/// What one bulkhead has in flight.
+/// Counts of a bulkhead's requests in flight.
 #[derive(Clone, Copy, Default)]
 struct InFlight {
-    /// Runs, with those that want a call.
+    /// Runs, including those that await a call.
     runs: usize,
     calls: usize,
-    /// Of the runs, those that want a call.
+    /// Runs that await a call.
     awaiting_call: usize,
 }
 
 impl InFlight {
-    /// Adds or removes one request in this state.
+    /// Adds or removes one request in the given state.
     fn count(&mut self, state: RequestState, change: CountChange) {
         match state {
             RequestState::Running | RequestState::Answered { .. } => change.apply(&mut self.runs),
@@ -57,8 +57,8 @@
     }
 }
 
-/// The most that a bulkhead had in flight, or wanted, recently. Requests run at once or not at all, so what a bulkhead had
-/// recently is kept free for it and not lent.
+/// Decaying maximum of what a bulkhead recently had in flight or wanted. Requests run at once or are rejected, so
+/// this much capacity stays reserved for the bulkhead and is not lent to others.
 #[derive(Clone, Copy, Default)]
 struct Peak {
     runs: f64,
@@ -76,7 +76,7 @@
     }
 }
 
-/// An open request as bulkheads count it.
+/// An open request as the bulkheads count it.
 #[derive(Clone, Copy)]
 struct CountedRequest {
     class: usize,
@@ -84,15 +84,15 @@
     since_ms: f64,
 }
 
-/// Whether a plan fits a backend, before anything is made of it.
+/// Checks that a plan is valid for a backend.
 ///
 /// # Errors
-/// What the plan has against the backend's configuration.
+/// Returns an error if the plan contradicts the backend's configuration.
 pub(crate) fn check_bulkheads(plan: &BulkheadPlan, config: &BackendConfig) -> Result<(), BulkheadError> {
     BulkheadState::new(plan.clone(), config).map(drop)
 }
 
-/// Bulkheads with what they have learnt.
+/// The bulkheads of a plan, with the measurements that size them.
 pub(super) struct BulkheadState {
     bulkheads: AdaptiveBulkheads,
     classes: usize,
@@ -105,7 +105,7 @@
 
 impl BulkheadState {
     /// # Errors
-    /// What the plan has against this configuration.
+    /// Returns an error if the plan contradicts this configuration.
     pub(super) fn new(plan: BulkheadPlan, config: &BackendConfig) -> Result<Self, BulkheadError> {
         let classes = config.classes.len();
         let runs = (config.cores * config.overload_multiple / 2.0).max(1.0) as usize;
@@ -123,7 +123,7 @@
         Ok(state)
     }
 
-    /// Counts everything that is open again, by the present plan.
+    /// Recounts all open requests under the present plan.
     fn recount(&mut self) {
         let count = self.bulkheads.names().count();
         self.in_flight = vec![InFlight::default(); count];
@@ -134,10 +134,10 @@
         }
     }
 
-    /// Takes a new plan.
+    /// Replaces the plan.
     ///
     /// # Errors
-    /// What the plan has against the configuration; nothing has changed then.
+    /// Returns an error, and changes nothing, if the new plan contradicts the configuration.
     fn replace(&mut self, plan: BulkheadPlan) -> Result<(), BulkheadError> {
         self.bulkheads.replace(plan)?;
         self.recount();
@@ -149,7 +149,7 @@
         let before = self.open.remove(&transition.id);
         if let Some(before) = before {
             self.in_flight[bulkhead].count(before.state, CountChange::Remove);
-            self.learn(now_ms, bulkhead, before, transition.to);
+            self.record_duration(now_ms, bulkhead, before, transition.to);
         }
         if let RequestState::Completed(completion) = transition.to {
             let is_rejected = matches!(completion, Completion::Rejected { .. });
@@ -164,8 +164,9 @@
         self.in_flight[bulkhead].count(transition.to, CountChange::Add);
     }
 
-    /// Learns how long a run or a call took. One that was given up shows nothing of what it takes.
-    fn learn(&mut self, now_ms: f64, bulkhead: usize, before: CountedRequest, to: RequestState) {
+    /// Records the duration of a run or a call. Abandoned work is skipped, as its duration does not reflect the
+    /// time that it needs.
+    fn record_duration(&mut self, now_ms: f64, bulkhead: usize, before: CountedRequest, to: RequestState) {
         let duration_ms = now_ms - before.since_ms;
         let (kind, outcome) = match (before.state, to) {
             (RequestState::Running, RequestState::AwaitingCall | RequestState::Completed(_)) => {
@@ -180,14 +181,14 @@
         self.bulkheads.record(kind, bulkhead, now_ms, duration_ms, outcome);
     }
 
-    /// The capacity of each bulkhead, given what all may use together, by what each has in flight and wants.
+    /// Updates demand and totals, and returns the capacity of each bulkhead.
     fn update(&mut self, total_runs: f64, total_calls: f64) -> Bulkheads {
-        let whole = |capacity: f64| capacity.clamp(0.0, MAX_CAPACITY).floor() as usize;
-        self.bulkheads.set_total(WorkKind::Run, whole(total_runs));
-        self.bulkheads.set_total(WorkKind::Call, whole(total_calls));
+        let to_count = |capacity: f64| capacity.clamp(0.0, MAX_CAPACITY).floor() as usize;
+        self.bulkheads.set_total(WorkKind::Run, to_count(total_runs));
+        self.bulkheads.set_total(WorkKind::Call, to_count(total_calls));
         for (bulkhead, in_flight) in self.in_flight.iter().enumerate() {
             let InFlight { runs, calls, awaiting_call } = *in_flight;
-            let wanted = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_WANTED);
+            let wanted = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_REJECTED_DEMAND);
             let peak = &mut self.peaks[bulkhead];
             peak.update(runs + wanted, calls + awaiting_call + wanted);
             self.bulkheads.set_in_flight(WorkKind::Run, bulkhead, runs);
@@ -212,7 +213,7 @@
         let capacity = |bulkhead: usize| BulkheadCapacity {
             reserved_runs: self.bulkheads.reserved_runs(bulkhead) as f64,
             max_runs: runs[bulkhead] as f64,
-            // One at least, or a bulkhead whose calls are all lent out would wait for good.
+            // At least one: if all calls of a bulkhead were lent out, its requests would wait forever.
             max_calls: calls[bulkhead].max(1) as f64,
         };
         Bulkheads {
@@ -242,7 +243,7 @@
 }
 
 impl Driver {
-    /// Bulkheads learn of a state change.
+    /// Reports a state change to the bulkheads.
     pub(super) fn record_transition(&mut self, transition: &Transition) {
         let Some(bulkheads) = &mut self.bulkheads else { return };
         if let Some(request) = self.requests.get(&transition.id) {
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Gives the backend the capacities of its bulkheads, and logs them from time to time.
+    /// Passes the capacities of the bulkheads to the backend, and logs them at intervals.
     pub(super) fn update_bulkheads(&mut self, total_runs: f64, total_calls: f64) {
         let Some(bulkheads) = &mut self.bulkheads else { return };
         let capacities = bulkheads.update(total_runs, total_calls);
@@ -261,21 +262,21 @@
         self.decide(|backend, now_ms| backend.update_bulkheads(now_ms, Some(capacities)));
     }
 
-    /// The operator's file was read again: all of it counts, or nothing changes.
+    /// Replaces the plan by the operator's reloaded file, or keeps the present one if the new one is invalid.
     pub(super) fn replace_bulkheads(&mut self, plan: BulkheadPlan) {
         let Some(bulkheads) = &mut self.bulkheads else {
             tracing::warn!(
                 event = "bulkheads_rejected",
-                "pools were not set at the start, which needs a restart"
+                "no pools were configured at startup; adding them needs a restart"
             );
             return;
         };
         match bulkheads.replace(plan) {
             Ok(()) => {
-                tracing::info!(event = "bulkheads_replaced", "the pools are those of the file read again")
+                tracing::info!(event = "bulkheads_replaced", "the pools follow the reloaded file")
             }
             Err(error) => {
-                tracing::warn!(event = "bulkheads_rejected", "the pools stay as they are: {error}")
+                tracing::warn!(event = "bulkheads_rejected", "the pools stay unchanged: {error}")
             }
         }
     }
--- a/crates/plovershelf-server/src/driver/calls.rs
+++ b/crates/plovershelf-server/src/driver/calls.rs
@@ -4,12 +4,12 @@
 use plovershelf_codec::{agent as commands, AttemptId};
 
 use super::agent::CommandNumber;
-use super::open_request::UnprovenReply;
+use super::open_request::UnconfirmedReply;
 use super::Driver;
 use crate::event::{CallCommand, CallResult};
 
-/// Never proven: there is no link that a sample could be written to.
-const NEVER_PROVEN: CommandNumber = CommandNumber::MAX;
+/// Number that no sample reaches: without a link no sample could be written.
+const NEVER_CONFIRMED: CommandNumber = CommandNumber::MAX;
 
 impl Driver {
     pub(super) fn place_call(&mut self, id: u32, timeout_ms: f64) {
@@ -20,19 +20,19 @@
         let body = request.call.body.clone();
         let command = CallCommand::Place { id: attempt, number, timeout_ms, body };
         if self.queues.calls.try_send(command).is_err() {
-            self.log_peer_error("the queue to the dependency is full");
+            self.log_peer_error("the command queue to the dependency is full");
             let result = CallResult::without_reply(number, CallOutcome::NotExecuted);
             self.handle_call_ended(attempt, result);
         }
     }
 
-    /// Gives up a call that nobody waits for any more.
+    /// Abandons a call whose reply is no longer needed.
     pub(super) fn abandon_call(&mut self, id: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.call.number.take().is_some() {
             let command = CallCommand::Abandon { id: request.attempt };
             if self.queues.calls.try_send(command).is_err() {
-                self.log_peer_error("the queue to the dependency is full");
+                self.log_peer_error("the command queue to the dependency is full");
             }
         }
     }
@@ -47,10 +47,10 @@
         request.call.number = None;
         let (is_replay, is_answered) = (request.call.is_replay, request.is_answered);
         let outcome = match (outcome, is_replay, is_awaited) {
-            // No run waits: the first reply has reached it.
+            // No run waits for this reply, so the first one has arrived.
             (_, true, false) => CallOutcome::Completed,
             (CallOutcome::Completed, true, _) => {
-                self.hold_until_proven(id, reply);
+                self.defer_until_confirmed(id, reply);
                 CallOutcome::Completed
             }
             (CallOutcome::Completed, ..) => {
@@ -69,12 +69,12 @@
         self.decide(|backend, now_ms| backend.handle_call_ended(now_ms, id, outcome));
     }
 
-    /// Holds a reply until the answer to a sample proves that the run waits for it.
-    fn hold_until_proven(&mut self, id: u32, reply: Vec<u8>) {
+    /// Stores a reply until the answer to a sample confirms that the run still waits for it.
+    fn defer_until_confirmed(&mut self, id: u32, reply: Vec<u8>) {
         let sample = commands::sample(self.commands.next());
-        let proven_by = self.send_command(sample).unwrap_or(NEVER_PROVEN);
+        let confirmed_by = self.send_command(sample).unwrap_or(NEVER_CONFIRMED);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.call.unproven = Some(UnprovenReply { proven_by, reply });
+            request.call.unconfirmed = Some(UnconfirmedReply { confirmed_by, reply });
         }
     }
 }
--- a/crates/plovershelf-server/src/driver/clients.rs
+++ b/crates/plovershelf-server/src/driver/clients.rs
@@ -1,13 +1,13 @@
-//! Clients' connections: what they send, what is sent to them, and when they end.
+//! Client connections: their requests, responses, eviction and closing.
 //!
-//! | a connection makes room or ends when | why |
+//! | cause of eviction or closing | reason |
 //! | --- | --- |
-//! | it has sent nothing for a while, and connections run short | no client does that |
-//! | it is idle, and connections run short | the one idle for longest is missed least |
-//! | it is idle past the announced idle time-out | each open connection costs speed |
-//! | its client sends what no client would | it may be anything |
-//! | its client reads too slowly | its responses would take all memory |
-//! | the drain | nothing new can be answered |
+//! | it has sent no message for a while, and connections run short | a regular client sends a request soon after connecting |
+//! | it is idle, and connections run short | closing the longest idle one costs its client least |
+//! | it is idle past the announced idle timeout | each open connection slows the process down |
+//! | its client violates the protocol | the peer may not be a client at all |
+//! | its client reads too slowly | its unsent responses would use up the memory |
+//! | drain | new requests can't be answered any more |
 
 use std::collections::BTreeMap;
 
@@ -20,16 +20,16 @@
 use crate::event::{ConnectionId, ReadError};
 use crate::outbox::{Outbox, QueueFull};
 
-/// A client's connection as the driver sees it.
+/// State of a client connection in the driver.
 pub(super) struct ClientConnection {
     outbox: Outbox,
-    /// Requests read here and not answered yet, by sequence number.
+    /// Ids of the requests that were read and not answered yet, by sequence number.
     requests: BTreeMap<i32, u32>,
     pub(super) idle_since_ms: f64,
     closing_since_ms: Option<f64>,
-    /// It has sent a message that could be decoded.
-    pub(super) has_spoken: bool,
-    /// What it did wrong where that may be another client's fault.
+    /// True once the connection has sent a message that could be decoded.
+    pub(super) has_sent_message: bool,
+    /// Faults counted against this connection, including those that another client may have caused.
     faults: u32,
 }
 
@@ -40,12 +40,12 @@
             requests: BTreeMap::new(),
             idle_since_ms: now_ms,
             closing_since_ms: None,
-            has_spoken: false,
+            has_sent_message: false,
             faults: 0,
         }
     }
 
-    /// Unanswered requests.
+    /// Returns the number of unanswered requests.
     pub(super) fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -61,25 +61,26 @@
         }
     }
 
-    /// It has sent nothing since before this time.
-    fn is_silent_since(&self, time_ms: f64) -> bool {
-        !self.has_spoken && self.idle_since_ms <= time_ms
+    /// Returns whether the connection was made at or before this time and has sent no message.
+    fn is_unused_since(&self, time_ms: f64) -> bool {
+        !self.has_sent_message && self.idle_since_ms <= time_ms
     }
 
-    /// It has sent something, and nothing of it is open since before this time.
+    /// Returns whether the connection has sent messages, and has had no open request since this time.
     fn is_idle_since(&self, time_ms: f64) -> bool {
-        self.has_spoken && self.requests.is_empty() && self.idle_since_ms <= time_ms
+        self.has_sent_message && self.requests.is_empty() && self.idle_since_ms <= time_ms
     }
 
-    /// A request of it may be on its way to here: it is handled first, and then the connection is not idle any more.
-    fn has_input_on_the_way(&self) -> bool {
+    /// Returns whether a request may be on its way from the socket to the driver. Such a connection is about to
+    /// become busy, so it must not be evicted.
+    fn has_pending_input(&self) -> bool {
         let state = self.outbox.connection();
         let may_hold_request = || state.has_unhandled_input() || state.has_partial_frame();
-        state.has_queued_frame() || (self.has_spoken && may_hold_request())
+        state.has_queued_frame() || (self.has_sent_message && may_hold_request())
     }
 
-    /// It was told to close this long ago, and is idle with nothing of it on the way. A message that has begun has as long
-    /// again to be complete.
+    /// Returns whether the closing was announced at least `timeout_ms` ago and the connection is idle without
+    /// unhandled input. A partly received message doubles the timeout.
     fn closing_timed_out(&self, timeout_ms: f64, now_ms: f64) -> bool {
         let state = self.outbox.connection();
         let timeout_ms = if state.has_partial_frame() { 2.0 * timeout_ms } else { timeout_ms };
@@ -89,15 +90,19 @@
 }
 
 impl Driver {
-    /// Logs what a peer does wrong, where the present second has room for it.
-    pub(super) fn log_peer_error(&mut self, what: &str) {
+    /// Logs a fault of a peer, within the limit of log lines per second.
+    pub(super) fn log_peer_error(&mut self, message: &str) {
         let line = self.peer_errors.admit(self.now_ms);
         if line.suppressed > 0 {
             let more = line.suppressed;
-            tracing::warn!(event = "peer_errors_suppressed", more, "{more} more of the like");
+            tracing::warn!(
+                event = "peer_errors_suppressed",
+                more,
+                "{more} further peer errors were not logged"
+            );
         }
         if line.is_admitted {
-            tracing::warn!(event = "peer_error", "{what}");
+            tracing::warn!(event = "peer_error", "{message}");
         }
     }
 
@@ -108,8 +113,8 @@
         if self.is_grace_over {
             self.announce_closing(connection);
         }
-        if self.connections.len() > self.limits.crowded_connections {
-            self.make_room(self.limits.min_silent_ms, self.limits.min_idle_ms);
+        if self.connections.len() > self.limits.eviction_threshold {
+            self.evict_connection(self.limits.min_unused_ms, self.limits.min_idle_ms);
         }
     }
 
@@ -129,15 +134,15 @@
         }
         let message = front::decode(&frame);
         if message.is_ok() {
-            (client.idle_since_ms, client.has_spoken) = (now_ms, true);
+            (client.idle_since_ms, client.has_sent_message) = (now_ms, true);
         }
         match message {
             Ok(Message::Dispatch { seqid, request }) => {
                 let start = request.body.as_ptr() as usize - frame.as_ptr() as usize;
                 let (attempt, body) = (request.id, start..start + request.body.len());
                 if client.requests.contains_key(&seqid) {
-                    // An exception would be a second answer to that number.
-                    self.stop_reading(connection, "a sequence number is in use");
+                    // An exception would be a second answer to this sequence number.
+                    self.stop_reading(connection, "a sequence number is in use by an open request");
                     return;
                 }
                 match self.check_request(connection, &request) {
@@ -157,7 +162,7 @@
                 let signals = ServerSignals { backpressure: self.backpressure, ..ServerSignals::default() };
                 self.send(connection, front::health(seqid, self.is_ready, &signals));
             }
-            Ok(Message::Other) => self.log_peer_error("a message that is not known"),
+            Ok(Message::Other) => self.log_peer_error("a message of an unknown method"),
             Err(DecodeError::Rejected { seqid, method, kind, reason }) => {
                 self.send_exception(connection, seqid, &method, kind, &reason.to_string());
                 self.record_fault(connection, self.limits.max_faults);
@@ -167,88 +172,89 @@
     }
 
     fn reject(&mut self, connection: ConnectionId, seqid: i32, reason: RejectReason) {
-        let what = reason.to_string();
+        let message = reason.to_string();
         match reason {
-            RejectReason::NoMemoryForKey => {
-                self.log_peer_error(&what);
+            RejectReason::DeduplicationTableFull => {
+                self.log_peer_error(&message);
                 self.send(connection, front::rejected(seqid, &ServerSignals::default()));
                 return;
             }
-            RejectReason::KeyHeld => {
-                self.log_peer_error(&format!("connection {connection}: {what}"));
+            RejectReason::KeyReserved => {
+                self.log_peer_error(&format!("connection {connection}: {message}"));
                 self.send(connection, front::rejected(seqid, &ServerSignals::default()));
             }
-            _ => self.send_exception(connection, seqid, "dispatch", ExceptionKind::Internal, &what),
+            _ => self.send_exception(connection, seqid, "dispatch", ExceptionKind::Internal, &message),
         }
-        let faults = if reason.may_be_innocent() { 1 } else { self.limits.max_faults };
+        let faults = if reason.may_be_other_clients_fault() { 1 } else { self.limits.max_faults };
         self.record_fault(connection, faults);
     }
 
-    /// A connection that sends what no client would is read no more; what may be another's fault has to come often.
+    /// Adds to a connection's fault count and stops reading from it at the limit. Faults that another client may have
+    /// caused count less, so that only repeated ones reach the limit.
     fn record_fault(&mut self, connection: ConnectionId, faults: u32) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.faults += faults;
         if client.faults >= self.limits.max_faults {
-            self.stop_reading(connection, "it is not a sidecar's");
+            self.stop_reading(connection, "too many protocol faults");
         }
     }
 
-    /// The client accepts no answer any more.
+    /// Marks a request whose client has gone or cancelled it, and notifies the backend.
     fn handle_client_gone(&mut self, id: u32) {
         self.mark_answered(id);
         self.decide(|backend, now_ms| backend.handle_client_gone(now_ms, id));
     }
 
-    // ---- making room ---------------------------------------------------------------------------------
+    // ---- eviction ------------------------------------------------------------------------------------
 
-    /// No more connections are possible until some are gone: all that have sent nothing since they were made, as no client
-    /// does, and else the one idle for longest.
-    pub(super) fn handle_crowded(&mut self, why: &str, open: usize) {
-        self.log_peer_error(why);
-        // Those that are ending already make room soon.
+    /// Evicts connections because no more can be opened: all that have sent no message since they were made, or else
+    /// the one that has been idle longest.
+    pub(super) fn handle_connections_exhausted(&mut self, reason: &str, open: usize) {
+        self.log_peer_error(reason);
+        // Enough connections are already ending and will soon be released.
         if open.saturating_sub(self.connections.len()) > self.limits.max_ending_connections {
             return;
         }
-        let mut left = self.limits.max_evictions;
-        while left > 0 && self.make_room(self.limits.min_silent_ms_when_full, 0.0) {
-            left -= 1;
+        let mut remaining = self.limits.max_evictions;
+        while remaining > 0 && self.evict_connection(self.limits.min_unused_ms_when_full, 0.0) {
+            remaining -= 1;
         }
     }
 
-    /// Closes a connection that has sent nothing for so long, or else the one idle for longest. Returns whether it had sent
-    /// nothing.
-    fn make_room(&mut self, min_silent_ms: f64, min_idle_ms: f64) -> bool {
-        let silent_since_ms = self.now_ms - min_silent_ms;
+    /// Evicts a connection that has sent no message for `min_unused_ms`, or else the one that has been idle longest.
+    /// Returns whether the evicted connection had sent no message.
+    fn evict_connection(&mut self, min_unused_ms: f64, min_idle_ms: f64) -> bool {
+        let unused_since_ms = self.now_ms - min_unused_ms;
         let idle_since_ms = self.now_ms - min_idle_ms;
         let candidates = self.connections.iter().filter(|(_, client)| {
-            client.is_silent_since(silent_since_ms) || client.is_idle_since(idle_since_ms)
+            client.is_unused_since(unused_since_ms) || client.is_idle_since(idle_since_ms)
         });
         let mut candidates: Vec<_> = candidates
             .map(|(connection, client)| {
-                let is_blameless = client.faults == 0 && !client.is_silent_since(silent_since_ms);
-                ((is_blameless, client.idle_since_ms.to_bits()), *connection)
+                let is_well_behaved = client.faults == 0 && !client.is_unused_since(unused_since_ms);
+                ((is_well_behaved, client.idle_since_ms.to_bits()), *connection)
             })
             .collect();
         candidates.sort_unstable();
         let mut connections = candidates.into_iter().map(|(_, connection)| connection);
-        let evicted = connections.find(|connection| !self.connections[connection].has_input_on_the_way());
+        let evicted = connections.find(|connection| !self.connections[connection].has_pending_input());
         let Some(connection) = evicted else { return false };
-        let was_silent = !self.connections[&connection].has_spoken;
-        if was_silent {
-            self.log_peer_error("a connection that says nothing makes room");
+        let was_unused = !self.connections[&connection].has_sent_message;
+        if was_unused {
+            self.log_peer_error("evicted a connection that has sent no message");
         }
-        // One whose peer reads nothing would keep its descriptor until its writer gives up.
+        // A peer that doesn't read would otherwise keep the descriptor in use until the write timeout.
         if self.connections[&connection].outbox.unwritten_bytes() > 0 {
             self.abort(connection);
         } else {
             self.close(connection);
         }
-        was_silent
+        was_unused
     }
 
-    // ---- ends ----------------------------------------------------------------------------------------
+    // ---- closing -------------------------------------------------------------------------------------
 
-    /// A connection has ended: whatever is open on it has nobody left who waits.
+    /// Removes a connection that has ended, and abandons its open requests.
     fn abort(&mut self, connection: ConnectionId) {
         let Some(client) = self.connections.remove(&connection) else { return };
         client.outbox.abort();
@@ -257,13 +263,14 @@
         }
     }
 
-    /// Ends a connection on which nothing is open: its peer is told, and what crosses that is not accepted.
+    /// Closes a connection that has no open requests. The peer gets a notice of closing, and requests that cross that
+    /// notice are not accepted.
     fn close(&mut self, connection: ConnectionId) {
         self.announce_closing(connection);
         self.connections.remove(&connection);
     }
 
-    /// Closes connections that were told to close so long ago and are idle.
+    /// Closes idle connections whose closing was announced at least `timeout_ms` ago.
     pub(super) fn close_announced(&mut self, timeout_ms: f64) {
         let now_ms = self.now_ms;
         let closed =
@@ -272,19 +279,19 @@
         closed.into_iter().for_each(|connection| self.close(connection));
     }
 
-    /// Nothing more is read from a connection; what is open on it is still answered.
-    pub(super) fn stop_reading(&mut self, connection: ConnectionId, why: &str) {
+    /// Stops reading from a connection. Its open requests are still answered.
+    pub(super) fn stop_reading(&mut self, connection: ConnectionId, reason: &str) {
         if !self.connections.contains_key(&connection) {
             return;
         }
-        self.log_peer_error(&format!("connection {connection}: {why}"));
+        self.log_peer_error(&format!("connection {connection}: {reason}"));
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.outbox.connection().handle(PhaseEvent::Discard);
         self.announce_closing(connection);
         self.close_if_finished(connection);
     }
 
-    /// A connection that is read no more ends with its last answer.
+    /// Removes a connection that is no longer read once its last answer has been sent.
     pub(super) fn close_if_finished(&mut self, connection: ConnectionId) {
         let is_finished =
             |client: &ClientConnection| client.outbox.is_discarding() && client.requests.is_empty();
@@ -308,7 +315,8 @@
         connections.into_iter().for_each(|connection| self.announce_closing(connection));
     }
 
-    /// Connections that were not used for the announced idle time-out are told to close, and closed if they stay.
+    /// Announces the closing of connections that have been idle past the announced timeout, and closes those that
+    /// have stayed open since an earlier announcement.
     pub(super) fn close_idle(&mut self) {
         let idle_since_ms = self.now_ms - self.idle_timeout_ms;
         let idle = self
@@ -322,7 +330,8 @@
 
     // ---- sending -------------------------------------------------------------------------------------
 
-    /// Queues a frame. Where too much waits to be written, the connection that most waits for is ended.
+    /// Queues a frame. If too many bytes are queued on all connections together, this ends the connection with the
+    /// most queued bytes.
     pub(super) fn send(&mut self, connection: ConnectionId, mut frame: Vec<u8>) {
         if broken::is(Broken::LastAnswersDropped) && self.is_about_to_exit(LAST_ANSWERS_MS) {
             return;
@@ -342,7 +351,7 @@
                     slowest.map_or(connection, |(slowest, _)| *slowest)
                 }
             };
-            self.log_peer_error(&format!("connection {slowest}: its peer reads too slowly"));
+            self.log_peer_error(&format!("connection {slowest}: the peer reads too slowly"));
             self.abort(slowest);
         }
     }
@@ -353,9 +362,9 @@
         seqid: i32,
         method: &str,
         kind: ExceptionKind,
-        what: &str,
+        message: &str,
     ) {
-        self.log_peer_error(&format!("connection {connection}, {method:?}: {what}"));
-        self.send(connection, front::exception(seqid, method, kind, what));
+        self.log_peer_error(&format!("connection {connection}, {method:?}: {message}"));
+        self.send(connection, front::exception(seqid, method, kind, message));
     }
 }
--- a/crates/plovershelf-server/src/driver/open_request.rs
+++ b/crates/plovershelf-server/src/driver/open_request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until nothing of it is left.
+//! State of one request from its arrival until its removal.
 
 use std::ops::Range;
 
@@ -9,70 +9,74 @@
 use crate::deduplication::DeduplicationKey;
 use crate::event::{CallNumber, ConnectionId};
 
-/// Whether the command that starts its run has been written.
+/// Progress of the command that starts the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum LaunchState {
-    /// It has not been started.
+    /// The run has not been started.
     #[default]
     None,
-    /// It was started while there was no link: the agent has never received it.
+    /// The run was started while there was no link, so the agent has not received the command.
     Unsent,
-    /// Its place in the order of commands.
+    /// The command was written with this number.
     Sent(CommandNumber),
 }
 
-/// A reply to a call that was placed again after a link broke. It is handed on once the agent proves that its run waits
-/// for it: the sample of this number is answered and nothing was heard of the run before it.
-pub(super) struct UnprovenReply {
-    pub(super) proven_by: CommandNumber,
+/// The reply to a call that was placed again after a link broke. It is delivered once the agent has answered the
+/// sample `confirmed_by` without reporting anything of the run before it, because then the run still waits for this
+/// reply.
+pub(super) struct UnconfirmedReply {
+    pub(super) confirmed_by: CommandNumber,
     pub(super) reply: Vec<u8>,
 }
 
-/// The outbound call of a run, and its reply on the way to the run.
+/// The outbound call of a run, and the state of its reply.
 #[derive(Default)]
 pub(super) struct OutboundCall {
-    /// What the run asks of the dependency.
+    /// Body of the run's call to the dependency.
     pub(super) body: Vec<u8>,
-    /// The call in flight.
+    /// Number of the call in flight.
     pub(super) number: Option<CallNumber>,
-    /// A reply that no link took.
+    /// Reply that could not be written because there was no link.
     pub(super) undelivered: Option<Vec<u8>>,
-    /// Place in the order of commands of the last reply, until something is heard of the run again.
+    /// Number of the command with the last reply, until the agent next reports on the run.
     pub(super) delivered: Option<CommandNumber>,
-    /// The call was placed again, as its first reply may be lost. Whether the run still waits is asked with it.
+    /// True if the call was placed again because its first reply may be lost. The dependency is then asked whether
+    /// the run still waits.
     pub(super) is_replay: bool,
-    pub(super) unproven: Option<UnprovenReply>,
+    pub(super) unconfirmed: Option<UnconfirmedReply>,
 }
 
-/// An open request.
+/// A request that is not removed yet.
 pub(super) struct OpenRequest {
     pub(super) attempt: AttemptId,
     pub(super) connection: ConnectionId,
     pub(super) seqid: i32,
-    /// Place of its class in the settings.
+    /// Index of the request's class in the settings.
     pub(super) class: usize,
-    /// The frame as it came, and where in it the body is.
+    /// The received frame.
     pub(super) frame: Vec<u8>,
+    /// Range of the body within `frame`.
     pub(super) body: Range<usize>,
     pub(super) arrived_ms: f64,
-    /// The client accepts no answer any more, or has had it.
+    /// True once the answer has been sent, or can no longer be sent because the client has gone.
     pub(super) is_answered: bool,
     pub(super) launch: LaunchState,
-    /// The agent has reported something of its run.
+    /// True once the agent has reported anything about the run.
     pub(super) is_confirmed: bool,
-    /// A link broke before the agent had surely read the launch, and it was not written again.
+    /// True if a link broke before the launch was known to have been read, and the launch was not written again.
     pub(super) is_in_doubt: bool,
     pub(super) call: OutboundCall,
     pub(super) result: Vec<u8>,
     pub(super) key: Option<DeduplicationKey>,
-    /// Hash of its body, where it has a key.
+    /// Hash of the body, or 0 without a key.
     pub(super) body_hash: u64,
-    /// Where keyed requests are replicated: how far its reservation is.
+    /// Progress of replication, if keyed requests are replicated.
     pub(super) replication: ReplicationStage,
-    /// The outcome that stands on enough replicas to be answered if the deadline comes before the rest confirm.
+    /// An outcome that enough replicas have stored to answer the client with it, if the deadline comes before the
+    /// remaining confirmations.
     pub(super) provisional_outcome: Option<plovershelf_replication::Outcome>,
-    /// Its client was told that it failed, so that no other outcome is told to anybody.
-    pub(super) is_failure_told: bool,
+    /// True if the client was answered with a failure, so that no caller may get another outcome.
+    pub(super) is_failure_reported: bool,
 }
 
 impl OpenRequest {
@@ -80,8 +84,8 @@
         &self.frame[self.body.clone()]
     }
 
-    /// Nothing proves that the agent ever received its launch.
+    /// Returns whether it is unknown that the agent ever received the launch.
     pub(super) fn may_never_have_started(&self) -> bool {
-        self.is_in_doubt || self.launch == LaunchState::Unsent || self.replication.holds_launch()
+        self.is_in_doubt || self.launch == LaunchState::Unsent || self.replication.awaits_reservation()
     }
 }
--- a/crates/plovershelf-server/src/driver/replication.rs
+++ b/crates/plovershelf-server/src/driver/replication.rs
@@ -1,15 +1,15 @@
-//! Replication of keyed requests: a run starts once its reservation stands on the replicas, and its answer goes out once its
-//! outcome does. Without replication nothing here does anything.
+//! Replication of keyed requests. A run starts once its reservation is stored on the replicas, and its answer is sent
+//! once its outcome is. Without replication this module does nothing.
 //!
-//! The backend decides as before: it has admitted the request and counts it as running while its reservation is asked for;
-//! deadlines hold meanwhile, and what is given up is released.
+//! The backend's decisions don't change: it admits the request and counts it as running while the reservation is
+//! pending. Deadlines keep running in the meantime, and the reservations of abandoned requests are released.
 //!
-//! | stage | left by |
+//! | stage | left when |
 //! | --- | --- |
-//! | `None`: no key, or no replication | `reserve`: `Reserving` |
-//! | `Reserving`: nothing was started | it stands: `Started`; ended elsewhere, refused: `Done` |
-//! | `Started` | the run ends: `Replicating`; the agent never had it: `Done` |
-//! | `Replicating`: the run ended, its outcome is being copied | confirmed: `Done` |
+//! | `None`: no key, or no replication | `reserve` is called: `Reserving` |
+//! | `Reserving`: the run has not started | the reservation is stored: `Started`; the key has completed elsewhere, or the reservation is rejected: `Done` |
+//! | `Started` | the run ends: `Replicating`; the agent never received the launch: `Done` |
+//! | `Replicating`: the run has ended and its outcome is being replicated | the replicas confirm: `Done` |
 
 use plovershelf::api::{Completion, RunOutcome};
 use plovershelf_codec::agent::RunResult;
@@ -20,7 +20,7 @@
 use crate::cluster::{Incoming, ReplicationCommand, ReplicationEvent};
 use crate::deduplication::DeduplicationKey;
 
-/// How far the replication of an open request is; see the module's table.
+/// Progress of the replication of an open request; see the module's table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ReplicationStage {
     #[default]
@@ -32,17 +32,17 @@
 }
 
 impl ReplicationStage {
-    /// The launch is held back, so nothing of a run will ever be reported.
-    pub(super) fn holds_launch(self) -> bool {
+    /// Returns whether the launch waits for a reservation, so that the agent will not report on a run.
+    pub(super) fn awaits_reservation(self) -> bool {
         self == ReplicationStage::Reserving
     }
 }
 
-/// Retry-After where nothing can be promised.
+/// Retry-after value of rejections while no reservation can be obtained, in milliseconds.
 const UNAVAILABLE_RETRY_AFTER_MS: f64 = 300.0;
 
 impl Driver {
-    /// Asks for the reservation of a keyed request that is to be started. Returns whether the start waits for it.
+    /// Requests the reservation of a keyed request that is about to start. Returns whether the start waits for it.
     pub(super) fn reserve(&mut self, id: u32) -> bool {
         let Some(replication) = &self.replication else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
@@ -57,7 +57,7 @@
         };
         request.replication = ReplicationStage::Reserving;
         if replication.try_send(Incoming::Replication(command)).is_err() {
-            // The cluster accepts nothing: nothing is promised, and nothing runs on a promise.
+            // The cluster's queue is full or closed. A run must not start without its reservation.
             self.reject_unreserved(id);
         }
         true
@@ -69,9 +69,10 @@
         }
     }
 
-    /// How a request is answered whose deadline comes before its replication is through. While its reservation is asked for
-    /// nothing has run, so it is rejected; an outcome that enough replicas have is told; and a run whose client is told that
-    /// it failed has failed for all, whatever it returns.
+    /// Returns the answer to a request whose deadline expires before its replication is complete. A request that
+    /// still awaits its reservation has not run and is rejected. An outcome that enough replicas have stored is sent.
+    /// Once a client has been answered with a failure, the run counts as failed for every caller, whatever result it
+    /// returns.
     pub(super) fn completion_at_deadline(&mut self, id: u32, completion: Completion) -> Completion {
         let unavailable = self.unavailable();
         let is_replicated = self.replication.is_some();
@@ -80,7 +81,8 @@
         let is_keyed = matches!(request.key, Some(DeduplicationKey::Idempotency(..)));
         match request.replication {
             ReplicationStage::Reserving => unavailable,
-            // A duplicate that waited here for another attempt's end: no verdict is known yet, so none is given.
+            // This duplicate waits for another attempt, whose outcome is still unknown, so it can't be answered with
+            // a failure.
             ReplicationStage::None
                 if is_replicated && is_keyed && is_failure && request.launch == LaunchState::None =>
             {
@@ -94,7 +96,7 @@
                 _ => completion,
             },
             ReplicationStage::Started if !request.is_answered => {
-                request.is_failure_told = is_failure;
+                request.is_failure_reported = is_failure;
                 completion
             }
             _ => completion,
@@ -106,14 +108,14 @@
         Completion::Rejected { retry_after_ms, retry_elsewhere: true }
     }
 
-    /// Nobody waits for the request any more.
+    /// Cancels the reservation of a request whose client no longer waits.
     pub(super) fn abandon_reservation(&mut self, id: u32) {
-        if self.requests.get(&id).is_some_and(|request| request.replication.holds_launch()) {
+        if self.requests.get(&id).is_some_and(|request| request.replication.awaits_reservation()) {
             self.send_to_replication(ReplicationCommand::Cancel { id });
         }
     }
 
-    /// A run has ended. Returns whether its outcome is held back until it is replicated.
+    /// Replicates the outcome of a run that has ended. Returns whether the answer waits for the replicas.
     pub(super) fn replicate_outcome(&mut self, id: u32, result: RunResult, body: &[u8]) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.replication != ReplicationStage::Started {
@@ -125,7 +127,7 @@
             return false;
         }
         request.replication = ReplicationStage::Replicating;
-        let is_success = result == RunResult::Succeeded && !request.is_failure_told;
+        let is_success = result == RunResult::Succeeded && !request.is_failure_reported;
         let outcome = if is_success { Outcome::Succeeded(body.to_vec()) } else { Outcome::Failed };
         self.send_to_replication(ReplicationCommand::Complete { id, outcome });
         true
@@ -160,7 +162,7 @@
                 request.replication = ReplicationStage::Started;
                 self.start_run(id);
             }
-            // It was given up meanwhile.
+            // The request was abandoned in the meantime.
             _ => self.send_to_replication(ReplicationCommand::CancelLaunch { id }),
         }
     }
@@ -175,13 +177,13 @@
         self.handle_run_ended(id, run, result);
     }
 
-    /// Nothing can be promised, and nothing was started.
+    /// Rejects a request that could not be reserved. Its run has not started.
     fn reject_unreserved(&mut self, id: u32) {
         let completion = self.unavailable();
         self.end_unstarted(id, completion, Outcome::Failed);
     }
 
-    /// It is answered without a run here; so are the duplicates that wait for it.
+    /// Answers a request that does not run here, and the duplicates that wait for it.
     fn end_unstarted(&mut self, id: u32, completion: Completion, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.replication != ReplicationStage::Reserving {
--- a/crates/plovershelf-server/src/driver/requests.rs
+++ b/crates/plovershelf-server/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Carries out the backend's effects: starts, calls, answers and ends of requests.
+//! Applies the backend's effects: starts, calls, answers and ends of requests.
 
 use plovershelf::api::{Completion, Effects, RequestState, RunOutcome, Timer, Transition};
 use plovershelf_codec::agent as commands;
@@ -38,7 +38,7 @@
             self.remember(id, retain_ms);
         }
         match (from, to) {
-            // Where keyed requests are replicated, a run starts once its reservation stands.
+            // With replication, the run starts only after its reservation is stored.
             (Some(RequestState::Queued), RequestState::Running) if self.reserve(id) => {}
             (Some(RequestState::Queued), RequestState::Running) => self.start_run(id),
             (Some(RequestState::AwaitingCall), RequestState::Running) => {
@@ -74,15 +74,15 @@
         }
     }
 
-    /// A request that is over for its client and may never have reached the agent counts as not started, so that nothing waits for
-    /// the end of its execution.
+    /// Reports the run of a finished request as not started if the agent may never have received it, so that the
+    /// backend doesn't wait for its end.
     fn stop_waiting_if_never_started(&mut self, id: u32) {
         if self.requests.get(&id).is_some_and(|request| request.may_never_have_started()) {
             self.ended_runs.push_back((id, RunOutcome::NotStarted));
         }
     }
 
-    /// Gives the final answer, if it has not been given.
+    /// Sends the final answer, unless the request already has one.
     pub(super) fn answer(&mut self, id: u32, completion: Completion) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
         let (connection, seqid) = (request.connection, request.seqid);
@@ -96,7 +96,7 @@
                 signals.no_retry_elsewhere = !retry_elsewhere;
                 front::rejected(seqid, &signals)
             }
-            // A run can end because its client has gone before this side was told; an answer does no harm.
+            // The run can end before this driver learns that the client has gone; an answer is harmless then.
             Completion::Failed | Completion::ExecutionFailed | Completion::ClientGone => {
                 front::failed(seqid, &signals)
             }
@@ -118,7 +118,7 @@
         self.runs_since_sample += 1.0;
     }
 
-    /// The client is owed nothing any more.
+    /// Marks a request as answered and updates its connection.
     pub(super) fn mark_answered(&mut self, id: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_answered = true;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Nothing of the request is left here or at the agent.
+    /// Removes a request that has ended both here and at the agent.
     fn forget(&mut self, id: u32) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.open_bytes -= request.frame.len() + self.limits.request_overhead_bytes;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The request that a duplicate repeats has ended; the backend learns of it in the same turn.
+    /// Ends a duplicate whose original request has ended. The backend is notified at the end of the present turn.
     pub(super) fn end_duplicate(&mut self, duplicate: u32, result: Option<&[u8]>) {
         if let Some(request) = self.requests.get_mut(&duplicate) {
             request.result = result.unwrap_or_default().to_vec();
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The holder of a key has ended: so do the duplicates that wait for it.
+    /// Ends the duplicates that wait for the holder of a key.
     pub(super) fn end_duplicates_of(&mut self, id: u32, result: Option<&[u8]>) {
         let Some(key) = self.requests.get(&id).and_then(|request| request.key.clone()) else { return };
         self.end_duplicates(&key, id, result);
--- a/crates/plovershelf-server/src/driver/tenant_quotas.rs
+++ b/crates/plovershelf-server/src/driver/tenant_quotas.rs
@@ -1,20 +1,20 @@
-//! Tenants' quotas that come into force while this runs. Without an operator's file for changes there is nothing here.
+//! Tenant quotas that change at runtime. Without a configuration distribution file this module does nothing.
 
 use plovershelf_settings::Names;
 
 use super::Driver;
 use crate::config_distribution::QuotaUpdate;
 
-/// The quotas of the start-up settings, in the tenants' order: they hold for tenants that no change names.
+/// Quotas from the startup settings, in tenant order. They apply to tenants that no change has named.
 pub(super) struct InitialQuotas {
     quotas_per_s: Vec<f64>,
 }
 
-/// What an update changes here.
+/// Difference between an update and the quotas in force.
 struct QuotaDifference {
     /// Index and new quota of each tenant whose quota differs from the one in force.
     changed: Vec<(usize, f64)>,
-    /// Tenants of the update that are none of the settings'.
+    /// Number of tenants in the update that the settings don't list.
     unknown: usize,
 }
 
@@ -24,11 +24,11 @@
     }
 
     fn difference(&self, update: &QuotaUpdate, tenants: &Names, in_force: &[f64]) -> QuotaDifference {
-        let known = |(name, quota): (&str, Option<f64>)| {
+        let resolve = |(name, quota): (&str, Option<f64>)| {
             tenants.place(name).map(|index| (index, quota.unwrap_or(self.quotas_per_s[index])))
         };
         let named: Vec<(usize, f64)> =
-            update.quotas.iter().filter_map(|(name, quota)| known((name.as_ref(), *quota))).collect();
+            update.quotas.iter().filter_map(|(name, quota)| resolve((name.as_ref(), *quota))).collect();
         let unknown = update.quotas.len() - named.len();
         let differs = |(index, quota): &(usize, f64)| in_force[*index] != *quota;
         if !update.is_snapshot {
@@ -41,7 +41,7 @@
 }
 
 impl Driver {
-    /// Applies quotas that are in force from now on.
+    /// Applies a quota update to the backend.
     pub(super) fn handle_quota_update(&mut self, update: &QuotaUpdate) {
         let Some(initial) = &self.initial_quotas else { return };
         let QuotaDifference { changed, unknown } =
@@ -55,7 +55,7 @@
             number = version.number,
             here,
             unknown,
-            "change {version}: {here} quotas differ here, {unknown} tenants are none of the settings'"
+            "change {version}: {here} quotas differ here, {unknown} tenants are not in the settings"
         );
         if !changed.is_empty() {
             self.decide(|backend, now_ms| backend.update_tenant_quotas(now_ms, &changed));
--- a/crates/plovershelf-server/src/entropy.rs
+++ b/crates/plovershelf-server/src/entropy.rs
@@ -1,10 +1,10 @@
-//! Random numbers that no other process draws.
+//! Random numbers that differ between processes.
 
 use std::fs::File;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io::Read;
 
-/// A number that no other start draws; never 0.
+/// Returns a random number that no other process start is expected to draw; never 0.
 pub(crate) fn random_id() -> u64 {
     let mut bytes = [0; 8];
     let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the server send to the event loop, and what it sends to the dependency's connections.
+//! Messages between the server's tasks and the event loop.
 
 use async_channel::Sender;
 use plovershelf::api::CallOutcome;
@@ -9,88 +9,89 @@
 
 use crate::outbox::Outbox;
 
-/// Number of a client's connection, in the order of accepting.
+/// Number of a client connection, in the order of accepting.
 pub(crate) type ConnectionId = u64;
 
-/// Number of an outbound call, so that a late reply is not taken for a later call's.
+/// Number of an outbound call, so that a late reply is not matched to a later call.
 pub(crate) type CallNumber = u64;
 
-/// Why nothing more is read from a connection.
+/// Error that ends reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ReadError {
-    /// Its bytes are no frames.
+    /// The received bytes are not valid frames.
     #[error("{0}")]
     Frame(#[from] FrameError),
-    /// It goes on sending after its end.
-    #[error("more came after its end")]
+    /// The peer sent data after this side had stopped accepting requests on the connection.
+    #[error("data received after the connection stopped accepting requests")]
     AfterEnd,
     /// A message was not complete in time.
-    #[error("no whole message came in time")]
+    #[error("no complete message in time")]
     Timeout,
 }
 
 /// An input of the event loop.
 pub(crate) enum Event {
-    /// A client connected.
+    /// A client has connected.
     Connected { connection: ConnectionId, outbox: Outbox },
-    /// A complete frame of a client.
+    /// A client has sent a complete frame.
     Frame { connection: ConnectionId, frame: Vec<u8> },
-    /// A client is gone, or what it sends can't be read any more.
+    /// A client has disconnected, or its input can't be read any more.
     Disconnected { connection: ConnectionId, error: Option<ReadError> },
-    /// Connections or descriptors are short: an idle connection must go. `open` counts those that are ending too.
-    Crowded { why: String, open: usize },
-    /// No further connection will come, and all that came were reported.
+    /// Connections or descriptors are exhausted, so an idle connection must be closed. `open` includes connections
+    /// that are already ending.
+    ConnectionsExhausted { reason: String, open: usize },
+    /// The listener accepts no further connections and has reported all that it accepted.
     ListenerClosed,
-    /// The agent's link.
+    /// An event of the agent's link.
     Agent(AgentEvent),
-    /// A peer did something wrong.
+    /// A peer has violated its protocol.
     PeerError(String),
-    /// An outbound call ended.
+    /// An outbound call has ended.
     CallEnded { id: AttemptId, result: CallResult },
-    /// Replication of a keyed request.
+    /// An event of a keyed request's replication.
     Replication(crate::cluster::ReplicationEvent),
-    /// The operator's file of bulkheads was read again.
+    /// The operator has reloaded the bulkhead plan.
     Bulkheads(plovershelf_bulkhead::BulkheadPlan),
-    /// Tenants' quotas that are in force from now on.
+    /// New tenant quotas are in force.
     Quotas(crate::config_distribution::QuotaUpdate),
 }
 
 /// An event of the agent's link.
 pub(crate) enum AgentEvent {
-    /// A link is up, and all notices that were missed have been handed over.
+    /// A link is up, and all missed notices that the agent still had have been delivered.
     Up {
-        /// The cores have just started.
+        /// True if the agent has just started its cores.
         fresh: bool,
-        /// For how long the agent has been up.
+        /// Time for which the agent has been up, in milliseconds.
         up_for_ms: f64,
         /// Takes the bytes of commands.
         commands: Sender<Vec<u8>>,
-        /// Some notices were lost: runs may have ended of which nothing more will be heard.
+        /// True if notices were lost, so that the ends of some runs will never be reported.
         missed_notices: bool,
     },
-    /// There is no link; whether all of its commands were surely read.
+    /// The link has ended; `all_commands_read` tells whether the agent is known to have read all of its commands.
     Down { all_commands_read: bool },
-    /// A run ended.
+    /// A run has ended.
     RunEnded { id: AttemptId, result: RunResult, body: Vec<u8> },
-    /// A run waits for an outbound call.
+    /// A run requests an outbound call.
     CallRequested { id: AttemptId, call: Vec<u8> },
-    /// The gauges that were asked for with this tag.
+    /// The agent has answered the sample with this tag.
     Sampled { tag: u64, gauges: Vec<f64> },
     /// The agent did not carry out a command.
-    CommandRejected { command: String, about: Vec<u8> },
+    CommandRejected { command: String, argument: Vec<u8> },
 }
 
-/// A command to the dependency's connections.
+/// A command to the connections of the dependency.
 pub(crate) enum CallCommand {
     Place { id: AttemptId, number: CallNumber, timeout_ms: f64, body: Vec<u8> },
     Abandon { id: AttemptId },
 }
 
-/// How an outbound call ended.
+/// Result of an outbound call.
 pub(crate) struct CallResult {
     pub(crate) number: CallNumber,
     pub(crate) outcome: CallOutcome,
-    /// False where the dependency knows of no run that waits for it.
+    /// False if the dependency knows that no run waits for the reply.
     pub(crate) is_awaited: bool,
     pub(crate) reply: Vec<u8>,
 }
--- a/crates/plovershelf-server/src/lib.rs
+++ b/crates/plovershelf-server/src/lib.rs
@@ -1,23 +1,24 @@
-//! One backend on real sockets.
+//! A backend on real sockets.
 //!
-//! One task, the [`driver`], owns the [`Backend`](plovershelf::admission::Backend) and every open request; all others move
-//! bytes and reach it through one bounded queue. Nothing here decides: state machines in other packages do.
+//! A single task, the [`driver`], owns the [`Backend`](plovershelf::admission::Backend) and every open request. All
+//! other tasks do I/O and communicate with it through one bounded queue. Decisions are made by state machines in
+//! other packages.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `startup`, `limits` | the configuration; sizes, counts and times of serving |
+//! | `startup`, `limits` | the configuration; sizes, counts and timeouts of the server |
 //! | `service` | starts the tasks, handles signals, waits for the end |
-//! | `event` | what tasks send to the driver and back |
-//! | `driver` | the event loop: event in, decision, commands out |
-//! | `deduplication` | keys of requests and their results |
-//! | `listener`, `client_io`, `connection_state`, `outbox` | clients' connections |
-//! | `agent_link` | the link with the agent that owns the cores |
+//! | `event` | messages between the tasks and the driver |
+//! | `driver` | the event loop: passes events to the backend and sends commands |
+//! | `deduplication` | idempotency keys and recorded results |
+//! | `listener`, `client_io`, `connection_state`, `outbox` | client connections |
+//! | `agent_link` | the link with the agent that runs the requests |
 //! | `dependency` | outbound calls |
-//! | `registry` | heartbeats |
-//! | `streams`, `links`, `log_limit` | bounded reading and writing; links among processes; lines of the log that others cause |
-//! | [`cluster`], [`config_distribution`] | the drivers of cluster, replication and failover, and of configuration distribution |
-//! | `broken` | variants that break a promise, for the soak's own check |
-//! | `entropy` | random numbers that no other start draws |
+//! | `registry` | heartbeats to the service registry |
+//! | `streams`, `links`, `log_limit` | bounded reads and writes; links between processes; rate limit for log lines that peers can cause |
+//! | [`cluster`], [`config_distribution`] | drivers of the cluster, replication and failover, and of configuration distribution |
+//! | `broken` | deliberately faulty variants with which the soak test checks itself |
+//! | `entropy` | random numbers |
 
 mod agent_link;
 mod broken;
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -1,151 +1,171 @@
-//! Sizes, counts and times that bound serving, filled at start and handed down. Those of links and of the threads of cluster and
-//! configuration distribution stand in their own files.
+//! Sizes, counts and times that bound the server, computed at startup. The limits of links and of the threads for
+//! cluster and configuration distribution are defined in their own modules.
 
 use crate::broken::{self, Broken};
 
-/// Descriptors kept back for the listener, the agent, the dependency, the registry, the standard streams and the event
+/// Descriptors reserved for the listener, the agent, the dependency, the registry, the standard streams and the event
 /// queue.
 const RESERVED_SOCKETS: usize = 16;
-/// Memory that one connection may come to hold, which bounds the number of connections.
+/// Memory assumed per connection, which bounds the number of connections.
 const CONNECTION_BYTES: usize = 64 << 10;
-/// Memory that one deduplication key may come to hold beside a result.
+/// Memory assumed per deduplication key without its result.
 const DEDUPLICATION_KEY_BYTES: usize = 512;
-/// Descriptors for each connection to the dependency, and how many connections there may be.
+/// Descriptors of the process per connection to the dependency.
 const SOCKETS_PER_DEPENDENCY_CONNECTION: usize = 16;
+/// Bounds on the number of connections to the dependency.
 const MIN_DEPENDENCY_CONNECTIONS: usize = 2;
 const MAX_DEPENDENCY_CONNECTIONS: usize = 24;
-/// Fewer clients' connections are never allowed.
+/// Lower bound of the limit on client connections.
 const MIN_CONNECTIONS: usize = 4;
 
-/// Connections where descriptors are not counted, in a variant for tests.
+/// Limit on client connections in the test variant that ignores descriptors.
 const UNCOUNTED_CONNECTIONS: usize = 1 << 20;
 
-/// Bounds of the whole program.
+/// Limits of the whole program.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
     // ---- clients: sizes and counts
-    /// Clients' connections at once.
+    /// Client connections.
     pub(crate) max_connections: usize,
-    /// Unanswered requests of one connection.
+    /// Unanswered requests per connection.
     pub(crate) max_requests_per_connection: usize,
-    /// A client's frame, and the body in it.
+    /// Size of a client frame.
     pub(crate) max_frame_bytes: usize,
+    /// Size of the body of a request.
     pub(crate) max_request_bytes: usize,
-    /// What one read takes at most.
+    /// Bytes per read.
     pub(crate) read_chunk_bytes: usize,
-    /// Memory of an open request beside its frame; all that open requests may hold.
+    /// Memory assumed per open request in addition to its frame.
     pub(crate) request_overhead_bytes: usize,
+    /// Memory of all open requests.
     pub(crate) max_open_bytes: usize,
-    /// Responses that wait to be written, of all connections and of one.
+    /// Responses that wait to be written, on all connections.
     pub(crate) max_unwritten_bytes: usize,
+    /// Responses that wait to be written, per connection.
     pub(crate) max_unwritten_bytes_per_connection: usize,
-    /// Deduplication keys, and the results kept for them.
+    /// Deduplication keys.
     pub(crate) max_deduplication_keys: usize,
+    /// Results stored with deduplication keys.
     pub(crate) max_result_bytes: usize,
-    /// Places in the queue to the event loop, and in those from it.
+    /// Capacity of the queue to the event loop.
     pub(crate) event_queue: usize,
+    /// Capacity of the queues from the event loop.
     pub(crate) command_queue: usize,
 
     // ---- clients: times
-    /// A connection's first message, and the rest of each frame that has begun, come within this.
+    /// Time within which the first message of a connection, and the rest of each started frame, must arrive.
     pub(crate) message_timeout_ms: u64,
-    /// A peer that reads nothing for this long is given up.
+    /// Time after which the connection of a peer that doesn't read is ended.
     pub(crate) write_timeout_ms: u64,
-    /// A connection that this side ends is still read for this long and this much, so that its peer receives the end; and
-    /// for the shorter time where descriptors run short, which is what a request that crosses the end may take.
+    /// Time for which a connection that this side ends is still read, so that its peer receives the last response.
     pub(crate) linger_ms: u64,
-    pub(crate) linger_ms_when_crowded: u64,
+    /// The same time while many connections are open. It still covers a request that crosses the end of the connection.
+    pub(crate) linger_ms_under_pressure: u64,
+    /// Bytes that are read from such a connection.
     pub(crate) max_linger_bytes: usize,
-    /// A request is not older than this.
+    /// Greatest age of a request by its sent time.
     pub(crate) max_request_age_ms: f64,
-    /// No client is believed to wait longer for one attempt.
+    /// Upper bound of the timeout that a client states for an attempt.
     pub(crate) max_timeout_ms: f64,
-    /// Deduplication keys outlive their window by this, for requests that are read late.
+    /// Time for which deduplication keys are kept after their window, for requests that are read late.
     pub(crate) deduplication_grace_ms: f64,
 
     // ---- clients: accepting and evicting
-    /// Connections that wait to be accepted.
+    /// Connections in the listen queue.
     pub(crate) listen_backlog: i32,
-    /// An address that another process holds is retried for this long, this often.
+    /// Time for which listening is retried while another process uses the address.
     pub(crate) listen_timeout_ms: u64,
+    /// Interval of those retries.
     pub(crate) listen_retry_ms: u64,
-    /// From this many connections on, those that have sent nothing for `min_silent_ms` or are idle for `min_idle_ms` make
-    /// room for new ones.
-    pub(crate) crowded_connections: usize,
+    /// Number of connections above which a new one evicts another that has sent no message for `min_unused_ms` or has
+    /// been idle for `min_idle_ms`.
+    pub(crate) eviction_threshold: usize,
+    /// Idle time after which a connection may be evicted.
     pub(crate) min_idle_ms: f64,
-    pub(crate) min_silent_ms: f64,
-    /// The same for silent ones once no more connections are possible, and how many make room at once.
-    pub(crate) min_silent_ms_when_full: f64,
+    /// Time without a first message after which a connection may be evicted.
+    pub(crate) min_unused_ms: f64,
+    /// The same time once the limit of connections or descriptors is reached.
+    pub(crate) min_unused_ms_when_full: f64,
+    /// Connections evicted at once.
     pub(crate) max_evictions: usize,
-    /// No connection that has sent something makes room while this many are ending.
+    /// Number of ending connections above which no further ones are evicted.
     pub(crate) max_ending_connections: usize,
-    /// What stands in the listen queue as accepting ends waits this long for others' descriptors; the rest is reset.
+    /// Time for which connections in the listen queue wait for a free descriptor when accepting ends; the rest are
+    /// reset.
     pub(crate) listen_queue_timeout_ms: u64,
-    /// Accepting pauses for this long when descriptors are short.
+    /// Pause of accepting when descriptors run short.
     pub(crate) accept_pause_ms: u64,
-    /// Faults that end a connection where they may be another client's.
+    /// Fault count that ends a connection. Faults that another client may have caused count as one.
     pub(crate) max_faults: u32,
 
     // ---- agent
-    /// A line of the agent or the dependency with its body, and the body alone.
+    /// Size of a line of the agent or the dependency including its body.
     pub(crate) max_line_bytes: usize,
+    /// Size of the body of such a line.
     pub(crate) max_body_bytes: usize,
-    /// Time to connect to the agent or the dependency; pauses between attempts, at first and at most.
+    /// Timeout for connecting to the agent or the dependency.
     pub(crate) connect_timeout_ms: u64,
+    /// First pause between attempts to connect.
     pub(crate) min_reconnect_ms: u64,
+    /// Longest pause between attempts to connect.
     pub(crate) max_reconnect_ms: u64,
-    /// A link that is replaced by another waits this long for the proof that its commands were read.
+    /// Time for which a replaced link waits for the answer to its final fence.
     pub(crate) handover_timeout_ms: u64,
-    /// A periodic measurement waits this long for its gauges.
+    /// Time for which a periodic measurement waits for its gauges.
     pub(crate) gauge_timeout_ms: f64,
 
     // ---- dependency
-    /// Connections, and further ones while others accept no more calls but have some in flight.
+    /// Connections to the dependency.
     pub(crate) max_dependency_connections: usize,
+    /// Further connections while retired ones still have calls in flight.
     pub(crate) spare_dependency_connections: usize,
-    /// Calls that one connection carries in its life.
+    /// Calls that one connection carries before it is retired.
     pub(crate) max_calls_per_connection: usize,
-    /// The dependency may close or forget an idle connection; this side closes it earlier, so that no call crosses that.
+    /// Idle time after which a connection is closed. The dependency may close or drop an idle connection later than
+    /// this, so no call crosses that.
     pub(crate) dependency_idle_ms: u64,
-    /// A connection with a call in flight for this multiple of the mean latency is considered dead, within these bounds.
-    pub(crate) silence_multiple: f64,
-    pub(crate) min_silence_ms: u64,
-    pub(crate) max_silence_ms: u64,
-    /// Weight of one call in the mean latency, and the mean before the first call.
+    /// Multiple of the mean latency after which a connection with an unanswered call counts as broken.
+    pub(crate) reply_timeout_multiple: f64,
+    /// Lower bound of that time.
+    pub(crate) min_reply_timeout_ms: u64,
+    /// Upper bound of that time.
+    pub(crate) max_reply_timeout_ms: u64,
+    /// Weight of one call in the mean latency.
     pub(crate) latency_weight: f64,
+    /// Assumed mean latency before the first call.
     pub(crate) initial_latency_ms: f64,
-    /// A reply that has begun is complete within this.
-    pub(crate) reply_timeout_ms: u64,
-    /// How often a connection is checked for silence.
-    pub(crate) silence_check_ms: u64,
+    /// Time within which a started reply must be complete.
+    pub(crate) partial_reply_timeout_ms: u64,
+    /// Interval at which a connection is checked for a missing reply.
+    pub(crate) reply_check_interval_ms: u64,
 
     // ---- registry
-    /// Between two heartbeats. The registry drops a backend after 3 s without one: of twelve in a row, a quarter lost, all
-    /// are hardly ever lost.
+    /// Interval of heartbeats. The registry drops a backend after 3 s without one; with twelve heartbeats in that
+    /// time and a quarter of them lost, losing all twelve is very unlikely.
     pub(crate) heartbeat_ms: u64,
 
     // ---- drain
-    /// A connection that was told to close and does not is closed after this; and once connections are refused, which is
-    /// longer than a request may take that crosses the announcement.
+    /// Time after which a connection is closed whose client doesn't react to the announcement of closing.
     pub(crate) closing_timeout_ms: f64,
+    /// The same time once new connections are refused. It exceeds the time of a request that crosses the announcement.
     pub(crate) final_closing_timeout_ms: f64,
-    /// Connections are told to close this long before new ones are refused.
+    /// Time between the announcement of closing and the refusal of new connections.
     pub(crate) closing_lead_ms: f64,
-    /// New connections are refused from this long before the kill at the latest.
+    /// Shortest time between the refusal of new connections and the forced kill.
     pub(crate) min_refuse_margin_ms: f64,
-    /// The program exits this long before it is killed.
+    /// Time between the exit and the forced kill.
     pub(crate) exit_margin_ms: f64,
 
     // ---- log
-    /// Between two lines about each bulkhead.
+    /// Interval of the log lines about each bulkhead.
     pub(crate) bulkhead_log_interval_ms: f64,
-    /// Lines about what peers do wrong.
+    /// Log lines per second about faults of peers.
     pub(crate) max_peer_errors_per_s: u32,
 }
 
 impl Limits {
-    /// Limits of a program with this much memory, in MiB, and this many descriptors.
-    #[expect(clippy::too_many_lines, reason = "a table of values, one a line")]
+    /// Returns the limits of a program with this much memory, in MiB, and this many descriptors.
+    #[expect(clippy::too_many_lines, reason = "a table of values, one per line")]
     pub(crate) fn new(memory_mb: f64, sockets: usize) -> Self {
         let memory_bytes = (memory_mb * 1024.0 * 1024.0) as usize;
         let max_dependency_connections = (sockets / SOCKETS_PER_DEPENDENCY_CONNECTION)
@@ -172,7 +192,7 @@
             message_timeout_ms: 2200,
             write_timeout_ms: 10_000,
             linger_ms: 300,
-            linger_ms_when_crowded: 60,
+            linger_ms_under_pressure: 60,
             max_linger_bytes: 256 << 10,
             max_request_age_ms: 60_000.0,
             max_timeout_ms: 3_600_000.0,
@@ -180,10 +200,10 @@
             listen_backlog: 1024,
             listen_timeout_ms: 8000,
             listen_retry_ms: 20,
-            crowded_connections: max_connections * 3 / 4,
+            eviction_threshold: max_connections * 3 / 4,
             min_idle_ms: 1000.0,
-            min_silent_ms: 100.0,
-            min_silent_ms_when_full: 20.0,
+            min_unused_ms: 100.0,
+            min_unused_ms_when_full: 20.0,
             max_evictions: 32,
             max_ending_connections: 8,
             listen_queue_timeout_ms: 160,
@@ -200,13 +220,13 @@
             spare_dependency_connections: 4,
             max_calls_per_connection: 200,
             dependency_idle_ms: 400,
-            silence_multiple: 12.0,
-            min_silence_ms: 40,
-            max_silence_ms: 1500,
+            reply_timeout_multiple: 12.0,
+            min_reply_timeout_ms: 40,
+            max_reply_timeout_ms: 1500,
             latency_weight: 0.05,
             initial_latency_ms: 100.0,
-            reply_timeout_ms: 100,
-            silence_check_ms: 50,
+            partial_reply_timeout_ms: 100,
+            reply_check_interval_ms: 50,
             heartbeat_ms: 250,
             closing_timeout_ms: 10_000.0,
             final_closing_timeout_ms: 150.0,
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -1,13 +1,13 @@
-//! Links among processes: one outgoing link to each process that is talked to, frames in from those that talk to this one.
+//! Links between processes: one outgoing link to each peer, and incoming links from peers.
 //!
-//! A link carries frames one way, but for the answer to a question. Frames may get lost, as on a network: what a full queue
-//! or a broken link loses is sent again by the state machines that need it.
+//! A link carries frames in one direction only, except for the answer to a question. Frames may get lost, as on a
+//! network: if a full queue or a broken link drops them, the state machines that need them send them again.
 //!
-//! | outgoing link | left by |
+//! | outgoing link | left when |
 //! | --- | --- |
-//! | none | `send`: connecting, unless it broke a moment ago |
-//! | connecting, open | idle for too long: none, and the next `send` opens it at once; an error: broken |
-//! | broken | a pause: none |
+//! | none | `send` is called: connecting, unless the last link broke a moment ago |
+//! | connecting, open | idle past the limit: none, and the next `send` reconnects at once; an error: broken |
+//! | broken | the reconnect pause has passed: none |
 
 mod incoming;
 
@@ -27,52 +27,54 @@
 use crate::streams::{recv_batch, with_timeout, write_all};
 pub(crate) use incoming::accept_links;
 
-/// How many links there may be, and for how long one may be idle.
+/// Bounds on the number of links and their idle time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkLimits {
-    /// Outgoing links; the one idle for longest makes room.
+    /// Most outgoing links; a new one beyond that replaces the one that has been idle longest.
     pub(crate) max_outgoing: usize,
-    /// Incoming links; more are refused.
+    /// Most incoming links; further ones are refused.
+    /// Time without a frame after which an outgoing link is closed, in milliseconds.
     pub(crate) max_incoming: usize,
     pub(crate) idle_timeout_ms: u64,
 }
 
-/// Enough for the members that one of a cluster talks to.
+/// Enough links for the members that one member of a cluster communicates with.
 pub(crate) const CLUSTER_LINKS: LinkLimits =
     LinkLimits { max_outgoing: 64, max_incoming: 256, idle_timeout_ms: 30_000 };
 
-/// What came over an incoming link.
+/// An event of an incoming link.
 pub enum LinkEvent {
-    /// A message.
+    /// A peer has sent a message.
     Message {
-        /// The message.
+        /// The decoded message.
         wire: Box<Wire>,
-        /// The sender is on this machine.
+        /// True if the sender runs on this machine.
         is_local: bool,
-        /// Takes the answer, where the message is a question.
+        /// Takes the answer if the message is a question.
         answer: Sender<Answer>,
     },
-    /// Somebody sent what can't be read or belongs elsewhere, in one line.
+    /// A peer has sent malformed data or belongs to another cluster; one line of text.
     PeerError(String),
 }
 
-/// A clock that never goes back and goes on while the machine sleeps: so a lease is over when it wakes.
+/// Returns a monotonic time in milliseconds that includes the time for which the machine was suspended, so that a
+/// lease has expired after a resume.
 pub fn now_ms() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
-/// Frames that wait for one link; more are dropped.
+/// Frames queued for one link; further ones are dropped.
 const QUEUED_FRAMES: usize = 64;
 const CONNECT_TIMEOUT_MS: u64 = 500;
 const WRITE_TIMEOUT_MS: u64 = 2000;
-/// A link that broke is not opened again within this.
+/// A link that broke is not opened again within this time.
 const RECONNECT_PAUSE_MS: f64 = 100.0;
 
 struct OutgoingLink {
     frames: Sender<Vec<u8>>,
     used_ms: f64,
-    /// It ended because it was idle, so the next may be opened at once.
+    /// True if the link ended because it was idle, so that a new one may be opened at once.
     was_idle: Rc<Cell<bool>>,
 }
 
@@ -81,7 +83,7 @@
     executor: &'static LocalExecutor<'static>,
     limits: LinkLimits,
     hello: Vec<u8>,
-    /// Addresses that take the place of those that members name, by name.
+    /// Addresses that replace the ones that members announce, by member name.
     routes: BTreeMap<String, SocketAddr>,
     /// Receives the address of each link that broke or could not be opened.
     broken: Option<Sender<SocketAddr>>,
@@ -102,7 +104,7 @@
         OutgoingLinks { executor, limits, hello, routes, broken, links, broken_ms }
     }
 
-    /// Queues a frame for the link of its address, which is opened where there is none. It may get lost.
+    /// Queues a frame for the link of an address, and opens the link if there is none. The frame may get lost.
     pub(crate) fn send(&mut self, address: SocketAddr, name: Option<&str>, wire: &Wire) {
         let address = name.and_then(|name| self.routes.get(name)).copied().unwrap_or(address);
         let now_ms = now_ms();
@@ -112,12 +114,12 @@
             return;
         }
         if self.links.len() >= self.limits.max_outgoing {
-            self.close_idlest();
+            self.close_longest_idle();
         }
         self.open(address, frame, now_ms);
     }
 
-    /// Queues a frame where the link is open; else it comes back.
+    /// Queues a frame if the link is open, or returns it.
     fn queue(&mut self, address: SocketAddr, frame: Vec<u8>, now_ms: f64) -> Option<Vec<u8>> {
         let Some(link) = self.links.get_mut(&address) else { return Some(frame) };
         match link.frames.try_send(frame) {
@@ -125,7 +127,7 @@
                 link.used_ms = now_ms;
                 None
             }
-            // A link whose peer reads nothing loses the newest: the older frames there are as good.
+            // If the peer doesn't read, the newest frame is dropped; the queued ones serve as well.
             Err(TrySendError::Full(_)) => None,
             Err(TrySendError::Closed(frame)) => {
                 if self.links.remove(&address).is_some_and(|link| !link.was_idle.get()) {
@@ -136,7 +138,7 @@
         }
     }
 
-    fn close_idlest(&mut self) {
+    fn close_longest_idle(&mut self) {
         let idlest = self.links.iter().min_by(|a, b| a.1.used_ms.total_cmp(&b.1.used_ms));
         if let Some(address) = idlest.map(|(address, _)| *address) {
             self.links.remove(&address);
@@ -162,14 +164,14 @@
     }
 }
 
-/// How an outgoing link ended.
+/// Reason for which an outgoing link ended.
 enum LinkEnd {
-    /// It was not used for so long.
+    /// The link was idle past the limit.
     Idle,
     Broken,
 }
 
-/// Connects, says who it is, then writes frames until there are none for long or nobody reads them.
+/// Connects, sends the hello, then writes frames until the link is idle or the peer stops reading.
 async fn drive_link(
     address: SocketAddr,
     hello: Vec<u8>,
@@ -188,7 +190,7 @@
             Timer::after(Duration::from_millis(idle_timeout_ms)).await;
             Err(LinkEnd::Idle)
         };
-        // The other side sends nothing on this link; when it ends, so does the link.
+        // The peer sends nothing on this link, so a completed read means that the link has ended.
         let closed = async {
             let mut byte = [0; 1];
             let _ = futures_lite::AsyncReadExt::read(&mut &stream, &mut byte).await;
--- a/crates/plovershelf-server/src/links/incoming.rs
+++ b/crates/plovershelf-server/src/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Incoming links: connections of members and of people.
+//! Incoming links from members and from operators' commands.
 
 use std::net::{IpAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -14,17 +14,18 @@
 use super::{LinkEvent, LinkLimits, WRITE_TIMEOUT_MS};
 use crate::streams::{with_timeout, write_all, ReadBuffer};
 
-/// A peer says who it is within this.
+/// Time within which a peer must send its hello.
 const HELLO_TIMEOUT_MS: u64 = 1000;
-/// A question is answered within this: later than a proposal is at the latest, sooner than the command gives up waiting.
+/// Time within which a question is answered: more than a proposal takes at most, and less than the command waits.
 const ANSWER_TIMEOUT_MS: u64 = 8000;
-/// Accepting pauses for this long after an error.
+/// Pause after an error of accepting.
 const ACCEPT_PAUSE_MS: u64 = 20;
-/// What a link may hold beside one frame, and what one read takes.
+/// Bytes that the buffer of a link may hold beyond one frame.
 const BUFFER_SLACK_BYTES: usize = 64;
+/// Most bytes per read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Accepts links until nobody receives their events any more.
+/// Accepts links until the event queue is closed.
 pub(crate) async fn accept_links<T: From<LinkEvent> + 'static>(
     executor: &'static LocalExecutor<'static>,
     listener: Async<TcpListener>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Whether a peer is on this machine.
+/// Returns whether a peer runs on this machine.
 fn is_local(peer: IpAddr, own_address: Option<IpAddr>) -> bool {
     let listens_on_loopback = own_address.is_some_and(|address| address.is_loopback());
     (peer.is_loopback() && listens_on_loopback) || own_address == Some(peer)
@@ -75,21 +76,21 @@
     cluster: Rc<str>,
     events: Sender<T>,
     idle_timeout_ms: u64,
-    /// Its count tells how many links there are.
+    /// Cloned by each link; the reference count is the number of links.
     _slot: Rc<()>,
 }
 
 impl<T: From<LinkEvent>> IncomingLink<T> {
-    /// Hands on messages until the link ends; reports what can't be read.
+    /// Passes messages on until the link ends, and reports what can't be decoded.
     async fn run(self) {
-        if let Err(what) = self.read().await {
-            let line = format!("{} {what}; its link is closed", self.peer);
+        if let Err(message) = self.read().await {
+            let line = format!("{} {message}; its link is closed", self.peer);
             let _ = self.events.try_send(LinkEvent::PeerError(line).into());
         }
     }
 
     /// # Errors
-    /// What the peer did wrong.
+    /// Returns a description of the peer's fault.
     async fn read(&self) -> Result<(), String> {
         let mut buffer = ReadBuffer::new(MAX_FRAME_BYTES + BUFFER_SLACK_BYTES, READ_CHUNK_BYTES);
         let mut is_greeted = false;
@@ -103,7 +104,7 @@
             };
             if is_greeted {
                 let wire = decode::<Wire>(content).map_err(|error| format!("sent {error}"))?;
-                if !self.hand_on(wire).await {
+                if !self.forward(wire).await {
                     return Ok(());
                 }
             } else {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Reads more; false where the link has come to its end.
+    /// Reads more bytes. Returns false if the link has ended.
     async fn fill(&self, buffer: &mut ReadBuffer, is_greeted: bool) -> bool {
         let timeout_ms = if is_greeted { 2 * self.idle_timeout_ms } else { HELLO_TIMEOUT_MS };
         let closed = async {
@@ -126,8 +127,8 @@
         matches!(future::or(closed, read).await, Ok(true))
     }
 
-    /// Hands a message on, and answers where it is a question; false where the link has come to its end.
-    async fn hand_on(&self, wire: Wire) -> bool {
+    /// Passes a message on, and writes the answer if it is a question. Returns false if the link has ended.
+    async fn forward(&self, wire: Wire) -> bool {
         let is_question = matches!(wire, Wire::Question(_));
         let (answer, answers) = async_channel::bounded::<Answer>(1);
         let message = LinkEvent::Message { wire: Box::new(wire), is_local: self.is_local, answer };
--- a/crates/plovershelf-server/src/listener.rs
+++ b/crates/plovershelf-server/src/listener.rs
@@ -1,7 +1,7 @@
-//! Listening for clients and accepting their connections.
+//! Listens for clients and accepts their connections.
 //!
-//! Accepting ends in two steps, so that no request that has come is cut off: once the event loop drops its end of `stop`,
-//! the connections that stand in the listen queue are still accepted, and only then the listener closes.
+//! Accepting ends in two steps, so that no received request is lost: when the event loop drops its end of `stop`, the
+//! acceptor takes the connections that are already in the listen queue, and only then closes the listener.
 
 use std::cell::Cell;
 use std::io;
@@ -25,7 +25,7 @@
 use crate::limits::Limits;
 use crate::outbox::{Outbox, UnwrittenBytes};
 
-/// The address can't be listened on.
+/// Error of listening on the configured address.
 #[derive(Debug, Error)]
 #[error("\"listen\": {address}: {source}")]
 pub(crate) struct ListenError {
@@ -33,17 +33,17 @@
     source: io::Error,
 }
 
-/// Listens on an address. While a predecessor still holds it, it is tried again, within the bound that limits set.
+/// Listens on an address. While another process uses the address, listening is retried until the configured timeout.
 ///
 /// # Errors
-/// Why it can't be listened on.
+/// Returns an error if the address can't be listened on.
 pub(crate) async fn listen(address: SocketAddr, limits: &Limits) -> Result<Async<TcpListener>, ListenError> {
-    let give_up_at = Instant::now() + Duration::from_millis(limits.listen_timeout_ms);
+    let deadline = Instant::now() + Duration::from_millis(limits.listen_timeout_ms);
     let mut is_logged = false;
     loop {
         match bind(address, limits.listen_backlog) {
             Ok(listener) => return Ok(listener),
-            Err(source) if source.kind() == io::ErrorKind::AddrInUse && Instant::now() < give_up_at => {
+            Err(source) if source.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
                 if !std::mem::replace(&mut is_logged, true) {
                     tracing::warn!(
                         event = "address_in_use",
@@ -58,7 +58,8 @@
     }
 }
 
-/// The standard library's listener with a backlog for clients that all come back in one instant.
+/// Binds a listener with a larger backlog than the standard library's, because many clients may reconnect at the same
+/// time.
 fn bind(address: SocketAddr, backlog: i32) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -67,13 +68,14 @@
     Async::new(socket.into())
 }
 
-/// No connection comes into being on a listener from now on: what asks for one is dropped, asks again after a second, and is refused
-/// once the listener is closed. Without it a connection could come between the last look at the listen queue and the close, which
-/// resets it though its peer may have sent a request. Where the system has no such filter, that moment stays.
+/// Stops the kernel from establishing further connections on a listener. Dropped connection attempts are retried by
+/// their clients after a second, and are refused once the listener is closed. Without this filter a connection could
+/// be established between the last check of the listen queue and the close, which would reset it although its client
+/// may have sent a request. Systems without such a filter keep that race.
 fn stop_handshakes(listener: &TcpListener) {
     #[cfg(target_os = "linux")]
     {
-        /// Accept no byte of any packet (`BPF_RET | BPF_K`, 0).
+        /// A filter that drops all packets (`BPF_RET | BPF_K` with length 0).
         const DROP_ALL: SockFilter = SockFilter::new(0x06, 0, 0, 0);
         let _ = SockRef::from(listener).attach_filter(&[DROP_ALL]);
     }
@@ -81,22 +83,22 @@
     let _ = listener;
 }
 
-/// Accepts connections and runs a reader and a writer for each.
+/// Task that accepts connections and starts a reader and a writer for each.
 pub(crate) struct Acceptor {
     pub(crate) executor: &'static LocalExecutor<'static>,
     pub(crate) listener: Async<TcpListener>,
-    /// Closed when accepting is to end.
+    /// Closed by the event loop to end accepting.
     pub(crate) stop: Receiver<()>,
-    /// Held by each connection: its count tells how many there are.
+    /// Cloned by each connection; the reference count is the number of connections.
     pub(crate) slots: Rc<()>,
     pub(crate) events: Sender<Event>,
     pub(crate) limits: Rc<Limits>,
 }
 
 impl Acceptor {
-    /// Accepts until `stop` is closed, then what stands in the listen queue.
+    /// Accepts connections until `stop` is closed, then those left in the listen queue.
     pub(crate) async fn run(self) {
-        let unwritten_of_all = Rc::new(Cell::new(0));
+        let total_unwritten = Rc::new(Cell::new(0));
         let mut last_accept = None;
         for connection in 0.. {
             if !self.wait_for_slot(&mut last_accept).await {
@@ -106,7 +108,7 @@
                 break;
             }
             let Some(stream) = self.next().await else { break };
-            if !self.start(connection, stream, unwritten_of_all.clone()).await {
+            if !self.start(connection, stream, total_unwritten.clone()).await {
                 return;
             }
         }
@@ -118,12 +120,12 @@
         Rc::strong_count(&self.slots) > self.limits.max_connections
     }
 
-    /// Waits until one more connection is possible, and once accepting is to end no longer than what stands in the listen queue may
-    /// wait; false where the program ends.
+    /// Waits until another connection is possible. While accepting ends, the wait is limited by the timeout of the
+    /// listen queue. Returns false if the program is exiting.
     async fn wait_for_slot(&self, last_accept: &mut Option<Instant>) -> bool {
         while self.is_full() && !self.is_over(last_accept) {
-            let why = format!("{} connections are open", self.limits.max_connections);
-            if !self.report_crowded(why).await {
+            let reason = format!("{} connections are open", self.limits.max_connections);
+            if !self.report_exhausted(reason).await {
                 return false;
             }
             self.pause().await;
@@ -131,30 +133,32 @@
         true
     }
 
-    /// Whether accepting is to end and the time for the listen queue is over, which counts from the first call that finds the end.
+    /// Returns whether accepting is ending and the timeout of the listen queue has passed. The timeout counts from
+    /// the first call after `stop` is closed.
     fn is_over(&self, last_accept: &mut Option<Instant>) -> bool {
         let timeout = Duration::from_millis(self.limits.listen_queue_timeout_ms);
         self.stop.is_closed()
             && *last_accept.get_or_insert_with(|| Instant::now() + timeout) <= Instant::now()
     }
 
-    async fn report_crowded(&self, why: String) -> bool {
+    async fn report_exhausted(&self, reason: String) -> bool {
         let open = Rc::strong_count(&self.slots);
-        self.events.send(Event::Crowded { why, open }).await.is_ok()
+        self.events.send(Event::ConnectionsExhausted { reason, open }).await.is_ok()
     }
 
     async fn pause(&self) {
         Timer::after(Duration::from_millis(self.limits.accept_pause_ms)).await;
     }
 
-    /// The next connection; `None` when accepting is over and none is left in the listen queue.
+    /// Returns the next connection, or `None` once accepting has ended and the listen queue is empty.
     async fn next(&self) -> Option<Async<TcpStream>> {
         loop {
             if self.stop.is_closed() && broken::is(Broken::ListenQueueDropped) {
                 return None;
             }
             if self.stop.is_closed() {
-                // What comes between the last of the queue and the close would be reset with its request.
+                // A connection that arrived between the last check and the close would be reset along with its
+                // request.
                 return self.accept_queued().or_else(|| {
                     stop_handshakes(self.listener.get_ref());
                     self.accept_queued()
@@ -168,7 +172,7 @@
             match future::or(accepted, stopped).await {
                 Some(Ok((stream, _))) => return Some(stream),
                 Some(Err(error)) => {
-                    self.report_crowded(format!("accepting: {error}")).await;
+                    self.report_exhausted(format!("accepting: {error}")).await;
                     self.pause().await;
                 }
                 None => {}
@@ -176,27 +180,27 @@
         }
     }
 
-    /// The next connection of the listen queue, if there is one.
+    /// Returns the next connection of the listen queue, if there is one.
     fn accept_queued(&self) -> Option<Async<TcpStream>> {
         let (stream, _) = self.listener.get_ref().accept().ok()?;
         Async::new(stream).ok()
     }
 
-    /// Starts the tasks of a connection; false where the program ends.
+    /// Starts the tasks of a connection. Returns false if the program is exiting.
     async fn start(
         &self,
         connection: ConnectionId,
         stream: Async<TcpStream>,
-        unwritten_of_all: Rc<Cell<usize>>,
+        total_unwritten: Rc<Cell<usize>>,
     ) -> bool {
         let _ = stream.get_ref().set_nodelay(true);
         let state = ConnectionState::new(Some(stream), self.slots.clone());
-        let unwritten = UnwrittenBytes::beside(unwritten_of_all);
+        let unwritten = UnwrittenBytes::sharing_total(total_unwritten);
         let (outbox, frames) = Outbox::new(state.clone(), unwritten.clone(), &self.limits);
         if self.events.send(Event::Connected { connection, outbox }).await.is_err() {
             return false;
         }
-        // Dropped by the reader: the writer lingers until then.
+        // The reader drops this when it ends, and the writer lingers until then.
         let (reader_runs, reader_ended) = async_channel::bounded::<()>(1);
         let writer = write_until_end(state.clone(), frames, unwritten, reader_ended, self.limits.clone());
         self.executor.spawn(writer).detach();
--- a/crates/plovershelf-server/src/log_limit.rs
+++ b/crates/plovershelf-server/src/log_limit.rs
@@ -1,8 +1,8 @@
-//! A bound on lines of the log that others cause, in each second.
+//! Rate limit for log lines that peers can cause.
 //!
-//! Against a peer that sends what can't be read over and over: the log would grow as fast as it sends.
+//! Without it, a peer that keeps sending malformed data would make the log grow as fast as it sends.
 
-/// Lines a second, where no setting says another number.
+/// Default number of lines per second.
 pub(crate) const MAX_LINES_PER_S: u32 = 10;
 
 /// Counts the lines of the present second.
@@ -12,10 +12,10 @@
     lines: u32,
 }
 
-/// What becomes of a line.
+/// Whether a line is logged.
 pub(crate) struct LineAdmission {
     pub(crate) is_admitted: bool,
-    /// Lines that were held back in the last second that had any, told with the first line after it.
+    /// Number of lines suppressed in the last second that had any; reported with the first line after that second.
     pub(crate) suppressed: u32,
 }
 
@@ -24,7 +24,7 @@
         LogLimit { max_per_s, second: 0, lines: 0 }
     }
 
-    /// Counts a line.
+    /// Counts a line and returns whether it is logged.
     pub(crate) fn admit(&mut self, now_ms: f64) -> LineAdmission {
         let second = (now_ms / 1000.0) as u64;
         let mut suppressed = 0;
--- a/crates/plovershelf-server/src/main.rs
+++ b/crates/plovershelf-server/src/main.rs
@@ -1,4 +1,4 @@
-//! One backend on real sockets.
+//! Runs a backend on real sockets.
 
 use std::process::ExitCode;
 
--- a/crates/plovershelf-server/src/outbox.rs
+++ b/crates/plovershelf-server/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Frames on their way to one client, with bounds on the memory that they take.
+//! Queue of frames to one client, with bounds on its memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use crate::connection_state::{ConnectionState, PhaseEvent};
 use crate::limits::Limits;
 
-/// Bytes that wait to be written, counted for one connection and for all of them.
+/// Bytes that wait to be written, counted per connection and in total.
 #[derive(Clone, Default)]
 pub(crate) struct UnwrittenBytes {
     connection: Rc<Cell<usize>>,
@@ -16,8 +16,8 @@
 }
 
 impl UnwrittenBytes {
-    /// A new connection's, beside those that there are.
-    pub(crate) fn beside(all_connections: Rc<Cell<usize>>) -> Self {
+    /// Returns the counter of a new connection that shares the total of all connections.
+    pub(crate) fn sharing_total(all_connections: Rc<Cell<usize>>) -> Self {
         UnwrittenBytes { connection: Rc::default(), all_connections }
     }
 
@@ -26,34 +26,34 @@
         self.all_connections.set(self.all_connections.get() + bytes);
     }
 
-    /// Bytes are written, or will never be.
+    /// Subtracts bytes that were written, or that never will be.
     pub(crate) fn subtract(&self, bytes: usize) {
         let bytes = bytes.min(self.connection.get());
         self.connection.set(self.connection.get() - bytes);
         self.all_connections.set(self.all_connections.get() - bytes);
     }
 
-    /// None of this connection's bytes will be written any more.
+    /// Subtracts all bytes of this connection, because none of them will be written any more.
     pub(crate) fn clear(&self) {
         self.subtract(usize::MAX);
     }
 }
 
-/// Why a frame is not queued.
+/// Reason for which a frame is not queued.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum QueueFull {
-    /// This connection has too much waiting, or is gone.
+    /// This connection has too many unwritten bytes, or has ended.
     Connection,
-    /// All connections together have; the frame comes back.
+    /// All connections together have too many unwritten bytes. The frame is returned.
     AllConnections(Vec<u8>),
 }
 
-/// Frames on their way to one connection. Dropping it ends the connection when all of them are written.
+/// Sender of frames to one connection. Dropping it ends the connection once all queued frames are written.
 pub(crate) struct Outbox {
     frames: Sender<Vec<u8>>,
     unwritten: UnwrittenBytes,
     max_bytes: usize,
-    max_bytes_of_all: usize,
+    max_total_bytes: usize,
     connection: Rc<ConnectionState>,
 }
 
@@ -68,7 +68,7 @@
             frames,
             unwritten,
             max_bytes: limits.max_unwritten_bytes_per_connection,
-            max_bytes_of_all: limits.max_unwritten_bytes,
+            max_total_bytes: limits.max_unwritten_bytes,
             connection,
         };
         (outbox, receiver)
@@ -76,7 +76,7 @@
 
     pub(crate) fn push(&self, frame: Vec<u8>) -> Result<(), QueueFull> {
         let length = frame.len();
-        if self.unwritten.all_connections.get() + length > self.max_bytes_of_all {
+        if self.unwritten.all_connections.get() + length > self.max_total_bytes {
             return Err(QueueFull::AllConnections(frame));
         }
         if self.unwritten_bytes() + length > self.max_bytes || self.frames.try_send(frame).is_err() {
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that wait to be written.
     pub(crate) fn unwritten_bytes(&self) -> usize {
         self.unwritten.connection.get()
     }
@@ -95,12 +95,12 @@
         &self.connection
     }
 
-    /// Whether what comes is discarded, as it could not be answered or is not to be.
+    /// Returns whether further input of the connection is discarded instead of answered.
     pub(crate) fn is_discarding(&self) -> bool {
         !self.connection.phase().accepts_requests()
     }
 
-    /// Ends the connection at once; what is unwritten is not counted any longer.
+    /// Ends the connection at once and stops counting its unwritten bytes.
     pub(crate) fn abort(self) {
         self.unwritten.clear();
         self.connection.handle(PhaseEvent::Abort);
@@ -108,8 +108,8 @@
 }
 
 impl Drop for Outbox {
-    /// What still comes could not be answered. It is read and discarded, so that the last response reaches a peer that
-    /// goes on writing.
+    /// Discards further input, as it could not be answered. The reader continues to read, so that the last response
+    /// reaches a peer that is still writing.
     fn drop(&mut self) {
         self.connection.handle(PhaseEvent::Discard);
     }
--- a/crates/plovershelf-server/src/registry.rs
+++ b/crates/plovershelf-server/src/registry.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the service registry by which clients find this backend.
+//! Heartbeats to the service registry, through which clients find this backend.
 
 use std::cell::Cell;
 use std::io;
@@ -8,8 +8,8 @@
 
 use async_io::{Async, Timer};
 
-/// Sends a heartbeat every `interval` for as long as the program runs. The address may change; a datagram that is lost is
-/// made up for by the next.
+/// Sends a heartbeat every `interval` for as long as the program runs. The address may change at runtime. A lost
+/// datagram is not sent again, as the next heartbeat replaces it.
 pub(crate) async fn send_heartbeats(
     address: Rc<Cell<SocketAddr>>,
     name: String,
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a backend, hands them their queues, handles signals, and waits for the end.
+//! Starts the parts of a backend, connects their queues, handles signals and waits for the end.
 
 use std::cell::Cell;
 use std::net::TcpListener;
@@ -22,21 +22,21 @@
 use crate::event::{CallCommand, Event};
 use crate::limits::Limits;
 use crate::listener::{listen, Acceptor};
-use crate::startup::{self, FixedParts, Launch, Peers, StartupError};
+use crate::startup::{self, Configuration, FixedParts, Peers, StartupError};
 use crate::{cluster, config_distribution, registry};
 
-/// Why a backend can't start.
+/// Reason for which a backend can't start.
 #[derive(Debug, Error)]
 pub enum ServiceError {
     /// Signals can't be received.
     #[error("signals: {0}")]
     Signals(std::io::Error),
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error("{0}")]
     Startup(String),
     /// A part of the program can't start.
     #[error("{0}")]
-    Part(String),
+    Component(String),
 }
 
 impl From<StartupError> for ServiceError {
@@ -45,50 +45,61 @@
     }
 }
 
-/// Serves as the configuration named by `RELAY_CONFIG` says, until the drain notice has been carried out.
+/// Runs a backend with the configuration that `RELAY_CONFIG` names, until its drain is complete.
 ///
 /// # Errors
-/// A start that can't go on, in one line.
+/// Returns an error of one line if the backend can't start.
 pub fn run() -> Result<(), ServiceError> {
-    // From the first instant on, so that no signal ends the program by itself.
+    // Installed first, so that no signal terminates the process by its default action.
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(ServiceError::Signals)?;
     serve(signals, startup::from_environment()?)
 }
 
-fn serve(mut signals: Signals, launch: Launch) -> Result<(), ServiceError> {
-    let Some(listener) = listen_until_notice(&mut signals, &launch)? else {
-        tracing::info!(event = "drain_notice", "told to leave before it listened");
+fn serve(mut signals: Signals, configuration: Configuration) -> Result<(), ServiceError> {
+    let Some(listener) = listen_until_notice(&mut signals, &configuration)? else {
+        tracing::info!(event = "drain_notice", "drain notice received before listening");
         return Ok(());
     };
-    // Tasks start others on it, so it lives as long as the program.
+    // Tasks spawn others on the executor, so it must live as long as the program.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
-    let Launch { name, listen, peers, stop_ms, limits, startup, bulkheads, group, changes, fixed } = launch;
+    let Configuration {
+        name,
+        listen,
+        peers,
+        stop_ms,
+        limits,
+        startup,
+        bulkheads,
+        cluster_setup,
+        config_listener,
+        fixed,
+    } = configuration;
     let limits = Rc::new(limits);
     let (events, inbox) = async_channel::bounded(limits.event_queue);
     let (calls, call_commands) = async_channel::bounded(limits.command_queue);
     let draining = Rc::new(Cell::new(false));
 
-    let cluster = start_cluster(executor, group, &name, &events)?;
-    let distribution = start_distribution(executor, changes, &name, &events)?;
+    let cluster = start_cluster(executor, cluster_setup, &name, &events)?;
+    let distribution = start_distribution(executor, config_listener, &name, &events)?;
     let tasks = Tasks { executor, events: &events, limits: &limits, peers: &peers };
-    let agent_moved = tasks.start_agent_links();
+    let agent_address_changed = tasks.start_agent_links();
     tasks.start_dependency_calls(call_commands);
     tasks.start_heartbeats(name.clone(), draining.clone());
     let slots = Rc::new(());
     let listening = tasks.start_accepting(listener, slots.clone());
-    let (give_notice, notice) = async_channel::bounded(1);
+    let (notice_sender, notice) = async_channel::bounded(1);
     let (new_bulkheads, newest_bulkheads) = async_channel::bounded(1);
     forward(executor, newest_bulkheads, &events, Event::Bulkheads);
     let signal_handler = SignalHandler {
         peers,
         fixed,
-        agent_moved,
+        agent_address_changed,
         bulkheads: new_bulkheads,
         classes: startup.classes.clone(),
         config: BackendConfig { tenant_quotas_per_s: Vec::new(), ..startup.config.clone() },
         cluster: cluster.commands.clone(),
         distribution: distribution.clone(),
-        give_notice,
+        notice_sender,
         handoff_ms: (stop_ms - 2.0 * limits.exit_margin_ms).max(0.0),
     };
     executor.spawn(signal_handler.run(signals)).detach();
@@ -100,22 +111,22 @@
     let queues = DriverQueues { inbox, notice, calls };
     let driver = Driver::new(startup, stop_ms, limits, queues, draining, Some(listening))
         .with_bulkheads(bulkheads)
-        .map_err(|error| ServiceError::Part(error.to_string()))?
+        .map_err(|error| ServiceError::Component(error.to_string()))?
         .with_heartbeat(cluster.heartbeat)
         .with_replication(cluster.replication)
-        .with_changes(distribution.is_some());
-    async_io::block_on(executor.run(drive_to_end(driver, slots)));
-    tracing::info!(event = "drained", "ended as told");
+        .with_changing_quotas(distribution.is_some());
+    async_io::block_on(executor.run(run_driver(driver, slots)));
+    tracing::info!(event = "drained", "the drain is complete");
     Ok(())
 }
 
-/// Runs the driver, and then waits until the last responses are out, for as long as there is time.
-async fn drive_to_end(mut driver: Driver, slots: Rc<()>) {
-    let left = driver.run().await;
-    // The last responses are still on their way out of the connections' own tasks.
+/// Runs the driver, then waits until the last responses are written or the time left has passed.
+async fn run_driver(mut driver: Driver, slots: Rc<()>) {
+    let time_left = driver.run().await;
+    // The connections' own tasks may still be writing the last responses.
     drop(driver);
     let timeout = async {
-        Timer::after(left).await;
+        Timer::after(time_left).await;
     };
     future::or(all_connections_closed(&slots), timeout).await;
 }
@@ -126,7 +137,7 @@
     }
 }
 
-/// What the tasks that talk to peers share.
+/// Dependencies that the peer tasks share.
 struct Tasks<'a> {
     executor: &'static LocalExecutor<'static>,
     events: &'a Sender<Event>,
@@ -135,13 +146,14 @@
 }
 
 impl Tasks<'_> {
-    /// Keeps a link with the agent. What is sent to the returned queue tells that its address may have changed.
+    /// Starts the task that keeps a link with the agent. A message on the returned queue reports that the agent's
+    /// address may have changed.
     fn start_agent_links(&self) -> Sender<()> {
-        let (agent_moved, moved) = async_channel::bounded(1);
+        let (agent_address_changed, address_changed) = async_channel::bounded(1);
         let (events, limits) = (self.events.clone(), self.limits.clone());
-        let links = AgentLinks { address: self.peers.agent.clone(), moved, events, limits };
+        let links = AgentLinks { address: self.peers.agent.clone(), address_changed, events, limits };
         self.executor.spawn(links.run()).detach();
-        agent_moved
+        agent_address_changed
     }
 
     fn start_dependency_calls(&self, commands: Receiver<CallCommand>) {
@@ -171,19 +183,19 @@
     }
 }
 
-/// Listens where the configuration says; `None` where the drain notice comes before the address is free.
+/// Listens on the configured address. Returns `None` if the drain notice comes before the address is free.
 fn listen_until_notice(
     signals: &mut Signals,
-    launch: &Launch,
+    configuration: &Configuration,
 ) -> Result<Option<Async<TcpListener>>, ServiceError> {
     let listening = async {
-        let listener = listen(launch.listen, &launch.limits).await;
-        listener.map(Some).map_err(|error| ServiceError::Startup(startup::name_file(error)))
+        let listener = listen(configuration.listen, &configuration.limits).await;
+        listener.map(Some).map_err(|error| ServiceError::Startup(startup::with_config_path(error)))
     };
     let notice = async {
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Hup) => launch.peers.reload(&launch.fixed),
+                Ok(Signal::Hup) => configuration.peers.reload(&configuration.fixed),
                 _ => return Ok(None),
             }
         }
@@ -192,13 +204,13 @@
     async_io::block_on(future::or(listening, notice))
 }
 
-/// The cluster's thread, as far as the rest of the program uses it.
+/// Handles to the cluster's thread.
 #[derive(Default)]
 struct Cluster {
     commands: Option<Sender<cluster::Incoming>>,
-    /// Shows the cluster that the driver makes progress.
+    /// Reports to the cluster that the driver makes progress.
     heartbeat: Option<Arc<cluster::DriverHeartbeat>>,
-    /// The same commands, where keyed requests are replicated.
+    /// A clone of `commands`, if keyed requests are replicated.
     replication: Option<Sender<cluster::Incoming>>,
 }
 
@@ -214,7 +226,7 @@
     let (sender, receiver) = async_channel::unbounded();
     let replication_events = is_replicated.then_some(sender);
     let commands = cluster::start(setup, name.to_string(), heartbeat.clone(), replication_events)
-        .map_err(ServiceError::Part)?;
+        .map_err(ServiceError::Component)?;
     if is_replicated {
         forward(executor, receiver, events, Event::Replication);
     }
@@ -222,7 +234,7 @@
     Ok(Cluster { commands: Some(commands), heartbeat: Some(heartbeat), replication })
 }
 
-/// The thread that receives configuration changes, where an operator has set it up.
+/// Starts the thread that receives configuration changes, if it is configured.
 fn start_distribution(
     executor: &LocalExecutor<'static>,
     listener: Option<plovershelf_config::config_distribution::Listener>,
@@ -233,12 +245,12 @@
     let (sender, receiver) = async_channel::bounded(1);
     let subscriber = config_distribution::Subscriber::Quotas(sender);
     let commands = config_distribution::start_listener(listener.into(), name.to_string(), subscriber)
-        .map_err(|error| ServiceError::Part(error.to_string()))?;
+        .map_err(|error| ServiceError::Component(error.to_string()))?;
     forward(executor, receiver, events, Event::Quotas);
     Ok(Some(commands))
 }
 
-/// Forwards what another thread says to the driver's queue.
+/// Forwards messages from another thread to the driver's queue.
 fn forward<T: 'static>(
     executor: &LocalExecutor<'static>,
     receiver: Receiver<T>,
@@ -254,19 +266,19 @@
     executor.spawn(forwarding).detach();
 }
 
-/// Handles signals while the program serves: SIGHUP reloads, all others are the drain notice.
+/// Handles signals while the backend serves: SIGHUP reloads the configuration, all others start the drain.
 struct SignalHandler {
     peers: Peers,
     fixed: FixedParts,
-    agent_moved: Sender<()>,
-    /// The newest plan of bulkheads, on its way to the driver's queue.
+    agent_address_changed: Sender<()>,
+    /// Holds the newest bulkhead plan until it is forwarded to the driver's queue.
     bulkheads: Sender<BulkheadPlan>,
     classes: plovershelf_settings::Names,
     config: BackendConfig,
     cluster: Option<Sender<cluster::Incoming>>,
     distribution: Option<Sender<config_distribution::Input>>,
-    give_notice: Sender<f64>,
-    /// Time in which replicas are handed off after the notice.
+    notice_sender: Sender<f64>,
+    /// Time for handing off replicas after the drain notice, in milliseconds.
     handoff_ms: f64,
 }
 
@@ -283,18 +295,18 @@
     fn reload(&self) {
         broken::record_reload();
         self.peers.reload(&self.fixed);
-        let _ = self.agent_moved.try_send(());
+        let _ = self.agent_address_changed.try_send(());
         match startup::read_bulkheads(&self.classes, &self.config) {
             Ok(Some(plan)) => self.replace_bulkheads(plan),
             Ok(None) => {}
             Err(error) => {
-                tracing::warn!(event = "bulkheads_rejected", "the pools stay as they are: {error}")
+                tracing::warn!(event = "bulkheads_rejected", "the pools stay unchanged: {error}")
             }
         }
     }
 
-    /// Never waits for the driver's queue: against a drain notice that is heard only once the queue has room. A plan that still
-    /// waits is replaced, as the newer one counts.
+    /// Passes a plan on without waiting for the driver's queue, since blocking here would delay a drain notice until
+    /// the queue has room. A newer plan replaces one that is still queued.
     fn replace_bulkheads(&self, plan: BulkheadPlan) {
         let _ = self.bulkheads.force_send(plan);
     }
@@ -306,15 +318,15 @@
         if let Some(distribution) = &self.distribution {
             let _ = distribution.try_send(config_distribution::Input::Shutdown);
         }
-        if broken::is(Broken::NoticeHeardLate) {
-            let give_notice = self.give_notice.clone();
+        if broken::is(Broken::NoticeHandledLate) {
+            let notice_sender = self.notice_sender.clone();
             std::thread::spawn(move || {
                 std::thread::sleep(NOTICE_DELAY);
-                let _ = give_notice.try_send(unix_ms());
+                let _ = notice_sender.try_send(unix_ms());
             });
             return;
         }
-        let _ = self.give_notice.try_send(unix_ms());
+        let _ = self.notice_sender.try_send(unix_ms());
     }
 }
 
--- a/crates/plovershelf-server/src/service/tests.rs
+++ b/crates/plovershelf-server/src/service/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn handler(bulkheads: Sender<BulkheadPlan>, give_notice: Sender<f64>) -> SignalHandler {
+fn handler(bulkheads: Sender<BulkheadPlan>, notice_sender: Sender<f64>) -> SignalHandler {
     let address: SocketAddr = ([127, 0, 0, 1], 1).into();
     let startup = plovershelf_settings::read(plovershelf_testkit::scripted::SETTINGS, 1).expect("settings");
     let peers = Peers {
@@ -15,13 +15,13 @@
     SignalHandler {
         peers,
         fixed: FixedParts::of(&json!({})),
-        agent_moved: async_channel::bounded(1).0,
+        agent_address_changed: async_channel::bounded(1).0,
         bulkheads,
         classes: startup.classes,
         config: startup.config,
         cluster: None,
         distribution: None,
-        give_notice,
+        notice_sender,
         handoff_ms: 0.0,
     }
 }
@@ -31,13 +31,13 @@
     plovershelf_config::pools::read("pools.ini", &text, &["plain".to_string()]).expect("a plan")
 }
 
-/// Several reloads come while nobody takes from the driver's queue, then the drain notice: the notice must be given at once, and the
-/// newest plan must be the one that is left.
+/// Several reloads arrive while the driver's queue is full, then the drain notice. The notice must be delivered at
+/// once, and the newest plan must be the one that remains.
 #[test]
-fn drain_notice_does_not_wait_behind_plans_of_bulkheads() {
+fn drain_notice_does_not_wait_for_bulkhead_plans() {
     let (bulkheads, newest) = async_channel::bounded(1);
-    let (give_notice, notice) = async_channel::bounded(1);
-    let handler = handler(bulkheads, give_notice);
+    let (notice_sender, notice) = async_channel::bounded(1);
+    let handler = handler(bulkheads, notice_sender);
     for name in ["first", "second", "third"] {
         handler.replace_bulkheads(plan(name));
     }
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -1,7 +1,7 @@
-//! Configuration of the program: one JSON document that `RELAY_CONFIG` points to, and the operators' files that other
-//! variables point to.
+//! Configuration of the program: the JSON document that `RELAY_CONFIG` names, and the operator's files that other
+//! variables name.
 //!
-//! The document is read again when the program is told that it was replaced; then only the addresses of its peers change.
+//! The document is read again on SIGHUP; then only the addresses of peers can change.
 
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -27,63 +27,64 @@
 const ADDRESS: &str = "an ADDRESS:PORT";
 const NAME: &str = "one word";
 const SEED: &str = "a hexadecimal number of at most 64 bits";
-/// Memory of the program, in MiB; descriptors of a process are fewer than 2^20 unless its system is tuned for more.
+/// Memory of the program, in MiB.
 const PROGRAM_MEMORY_MB: NumberRange = NumberRange::above(0.0, (1u64 << 24) as f64);
+/// Descriptors of the process; few systems allow more than 2^20.
 const SOCKETS: NumberRange = NumberRange::whole(1.0, (1u64 << 20) as f64);
 
-/// Why the program's configuration can't be used.
+/// Error of reading the configuration.
 #[derive(Debug, Error)]
 pub(crate) enum StartupError {
-    /// The variable is not set.
+    /// `RELAY_CONFIG` is not set.
     #[error("RELAY_CONFIG is not set")]
     NoConfig,
     /// A file can't be read.
     #[error("{variable} {path}: {source}")]
     Unreadable { variable: &'static str, path: String, source: std::io::Error },
-    /// The document is no JSON.
+    /// The document is not valid JSON.
     #[error("RELAY_CONFIG {path}: does not parse: {source}")]
     NoJson { path: String, source: serde_json::Error },
-    /// The document says something that can't be.
+    /// The document contains invalid values.
     #[error("RELAY_CONFIG {path}: {source}")]
     Config { path: String, source: InvalidDocument },
-    /// An operator's file says something that can't be.
+    /// An operator's file is invalid.
     #[error("{0}")]
     OperatorFile(String),
 }
 
-/// Everything the program starts with.
-pub(crate) struct Launch {
+/// Configuration with which the program starts.
+pub(crate) struct Configuration {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
     pub(crate) peers: Peers,
-    /// From the drain notice to the kill.
+    /// Time from the drain notice to the forced kill, in milliseconds.
     pub(crate) stop_ms: f64,
     pub(crate) limits: Limits,
     pub(crate) startup: Startup,
-    /// Bulkheads, where the operator has set any.
+    /// Bulkheads, if the operator has configured any.
     pub(crate) bulkheads: Option<BulkheadPlan>,
-    /// The cluster that the backend belongs to, where the operator has set one.
-    pub(crate) group: Option<plovershelf_config::group::Group>,
-    /// Where configuration changes come from, where the operator has set it up.
-    pub(crate) changes: Option<plovershelf_config::config_distribution::Listener>,
-    /// What can't change while the program runs, to tell later whether it did.
+    /// Cluster of the backend, if the operator has configured one.
+    pub(crate) cluster_setup: Option<plovershelf_config::group::Group>,
+    /// Listener for configuration changes, if the operator has configured it.
+    pub(crate) config_listener: Option<plovershelf_config::config_distribution::Listener>,
+    /// Hashes of the parts that can't change at runtime, for comparison on a reload.
     pub(crate) fixed: FixedParts,
 }
 
-/// Where the peers are. All parts that talk to one look here.
+/// Addresses of the peers, shared with all tasks that connect to them.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     pub(crate) agent: Rc<Cell<SocketAddr>>,
     pub(crate) registry: Rc<Cell<SocketAddr>>,
-    /// None where the settings name no dependency that backends share.
+    /// `None` if the settings name no shared dependency.
     pub(crate) dependency: Rc<Cell<Option<SocketAddr>>>,
 }
 
-/// Keys of the document that can't change in a running program.
+/// Keys of the document that can't change at runtime.
 const FIXED_KEYS: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
 
-/// A hash of each part of a document that can't change. Guards against keeping the document, which with many tenants
-/// takes more memory than everything else.
+/// Hashes of the document's parts that can't change. The document itself is not stored, because with many tenants it
+/// would use more memory than everything else.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct FixedParts([u64; FIXED_KEYS.len()]);
 
@@ -96,15 +97,15 @@
         }))
     }
 
-    /// The keys whose values differ in another document.
+    /// Returns the keys whose values differ from those of another document.
     fn changed_keys(&self, other: &FixedParts) -> Vec<&'static str> {
         let parts = FIXED_KEYS.into_iter().zip(self.0.iter().zip(&other.0));
-        parts.filter(|(_, (own, other))| own != other).map(|(key, _)| key).collect()
+        parts.filter(|(_, (old, other))| old != other).map(|(key, _)| key).collect()
     }
 }
 
-/// An error about the document, with the file that it stands in.
-pub(crate) fn name_file(source: impl std::fmt::Display) -> String {
+/// Adds the path of the configuration file to an error.
+pub(crate) fn with_config_path(source: impl std::fmt::Display) -> String {
     format!("{CONFIG_VARIABLE} {}: {source}", config_path())
 }
 
@@ -112,18 +113,19 @@
     std::env::var_os(CONFIG_VARIABLE).unwrap_or_default().to_string_lossy().into_owned()
 }
 
-/// The configuration that the environment points to.
+/// Reads the configuration that the environment variables name.
 ///
 /// # Errors
-/// What is wrong with it, in one line.
-pub(crate) fn from_environment() -> Result<Launch, StartupError> {
+/// Returns an error of one line if the configuration is invalid.
+pub(crate) fn from_environment() -> Result<Configuration, StartupError> {
     let document = read_document()?;
     let in_file = |source| StartupError::Config { path: config_path(), source };
-    let mut launch = read_launch(&document).map_err(in_file)?;
-    launch.bulkheads = read_bulkheads(&launch.startup.classes, &launch.startup.config)?;
-    launch.group = read_operator_file(CLUSTER_VARIABLE, plovershelf_config::group::read)?;
-    launch.changes = read_operator_file(CHANGES_VARIABLE, plovershelf_config::config_distribution::read)?;
-    Ok(launch)
+    let mut configuration = read_configuration(&document).map_err(in_file)?;
+    configuration.bulkheads = read_bulkheads(&configuration.startup.classes, &configuration.startup.config)?;
+    configuration.cluster_setup = read_operator_file(CLUSTER_VARIABLE, plovershelf_config::group::read)?;
+    configuration.config_listener =
+        read_operator_file(CHANGES_VARIABLE, plovershelf_config::config_distribution::read)?;
+    Ok(configuration)
 }
 
 fn read_document() -> Result<Value, StartupError> {
@@ -131,17 +133,17 @@
     unique_keys::parse(&text).map_err(|source| StartupError::NoJson { path, source })
 }
 
-/// Path and text of the file that a variable names, where it names one.
+/// Returns path and content of the file that a variable names, or `None` if the variable is not set.
 fn read_file(variable: &'static str) -> Result<Option<(String, String)>, StartupError> {
     let Some(path) = std::env::var_os(variable) else { return Ok(None) };
-    let shown = path.to_string_lossy().into_owned();
+    let display_path = path.to_string_lossy().into_owned();
     match std::fs::read_to_string(&path) {
-        Ok(text) => Ok(Some((shown, text))),
-        Err(source) => Err(StartupError::Unreadable { variable, path: shown, source }),
+        Ok(text) => Ok(Some((display_path, text))),
+        Err(source) => Err(StartupError::Unreadable { variable, path: display_path, source }),
     }
 }
 
-/// What the file says that a variable names, where it names one.
+/// Parses the file that a variable names. Returns `None` if the variable is not set.
 fn read_operator_file<T, E: std::fmt::Display>(
     variable: &'static str,
     parse: impl FnOnce(&str, &str) -> Result<T, E>,
@@ -150,10 +152,10 @@
     parse(&path, &text).map(Some).map_err(|error| StartupError::OperatorFile(error.to_string()))
 }
 
-/// The bulkheads of the operator's file, where there is one, checked against the backend that they are for.
+/// Reads the operator's bulkhead plan, if there is one, and checks it against the backend's configuration.
 ///
 /// # Errors
-/// All that is wrong with the file.
+/// Returns all problems of the file.
 pub(crate) fn read_bulkheads(
     classes: &[String],
     config: &BackendConfig,
@@ -174,20 +176,20 @@
     entry.convert(ADDRESS, |value| value.as_str()?.parse().ok())
 }
 
-/// Stands for an address of a document that is refused.
-fn no_address() -> SocketAddr {
+/// Placeholder for an address in a document that is rejected.
+fn placeholder_address() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
 impl Peers {
-    /// Reads the document again; where it can't be used, everything stays as it is.
+    /// Reloads the document. An invalid document changes nothing.
     pub(crate) fn reload(&self, fixed: &FixedParts) {
         match self.try_reload(fixed) {
             Ok(()) => {
-                tracing::info!(event = "configuration_reloaded", "the configuration was read again")
+                tracing::info!(event = "configuration_reloaded", "the configuration was reloaded")
             }
             Err(error) => {
-                tracing::warn!(event = "configuration_rejected", "the new configuration is not used: {error}")
+                tracing::warn!(event = "configuration_rejected", "the new configuration is rejected: {error}")
             }
         }
     }
@@ -199,7 +201,7 @@
     }
 
     fn read_section(document: &Value, section: &Section<'_>) -> Self {
-        let cell = |key| Rc::new(Cell::new(address(&section.get(key)).unwrap_or_else(no_address)));
+        let cell = |key| Rc::new(Cell::new(address(&section.get(key)).unwrap_or_else(placeholder_address)));
         let is_shared = plovershelf_settings::shares_a_dependency(&document["settings"]);
         let dependency = match document["records"] {
             Value::Null if !is_shared => None,
@@ -216,21 +218,21 @@
     }
 
     /// # Errors
-    /// All that is wrong with the document, also with parts that can't change while the program runs: the next start would
-    /// fail on them.
+    /// Returns all problems of the document, including those in parts that can't change at runtime, because the next
+    /// start would fail on them.
     fn replace(&self, fixed: &FixedParts, document: &Value) -> Result<(), InvalidDocument> {
-        read_launch(document)?;
-        self.move_to(fixed, document)
+        read_configuration(document)?;
+        self.adopt_addresses(fixed, document)
     }
 
-    /// Takes over the addresses of a document, all of them or none. What else differs is logged and ignored.
-    fn move_to(&self, fixed: &FixedParts, document: &Value) -> Result<(), InvalidDocument> {
+    /// Adopts all peer addresses of a document, or none. Other differences are logged and ignored.
+    fn adopt_addresses(&self, fixed: &FixedParts, document: &Value) -> Result<(), InvalidDocument> {
         let new = Peers::read(document)?;
         for key in fixed.changed_keys(&FixedParts::of(document)) {
             tracing::warn!(
                 event = "restart_needed",
                 key,
-                "the new configuration changes {key:?}, which needs a restart"
+                "the new configuration changes {key:?}; that takes effect after a restart"
             );
         }
         self.agent.set(new.agent.get());
@@ -241,8 +243,8 @@
 }
 
 /// # Errors
-/// All that is wrong with the document.
-fn read_launch(document: &Value) -> Result<Launch, InvalidDocument> {
+/// Returns all problems of the document.
+fn read_configuration(document: &Value) -> Result<Configuration, InvalidDocument> {
     let problems = Problems::default();
     let top = Section::document(document, &problems);
     let seed = read_seed(&top.get("seed"));
@@ -250,19 +252,19 @@
     if !settings.is_present() {
         settings.reject("an object");
     }
-    let launch = Launch {
+    let configuration = Configuration {
         name: read_name(&top.get("name")),
-        listen: address(&top.get("listen")).unwrap_or_else(no_address),
+        listen: address(&top.get("listen")).unwrap_or_else(placeholder_address),
         peers: Peers::read_section(document, &top),
         stop_ms: top.get("stop_ms").required_number(POSITIVE_DURATION_MS).unwrap_or(1.0),
         limits: read_limits(&top.get("limits").section()),
         startup: plovershelf_settings::read_section(&settings.section(), seed),
         bulkheads: None,
-        group: None,
-        changes: None,
+        cluster_setup: None,
+        config_listener: None,
         fixed: FixedParts::of(document),
     };
-    problems.finish(launch)
+    problems.finish(configuration)
 }
 
 fn read_name(entry: &Entry<'_>) -> String {
@@ -281,7 +283,7 @@
     entry.convert(SEED, |value| u64::from_str_radix(value.as_str()?, 16).ok()).unwrap_or_default()
 }
 
-/// The program keeps to memory and descriptors; the platform alone holds it to its cores.
+/// The program itself enforces memory and descriptors; only the platform limits its cores.
 fn read_limits(limits: &Section<'_>) -> Limits {
     limits.get("cores").number(CORES);
     let memory_mb = limits.get("memory_mb").required_number(PROGRAM_MEMORY_MB);
--- a/crates/plovershelf-server/src/streams.rs
+++ b/crates/plovershelf-server/src/streams.rs
@@ -1,4 +1,4 @@
-//! Reading and writing with bounds: bytes up to a size, operations up to a time.
+//! Reading and writing with bounded sizes and times.
 
 use std::future::Future;
 use std::io;
@@ -9,7 +9,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-/// The result of an operation, or [`io::ErrorKind::TimedOut`] after `timeout_ms`.
+/// Returns the result of an operation, or [`io::ErrorKind::TimedOut`] after `timeout_ms`.
 pub(crate) async fn with_timeout<T>(
     timeout_ms: u64,
     operation: impl Future<Output = io::Result<T>>,
@@ -21,7 +21,7 @@
     future::or(operation, timed_out).await
 }
 
-/// Writes all of the bytes, unless the peer reads none of them for too long.
+/// Writes all bytes, or fails if the peer has not taken them within `timeout_ms`.
 pub(crate) async fn write_all(
     mut stream: &Async<TcpStream>,
     bytes: &[u8],
@@ -30,7 +30,8 @@
     with_timeout(timeout_ms, stream.write_all(bytes)).await
 }
 
-/// The next message of a queue and all behind it, in one piece; `None` when no more can come.
+/// Returns the next message of a queue joined with all messages behind it, or `None` once the queue is closed and
+/// empty.
 pub(crate) async fn recv_batch(queue: &Receiver<Vec<u8>>) -> Option<Vec<u8>> {
     let mut bytes = queue.recv().await.ok()?;
     while let Ok(more) = queue.try_recv() {
@@ -39,7 +40,7 @@
     Some(bytes)
 }
 
-/// Bytes that were read from a stream and not consumed yet.
+/// Bytes that were read from a stream and are not consumed yet.
 pub(crate) struct ReadBuffer {
     bytes: Vec<u8>,
     max_bytes: usize,
@@ -47,7 +48,7 @@
 }
 
 impl ReadBuffer {
-    /// Holds at most `max_bytes`, and reads at most `chunk_bytes` at once.
+    /// Returns a buffer of at most `max_bytes` that reads at most `chunk_bytes` at once.
     pub(crate) fn new(max_bytes: usize, chunk_bytes: usize) -> Self {
         ReadBuffer { bytes: Vec::new(), max_bytes, chunk_bytes }
     }
@@ -60,7 +61,7 @@
         self.bytes.is_empty()
     }
 
-    /// Removes bytes from the front. The memory of an unusually large message is given back.
+    /// Removes bytes from the front. An empty buffer that grew beyond one chunk releases its memory.
     pub(crate) fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
         if self.bytes.is_empty() && self.bytes.capacity() > self.chunk_bytes {
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Reads what is there; false at the end of the stream.
+    /// Reads the available bytes. Returns false at the end of the stream.
     ///
     /// # Errors
-    /// The stream's own, and a buffer that is full.
+    /// Returns an error of the stream, or one for a full buffer.
     pub(crate) async fn fill(&mut self, mut stream: &Async<TcpStream>) -> io::Result<bool> {
         let buffered = self.bytes.len();
         if buffered >= self.max_bytes {
-            return Err(io::Error::other("more came than is taken at once"));
+            return Err(io::Error::other("the read buffer is full"));
         }
         self.bytes.resize((buffered + self.chunk_bytes).min(self.max_bytes), 0);
         let read = stream.read(&mut self.bytes[buffered..]).await;
--- a/crates/plovershelf-server/tests/clients.rs
+++ b/crates/plovershelf-server/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the library against the program itself, among stand-ins, while backends come and go.
+//! Clients of the library against backend processes with simulated peers, while backends stop and start.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 use plovershelf_testkit::{cores, dependency, Clock, Executor};
 use serde_json::json;
 
-fn plan(backends: usize) -> FleetConfig {
+fn fleet_config(backends: usize) -> FleetConfig {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim_ms": 4000.0, "deadline_ms": 6000.0, "effect": effect, "gain": 1.0,
                "dedup_window_ms": 20_000.0})
@@ -62,25 +62,25 @@
 }
 
 fn request(work: &WorkSpec) -> Request {
-    let within = Duration::from_millis(5000);
+    let timeout = Duration::from_millis(5000);
     match work.idempotency {
-        Idempotency::Idempotent => Request::new("plain", work.body(), within).tenant("north"),
-        Idempotency::Keyed => Request::new("marked", work.body(), within)
+        Idempotency::Idempotent => Request::new("plain", work.body(), timeout).tenant("north"),
+        Idempotency::Keyed => Request::new("marked", work.body(), timeout)
             .tenant("north")
             .idempotency_key(format!("t{}", work.number)),
         Idempotency::NonIdempotent => {
-            Request::new("single", work.body(), within).tenant("north").non_idempotent()
+            Request::new("single", work.body(), timeout).tenant("north").non_idempotent()
         }
     }
 }
 
-/// Asks for work of all three effects in turn, a few at a time, until told to stop; hands back each one's end.
-async fn ask(
+/// Calls for work of all three classes in turn, a few calls at a time, until stopped. Returns the response of each.
+async fn call_until_stopped(
     client: Client,
     first: u64,
     stop: Rc<std::cell::Cell<bool>>,
 ) -> BTreeMap<u64, (WorkSpec, Response)> {
-    let mut ends = BTreeMap::new();
+    let mut responses = BTreeMap::new();
     let mut number = first;
     while !stop.get() {
         let works: Vec<WorkSpec> = (0..6)
@@ -92,24 +92,24 @@
         number += 6;
         let calls: Vec<_> = works.iter().map(|work| client.call(request(work))).collect();
         for (work, call) in works.into_iter().zip(calls) {
-            ends.insert(work.number, (work, call.await));
+            responses.insert(work.number, (work, call.await));
         }
         Timer::after(Duration::from_millis(10)).await;
     }
-    ends
+    responses
 }
 
-/// Runs clients against backends while `trouble` is caused, then judges: every call has one end, none ran twice that
-/// must not, and results are those that a run made. Hands back the share that succeeded.
-fn under(backends: usize, trouble: impl AsyncFnOnce(&mut Fleet, Clock)) -> f64 {
+/// Runs clients against backends while `disturbance` runs. Then checks that every call has ended, that no work ran
+/// twice that must not, and that each result was produced by a run. Returns the fraction of successful calls.
+fn run_with_clients(backends: usize, disturbance: impl AsyncFnOnce(&mut Fleet, Clock)) -> f64 {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut fleet = Fleet::start(&executor, clock, &plan(backends)).expect("backends");
+    let mut fleet = Fleet::start(&executor, clock, &fleet_config(backends)).expect("backends");
     let run = async {
-        assert!(fleet.up(clock, 20_000.0).await, "the backends do not come up");
+        assert!(fleet.up(clock, 20_000.0).await, "the backends did not start");
         let stop = Rc::new(std::cell::Cell::new(false));
         let endpoints = fleet.addresses();
-        let asking: Vec<_> = (0..4u64)
+        let tasks: Vec<_> = (0..4u64)
             .map(|n| {
                 let (client, drive) = ClientBuilder::new()
                     .endpoints(&endpoints)
@@ -118,59 +118,62 @@
                     .build()
                     .expect("a client");
                 executor.spawn(drive).detach();
-                executor.spawn(ask(client, n * 1_000_000 + 1, stop.clone()))
+                executor.spawn(call_until_stopped(client, n * 1_000_000 + 1, stop.clone()))
             })
             .collect();
         Timer::after(Duration::from_millis(500)).await;
-        trouble(&mut fleet, clock).await;
+        disturbance(&mut fleet, clock).await;
         Timer::after(Duration::from_millis(1500)).await;
         stop.set(true);
-        let (mut all, mut succeeded) = (0u32, 0u32);
-        for task in asking {
+        let (mut total, mut succeeded) = (0u32, 0u32);
+        for task in tasks {
             for (number, (work, response)) in task.await {
-                all += 1;
+                total += 1;
                 if let Response::Succeeded(result) = response {
                     succeeded += 1;
                     assert_eq!(result, work.result());
-                    assert!(fleet.effects.borrow().succeeded(number), "{number} was made by no run");
+                    assert!(
+                        fleet.effects.borrow().succeeded(number),
+                        "no run produced the result of {number}"
+                    );
                 }
             }
         }
         let effects = fleet.effects.borrow();
         assert_eq!(effects.repeated_executions(), Vec::<u64>::new());
         assert_eq!((effects.launched_after_drain, effects.dependency_outages), (0, 0));
-        f64::from(succeeded) / f64::from(all.max(1))
+        f64::from(succeeded) / f64::from(total.max(1))
     };
     async_io::block_on(future::or(executor.run(run), async {
         Timer::after(Duration::from_secs(60)).await;
-        panic!("a call has no end")
+        panic!("a call did not end")
     }))
 }
 
 #[test]
-fn a_kill_and_restart_of_one_of_three_loses_no_call_and_runs_none_twice() {
-    let share = under(3, async |fleet, clock| {
-        fleet.backends[0].kill().expect("it ends");
+fn killing_one_of_three_backends_loses_no_call_and_repeats_none() {
+    let success_rate = run_with_clients(3, async |fleet, clock| {
+        fleet.backends[0].kill().expect("the backend ends");
         Timer::after(Duration::from_millis(300)).await;
-        fleet.backends[0].start().expect("it starts again");
+        fleet.backends[0].start().expect("the backend starts again");
         assert!(fleet.up(clock, 20_000.0).await);
     });
-    assert!(share > 0.5, "{share}");
+    assert!(success_rate > 0.5, "{success_rate}");
 }
 
 #[test]
-fn a_kill_of_all_at_once_is_survived_by_every_call() {
-    let share = under(2, async |fleet, clock| {
-        fleet.backends.iter_mut().for_each(|backend| backend.kill().expect("it ends"));
-        fleet.backends.iter_mut().for_each(|backend| backend.start().expect("it starts again"));
+fn every_call_ends_after_all_backends_are_killed() {
+    let success_rate = run_with_clients(2, async |fleet, clock| {
+        fleet.backends.iter_mut().for_each(|backend| backend.kill().expect("the backend ends"));
+        fleet.backends.iter_mut().for_each(|backend| backend.start().expect("the backend starts again"));
         assert!(fleet.up(clock, 20_000.0).await);
     });
-    assert!(share > 0.3, "{share}");
+    assert!(success_rate > 0.3, "{success_rate}");
 }
 
 #[test]
-fn one_that_is_told_to_leave_hands_its_callers_over() {
-    let share = under(2, async |fleet, _| {
+fn draining_backend_hands_its_clients_over() {
+    let success_rate = run_with_clients(2, async |fleet, _| {
         fleet.backends[0].start_drain(300.0);
         let mut status = None;
         while status.is_none() {
@@ -179,5 +182,5 @@
         }
         assert!(status.is_some_and(|status| status.success()));
     });
-    assert!(share > 0.8, "{share}");
+    assert!(success_rate > 0.8, "{success_rate}");
 }
--- a/crates/plovershelf-server/tests/config_pins.rs
+++ b/crates/plovershelf-server/tests/config_pins.rs
@@ -1,5 +1,5 @@
-//! The bytes of what the command asks a process that distributes configuration, and of the answers, as an earlier build wrote
-//! them: a command of that build asks a process of this one while a release is under way, and the other way round.
+//! The encoding of the operators' requests to configuration distribution, and of the answers, as an earlier build
+//! wrote them. During a release, commands and processes of both builds communicate in both directions.
 
 use plovershelf_cluster::wire::{decode, encode_payload};
 use plovershelf_config_distribution::{Change, Edit, NodeStatus, Version};
@@ -66,7 +66,7 @@
     ]
 }
 
-/// A variant that is new has to be pinned too: this does not compile until it is named here.
+/// Does not compile until a new variant is listed here, and with that pinned by the fixture.
 fn kinds(request: &AdminRequest, response: &AdminResponse) -> (usize, usize) {
     let request = match request {
         AdminRequest::Status => 0,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn every_question_and_answer_has_the_bytes_of_the_earlier_build_and_comes_back_from_them() {
+fn requests_and_responses_keep_the_encoding_of_the_earlier_build() {
     let of = |(request, response): (&(_, AdminRequest), &(_, AdminResponse))| kinds(&request.1, &response.1);
     let kinds: Vec<(usize, usize)> = requests().iter().cycle().zip(&responses()).map(of).collect();
     assert!((0..3).all(|request| kinds.iter().any(|kind| kind.0 == request)));
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -1,5 +1,5 @@
-//! Real processes as one group: founded, one lost with its folder, one stopped, a way cut; and without a group nothing more
-//! than before.
+//! Backend processes as one cluster: bootstrap, loss of a member with its folder, a paused member, failover; and no
+//! extra resources without a cluster.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,7 +20,7 @@
 use plovershelf_testkit::work::{Idempotency, WorkSpec};
 use plovershelf_testkit::{cluster, cores, dependency, Clock, Executor};
 
-fn plan(group: bool) -> FleetConfig {
+fn fleet_config(has_cluster: bool) -> FleetConfig {
     FleetConfig {
         program: PathBuf::from(env!("CARGO_BIN_EXE_plovershelf-server")),
         backends: 3,
@@ -42,7 +42,7 @@
         stop_ms: 1000.0,
         logs: None,
         pools: None,
-        cluster: group.then(|| cluster::ClusterConfig {
+        cluster: has_cluster.then(|| cluster::ClusterConfig {
             zones: 3,
             founders: 3,
             folders: true,
@@ -52,8 +52,8 @@
     }
 }
 
-fn ask(at: SocketAddr, question: Question) -> Option<Answer> {
-    let mut stream = TcpStream::connect(at).ok()?;
+fn ask(address: SocketAddr, question: Question) -> Option<Answer> {
+    let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(9))).ok()?;
     stream.write_all(&[encode(&Hello::of("trial")), encode(&Wire::Question(question))].concat()).ok()?;
     let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
@@ -67,37 +67,38 @@
     }
 }
 
-fn status(at: SocketAddr) -> Option<Status> {
-    match ask(at, Question::Status)? {
+fn status(address: SocketAddr) -> Option<Status> {
+    match ask(address, Question::Status)? {
         Answer::Status(status) => Some(*status),
         _ => None,
     }
 }
 
-/// Waits until that holds of what all the named members answer; a minute is more than any machine needs.
-async fn until(
-    what: &str,
+/// Waits until `holds` is true of the statuses of all named members. The limit of one minute is generous on any
+/// machine.
+async fn wait_until(
+    awaited: &str,
     fleet: &Fleet,
     members: &[usize],
     holds: impl Fn(&[Status]) -> bool,
 ) -> Vec<Status> {
-    let began = Instant::now();
-    let cluster = fleet.cluster.as_ref().expect("a group");
+    let started = Instant::now();
+    let cluster = fleet.cluster.as_ref().expect("a cluster");
     loop {
         let addresses: Vec<SocketAddr> = members.iter().map(|m| cluster.members[*m].address).collect();
-        let asked = off_thread(move || addresses.into_iter().map(status).collect::<Option<Vec<Status>>>());
-        if let Some(all) = asked.await {
+        let statuses = off_thread(move || addresses.into_iter().map(status).collect::<Option<Vec<Status>>>());
+        if let Some(all) = statuses.await {
             if holds(&all) {
                 return all;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{what}: {all:#?}");
+            assert!(started.elapsed() < Duration::from_secs(60), "{awaited}: {all:#?}");
         }
-        assert!(began.elapsed() < Duration::from_secs(60), "{what}");
+        assert!(started.elapsed() < Duration::from_secs(60), "{awaited}");
         Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// All answer with one view of so many members, and all may act by it.
+/// Returns whether all members report the same view with `count` members, and all may act by it.
 fn agreed(count: usize) -> impl Fn(&[Status]) -> bool {
     move |all| {
         let view = all[0].view;
@@ -105,80 +106,84 @@
     }
 }
 
-/// A real cluster bootstraps, loses a member with its storage, has one paused and one that is not ready. Each is removed from
-/// the view and joins again, the one without its storage as a new node.
+/// A cluster bootstraps, loses a member with its storage, and has one member paused and one not ready. Each is
+/// removed from the view and readmitted, the one without its storage as a new node.
 #[test]
-fn a_cluster_bootstraps_and_removes_and_readmits_a_lost_a_paused_and_an_unready_member() {
+fn cluster_removes_and_readmits_lost_paused_and_unready_members() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut fleet = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
+    let mut fleet = Fleet::start(&executor, clock, &fleet_config(true)).expect("three backends");
     let run = async {
-        let first = until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
+        let first = wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
         let node_id = first[1].node_id;
         assert_eq!(first.iter().filter(|s| s.leads).count(), 1);
         fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Begins, 3);
-        let out = until("out", &fleet, &[0, 2], agreed(2)).await;
-        assert!(!out[0].view_members.contains(&node_id));
+        let removed = wait_until("removed", &fleet, &[0, 2], agreed(2)).await;
+        assert!(!removed[0].view_members.contains(&node_id));
         fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Ends, 3);
-        // Until its old memory is no voter any more, there are four of whom one is lost: the next loss would be one too many.
+        // Until the old node is no longer a voter there are four voters, one of them lost: another loss would cost
+        // the majority.
         let voters = |all: &[Status]| {
             let voters: Vec<bool> = all[0].members.iter().filter(|m| m.voter).map(|m| m.in_view).collect();
             voters == [true; 3]
         };
-        let back = until("back", &fleet, &[0, 1, 2], |all| agreed(3)(all) && voters(all)).await;
-        assert_ne!(back[1].node_id, node_id);
-        assert!(back[0].view > out[0].view);
-        // A member that stood still may not act when it wakes, until it has asked again; all agree again.
+        let readmitted =
+            wait_until("readmitted", &fleet, &[0, 1, 2], |all| agreed(3)(all) && voters(all)).await;
+        assert_ne!(readmitted[1].node_id, node_id);
+        assert!(readmitted[0].view > removed[0].view);
+        // A paused member may not act after it resumes until it has renewed its lease; then all agree again.
         fleet.apply_fault(&Fault::Stop { member: 2 }, FaultPhase::Begins, 3);
-        until("stopped one out", &fleet, &[0, 1], agreed(2)).await;
+        wait_until("paused member removed", &fleet, &[0, 1], agreed(2)).await;
         fleet.apply_fault(&Fault::Stop { member: 2 }, FaultPhase::Ends, 3);
-        until("stopped one back", &fleet, &[0, 1, 2], agreed(3)).await;
-        // One that does no work is put out, though it answers.
+        wait_until("paused member readmitted", &fleet, &[0, 1, 2], agreed(3)).await;
+        // A member whose event loop makes no progress is removed, although it still answers.
         fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Begins, 3);
-        until("unfit one out", &fleet, &[1, 2], agreed(2)).await;
+        wait_until("unready member removed", &fleet, &[1, 2], agreed(2)).await;
         fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Ends, 3);
-        until("unfit one back", &fleet, &[0, 1, 2], agreed(3)).await;
+        wait_until("unready member readmitted", &fleet, &[0, 1, 2], agreed(3)).await;
     };
     async_io::block_on(executor.run(run));
 }
 
-/// Two of three voters are lost for good: nothing is committed and nobody may act. One command with the right names begins a new
-/// epoch; one that comes too early, or with an unknown name, is refused.
+/// Two of three voters are permanently lost: nothing is committed and no member may act. A recovery command with the
+/// right names starts a new epoch; one that is sent too early, or with an unknown name, is refused.
 #[test]
-fn a_lost_majority_is_replaced_by_one_command_and_by_no_other() {
+fn recovery_command_replaces_a_lost_majority() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut fleet = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
+    let mut fleet = Fleet::start(&executor, clock, &fleet_config(true)).expect("three backends");
     let run = async {
-        until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
-        let at = fleet.cluster.as_ref().expect("a group").members[2].address;
+        wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
+        let address = fleet.cluster.as_ref().expect("a cluster").members[2].address;
         let recover = move |lost: &[&str]| {
             let lost = lost.iter().map(|name| name.to_string()).collect();
-            off_thread(move || ask(at, Question::Recover { lost }))
+            off_thread(move || ask(address, Question::Recover { lost }))
         };
         let early = recover(&["n1"]).await;
         assert!(matches!(early, Some(Answer::Refused(why)) if why.contains("can decide by themselves")));
         for member in [0, 1] {
             fleet.apply_fault(&Fault::Kill { member, folder: Folder::Wiped }, FaultPhase::Begins, 3);
         }
-        until("undecided", &fleet, &[2], |all| all[0].no_leader_ms.is_some() && all[0].may_act.is_none())
-            .await;
+        wait_until("no majority", &fleet, &[2], |all| {
+            all[0].no_leader_ms.is_some() && all[0].may_act.is_none()
+        })
+        .await;
         let unknown = recover(&["n7"]).await;
         assert!(matches!(unknown, Some(Answer::Refused(why)) if why.contains("\"n7\" is not in view")));
         let done = recover(&["n1", "n2"]).await;
-        assert!(matches!(&done, Some(Answer::Done(what)) if what.contains("council 2")), "{done:?}");
-        until("alone", &fleet, &[2], agreed(1)).await;
+        assert!(matches!(&done, Some(Answer::Done(text)) if text.contains("council 2")), "{done:?}");
+        wait_until("a single member", &fleet, &[2], agreed(1)).await;
         for member in [0, 1] {
             fleet.apply_fault(&Fault::Kill { member, folder: Folder::Wiped }, FaultPhase::Ends, 3);
         }
-        let all = until("whole", &fleet, &[0, 1, 2], agreed(3)).await;
+        let all = wait_until("all members back", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(all.iter().all(|s| s.epoch_number == 2));
     };
     async_io::block_on(executor.run(run));
 }
 
-/// One ticket's try.
-fn ticketed(body: &[u8]) -> Call<'_> {
+/// Returns a call with the idempotency key that all attempts of this test share.
+fn keyed_call(body: &[u8]) -> Call<'_> {
     Call {
         class: "marked",
         tenant: "acme",
@@ -190,228 +195,239 @@
     }
 }
 
-/// A repeat that reaches another backend gets the result, also when the one that ran it is lost with its disk.
+/// A duplicate that reaches another backend gets the recorded result, even after the backend that ran it is lost with
+/// its disk.
 #[test]
-fn a_ticket_runs_once_at_whichever_backend_its_tries_arrive() {
+fn keyed_request_runs_once_across_backends() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut plan = plan(true);
-    plan.cluster = plan
+    let mut config = fleet_config(true);
+    config.cluster = config
         .cluster
         .map(|group| cluster::ClusterConfig { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
-    let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
+    let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
-        until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
+        wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
-        let caller = BasicClient::new(&executor, &addresses, 1);
+        let client = BasicClient::new(&executor, &addresses, 1);
         let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
         let body = work.body();
-        let asked = ticketed(&body);
-        let well = Outcome::Succeeded(work.result());
-        assert_eq!(caller.attempt(addresses[0], &asked).await, well);
-        assert_eq!(caller.attempt(addresses[1], &asked).await, well);
+        let call = keyed_call(&body);
+        let succeeded = Outcome::Succeeded(work.result());
+        assert_eq!(client.attempt(addresses[0], &call).await, succeeded);
+        assert_eq!(client.attempt(addresses[1], &call).await, succeeded);
         assert_eq!(fleet.effects.borrow().executions(), 1);
         fleet.apply_fault(&Fault::Kill { member: 0, folder: Folder::Wiped }, FaultPhase::Begins, 3);
-        until("out", &fleet, &[1, 2], agreed(2)).await;
-        assert_eq!(caller.attempt(addresses[2], &asked).await, well);
-        assert_eq!(caller.attempt(addresses[1], &asked).await, well);
+        wait_until("removed", &fleet, &[1, 2], agreed(2)).await;
+        assert_eq!(client.attempt(addresses[2], &call).await, succeeded);
+        assert_eq!(client.attempt(addresses[1], &call).await, succeeded);
         let effects = fleet.effects.borrow();
         assert!(effects.executions() == 1 && effects.repeated_keyed_launches().is_empty());
     };
     async_io::block_on(executor.run(run));
 }
 
-/// Two that had a ticket's end are killed and started anew at once, with their folders: their names and memories are back and
-/// belong to the view all the while, but what their processes held is gone. They count as holders no more, and the
-/// result is copied to them anew from the one that is left.
+/// Two replicas that stored an outcome are killed and restarted at once with their folders. Their names and node ids
+/// stay in the view, but the records of their processes are gone. They must no longer count as replicas, and the
+/// outcome must be replicated to them again from the remaining one.
 #[test]
-fn one_that_is_back_at_once_with_its_folder_holds_nothing_until_it_is_copied_anew() {
+fn restarted_replica_does_not_count_until_replicated_again() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut plan = plan(true);
-    plan.cluster = plan
+    let mut config = fleet_config(true);
+    config.cluster = config
         .cluster
         .map(|group| cluster::ClusterConfig { more: "\n[copies]\ncopies = 3\nleast = 2\n".into(), ..group });
-    let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
+    let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
-        until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
+        wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
         let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
         let body = work.body();
-        let asked = ticketed(&body);
-        let well = Outcome::Succeeded(work.result());
-        let caller = BasicClient::new(&executor, &addresses, 1);
-        assert_eq!(caller.attempt(addresses[0], &asked).await, well);
+        let call = keyed_call(&body);
+        let succeeded = Outcome::Succeeded(work.result());
+        let client = BasicClient::new(&executor, &addresses, 1);
+        assert_eq!(client.attempt(addresses[0], &call).await, succeeded);
         for member in [0, 1] {
-            let before = until("one view", &fleet, &[0, 1, 2], agreed(3)).await[0].view;
+            let before = wait_until("a common view", &fleet, &[0, 1, 2], agreed(3)).await[0].view;
             fleet.apply_fault(&Fault::Kill { member, folder: Folder::Kept }, FaultPhase::Begins, 3);
             fleet.apply_fault(&Fault::Kill { member, folder: Folder::Kept }, FaultPhase::Ends, 3);
-            // Its new start is a change of view, though it was never put out.
-            until("back", &fleet, &[0, 1, 2], |all| agreed(3)(all) && all[0].view > before).await;
+            // The restart changes the view, although the member was never removed.
+            wait_until("readmitted", &fleet, &[0, 1, 2], |all| agreed(3)(all) && all[0].view > before).await;
         }
-        let caller = BasicClient::new(&executor, &addresses, 2);
-        let began = Instant::now();
-        let mut ended = caller.attempt(addresses[2], &asked).await;
-        // Views may still be on their way to it; then it is told to come back.
-        while ended != well && began.elapsed() < Duration::from_secs(20) {
-            assert!(matches!(ended, Outcome::Rejected), "{ended:?}");
+        let client = BasicClient::new(&executor, &addresses, 2);
+        let started = Instant::now();
+        let mut outcome = client.attempt(addresses[2], &call).await;
+        // The replica may not know the newest view yet; it then rejects the call with a retry-after.
+        while outcome != succeeded && started.elapsed() < Duration::from_secs(20) {
+            assert!(matches!(outcome, Outcome::Rejected), "{outcome:?}");
             Timer::after(Duration::from_millis(200)).await;
-            ended = caller.attempt(addresses[2], &asked).await;
+            outcome = client.attempt(addresses[2], &call).await;
         }
-        assert_eq!(ended, well);
+        assert_eq!(outcome, succeeded);
         assert_eq!(fleet.effects.borrow().executions(), 1);
     };
     async_io::block_on(executor.run(run));
 }
 
-fn zones(at: SocketAddr, request: &Request) -> Option<Response> {
+fn ask_zones(address: SocketAddr, request: &Request) -> Option<Response> {
     let question = Question::Part { part: "zones".into(), bytes: plain(request) };
-    match ask(at, question)? {
+    match ask(address, question)? {
         Answer::Part(bytes) => decode(&bytes).ok(),
         _ => None,
     }
 }
 
-/// Waits until that holds of the plans that all the named members act by.
-async fn until_planned(what: &str, fleet: &Fleet, members: &[usize], holds: impl Fn(&ZonesStatus) -> bool) {
-    let began = Instant::now();
+/// Waits until `holds` is true of the traffic plans that all named members follow.
+async fn wait_until_planned(
+    awaited: &str,
+    fleet: &Fleet,
+    members: &[usize],
+    holds: impl Fn(&ZonesStatus) -> bool,
+) {
+    let started = Instant::now();
     loop {
-        let at: Vec<SocketAddr> =
-            members.iter().map(|m| fleet.cluster.as_ref().expect("a group").members[*m].address).collect();
+        let addresses: Vec<SocketAddr> =
+            members.iter().map(|m| fleet.cluster.as_ref().expect("a cluster").members[*m].address).collect();
         let all = off_thread(move || {
-            at.into_iter().map(|at| zones(at, &Request::Status)).collect::<Option<Vec<Response>>>()
+            addresses
+                .into_iter()
+                .map(|address| ask_zones(address, &Request::Status))
+                .collect::<Option<Vec<Response>>>()
         })
         .await;
-        let statuses = all.iter().flatten().map(|told| match told {
+        let statuses = all.iter().flatten().map(|response| match response {
             Response::Status(status) => status.is_active && holds(status),
             _ => false,
         });
         if all.is_some() && statuses.into_iter().all(|holds| holds) {
             return;
         }
-        assert!(began.elapsed() < Duration::from_secs(60), "{what}: {all:#?}");
+        assert!(started.elapsed() < Duration::from_secs(60), "{awaited}: {all:#?}");
         Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// The stand-ins need this thread, so another does the asking.
+/// Runs blocking work on another thread, because the simulated peers run on this one.
 async fn off_thread<T: Send + 'static>(work: impl FnOnce() -> Option<T> + Send + 'static) -> Option<T> {
-    let (told, asked) = async_channel::bounded(1);
-    std::thread::spawn(move || told.send_blocking(work()));
-    asked.recv().await.ok().flatten()
+    let (sender, result) = async_channel::bounded(1);
+    std::thread::spawn(move || sender.send_blocking(work()));
+    result.recv().await.ok().flatten()
 }
 
-/// One plan for all: a zone that is lost is off in it, and on again when it is back; a shift by hand is taken by the leader alone, by
-/// one operator at a time, and ended by a word.
+/// All members follow one traffic plan: a lost zone is excluded and returned to when it is back. A manual shift is
+/// accepted by the leader only and from one operator at a time, and it ends on request.
 #[test]
-#[expect(clippy::too_many_lines, reason = "one story in order on real processes")]
-fn zones_are_left_and_returned_to_by_one_agreed_plan() {
+#[expect(clippy::too_many_lines, reason = "one sequence of steps on real processes")]
+fn all_members_follow_one_traffic_plan() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let mut plan = plan(true);
+    let mut config = fleet_config(true);
     let more =
         "\n[zone z1]\nregion = r1\n[zone z2]\nregion = r1\n[zone z3]\nregion = r1\n[zones]\nwell_ms = 500\n";
-    plan.cluster = plan.cluster.map(|group| cluster::ClusterConfig { more: more.into(), ..group });
-    let mut fleet = Fleet::start(&executor, clock, &plan).expect("three backends");
+    config.cluster = config.cluster.map(|group| cluster::ClusterConfig { more: more.into(), ..group });
+    let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
-        until("founded", &fleet, &[0, 1, 2], agreed(3)).await;
+        wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
         assert!(fleet.up(clock, 20_000.0).await);
-        let near = |status: &ZonesStatus| {
+        let is_local_only = |status: &ZonesStatus| {
             !status.plan.is_excluded.contains(&true)
                 && status.plan.max_difference(&TrafficPlan::all_near(3)) < 1e-6
         };
-        until_planned("all near", &fleet, &[0, 1, 2], near).await;
+        wait_until_planned("local traffic only", &fleet, &[0, 1, 2], is_local_only).await;
         fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Begins, 3);
-        until_planned("z2 is off", &fleet, &[0, 2], |status| status.plan.is_excluded == [false, true, false])
-            .await;
+        wait_until_planned("z2 excluded", &fleet, &[0, 2], |status| {
+            status.plan.is_excluded == [false, true, false]
+        })
+        .await;
         fleet.apply_fault(&Fault::Kill { member: 1, folder: Folder::Wiped }, FaultPhase::Ends, 3);
-        until_planned("z2 is back", &fleet, &[0, 1, 2], near).await;
-        let wish = |by: &str| {
+        wait_until_planned("z2 included again", &fleet, &[0, 1, 2], is_local_only).await;
+        let shift_request = |operator: &str| {
             Request::Shift(ShiftRequest {
                 zone: "z3".into(),
                 duration_ms: 60_000.0,
                 reason: "work".into(),
-                operator: by.into(),
+                operator: operator.into(),
                 is_forced: false,
             })
         };
-        // Whoever does not lead says who does; the one that leads takes it.
-        let at: Vec<SocketAddr> =
-            fleet.cluster.as_ref().expect("a group").members.iter().map(|m| m.address).collect();
-        let mut taken = None;
-        let began = Instant::now();
-        while taken.is_none() && began.elapsed() < Duration::from_secs(60) {
-            for at in at.clone() {
-                let shift = wish("ann");
-                match off_thread(move || zones(at, &shift)).await {
-                    Some(Response::Done(_)) => taken = Some(at),
+        // Followers name the leader in their refusal; the leader accepts the shift.
+        let addresses: Vec<SocketAddr> =
+            fleet.cluster.as_ref().expect("a cluster").members.iter().map(|m| m.address).collect();
+        let mut accepted_by = None;
+        let started = Instant::now();
+        while accepted_by.is_none() && started.elapsed() < Duration::from_secs(60) {
+            for address in addresses.clone() {
+                let shift = shift_request("ann");
+                match off_thread(move || ask_zones(address, &shift)).await {
+                    Some(Response::Done(_)) => accepted_by = Some(address),
                     Some(Response::Refused(why)) => assert!(why.contains("leads"), "{why}"),
                     other => assert!(other.is_none(), "{other:?}"),
                 }
-                if taken.is_some() {
+                if accepted_by.is_some() {
                     break;
                 }
             }
         }
-        let leader = taken.expect("one leads");
-        until_planned("z3 is shifted", &fleet, &[0, 1, 2], |status| {
+        let leader = accepted_by.expect("a leader");
+        wait_until_planned("z3 shifted", &fleet, &[0, 1, 2], |status| {
             status.plan.is_excluded == [false, false, true] && status.plan.shifts.len() == 1
         })
         .await;
-        let second = wish("bob");
-        let second = off_thread(move || zones(leader, &second)).await;
+        let second_shift = shift_request("bob");
+        let second = off_thread(move || ask_zones(leader, &second_shift)).await;
         assert!(
             matches!(&second, Some(Response::Refused(why)) if why.contains("by ann already")),
             "{second:?}"
         );
-        let back = off_thread(move || zones(leader, &Request::EndShift { zone: "z3".into() })).await;
-        assert!(matches!(back, Some(Response::Done(_))), "{back:?}");
-        until_planned("z3 is returned to", &fleet, &[0, 1, 2], |status| {
-            near(status) && status.plan.shifts.is_empty()
+        let end = off_thread(move || ask_zones(leader, &Request::EndShift { zone: "z3".into() })).await;
+        assert!(matches!(end, Some(Response::Done(_))), "{end:?}");
+        wait_until_planned("z3 included again", &fleet, &[0, 1, 2], |status| {
+            is_local_only(status) && status.plan.shifts.is_empty()
         })
         .await;
     };
     async_io::block_on(executor.run(run));
 }
 
-/// Threads, or descriptors but for files and pipes, which a process may be given by the one that starts it.
-fn counted(fleet: &Fleet, what: &str) -> usize {
-    let id = fleet.backends[0].process_id().expect("it runs");
-    let entries = std::fs::read_dir(format!("/proc/{id}/{what}")).expect("a process");
-    let own = |entry: std::fs::DirEntry| {
-        std::fs::read_link(entry.path()).map_or(what == "task", |to| {
+/// Counts the threads of the first backend, or its descriptors except files and pipes, which a process may inherit.
+fn count_entries(fleet: &Fleet, directory: &str) -> usize {
+    let id = fleet.backends[0].process_id().expect("the process runs");
+    let entries = std::fs::read_dir(format!("/proc/{id}/{directory}")).expect("a process");
+    let is_counted = |entry: std::fs::DirEntry| {
+        std::fs::read_link(entry.path()).map_or(directory == "task", |to| {
             let to = to.to_string_lossy().into_owned();
             to.starts_with("socket:") || to.starts_with("anon_inode:")
         })
     };
-    entries.flatten().filter_map(|entry| own(entry).then_some(())).count()
+    entries.flatten().filter_map(|entry| is_counted(entry).then_some(())).count()
 }
 
-/// Off: no listener, thread or descriptor more. With a group: one thread more.
+/// Without a cluster there is no additional listener, thread or descriptor; with one there is one more thread.
 #[test]
-fn without_a_group_there_is_no_thread_and_no_descriptor_for_it() {
+fn no_thread_or_descriptor_without_a_cluster() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
     let clock = Clock::start();
-    let fleet = Fleet::start(&executor, clock, &plan(false)).expect("three backends");
-    let with = Fleet::start(&executor, clock, &plan(true)).expect("three backends");
+    let fleet = Fleet::start(&executor, clock, &fleet_config(false)).expect("three backends");
+    let with_cluster = Fleet::start(&executor, clock, &fleet_config(true)).expect("three backends");
     let run = async {
-        assert!(fleet.up(clock, 20_000.0).await && with.up(clock, 20_000.0).await);
-        until("founded", &with, &[0, 1, 2], agreed(3)).await;
-        // Those that looked whether it listens leave first.
-        let began = Instant::now();
-        while counted(&fleet, "fd") > OFF_DESCRIPTORS && began.elapsed() < Duration::from_secs(60) {
+        assert!(fleet.up(clock, 20_000.0).await && with_cluster.up(clock, 20_000.0).await);
+        wait_until("bootstrapped", &with_cluster, &[0, 1, 2], agreed(3)).await;
+        // The health check connections of `up` close first.
+        let started = Instant::now();
+        while count_entries(&fleet, "fd") > OFF_DESCRIPTORS && started.elapsed() < Duration::from_secs(60) {
             Timer::after(Duration::from_millis(50)).await;
         }
     };
     async_io::block_on(executor.run(run));
-    assert_eq!((counted(&fleet, "task"), counted(&fleet, "fd")), (OFF_THREADS, OFF_DESCRIPTORS));
-    assert_eq!(counted(&with, "task"), OFF_THREADS + 1);
-    assert!(counted(&with, "fd") > OFF_DESCRIPTORS);
+    assert_eq!((count_entries(&fleet, "task"), count_entries(&fleet, "fd")), (OFF_THREADS, OFF_DESCRIPTORS));
+    assert_eq!(count_entries(&with_cluster, "task"), OFF_THREADS + 1);
+    assert!(count_entries(&with_cluster, "fd") > OFF_DESCRIPTORS);
 }
 
-/// As the program had before there were groups: the main thread and the reactor's; three of the reactor, eight sockets
-/// (signals, listener, agent, roster).
+/// Threads and descriptors without a cluster: the main thread and the reactor's; three descriptors of the reactor and
+/// eight sockets (signals, listener, agent, registry).
 const OFF_THREADS: usize = 2;
 const OFF_DESCRIPTORS: usize = 11;
--- a/crates/plovershelf-server/tests/startup_errors.rs
+++ b/crates/plovershelf-server/tests/startup_errors.rs
@@ -1,11 +1,12 @@
-//! What a start that can't go on says: one line that names file and key, and status 2.
+//! Startup errors: one line that names file and key, and exit status 2.
 
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// Runbooks match these lines; each block of the fixture names a configuration file and variables, then the output.
+/// Runbooks match these lines. Each block of the fixture names a configuration file and variables, followed by the
+/// output.
 #[test]
-fn start_with_wrong_settings_ends_with_the_recorded_line() {
+fn startup_with_invalid_settings_prints_the_recorded_line() {
     let fixtures = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
     let recorded = std::fs::read_to_string(fixtures.join("startup_errors.txt")).expect("a fixture");
     let mut starts = 0;
