--- a/crates/plovershelf-cluster/src/consensus/election/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/election/tests.rs
@@ -13,7 +13,7 @@
 /// Guards against two leaders in one term, which a voter that votes for two candidates could elect. A voter votes once
 /// per term, and again only for the same candidate, whose response may have been lost.
 #[test]
-fn a_voter_votes_once_a_term() {
+fn a_voter_votes_for_at_most_one_candidate_per_term() {
     assert!(voter(None).grants(&request(4, LAST, Ballot::Vote)));
     assert!(voter(Some(1)).grants(&request(4, LAST, Ballot::Vote)));
     assert!(!voter(Some(2)).grants(&request(4, LAST, Ballot::Vote)));
--- a/crates/plovershelf-cluster/src/consensus/leader.rs
+++ b/crates/plovershelf-cluster/src/consensus/leader.rs
@@ -25,18 +25,18 @@
 
 /// The state of a leader. Has no meaning in other roles.
 #[derive(Clone, Debug)]
-pub(super) struct Leadership {
-    own: NodeId,
+pub(super) struct LeaderState {
+    own_id: NodeId,
     config: RaftConfig,
     since_ms: f64,
     heartbeat_at_ms: f64,
     tracker: ProgressTracker,
 }
 
-impl Leadership {
-    pub(super) fn new(own: NodeId, config: RaftConfig) -> Self {
+impl LeaderState {
+    pub(super) fn new(own_id: NodeId, config: RaftConfig) -> Self {
         let tracker = ProgressTracker::default();
-        Leadership { own, config, since_ms: 0.0, heartbeat_at_ms: f64::INFINITY, tracker }
+        LeaderState { own_id, config, since_ms: 0.0, heartbeat_at_ms: f64::INFINITY, tracker }
     }
 
     pub(super) fn begin(&mut self, now_ms: f64) {
@@ -71,14 +71,14 @@
 
     /// Returns whether no majority has responded for [`LOST_CONTACT_TIMEOUTS`] election timeouts.
     pub(super) fn has_lost_quorum(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> bool {
-        let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters).max(self.since_ms);
+        let contact_ms = self.tracker.quorum_contact_ms(self.own_id, now_ms, voters).max(self.since_ms);
         contact_ms + LOST_CONTACT_TIMEOUTS * self.config.election_timeout_ms[1] < now_ms
     }
 
     /// Returns the time until which no majority can vote for another leader, given the times of the last responses.
     pub(super) fn lease_until_ms(&self, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
         let drift = 2.0 * self.config.clock_drift_fraction;
-        let contact_ms = self.tracker.quorum_contact_ms(self.own, now_ms, voters);
+        let contact_ms = self.tracker.quorum_contact_ms(self.own_id, now_ms, voters);
         contact_ms + self.config.election_timeout_ms[0] * (1.0 - drift)
     }
 
@@ -89,7 +89,7 @@
         now_ms: f64,
         mode: SendMode,
     ) -> impl Iterator<Item = (NodeId, Message<S>)> + 'a {
-        let followers = self.tracker.track(self.own, log.voters(), log.last().index);
+        let followers = self.tracker.track(self.own_id, log.voters(), log.last().index);
         followers.into_iter().filter_map(move |id| Some((id, self.message(id, log, now_ms, mode)?)))
     }
 
@@ -139,7 +139,7 @@
     /// Returns the highest index that a majority has stored if it can be committed now: its entry must be of the
     /// leader's own term (Raft, section 5.4.2). Returns `None` if it is committed already.
     pub(super) fn new_commit_index<S: StateMachine>(&self, log: &ReplicatedLog<S>) -> Option<u64> {
-        let index = self.tracker.quorum_index(self.own, log.last().index, log.voters())?;
+        let index = self.tracker.quorum_index(self.own_id, log.last().index, log.voters())?;
         let in_term = log.term_at(index) == Some(log.term());
         (index > log.commit_index() && in_term).then_some(index)
     }
--- a/crates/plovershelf-cluster/src/consensus/message.rs
+++ b/crates/plovershelf-cluster/src/consensus/message.rs
@@ -91,7 +91,8 @@
         nonce: u64,
         /// Term of the responding node.
         term: Term,
-        /// Last position of its log, or the position up to which it may have acknowledged entries if that is later.
+        /// Last position of the responding node's log, or the position up to which that node may have acknowledged
+        /// entries if that is later.
         last: LogPosition,
         /// Index of the entry that set `voters`.
         voters_index: u64,
--- a/crates/plovershelf-cluster/src/consensus/raft.rs
+++ b/crates/plovershelf-cluster/src/consensus/raft.rs
@@ -8,7 +8,7 @@
 use super::election::VoteRequest;
 use super::entry::{Entry, LogPosition, Payload, Snapshot, StateMachine, Term, VoterConfig};
 use super::follower::{self, AppendOutcome, FollowerState};
-use super::leader::{AppendResponse, Leadership};
+use super::leader::{AppendResponse, LeaderState};
 use super::log::ReplicatedLog;
 use super::membership::{is_safe_change, majority};
 use super::message::{Actions, Ballot, Message};
@@ -33,7 +33,7 @@
     log: ReplicatedLog<S>,
     role: Role,
     follower_state: FollowerState,
-    leadership: Leadership,
+    leader_state: LeaderState,
     /// Nodes that are permanently lost because their names have returned under other ids.
     lost: BTreeSet<NodeId>,
     rng: Pcg32,
@@ -59,7 +59,7 @@
             log: ReplicatedLog::new(persistent),
             role: Role::NonVoter,
             follower_state: FollowerState::new(config.election_timeout_ms),
-            leadership: Leadership::new(id, config),
+            leader_state: LeaderState::new(id, config),
             lost: BTreeSet::new(),
             rng: Pcg32::seed_from_u64(seed),
             send: Vec::new(),
@@ -147,7 +147,7 @@
             {
                 self.campaign(if self.config.pre_vote { Ballot::PreVote } else { Ballot::Vote })
             }
-            Role::Leader if self.leadership.heartbeat_at_ms() <= now_ms => self.handle_heartbeat_due(),
+            Role::Leader if self.leader_state.heartbeat_at_ms() <= now_ms => self.handle_heartbeat_due(),
             _ => {}
         }
     }
@@ -207,7 +207,7 @@
     /// Sets the learner, a non-voter to which the leader replicates its log. [`Raft::match_indices`] returns its
     /// progress.
     pub fn set_learner(&mut self, learner: Option<NodeId>) {
-        self.leadership.set_learner(learner, self.log.voters());
+        self.leader_state.set_learner(learner, self.log.voters());
     }
 
     /// Sets the permanently lost nodes, whose reports a recovering voter does not wait for. The group is guaranteed to
@@ -252,7 +252,7 @@
         match &self.role {
             Role::NonVoter | Role::StorageFailed => f64::INFINITY,
             Role::Recovering(recovery) => recovery.retry_at_ms,
-            Role::Leader => self.leadership.heartbeat_at_ms(),
+            Role::Leader => self.leader_state.heartbeat_at_ms(),
             Role::Follower | Role::PreCandidate { .. } | Role::Candidate { .. } => {
                 self.follower_state.election().deadline_ms()
             }
@@ -302,7 +302,7 @@
     }
     /// Returns the time at which the current leadership of this node began.
     pub fn leader_since_ms(&self) -> Option<f64> {
-        self.leads().then(|| self.leadership.since_ms())
+        self.leads().then(|| self.leader_state.since_ms())
     }
     /// Returns the index of the last committed entry.
     pub fn commit_index(&self) -> u64 {
@@ -327,7 +327,7 @@
     /// Returns the match index of this node, and on the leader also of the other voters and of the learner.
     pub fn match_indices(&self) -> Vec<(NodeId, u64)> {
         let own = (self.id, self.log.last().index);
-        std::iter::once(own).chain(self.leadership.match_indices()).collect()
+        std::iter::once(own).chain(self.leader_state.match_indices()).collect()
     }
     /// Returns a snapshot at the commit index.
     pub fn snapshot(&self) -> Snapshot<S> {
@@ -347,7 +347,7 @@
         if !self.leads() || !self.log.has_committed_in_term() {
             return f64::NEG_INFINITY;
         }
-        self.leadership.lease_until_ms(self.now_ms, self.voters())
+        self.leader_state.lease_until_ms(self.now_ms, self.voters())
     }
 
     /// Returns whether this node accepts committed entries relayed by any node. This is the case if no leader sends
@@ -458,7 +458,7 @@
     fn become_leader(&mut self) {
         self.set_role(Role::Leader);
         self.follower_state.set_leader(Some(self.id));
-        self.leadership.begin(self.now_ms);
+        self.leader_state.begin(self.now_ms);
         self.log.append(Payload::Noop);
         self.maybe_commit();
         self.send_to_all(SendMode::Heartbeat);
@@ -481,16 +481,16 @@
 
     /// Sends heartbeats, or steps down if the leader has lost contact with a majority.
     fn handle_heartbeat_due(&mut self) {
-        if self.leadership.has_lost_quorum(self.now_ms, self.log.voters()) {
+        if self.leader_state.has_lost_quorum(self.now_ms, self.log.voters()) {
             self.follower_state.set_leader(None);
             return self.set_role(Role::Follower);
         }
-        self.leadership.schedule_heartbeat(self.now_ms);
+        self.leader_state.schedule_heartbeat(self.now_ms);
         self.send_to_all(SendMode::Heartbeat);
     }
 
     fn send_to_all(&mut self, mode: SendMode) {
-        self.send.extend(self.leadership.messages(&self.log, self.now_ms, mode));
+        self.send.extend(self.leader_state.messages(&self.log, self.now_ms, mode));
     }
 
     fn handle_append_response(&mut self, term: Term, response: &AppendResponse) {
@@ -499,23 +499,23 @@
         }
         let (from, last) = (response.from, self.log.last().index);
         let in_term = self.leads() && term == self.log.term();
-        if !in_term || !self.leadership.handle_response(response, last, self.now_ms) {
+        if !in_term || !self.leader_state.handle_response(response, last, self.now_ms) {
             return;
         }
         if response.matches {
             self.maybe_commit();
         }
         if self.leads() {
-            let message = self.leadership.message(from, &self.log, self.now_ms, SendMode::OnlyEntries);
+            let message = self.leader_state.message(from, &self.log, self.now_ms, SendMode::OnlyEntries);
             self.send.extend(message.map(|message| (from, message)));
         }
     }
 
     fn maybe_commit(&mut self) {
-        let index = self.leadership.new_commit_index(&self.log);
+        let index = self.leader_state.new_commit_index(&self.log);
         if let Some(index) = index.filter(|_| self.leads()) {
             self.log.commit_to(index);
-            self.leadership.expedite_commit(self.log.last().index);
+            self.leader_state.expedite_commit(self.log.last().index);
             self.send_to_all(SendMode::Heartbeat);
             self.reconcile_role();
         }
@@ -606,7 +606,7 @@
         if min_term > self.log.term() && !matches!(self.role, Role::NonVoter) {
             self.step_down(min_term);
         }
-        self.leadership.reset_progress(from);
+        self.leader_state.reset_progress(from);
         let response = Message::RecoveryResponse {
             nonce,
             term: self.log.term(),
@@ -690,7 +690,7 @@
     /// Changes the role. All role changes go through this function.
     fn set_role(&mut self, role: Role) {
         if self.role == Role::Leader && role != Role::Leader {
-            self.leadership.end();
+            self.leader_state.end();
             self.follower_state.set_leader(None);
         }
         self.role = role;
--- a/crates/plovershelf-cluster/src/consensus/recovery.rs
+++ b/crates/plovershelf-cluster/src/consensus/recovery.rs
@@ -19,9 +19,9 @@
     pub term: Term,
     /// Last position of its log, or the position up to which it may have acknowledged entries if that is later.
     pub last: LogPosition,
-    /// Whether it is a voter and not recovering itself.
+    /// Whether the reporting node is a voter and not recovering itself.
     pub active: bool,
-    /// Whether it is the leader of `term`.
+    /// Whether the reporting node is the leader of `term`.
     pub leads: bool,
 }
 
--- a/crates/plovershelf-cluster/src/consensus/replication.rs
+++ b/crates/plovershelf-cluster/src/consensus/replication.rs
@@ -67,8 +67,14 @@
 
     /// Starts to track the voters and learners that are not tracked yet and returns all tracked nodes. A new one is
     /// assumed to have all entries up to `last_index` until it rejects them.
-    pub(super) fn track(&mut self, own: NodeId, voters: &BTreeSet<NodeId>, last_index: u64) -> Vec<NodeId> {
-        let followers: Vec<NodeId> = voters.union(&self.learners).copied().filter(|id| *id != own).collect();
+    pub(super) fn track(
+        &mut self,
+        own_id: NodeId,
+        voters: &BTreeSet<NodeId>,
+        last_index: u64,
+    ) -> Vec<NodeId> {
+        let followers: Vec<NodeId> =
+            voters.union(&self.learners).copied().filter(|id| *id != own_id).collect();
         for id in &followers {
             self.progress.entry(*id).or_insert(Progress {
                 match_index: 0,
@@ -157,9 +163,14 @@
     }
 
     /// Returns the highest index that a majority of the voters has stored.
-    pub(super) fn quorum_index(&self, own: NodeId, own_last: u64, voters: &BTreeSet<NodeId>) -> Option<u64> {
+    pub(super) fn quorum_index(
+        &self,
+        own_id: NodeId,
+        own_last: u64,
+        voters: &BTreeSet<NodeId>,
+    ) -> Option<u64> {
         let match_index = |id: &NodeId| self.progress.get(id).map_or(0, |progress| progress.match_index);
-        let index = |id: &NodeId| if *id == own { own_last } else { match_index(id) };
+        let index = |id: &NodeId| if *id == own_id { own_last } else { match_index(id) };
         let mut matched: Vec<u64> = voters.iter().map(index).collect();
         matched.sort_by(|a, b| b.cmp(a));
         matched.get(majority(matched.len()) - 1).copied()
@@ -167,14 +178,14 @@
 
     /// Returns the latest time at which a majority of the voters is known to have followed this leader. The leader
     /// counts itself if it is a voter.
-    pub(super) fn quorum_contact_ms(&self, own: NodeId, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
+    pub(super) fn quorum_contact_ms(&self, own_id: NodeId, now_ms: f64, voters: &BTreeSet<NodeId>) -> f64 {
         let contact = |id: &NodeId| {
             let progress = self.progress.get(id);
             progress.map_or(f64::NEG_INFINITY, |progress| progress.acknowledged_us as f64 / 1000.0)
         };
-        let mut contacts: Vec<f64> = voters.iter().filter(|id| **id != own).map(contact).collect();
+        let mut contacts: Vec<f64> = voters.iter().filter(|id| **id != own_id).map(contact).collect();
         contacts.sort_by(|a, b| b.total_cmp(a));
-        match majority(voters.len()) - usize::from(voters.contains(&own)) {
+        match majority(voters.len()) - usize::from(voters.contains(&own_id)) {
             0 => now_ms,
             others => contacts.get(others - 1).copied().unwrap_or(f64::NEG_INFINITY),
         }
--- a/crates/plovershelf-cluster/src/gossip/mod.rs
+++ b/crates/plovershelf-cluster/src/gossip/mod.rs
@@ -22,8 +22,8 @@
 //!
 //! Updates are disseminated by three mechanisms that complement each other:
 //!
-//! 1. Broadcast: a change of state is sent at once to a few members ([`Message::Broadcast`]), which do the same, so that
-//!    a death becomes known quickly.
+//! 1. Broadcast: a change of state is sent at once to a few members ([`Message::Broadcast`]), which do the same, so
+//!    that a death becomes known quickly.
 //! 2. Piggybacking: probe messages carry updates, those of members that are not alive first and then the least
 //!    transmitted ones. This reaches members that the broadcast missed, also while hundreds of members join.
 //! 3. Anti-entropy: members periodically compare digests ([`Message::Digest`]) and exchange the entries that differ. A
--- a/crates/plovershelf-cluster/src/gossip/swim/tests.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim/tests.rs
@@ -103,15 +103,15 @@
 }
 
 /// Delivers messages between two members until none is left, and returns their number.
-fn exchange_messages(one: &mut Swim, other: &mut Swim, now: f64) -> usize {
+fn exchange_messages(first: &mut Swim, second: &mut Swim, now: f64) -> usize {
     let mut count = 0;
     loop {
-        let (to_other, to_one) = (one.poll_messages(), other.poll_messages());
-        let (own, others) = (one.own.node.clone(), other.own.node.clone());
-        if to_other.is_empty() && to_one.is_empty() {
+        let (to_second, to_first) = (first.poll_messages(), second.poll_messages());
+        let (first_node, second_node) = (first.own.node.clone(), second.own.node.clone());
+        if to_second.is_empty() && to_first.is_empty() {
             return count;
         }
-        for (_, message) in to_other {
+        for (_, message) in to_second {
             assert!(
                 updates_of(&message).len()
                     <= GossipConfig::default().updates_per_sync
@@ -119,11 +119,11 @@
                         + 2
             );
             count += 1;
-            other.handle_message(now, own.id, own.address, message);
+            second.handle_message(now, first_node.id, first_node.address, message);
         }
-        for (_, message) in to_one {
+        for (_, message) in to_first {
             count += 1;
-            one.handle_message(now, others.id, others.address, message);
+            first.handle_message(now, second_node.id, second_node.address, message);
         }
     }
 }
--- a/crates/plovershelf-cluster/src/gossip/table.rs
+++ b/crates/plovershelf-cluster/src/gossip/table.rs
@@ -15,7 +15,7 @@
     pub(super) since_ms: f64,
     /// Time of the last message received directly from the member, initially the time at which the entry was added.
     pub(super) last_contact_ms: f64,
-    /// Members that suspect it, as far as they shorten the suspicion.
+    /// Members known to suspect it in its current incarnation.
     pub(super) suspected_by: BTreeSet<NodeId>,
 }
 
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Records the confirmation of a suspicion by another member. Returns whether it shortens the suspicion.
+    /// Records the confirmation of a suspicion by another member. Returns whether to disseminate the confirmation,
+    /// which is the case for the first few suspecting members.
     pub(super) fn confirm_suspicion(&mut self, update: &MemberUpdate) -> bool {
         let Some(entry) = self.entries.get_mut(&update.node.id) else { return false };
         let same_version = entry.update.precedence() == update.precedence();
@@ -81,11 +82,11 @@
         {
             return false;
         }
-        let shortens = entry.suspected_by.len() <= MAX_CONFIRMATIONS;
-        if shortens {
+        let disseminate = entry.suspected_by.len() <= MAX_CONFIRMATIONS;
+        if disseminate {
             entry.update.reported_by = update.reported_by;
         }
-        shortens
+        disseminate
     }
 
     pub(super) fn insert(&mut self, update: MemberUpdate, now_ms: f64) {
--- a/crates/plovershelf-cluster/src/node/cluster_node.rs
+++ b/crates/plovershelf-cluster/src/node/cluster_node.rs
@@ -204,8 +204,8 @@
         self.raft.handle_storage_restored(now_ms);
     }
 
-    /// Proposes a value for a key. `version` must be greater than that of the current value. Returns the nonce of the
-    /// [`Event::ProposalAnswered`] that follows.
+    /// Proposes a value for a key. A committed value takes effect only if `version` is one more than that of the value
+    /// it replaces. Returns the nonce of the [`Event::ProposalAnswered`] that follows.
     pub fn propose(&mut self, now_ms: f64, key: &str, version: u64, bytes: Vec<u8>) -> u64 {
         self.now_ms = self.now_ms.max(now_ms);
         let nonce = self.rng.random();
@@ -240,7 +240,7 @@
         if id == self.node.id {
             return Err(ReplaceError::Leader { name: name.to_string() });
         }
-        self.duties.replace_now(id);
+        self.duties.request_replacement(id);
         Ok(())
     }
 
@@ -383,8 +383,12 @@
         let superseded = |id: &NodeId| is_superseded(*id, &self.swim, state);
         let lost = self.raft.voters().iter().copied().filter(superseded).collect();
         self.raft.set_lost_nodes(self.now_ms, lost);
-        let context =
-            LeaderContext { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
+        let context = LeaderContext {
+            now_ms: self.now_ms,
+            own_id: self.node.id,
+            config: &self.config,
+            swim: &self.swim,
+        };
         self.duties.reconcile(&context, &mut self.raft);
         self.continue_recovery();
     }
@@ -513,8 +517,12 @@
     }
 
     fn handle_lease_request(&mut self, from: NodeId, sender: Destination, sent_at_us: u64) {
-        let context =
-            LeaderContext { now_ms: self.now_ms, own: self.node.id, config: &self.config, swim: &self.swim };
+        let context = LeaderContext {
+            now_ms: self.now_ms,
+            own_id: self.node.id,
+            config: &self.config,
+            swim: &self.swim,
+        };
         if !self.duties.grant_lease(from, &context, &self.raft) {
             return;
         }
--- a/crates/plovershelf-cluster/src/node/epoch_recovery.rs
+++ b/crates/plovershelf-cluster/src/node/epoch_recovery.rs
@@ -131,10 +131,10 @@
         now_ms: f64,
         epoch: Epoch,
         membership: RecoveryMembership,
-        own: NodeId,
+        own_id: NodeId,
         persistent: PersistentState<ClusterState>,
     ) -> Self {
-        let consents = BTreeMap::from([(own, persistent)]);
+        let consents = BTreeMap::from([(own_id, persistent)]);
         let deadline_ms = now_ms + CONSENT_TIMEOUT_MS;
         EpochRecovery { epoch, membership, consents, deadline_ms, request_at_ms: now_ms }
     }
--- a/crates/plovershelf-cluster/src/node/epoch_recovery/tests.rs
+++ b/crates/plovershelf-cluster/src/node/epoch_recovery/tests.rs
@@ -53,10 +53,10 @@
 /// Two operators start recoveries with different lost nodes at once. The epochs have equal numbers but different tags.
 #[test]
 fn concurrent_recoveries_have_different_epochs_with_equal_numbers() {
-    let [one, other] = [&["n1", "n2"][..], &["n2", "n3"][..]]
+    let [first, second] = [&["n1", "n2"][..], &["n2", "n3"][..]]
         .map(|lost| membership(lost).expect("members").next_epoch(Epoch::new(6, 1)));
-    assert_eq!((one.number(), other.number()), (7, 7));
-    assert_ne!(one, other);
+    assert_eq!((first.number(), second.number()), (7, 7));
+    assert_ne!(first, second);
 }
 
 /// Two of three voters are lost. All survivors must consent. The entries of the survivor with the most recent log are
--- a/crates/plovershelf-cluster/src/node/leader_duties.rs
+++ b/crates/plovershelf-cluster/src/node/leader_duties.rs
@@ -19,7 +19,7 @@
 /// The state of the node on which the leader bases its decisions.
 pub(super) struct LeaderContext<'a> {
     pub(super) now_ms: f64,
-    pub(super) own: NodeId,
+    pub(super) own_id: NodeId,
     pub(super) config: &'a NodeConfig,
     pub(super) swim: &'a Swim,
 }
@@ -49,8 +49,8 @@
     }
 
     /// Requests the replacement of a voter without waiting for it to be lost.
-    pub(super) fn replace_now(&mut self, voter: NodeId) {
-        self.voters.replace_now(voter);
+    pub(super) fn request_replacement(&mut self, voter: NodeId) {
+        self.voters.request_replacement(voter);
     }
 
     /// Returns the nodes whose presence differs from the view, and the time since which it does.
@@ -58,7 +58,8 @@
         self.views.differing()
     }
 
-    /// Returns whether a member is granted a lease, and records the grant.
+    /// Decides on a request for a lease and records the grant. Returns whether the lease is granted: this node must
+    /// hold a valid leader's lease, and the member must belong to the view and not be about to be removed.
     pub(super) fn grant_lease(
         &mut self,
         to: NodeId,
--- a/crates/plovershelf-cluster/src/node/voters.rs
+++ b/crates/plovershelf-cluster/src/node/voters.rs
@@ -47,7 +47,7 @@
     missing_since_ms: BTreeMap<NodeId, f64>,
     learner: Option<NodeId>,
     /// Voters that an operator has requested to replace without waiting.
-    replace_now: BTreeSet<NodeId>,
+    requested_replacements: BTreeSet<NodeId>,
 }
 
 impl VoterManager {
@@ -56,8 +56,8 @@
         self.learner = None;
     }
 
-    pub(super) fn replace_now(&mut self, voter: NodeId) {
-        self.replace_now.insert(voter);
+    pub(super) fn request_replacement(&mut self, voter: NodeId) {
+        self.requested_replacements.insert(voter);
     }
 
     /// Takes the next step towards the configured number of voters, all of them in the view.
@@ -78,7 +78,7 @@
                     self.set_learner(None, raft);
                 }
                 let surplus = voters.len() > target || lost.is_some() && healthy >= target;
-                let removed = lost.or_else(|| surplus_voter(context.own, &view, &voters));
+                let removed = lost.or_else(|| surplus_voter(context.own_id, &view, &voters));
                 if let Some(id) = removed.filter(|_| surplus && healthy > 0) {
                     let mut fewer = voters;
                     fewer.remove(&id);
@@ -112,7 +112,7 @@
     }
 
     fn is_healthy(&self, voter: NodeId, view: &View) -> bool {
-        view.members.contains_key(&voter) && !self.replace_now.contains(&voter)
+        view.members.contains_key(&voter) && !self.requested_replacements.contains(&voter)
     }
 
     /// Returns the first voter to replace: one that has been out of the view for too long, is permanently lost, or that
@@ -123,7 +123,7 @@
         voters: &BTreeSet<NodeId>,
         state: &ClusterState,
     ) -> Option<NodeId> {
-        self.replace_now.retain(|id| voters.contains(id));
+        self.requested_replacements.retain(|id| voters.contains(id));
         self.missing_since_ms.retain(|id, _| voters.contains(id));
         let mut lost = None;
         for id in voters {
@@ -135,7 +135,7 @@
             let left = context.swim.find(*id).is_some_and(|update| update.state == MemberState::Left);
             let permanent = left || is_superseded(*id, context.swim, state);
             let overdue = context.now_ms - since_ms >= context.config.replace_voter_after_ms;
-            if permanent || overdue || self.replace_now.contains(id) {
+            if permanent || overdue || self.requested_replacements.contains(id) {
                 lost = lost.or(Some(*id));
             }
         }
@@ -179,8 +179,8 @@
 }
 
 /// Returns a voter other than this node, in the zone with the most voters.
-fn surplus_voter(own: NodeId, view: &View, voters: &BTreeSet<NodeId>) -> Option<NodeId> {
+fn surplus_voter(own_id: NodeId, view: &View, voters: &BTreeSet<NodeId>) -> Option<NodeId> {
     let zone_of = |id: &NodeId| view.members.get(id).map(|member| &member.zone);
     let in_same_zone = |id: &NodeId| voters.iter().filter(|other| zone_of(other) == zone_of(id)).count();
-    voters.iter().filter(|id| **id != own).max_by_key(|id| in_same_zone(id)).copied()
+    voters.iter().filter(|id| **id != own_id).max_by_key(|id| in_same_zone(id)).copied()
 }
--- a/crates/plovershelf-cluster/src/storage/mod.rs
+++ b/crates/plovershelf-cluster/src/storage/mod.rs
@@ -95,15 +95,15 @@
 
 /// Reads the storage file of a node.
 pub fn read_file(bytes: &[u8], cluster: &str, name: &str) -> ReadOutcome {
-    let mut at = 0;
+    let mut offset = 0;
     let mut header: Option<FileHeader> = None;
     let mut persistent = PersistentState::empty(ClusterState::default());
-    while at < bytes.len() {
-        let (payload, length) = match read_frame(&bytes[at..]) {
-            Ok(Some(found)) => found,
+    while offset < bytes.len() {
+        let (payload, length) = match read_frame(&bytes[offset..]) {
+            Ok(Some(frame)) => frame,
             Ok(None) => break,
             // If no valid frame follows, the last write was interrupted. Otherwise a record before the end is corrupt.
-            Err(_) if header.is_some() && !contains_frame(&bytes[at + 1..]) => break,
+            Err(_) if header.is_some() && !contains_frame(&bytes[offset + 1..]) => break,
             Err(_) => return ReadOutcome::Corrupt(Corruption::Checksum),
         };
         if header.is_none() {
@@ -117,10 +117,12 @@
                 _ => return ReadOutcome::Corrupt(Corruption::Sequence),
             }
         }
-        at += length;
+        offset += length;
     }
     match header {
-        Some(header) => ReadOutcome::Restored { header, persistent: Box::new(persistent), valid_bytes: at },
+        Some(header) => {
+            ReadOutcome::Restored { header, persistent: Box::new(persistent), valid_bytes: offset }
+        }
         None => ReadOutcome::Corrupt(Corruption::Empty),
     }
 }
@@ -148,10 +150,11 @@
 /// Returns whether the bytes contain a valid frame at any offset.
 fn contains_frame(bytes: &[u8]) -> bool {
     let is_frame =
-        |at: usize| matches!(read_frame(&bytes[at..]), Ok(Some((payload, _))) if !payload.is_empty());
+        |offset: usize| matches!(read_frame(&bytes[offset..]), Ok(Some((payload, _))) if !payload.is_empty());
     (0..bytes.len()).any(is_frame)
 }
 
+/// Returns whether a record can be applied to the state without leaving a gap in the log.
 fn follows(persistent: &PersistentState<ClusterState>, record: &Record<ClusterState>) -> bool {
     match record {
         Record::Append { from, .. } => {
