--- a/crates/plovershelf-cluster/src/gossip/member.rs
+++ b/crates/plovershelf-cluster/src/gossip/member.rs
@@ -55,7 +55,7 @@
     /// Version of the update. Only the member itself raises it, to refute a report on it or to change its own status
     /// (SWIM, section 4.2).
     pub incarnation: u32,
-    /// Whether the member processes requests, rather than only answering probes.
+    /// Whether the member processes requests. A member that is not ready only answers probes.
     pub ready: bool,
     /// Whether the member is about to leave and hands off its data.
     pub draining: bool,
--- a/crates/plovershelf-cluster/src/gossip/swim.rs
+++ b/crates/plovershelf-cluster/src/gossip/swim.rs
@@ -457,7 +457,8 @@
         }
     }
 
-    /// Adds an unknown member. Returns false if it is refused, for example because it is not present.
+    /// Adds an unknown member. Returns false if the update is refused. Updates on dead and left members are refused,
+    /// because they are of no use to a member that never knew them.
     fn add_member(&mut self, update: MemberUpdate) -> bool {
         let full = self.table.len() >= self.config.max_members;
         let refused = !update.state.is_present() || full || update.has_overlong_name();
--- a/crates/plovershelf-cluster/src/node/cluster_node.rs
+++ b/crates/plovershelf-cluster/src/node/cluster_node.rs
@@ -166,7 +166,7 @@
         self.collect_actions();
     }
 
-    /// Sets whether this process handles requests.
+    /// Sets whether this node processes requests, and announces a change by gossip.
     pub fn set_ready(&mut self, now_ms: f64, ready: bool) {
         self.now_ms = self.now_ms.max(now_ms);
         self.swim.set_ready(now_ms, ready);
