--- a/crates/plovershelf-cluster/benches/decision.rs
+++ b/crates/plovershelf-cluster/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Measures the CPU time from the proposal of a command until its commit on the leader, without the network.
+//! Measures the time from the proposal of a command until its commit on the leader, with messages delivered in memory.
 
 use std::collections::BTreeSet;
 
