--- a/crates/plovershelf-failover/src/load_reports.rs
+++ b/crates/plovershelf-failover/src/load_reports.rs
@@ -69,6 +69,7 @@
     pub stale_members: usize,
 }
 
+/// The latest report of a member and the time of its receipt.
 #[derive(Clone, Copy, Debug)]
 struct Member {
     zone: usize,
@@ -127,7 +128,7 @@
         LoadReports { zones, limits, members: BTreeMap::new(), callers }
     }
 
-    /// Records a member's report. Reports for unknown zones and of members beyond [`MAX_REPORTERS`] are ignored.
+    /// Records a member's report. Reports for unknown zones and of members beyond `MAX_REPORTERS` are ignored.
     pub fn handle_report(&mut self, now_ms: f64, member: u64, zone: usize, report: LoadReport) {
         let has_capacity = self.members.contains_key(&member) || self.members.len() < MAX_REPORTERS;
         if zone < self.zones && has_capacity {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Records a caller's report. Malformed reports and reports of callers beyond [`MAX_REPORTERS`] are ignored.
+    /// Records a caller's report. Malformed reports and reports of callers beyond `MAX_REPORTERS` are ignored.
     pub fn handle_caller_report(&mut self, now_ms: f64, caller: u64, report: CallerReport) {
         self.callers.handle_report(now_ms, caller, report);
     }
--- a/crates/plovershelf-failover/src/locality.rs
+++ b/crates/plovershelf-failover/src/locality.rs
@@ -40,8 +40,8 @@
 const LAYERS: usize = 4;
 /// Cost terms, on the same scale as path latency in milliseconds.
 const NEAR_LAYER_COST: f64 = 0.001;
-const ELSEWHERE_COST: f64 = 1.0;
-const ELSEWHERE_LAYER_COST: f64 = 0.2;
+const REDIRECT_COST: f64 = 1.0;
+const REDIRECT_LAYER_COST: f64 = 0.2;
 /// Multiple of a zone's capacity that is offered to all zones while [`BrokenRule::NoHeadroom`] is violated.
 const BROKEN_HEADROOM_FACTOR: f64 = 1.5;
 /// Zones that keep less than this share of their traffic near are listed in the plan's reason.
@@ -127,7 +127,7 @@
         match (from == zone, target < self.count() * LAYERS) {
             (true, true) => NEAR_LAYER_COST * (1.0 + layer),
             (true, false) => 0.0,
-            (false, true) if is_usable => ELSEWHERE_COST + latency_ms + ELSEWHERE_LAYER_COST * layer,
+            (false, true) if is_usable => REDIRECT_COST + latency_ms + REDIRECT_LAYER_COST * layer,
             _ => UNREACHABLE,
         }
     }
--- a/crates/plovershelf-failover/src/messages.rs
+++ b/crates/plovershelf-failover/src/messages.rs
@@ -64,7 +64,7 @@
     pub name: String,
     /// The name of the member's zone.
     pub zone: String,
-    /// All zones.
+    /// All zones in index order.
     pub zones: Vec<Zone>,
     /// Version of the newest plan that the member installed.
     #[serde(rename = "number")]
--- a/crates/plovershelf-failover/src/routing_advice.rs
+++ b/crates/plovershelf-failover/src/routing_advice.rs
@@ -21,7 +21,7 @@
     follower: PlanFollower,
     attempts: Vec<AttemptCounts>,
     /// Work redirected to other zones or rejected at the origin since the last report, in core-milliseconds per priority band.
-    work_elsewhere_ms: [f64; PRIORITY_BANDS],
+    redirected_work_ms: [f64; PRIORITY_BANDS],
     last_report_ms: f64,
     last_decay_ms: f64,
 }
@@ -33,7 +33,7 @@
             origin,
             follower: PlanFollower::new(zones),
             attempts: vec![AttemptCounts::default(); zones],
-            work_elsewhere_ms: [0.0; PRIORITY_BANDS],
+            redirected_work_ms: [0.0; PRIORITY_BANDS],
             last_report_ms: now_ms,
             last_decay_ms: now_ms,
         }
@@ -58,7 +58,7 @@
     ) -> Option<usize> {
         let zone = self.follower.choose_zone(now_ms, self.origin, priority, draw, is_in_time);
         if zone != Some(self.origin) {
-            self.work_elsewhere_ms[priority_band(priority)] += work_ms.max(0.0);
+            self.redirected_work_ms[priority_band(priority)] += work_ms.max(0.0);
         }
         zone
     }
@@ -81,7 +81,7 @@
     pub fn poll_report(&mut self, now_ms: f64) -> CallerReport {
         self.decay(now_ms);
         let period_ms = (now_ms - std::mem::replace(&mut self.last_report_ms, now_ms)).max(1.0);
-        let demand_elsewhere = std::mem::take(&mut self.work_elsewhere_ms).map(|ms| ms / period_ms);
+        let demand_elsewhere = std::mem::take(&mut self.redirected_work_ms).map(|ms| ms / period_ms);
         CallerReport { origin: self.origin, demand_elsewhere, attempts: self.attempts.clone() }
     }
 
--- a/crates/plovershelf-failover/tests/checker.rs
+++ b/crates/plovershelf-failover/tests/checker.rs
@@ -18,11 +18,13 @@
 
 /// Model of the distribution of plans.
 struct PlanModel {
-    /// Number of plans that are committed.
+    /// Number of plans to commit.
     commits: u8,
+    /// Maximum number of follower restarts.
     restarts: u8,
 }
 
+/// State of the followers and of undelivered plans.
 #[derive(Clone, Debug)]
 struct SystemState {
     tick: u8,
@@ -69,6 +71,7 @@
     }
 }
 
+/// Transition of the model.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     /// The leader commits the next plan.
--- a/crates/plovershelf-failover/tests/plans.rs
+++ b/crates/plovershelf-failover/tests/plans.rs
@@ -22,7 +22,7 @@
     [0.5, 0.3, 0.2].map(|fraction| fraction * cores)
 }
 
-/// Six zones of five cores and four members each. All members of a zone send the same report.
+/// Simulation of six zones with five cores and four members each. All members of a zone send the same report.
 struct Fleet {
     reports: LoadReports,
     planner: Planner,
--- a/crates/plovershelf-replication/src/config.rs
+++ b/crates/plovershelf-replication/src/config.rs
@@ -14,9 +14,10 @@
     pub reservation_timeout_ms: f64,
     /// Interval in milliseconds after which an unconfirmed message is retransmitted.
     pub retransmit_interval_ms: f64,
-    /// Maximum number of stored records. A full replica does not confirm further reservations.
+    /// Maximum number of stored records. A full replica does not confirm reservations of further keys.
     pub max_records: usize,
-    /// Maximum total size of the stored outcomes in bytes. A full replica does not confirm further records.
+    /// Maximum total size of the stored outcomes in bytes, checked when a record of a new key is stored. A full replica does
+    /// not confirm records of further keys.
     pub max_outcome_bytes: usize,
     /// Maximum number of records per message in reports and repairs.
     pub batch_size: usize,
--- a/crates/plovershelf-replication/src/executor/mod.rs
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -374,7 +374,7 @@
     }
 }
 
-/// Returns whether all replicas have confirmed. If `rule` is violated for a test, the primary's confirmation suffices.
+/// Returns whether all replicas have confirmed. If a test violates `rule`, the primary's confirmation suffices.
 fn is_confirmed(replica_set: &[NodeId], confirmed: &BTreeSet<NodeId>, rule: BrokenRule) -> bool {
     let by_primary = || replica_set.first().is_some_and(|primary| confirmed.contains(primary));
     replica_set.iter().all(|replica| confirmed.contains(replica)) || broken::is(rule) && by_primary()
--- a/crates/plovershelf-replication/src/placement.rs
+++ b/crates/plovershelf-replication/src/placement.rs
@@ -2,8 +2,8 @@
 //! as there are enough zones, and never two on the same machine.
 //!
 //! Weighted rendezvous hashing (Thaler and Ravishankar, 1998): a member's score depends only on the member and the key, so
-//! a member that joins or leaves moves no more keys than its own share. The score is `-weight / ln(hash)`, which makes each
-//! member's share of the keys proportional to its weight.
+//! a member that joins or leaves moves no more keys than its own share. The score is `-weight / ln(u)`, with the hash mapped to
+//! `u` between 0 and 1, which makes each member's share of the keys proportional to its weight.
 
 use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
--- a/crates/plovershelf-replication/src/primary.rs
+++ b/crates/plovershelf-replication/src/primary.rs
@@ -57,7 +57,7 @@
         if stored.reservation == request.reservation && stored.outcome.is_none() {
             self.accept_again(ctx, request, replica)
         } else {
-            self.reject(ctx, request, replica, repair)
+            self.answer_held_by_another(ctx, request, replica, repair)
         }
     }
 
@@ -119,8 +119,8 @@
         replicate(ctx, key, replica)
     }
 
-    /// Rejects an attempt because another holds the key, and records it as waiting unless the outcome is already replicated.
-    fn reject(
+    /// Answers an attempt with `HeldByAnother`, and records it as waiting unless the outcome is already replicated.
+    fn answer_held_by_another(
         &mut self,
         ctx: &Context,
         request: ReserveRequest,
--- a/crates/plovershelf-replication/src/reconciliation/sender.rs
+++ b/crates/plovershelf-replication/src/reconciliation/sender.rs
@@ -18,7 +18,7 @@
 
 /// Interval between retransmissions of an unacknowledged report, in retransmit intervals.
 const RESEND_INTERVALS: f64 = 4.0;
-/// Maximum idle time, in milliseconds, whose unused batch quota may be spent in one burst.
+/// Maximum idle time, in milliseconds, whose unused batch quota may be used in one burst.
 const MAX_BURST_MS: f64 = 1000.0;
 
 /// Unsent part of a report to one primary.
--- a/crates/plovershelf-replication/src/replica.rs
+++ b/crates/plovershelf-replication/src/replica.rs
@@ -35,7 +35,8 @@
     pub(crate) round: Round,
     pub(crate) outcome: Option<Outcome>,
     outcome_version: OutcomeVersion,
-    /// Whether all replicas are known to have stored this outcome; known at the primary only.
+    /// Whether all replicas are known to have stored this outcome. Only the primary learns this. The flag applies to this
+    /// outcome alone and is discarded with the record.
     outcome_replicated: bool,
     expires_at_ms: f64,
 }
--- a/crates/plovershelf-replication/tests/model/mod.rs
+++ b/crates/plovershelf-replication/tests/model/mod.rs
@@ -25,6 +25,7 @@
     pub(crate) suspicions: u8,
 }
 
+/// Parameters of the model.
 pub(crate) struct KeyModel {
     pub(crate) members: usize,
     pub(crate) replication_factor: usize,
@@ -33,6 +34,7 @@
     pub(crate) budget: FaultBudget,
 }
 
+/// State of all members and links, with the faults that may still occur.
 #[derive(Clone, Debug)]
 pub(crate) struct SystemState {
     /// The members by index; `None` after a crash.
