--- a/crates/plovershelf-client/src/caller/balancer.rs
+++ b/crates/plovershelf-client/src/caller/balancer.rs
@@ -128,11 +128,11 @@
     ignores_ejections: bool,
 }
 
-/// Endpoints by eligibility, and the earliest times at which the others become eligible.
+/// Endpoints by eligibility, and when the others become eligible.
 struct Candidates {
     eligible: Vec<EndpointId>,
     last_resort: Vec<EndpointId>,
-    /// Infinite if no endpoint is merely delayed.
+    /// Earliest time at which another endpoint takes attempts, in milliseconds; infinite if there is none.
     not_before_ms: f64,
     backpressure_until_ms: Option<f64>,
 }
--- a/crates/plovershelf-client/src/caller/call.rs
+++ b/crates/plovershelf-client/src/caller/call.rs
@@ -62,6 +62,7 @@
     Finish,
 }
 
+/// An open call.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) class: ClassId,
@@ -73,7 +74,9 @@
     state: CallState,
     attempts: Vec<InFlightAttempt>,
     attempts_sent: u32,
+    /// Whether the next attempt resends one that no endpoint has read.
     resend_unread: bool,
+    /// Whether an unread attempt was already resent; a call resends at most one outside the retry budget.
     was_resent_unread: bool,
     /// The only endpoint that may receive further attempts.
     pinned_to: Option<EndpointId>,
@@ -83,6 +86,7 @@
     avoid: Vec<EndpointId>,
     /// Outcome of the call if no further attempt is made.
     last_outcome: Option<CallOutcome>,
+    /// When the pending hedge timer expires, in milliseconds.
     hedge_at_ms: Option<f64>,
 }
 
--- a/crates/plovershelf-client/src/caller/connection.rs
+++ b/crates/plovershelf-client/src/caller/connection.rs
@@ -76,7 +76,9 @@
     endpoint: EndpointId,
     state: ConnectionState,
     state_since_ms: f64,
+    /// Attempts without a response, by sequence number.
     in_flight: BTreeMap<i32, SentAttempt>,
+    /// Sequence numbers of the latest cancelled attempts.
     cancelled: BTreeSet<i32>,
     last_sequence: i32,
     /// When the last message was received, in milliseconds.
--- a/crates/plovershelf-client/src/caller/dispatcher.rs
+++ b/crates/plovershelf-client/src/caller/dispatcher.rs
@@ -29,7 +29,7 @@
 /// Retry-After would retry at the same time.
 const RETRY_AFTER_JITTER_FRACTION: f64 = 0.2;
 
-/// Result of an attempt to place a call at an endpoint.
+/// Result of placing a call at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placement {
     /// The call was sent, backs off or has ended.
@@ -64,7 +64,7 @@
     }
 
     /// Returns the connection manager for connection events. These affect calls only through lost attempts,
-    /// which the caller passes to [`Dispatcher::handle_lost`].
+    /// which must be passed to [`Dispatcher::handle_lost`].
     pub(super) fn connections_mut(&mut self) -> &mut ConnectionManager {
         &mut self.connections
     }
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Sends the next attempt of a call. For a retry, the caller must have checked the retry budget.
+    /// Sends the next attempt of a call. The retry budget must allow it if it is a retry.
     fn send(&mut self, context: &mut Context, id: CallId, connection: ConnectionId, timeout_ms: f64) {
         let Some(next) = self.calls.get(id).map(Call::next_attempt) else { return };
         self.planner.record_sent(context, next);
--- a/crates/plovershelf-client/src/caller/mod.rs
+++ b/crates/plovershelf-client/src/caller/mod.rs
@@ -2,9 +2,9 @@
 //! I/O: a driver reports events and executes the [`Action`]s that the state machine returns.
 //!
 //! A driver calls the inputs [`Caller::update_endpoints`], [`Caller::start_call`],
-//! [`Caller::handle_connected`], [`Caller::handle_message`], [`Caller::handle_connection_closed`] and
-//! [`Caller::handle_timeout`]. After each input, it calls [`Caller::poll_actions`] until no action is left
-//! and then [`Caller::poll_timeout`].
+//! [`Caller::handle_connected`] or [`Caller::handle_connect_failed`], [`Caller::handle_message`],
+//! [`Caller::handle_connection_closed`] and [`Caller::handle_timeout`]. After each input, it calls
+//! [`Caller::poll_actions`] until no action is left and then [`Caller::poll_timeout`].
 //!
 //! | module | state | decisions |
 //! | --- | --- | --- |
--- a/crates/plovershelf-client/src/caller/reconnect.rs
+++ b/crates/plovershelf-client/src/caller/reconnect.rs
@@ -99,8 +99,8 @@
         false
     }
 
-    /// Schedules the reconnect to an endpoint whose last connection was lost. The caller has already counted
-    /// the loss.
+    /// Schedules the reconnect to an endpoint whose last connection was lost. Its `consecutive_losses` must
+    /// already include this loss.
     pub(super) fn schedule_reconnect(
         &mut self,
         context: &mut Context,
--- a/crates/plovershelf-client/src/config.rs
+++ b/crates/plovershelf-client/src/config.rs
@@ -13,8 +13,8 @@
     /// Index of this client in its fleet, from 0. Consecutive indices give the most even subsets. With `None`
     /// (the default), the client draws a random position on the ring.
     pub subset_index: Option<u64>,
-    /// Whether calls with the same subject go to the same endpoint while its load is within a bound. Default:
-    /// false.
+    /// Whether calls with the same subject go to the same endpoint while its load is within a bound.
+    /// Default: false.
     pub subject_affinity: bool,
     /// Maximum number of open calls. Further calls end immediately with
     /// [`NotSentReason::LimitReached`](crate::NotSentReason::LimitReached). Default: 4096.
@@ -35,14 +35,14 @@
     /// Maximum length of the endpoint list. The rest of a longer list is ignored; a longer endpoint file is
     /// rejected. Default: 10,000.
     pub max_endpoints: usize,
-    /// Maximum number of retries in any second, as a fraction of the first attempts in that second. Default:
-    /// 0.07.
+    /// Maximum number of retries in any second, as a fraction of the first attempts in that second.
+    /// Default: 0.07.
     pub retry_budget_fraction: f64,
     /// Interval at which one retry is allowed even if the fraction allows none. Has no effect with a fraction
     /// of 0. Default: 10 s.
     pub min_retry_interval_ms: f64,
-    /// Ratio of ended to accepted calls of a class above which further calls are rejected locally. Default:
-    /// 2.
+    /// Ratio of ended to accepted calls of a class above which further calls are rejected locally.
+    /// Default: 2.
     pub throttle_ratio: f64,
     /// Decay time constant of the counts for throttling. Default: 10 s.
     pub throttle_window_ms: f64,
