--- a/crates/plovershelf-server/src/agent_link.rs
+++ b/crates/plovershelf-server/src/agent_link.rs
@@ -47,7 +47,7 @@
     address: SocketAddr,
 }
 
-/// Progress that carries over from one link to the next.
+/// Progress that successive links share.
 #[derive(Default)]
 struct Progress {
     /// Number of the last notice that was passed on.
--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -382,7 +382,7 @@
         let _ = answer.try_send(answered);
     }
 
-    /// Carries out the node's actions. Records are persisted before messages that depend on them are sent.
+    /// Applies the node's actions. Records are persisted before messages that depend on them are sent.
     fn apply_actions(&mut self) {
         let Actions { save, mut send, events } = self.node.poll_actions();
         let saved = match self.storage.as_mut() {
@@ -507,7 +507,9 @@
                         Answer::Refused(reason.to_string())
                     }
                 };
-                self.recovery_requesters.drain(..).for_each(|waits| drop(waits.try_send(answer.clone())));
+                self.recovery_requesters
+                    .drain(..)
+                    .for_each(|requester| drop(requester.try_send(answer.clone())));
             }
             Event::Notice(notice) => self.log_notice(&notice.to_string()),
         }
--- a/crates/plovershelf-server/src/cluster/replication.rs
+++ b/crates/plovershelf-server/src/cluster/replication.rs
@@ -35,7 +35,7 @@
         /// Id of the request in the event loop.
         id: u32,
     },
-    /// Releases the reservation of a request whose launch the agent never carried out.
+    /// Releases the reservation of a request whose run was never started.
     CancelLaunch {
         /// Id of the request in the event loop.
         id: u32,
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -35,7 +35,7 @@
 const MAX_SIMULTANEOUS_REQUESTS: usize = 1024;
 /// Links in addition to those with parent and children: backup parents, alternates and operators' commands.
 const SPARE_CONNECTIONS: usize = 32;
-/// Idle time after which a link is closed; a link in use carries a heartbeat more often than this.
+/// Idle time after which a link is closed. It spans several heartbeats, so links in use stay open.
 const IDLE_CONNECTION_MS: u64 = 4000;
 /// Time for writing the last messages before the driver ends.
 const SHUTDOWN_FLUSH_MS: u64 = 200;
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -16,7 +16,7 @@
 
 /// Time within which a proposal is answered: less than the timeouts of the link (`links`) and of the command.
 const PROPOSAL_TIMEOUT_MS: f64 = 4000.0;
-/// Interval at which a proposal is repeated, as it may be lost on its way to the leader.
+/// Interval at which a proposal is repeated, because the message to the leader may be lost.
 const PROPOSAL_RETRY_MS: f64 = 700.0;
 /// Most pending proposals; further ones are rejected.
 const MAX_PROPOSALS: usize = 16;
--- a/crates/plovershelf-server/src/config_distribution/subscriber.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -45,7 +45,7 @@
     Quotas(Sender<QuotaUpdate>),
     /// A trial that observes versions.
     Versions(Sender<VersionInForce>),
-    /// No receiver.
+    /// Updates are discarded.
     Nobody,
 }
 
--- a/crates/plovershelf-server/src/connection_state.rs
+++ b/crates/plovershelf-server/src/connection_state.rs
@@ -26,7 +26,7 @@
 
 use async_io::Async;
 
-/// Phase of a connection on its way to being closed; see the module's table.
+/// Phase of a connection's shutdown; see the module's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Open,
--- a/crates/plovershelf-server/src/deduplication.rs
+++ b/crates/plovershelf-server/src/deduplication.rs
@@ -68,7 +68,7 @@
     NoRecord,
     /// The request is a duplicate of the one with this id.
     DuplicateOf(u32),
-    /// Another body was sent with this key; `ran` tells whether that request has run.
+    /// Another body was sent with this key. `ran` is true if that request has run.
     OtherBody {
         ran: bool,
     },
@@ -84,7 +84,7 @@
 }
 
 enum RecordState {
-    /// The request is queued or running; `ran` tells whether a run has started.
+    /// The request is queued or running. `ran` is true once a run has started.
     Open { ran: bool },
     /// The request has run and ended. The result is missing if the run failed or the result was too large to keep.
     Completed { result: Option<Box<[u8]>>, at_ms: f64 },
@@ -100,11 +100,11 @@
 }
 
 struct Record {
-    holder: u32,
+    owner: u32,
     body_hash: u64,
     expires_ms: f64,
     state: RecordState,
-    /// Ids of the duplicates that wait for the holder.
+    /// Ids of the duplicates that wait for the owner.
     waiting: Vec<u32>,
 }
 
@@ -121,7 +121,7 @@
 /// Records of all keys.
 pub(crate) struct DeduplicationRecords {
     records: BTreeMap<DeduplicationKey, Record>,
-    /// Duplicates that wait for a displaced holder: one whose window has passed and whose key another request has
+    /// Duplicates that wait for a displaced owner: one whose window has passed and whose key another request has
     /// taken.
     waiting_for_displaced: BTreeMap<u32, Vec<u32>>,
     result_bytes: usize,
@@ -143,15 +143,15 @@
         self.records.len() >= self.limits.max_keys
     }
 
-    /// Records a request as the holder of a key.
-    pub(crate) fn insert(&mut self, key: DeduplicationKey, holder: u32, body_hash: u64, expires_ms: f64) {
+    /// Records a request as the owner of a key.
+    pub(crate) fn insert(&mut self, key: DeduplicationKey, owner: u32, body_hash: u64, expires_ms: f64) {
         let state = RecordState::Open { ran: false };
-        let record = Record { holder, body_hash, expires_ms, state, waiting: Vec::new() };
+        let record = Record { owner, body_hash, expires_ms, state, waiting: Vec::new() };
         if let Some(displaced) = self.records.insert(key, record) {
             self.result_bytes -= displaced.state.result_bytes();
             // The window has passed but the run has not ended: duplicates that wait for it must still get its end.
             if !displaced.waiting.is_empty() {
-                self.waiting_for_displaced.insert(displaced.holder, displaced.waiting);
+                self.waiting_for_displaced.insert(displaced.owner, displaced.waiting);
             }
         }
     }
@@ -169,12 +169,12 @@
         };
         match (is_match, record.body_hash == lookup.body_hash) {
             (false, _) => LookupResult::NoRecord,
-            (true, true) => LookupResult::DuplicateOf(record.holder),
+            (true, true) => LookupResult::DuplicateOf(record.owner),
             (true, false) => LookupResult::OtherBody { ran },
         }
     }
 
-    /// Joins a duplicate to the holder of a key: it waits, or gets the recorded result.
+    /// Joins a duplicate to the owner of a key: it waits, or gets the recorded result.
     pub(crate) fn join(&mut self, key: &DeduplicationKey, duplicate: u32) -> Joined<'_> {
         let Some(record) = self.records.get_mut(key) else { return Joined::NoResult };
         match &record.state {
@@ -188,27 +188,27 @@
         }
     }
 
-    /// Records that a run of the holder has started.
-    pub(crate) fn handle_run_started(&mut self, key: &DeduplicationKey, holder: u32) {
-        let record = self.records.get_mut(key).filter(|record| record.holder == holder);
+    /// Records that a run of the owner has started.
+    pub(crate) fn handle_run_started(&mut self, key: &DeduplicationKey, owner: u32) {
+        let record = self.records.get_mut(key).filter(|record| record.owner == owner);
         if let Some(RecordState::Open { ran }) = record.map(|record| &mut record.state) {
             *ran = true;
         }
     }
 
-    /// Records the end of the holder, with or without a result, and returns the duplicates that waited for it. The
-    /// key of a holder that never ran is removed.
+    /// Records the end of the owner, with or without a result, and returns the duplicates that waited for it. The
+    /// key of an owner that never ran is removed.
     pub(crate) fn handle_end(
         &mut self,
         key: &DeduplicationKey,
-        holder: u32,
+        owner: u32,
         result: Option<&[u8]>,
         now_ms: f64,
     ) -> Vec<u32> {
         let result_bytes = result.map_or(0, <[u8]>::len);
         let fits = self.result_bytes + result_bytes <= self.limits.max_result_bytes;
-        let Some(record) = self.records.get_mut(key).filter(|record| record.holder == holder) else {
-            return self.waiting_for_displaced.remove(&holder).unwrap_or_default();
+        let Some(record) = self.records.get_mut(key).filter(|record| record.owner == owner) else {
+            return self.waiting_for_displaced.remove(&owner).unwrap_or_default();
         };
         let RecordState::Open { ran } = record.state else { return Vec::new() };
         let waiting = std::mem::take(&mut record.waiting);
@@ -225,10 +225,11 @@
     /// Removes records whose window and grace have passed.
     pub(crate) fn remove_expired(&mut self, now_ms: f64) {
         let expired_before_ms = now_ms - self.limits.grace_ms;
-        let is_kept = |record: &Record| record.expires_ms > expired_before_ms || !record.waiting.is_empty();
-        let expired = self.records.values().filter(|record| !is_kept(record));
+        let is_retained =
+            |record: &Record| record.expires_ms > expired_before_ms || !record.waiting.is_empty();
+        let expired = self.records.values().filter(|record| !is_retained(record));
         self.result_bytes -= expired.map(|record| record.state.result_bytes()).sum::<usize>();
-        self.records.retain(|_, record| is_kept(record));
+        self.records.retain(|_, record| is_retained(record));
     }
 }
 
--- a/crates/plovershelf-server/src/deduplication/tests.rs
+++ b/crates/plovershelf-server/src/deduplication/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(records.join(&key(4), 9), Joined::Result(b"1234567890"));
 }
 
-/// A run may take longer than the window of its key. The next request with that key then becomes its holder.
+/// A run may take longer than the window of its key. The next request with that key then becomes its owner.
 #[test]
 fn duplicates_get_the_result_of_a_run_that_outlasts_its_window() {
     let mut records = records();
--- a/crates/plovershelf-server/src/dependency.rs
+++ b/crates/plovershelf-server/src/dependency.rs
@@ -1,7 +1,7 @@
 //! Outbound calls to the dependency that all backends share, over a small pool of connections.
 //!
 //! Most connections carry one call at a time, so that a broken connection rarely affects other calls. A connection
-//! never carries two calls of the same attempt, because a duplicate of the first reply would be matched to the second
+//! never takes two calls of the same attempt, because a duplicate of the first reply would be matched to the second
 //! call.
 //!
 //! | state of the pool | chosen connection |
--- a/crates/plovershelf-server/src/dependency/connection.rs
+++ b/crates/plovershelf-server/src/dependency/connection.rs
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     in_flight: BTreeMap<AttemptId, CallInFlight>,
-    /// Ids of all calls that the connection has carried.
+    /// Ids of all calls that were placed on this connection.
     call_ids: BTreeSet<AttemptId>,
     /// True if the connection accepts no further calls.
     is_retired: bool,
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -155,7 +155,7 @@
             }
             Some(LookupResult::NoRecord) if self.deduplication.is_full() => (None, None),
             None | Some(LookupResult::NoRecord) => (key, None),
-            Some(LookupResult::DuplicateOf(holder)) => (key, Some(holder)),
+            Some(LookupResult::DuplicateOf(owner)) => (key, Some(owner)),
             // A read with another body is unrelated to the recorded one: it runs without sharing a result.
             Some(LookupResult::OtherBody { .. }) if !is_keyed => (None, None),
             // Rejecting the request prevents a wrong response: the recorded result belongs to another body.
@@ -179,7 +179,7 @@
         self.open_bytes += bytes;
         self.request_by_attempt.insert(attempt, request.id);
         if let Some(client) = self.connections.get_mut(&connection) {
-            client.handle_opened(seqid, request.id);
+            client.add_request(seqid, request.id);
         }
         let open = OpenRequest {
             attempt,
@@ -191,8 +191,8 @@
             arrived_ms: self.now_ms,
             is_answered: false,
             launch: LaunchState::None,
-            is_confirmed: false,
-            is_in_doubt: false,
+            is_run_reported: false,
+            is_unacknowledged: false,
             call: OutboundCall::default(),
             result: Vec::new(),
             key,
--- a/crates/plovershelf-server/src/driver/agent.rs
+++ b/crates/plovershelf-server/src/driver/agent.rs
@@ -2,12 +2,12 @@
 //!
 //! Commands are numbered in the order in which they are written, and the tag of a sample is its own number. When the
 //! agent answers a sample, it has read all commands up to that number. If a link breaks before a launch is known to
-//! have been read, that launch is in doubt:
+//! have been read, that launch is unacknowledged:
 //!
-//! | kind of run | recovery of a launch in doubt |
+//! | kind of run | recovery of an unacknowledged launch |
 //! | --- | --- |
 //! | idempotent | the launch is written again; this has no effect on a run in progress, but repeats a run that has just ended |
-//! | other, client still waits | the launch stays in doubt until the agent reports the run or its deadline expires |
+//! | other, client still waits | the launch stays unacknowledged until the agent reports the run or the deadline expires |
 //! | other, already answered | the driver stops waiting for the run |
 //!
 //! A reply to a call that may have been lost with the link can't simply be written again, because the run may by now
@@ -153,17 +153,17 @@
                 (call.delivered, call.unconfirmed, call.is_replay) = (None, None, true);
                 recovery.replay_call.push(*id);
             }
-            let is_in_doubt = match request.launch {
-                LaunchState::Sent(number) => !self.commands.is_read(number) && !request.is_confirmed,
-                // No link ever carried this launch, so it is written in any case.
+            let is_unacknowledged = match request.launch {
+                LaunchState::Sent(number) => !self.commands.is_read(number) && !request.is_run_reported,
+                // This launch was never written to a link, so it must be written in any case.
                 LaunchState::Unsent | LaunchState::None => false,
             };
-            if request.launch == LaunchState::Unsent || (is_in_doubt && is_idempotent) {
+            if request.launch == LaunchState::Unsent || (is_unacknowledged && is_idempotent) {
                 recovery.relaunch.push(*id);
             }
-            request.is_in_doubt = is_in_doubt;
+            request.is_unacknowledged = is_unacknowledged;
             // The client already has its answer and the run must not be repeated: the driver stops waiting for it.
-            if is_in_doubt && request.is_answered && !is_idempotent {
+            if is_unacknowledged && request.is_answered && !is_idempotent {
                 self.ended_runs.push_back((*id, RunOutcome::NotStarted));
             }
             if !request.is_answered {
@@ -179,7 +179,10 @@
     fn resolve_missed_notices(&mut self) {
         let launched = self.requests.iter().filter(|(_, request)| request.launch != LaunchState::None);
         let launched: Vec<u32> = launched.map(|(id, _)| *id).collect();
-        self.log_peer_error(&format!("the agent dropped notices: {} runs are in doubt", launched.len()));
+        self.log_peer_error(&format!(
+            "the agent dropped notices: the outcome of {} runs is unknown",
+            launched.len()
+        ));
         for id in launched {
             let Some(request) = self.requests.get(&id) else { continue };
             match self.startup.config.classes[request.class].idempotency {
@@ -226,7 +229,7 @@
             self.decide(|backend, now_ms| backend.handle_call_ended(now_ms, id, outcome));
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            (request.is_confirmed, request.is_in_doubt) = (true, false);
+            (request.is_run_reported, request.is_unacknowledged) = (true, false);
             let state = &mut request.call;
             (state.delivered, state.is_replay, state.unconfirmed) = (None, false, None);
             state.body = call;
@@ -297,7 +300,7 @@
         let launch = self.send_command(command).map_or(LaunchState::Unsent, LaunchState::Sent);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.launch = launch;
-        request.is_in_doubt = false;
+        request.is_unacknowledged = false;
         if let Some(key) = &request.key {
             self.deduplication.handle_run_started(key, id);
         }
--- a/crates/plovershelf-server/src/driver/clients.rs
+++ b/crates/plovershelf-server/src/driver/clients.rs
@@ -50,11 +50,11 @@
         self.requests.len()
     }
 
-    pub(super) fn handle_opened(&mut self, seqid: i32, id: u32) {
+    pub(super) fn add_request(&mut self, seqid: i32, id: u32) {
         self.requests.insert(seqid, id);
     }
 
-    pub(super) fn handle_answered(&mut self, seqid: i32, id: u32, now_ms: f64) {
+    pub(super) fn remove_request(&mut self, seqid: i32, id: u32, now_ms: f64) {
         if self.requests.get(&seqid) == Some(&id) {
             self.requests.remove(&seqid);
             self.idle_since_ms = now_ms;
@@ -71,12 +71,12 @@
         self.has_sent_message && self.requests.is_empty() && self.idle_since_ms <= time_ms
     }
 
-    /// Returns whether a request may be on its way from the socket to the driver. Such a connection is about to
-    /// become busy, so it must not be evicted.
+    /// Returns whether input of the connection may not have reached the driver yet. It may contain a request, so the
+    /// connection must not be evicted.
     fn has_pending_input(&self) -> bool {
         let state = self.outbox.connection();
-        let may_hold_request = || state.has_unhandled_input() || state.has_partial_frame();
-        state.has_queued_frame() || (self.has_sent_message && may_hold_request())
+        let may_contain_request = || state.has_unhandled_input() || state.has_partial_frame();
+        state.has_queued_frame() || (self.has_sent_message && may_contain_request())
     }
 
     /// Returns whether the closing was announced at least `timeout_ms` ago and the connection is idle without
--- a/crates/plovershelf-server/src/driver/open_request.rs
+++ b/crates/plovershelf-server/src/driver/open_request.rs
@@ -62,9 +62,9 @@
     pub(super) is_answered: bool,
     pub(super) launch: LaunchState,
     /// True once the agent has reported anything about the run.
-    pub(super) is_confirmed: bool,
+    pub(super) is_run_reported: bool,
     /// True if a link broke before the launch was known to have been read, and the launch was not written again.
-    pub(super) is_in_doubt: bool,
+    pub(super) is_unacknowledged: bool,
     pub(super) call: OutboundCall,
     pub(super) result: Vec<u8>,
     pub(super) key: Option<DeduplicationKey>,
@@ -86,6 +86,6 @@
 
     /// Returns whether it is unknown that the agent ever received the launch.
     pub(super) fn may_never_have_started(&self) -> bool {
-        self.is_in_doubt || self.launch == LaunchState::Unsent || self.replication.awaits_reservation()
+        self.is_unacknowledged || self.launch == LaunchState::Unsent || self.replication.awaits_reservation()
     }
 }
--- a/crates/plovershelf-server/src/driver/requests.rs
+++ b/crates/plovershelf-server/src/driver/requests.rs
@@ -123,7 +123,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_answered = true;
         if let Some(client) = self.connections.get_mut(&request.connection) {
-            client.handle_answered(request.seqid, id, self.now_ms);
+            client.remove_request(request.seqid, id, self.now_ms);
         }
     }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Ends the duplicates that wait for the holder of a key.
+    /// Ends the duplicates that wait for the owner of a key.
     pub(super) fn end_duplicates_of(&mut self, id: u32, result: Option<&[u8]>) {
         let Some(key) = self.requests.get(&id).and_then(|request| request.key.clone()) else { return };
         self.end_duplicates(&key, id, result);
--- a/crates/plovershelf-server/src/driver/tests.rs
+++ b/crates/plovershelf-server/src/driver/tests.rs
@@ -86,17 +86,17 @@
         all.map(|bytes| String::from_utf8(bytes).expect("text").lines().next().unwrap().into()).collect()
     }
 
-    fn agent(&mut self, event: AgentEvent) {
+    fn send_agent_event(&mut self, event: AgentEvent) {
         self.driver.handle_event(Event::Agent(event));
         self.driver.finish_turn();
     }
 
     fn end_run(&mut self, id: u64, result: RunResult, body: &[u8]) {
-        self.agent(AgentEvent::RunEnded { id: attempt_id(id), result, body: body.to_vec() });
+        self.send_agent_event(AgentEvent::RunEnded { id: attempt_id(id), result, body: body.to_vec() });
     }
 
     fn request_call(&mut self, id: u64) {
-        self.agent(AgentEvent::CallRequested { id: attempt_id(id), call: b"ask".to_vec() });
+        self.send_agent_event(AgentEvent::CallRequested { id: attempt_id(id), call: b"ask".to_vec() });
     }
 
     fn end_call(&mut self, id: u64, outcome: CallOutcome) {
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn only_idempotent_launches_in_doubt_are_written_again() {
+fn only_idempotent_unacknowledged_launches_are_written_again() {
     let mut harness = Harness::new();
     let client = harness.connect();
     for (seqid, class) in [(1, "plain"), (2, "plain"), (3, "single"), (4, "plain")] {
@@ -355,12 +355,12 @@
             harness.driver.start_periodic_measurement();
             let sample = harness.commands().pop().expect("a sample");
             let tag = sample.strip_prefix("sample ").expect("a sample").parse().expect("a tag");
-            harness.agent(AgentEvent::Sampled { tag, gauges: vec![0.1, 0.0] });
+            harness.send_agent_event(AgentEvent::Sampled { tag, gauges: vec![0.1, 0.0] });
         }
         harness.send(client, dispatch(seqid, seqid as u64, class, &[], b""));
     }
     harness.request_call(4);
-    harness.agent(AgentEvent::Down { all_commands_read: false });
+    harness.send_agent_event(AgentEvent::Down { all_commands_read: false });
     harness.link_up();
     assert_eq!(harness.commands(), ["launch 0000000000000002 plain 0"]);
 }
@@ -369,7 +369,7 @@
 fn requests_without_an_agent_link_are_answered_by_their_deadline() {
     let mut harness = Harness::new();
     let client = harness.connect();
-    harness.agent(AgentEvent::Down { all_commands_read: false });
+    harness.send_agent_event(AgentEvent::Down { all_commands_read: false });
     harness.send(client, dispatch(1, 1, "plain", &[], b""));
     harness.send(client, dispatch(2, 2, "single", &[("d", "500")], b""));
     harness.advance(600.0);
@@ -391,7 +391,7 @@
         harness.end_call(id, CallOutcome::Completed);
     }
     (0..4).for_each(|_| drop(harness.calls.try_recv()));
-    harness.agent(AgentEvent::Down { all_commands_read: false });
+    harness.send_agent_event(AgentEvent::Down { all_commands_read: false });
     harness.link_up();
     harness.commands();
     // Request 4 is left alone, because its call must not be repeated.
@@ -420,7 +420,7 @@
     assert!(samples.len() == 2 && samples.iter().all(|line| line.starts_with("sample")), "{samples:?}");
     harness.request_call(3);
     let tag = samples[1].strip_prefix("sample ").expect("a sample").parse().expect("a tag");
-    harness.agent(AgentEvent::Sampled { tag, gauges: vec![0.1, 0.0] });
+    harness.send_agent_event(AgentEvent::Sampled { tag, gauges: vec![0.1, 0.0] });
     assert_eq!(harness.commands(), ["deliver 0000000000000002 4"]);
 }
 
@@ -432,7 +432,7 @@
     harness.send(other, dispatch(1, 2, "plain", &[], b""));
     harness.send(other, dispatch(2, 1, "plain", &[], b"other"));
     let argument = attempt_id(1).to_vec();
-    harness.agent(AgentEvent::CommandRejected { command: "launch".into(), argument });
+    harness.send_agent_event(AgentEvent::CommandRejected { command: "launch".into(), argument });
     assert_eq!(harness.responses(client), [Response::Failed(1), Response::Closing]);
     assert!(!harness.driver.connections.contains_key(&client));
     harness.end_run(2, RunResult::Succeeded, b"x");
@@ -443,7 +443,7 @@
 fn unused_connections_are_evicted_before_used_ones() {
     let mut harness = Harness::with(Limits { eviction_threshold: 4, ..Limits::new(64.0, 256) });
     let (used, idle) = (harness.connect(), harness.connect());
-    let (unused, late) = (harness.connect(), harness.connect());
+    let (unused, recent) = (harness.connect(), harness.connect());
     harness.send(used, alive(1));
     harness.send(idle, alive(1));
     let mut age = |connection, by_ms| {
@@ -456,9 +456,9 @@
     // a message.
     let newest = harness.connect();
     let open = |harness: &Harness| harness.driver.connections.keys().copied().collect::<Vec<_>>();
-    assert_eq!(open(&harness), [used, idle, late, newest]);
+    assert_eq!(open(&harness), [used, idle, recent, newest]);
     // At the limit all unused connections are evicted, then the one that has been idle longest.
-    for connection in [late, newest] {
+    for connection in [recent, newest] {
         harness.driver.connections.get_mut(&connection).expect("the connection is open").idle_since_ms -=
             50.0;
     }
@@ -472,7 +472,7 @@
     let client = harness.connect();
     harness.send(client, dispatch(1, 1, "plain", &[], b""));
     harness.request_call(1);
-    harness.agent(AgentEvent::Down { all_commands_read: false });
+    harness.send_agent_event(AgentEvent::Down { all_commands_read: false });
     harness.end_call(1, CallOutcome::Completed);
     harness.link_up();
     assert_eq!(harness.commands(), ["deliver 0000000000000001 4"]);
@@ -752,9 +752,9 @@
     harness.send(client, dispatch(3, 3, "marked", &[("k", "t")], b""));
     harness.send(client, dispatch(4, 4, "plain", &[], b""));
     harness.send(client, cancel(4));
-    harness.agent(AgentEvent::Sampled { tag: 100, gauges: vec![] });
+    harness.send_agent_event(AgentEvent::Sampled { tag: 100, gauges: vec![] });
     harness.commands();
-    harness.agent(AgentEvent::Down { all_commands_read: true });
+    harness.send_agent_event(AgentEvent::Down { all_commands_read: true });
     harness.link_up_with(true);
     assert_eq!(harness.commands(), ["launch 0000000000000001 plain 0"]);
     assert_eq!(harness.responses(client), [Response::Failed(2), Response::Failed(3)]);
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -69,7 +69,7 @@
         /// True if notices were lost, so that the ends of some runs will never be reported.
         missed_notices: bool,
     },
-    /// The link has ended; `all_commands_read` tells whether the agent is known to have read all of its commands.
+    /// The link has ended. `all_commands_read` is true if the agent is known to have read all commands of the link.
     Down { all_commands_read: bool },
     /// A run has ended.
     RunEnded { id: AttemptId, result: RunResult, body: Vec<u8> },
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -25,27 +25,27 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
     // ---- clients: sizes and counts
-    /// Client connections.
+    /// Maximum number of client connections.
     pub(crate) max_connections: usize,
-    /// Unanswered requests per connection.
+    /// Maximum number of unanswered requests per connection.
     pub(crate) max_requests_per_connection: usize,
-    /// Size of a client frame.
+    /// Maximum size of a client frame.
     pub(crate) max_frame_bytes: usize,
-    /// Size of the body of a request.
+    /// Maximum size of the body of a request.
     pub(crate) max_request_bytes: usize,
-    /// Bytes per read.
+    /// Maximum number of bytes per read.
     pub(crate) read_chunk_bytes: usize,
     /// Memory assumed per open request in addition to its frame.
     pub(crate) request_overhead_bytes: usize,
-    /// Memory of all open requests.
+    /// Maximum memory of all open requests.
     pub(crate) max_open_bytes: usize,
-    /// Responses that wait to be written, on all connections.
+    /// Maximum size of the responses that wait to be written, on all connections.
     pub(crate) max_unwritten_bytes: usize,
-    /// Responses that wait to be written, per connection.
+    /// Maximum size of the responses that wait to be written, per connection.
     pub(crate) max_unwritten_bytes_per_connection: usize,
-    /// Deduplication keys.
+    /// Maximum number of deduplication keys.
     pub(crate) max_deduplication_keys: usize,
-    /// Results stored with deduplication keys.
+    /// Maximum size of the results stored with deduplication keys.
     pub(crate) max_result_bytes: usize,
     /// Capacity of the queue to the event loop.
     pub(crate) event_queue: usize,
@@ -59,11 +59,12 @@
     pub(crate) write_timeout_ms: u64,
     /// Time for which a connection that this side ends is still read, so that its peer receives the last response.
     pub(crate) linger_ms: u64,
-    /// The same time while many connections are open. It still covers a request that crosses the end of the connection.
+    /// Value of `linger_ms` while more than `eviction_threshold` connections are open. It still covers a request that
+    /// crosses the end of the connection.
     pub(crate) linger_ms_under_pressure: u64,
-    /// Bytes that are read from such a connection.
+    /// Maximum number of bytes that are read while lingering.
     pub(crate) max_linger_bytes: usize,
-    /// Greatest age of a request by its sent time.
+    /// Maximum age of a request by its sent time.
     pub(crate) max_request_age_ms: f64,
     /// Upper bound of the timeout that a client states for an attempt.
     pub(crate) max_timeout_ms: f64,
@@ -71,22 +72,22 @@
     pub(crate) deduplication_grace_ms: f64,
 
     // ---- clients: accepting and evicting
-    /// Connections in the listen queue.
+    /// Capacity of the listen queue, in connections.
     pub(crate) listen_backlog: i32,
     /// Time for which listening is retried while another process uses the address.
     pub(crate) listen_timeout_ms: u64,
-    /// Interval of those retries.
+    /// Interval at which listening is retried.
     pub(crate) listen_retry_ms: u64,
     /// Number of connections above which a new one evicts another that has sent no message for `min_unused_ms` or has
     /// been idle for `min_idle_ms`.
     pub(crate) eviction_threshold: usize,
     /// Idle time after which a connection may be evicted.
     pub(crate) min_idle_ms: f64,
-    /// Time without a first message after which a connection may be evicted.
+    /// Time after which a connection that has sent no message may be evicted.
     pub(crate) min_unused_ms: f64,
-    /// The same time once the limit of connections or descriptors is reached.
+    /// Value of `min_unused_ms` once the limit of connections or descriptors is reached.
     pub(crate) min_unused_ms_when_full: f64,
-    /// Connections evicted at once.
+    /// Maximum number of connections that are evicted at once.
     pub(crate) max_evictions: usize,
     /// Number of ending connections above which no further ones are evicted.
     pub(crate) max_ending_connections: usize,
@@ -99,9 +100,9 @@
     pub(crate) max_faults: u32,
 
     // ---- agent
-    /// Size of a line of the agent or the dependency including its body.
+    /// Maximum size of a line of the agent or the dependency, including its body.
     pub(crate) max_line_bytes: usize,
-    /// Size of the body of such a line.
+    /// Maximum size of the body of such a line.
     pub(crate) max_body_bytes: usize,
     /// Timeout for connecting to the agent or the dependency.
     pub(crate) connect_timeout_ms: u64,
@@ -115,20 +116,20 @@
     pub(crate) gauge_timeout_ms: f64,
 
     // ---- dependency
-    /// Connections to the dependency.
+    /// Maximum number of connections to the dependency.
     pub(crate) max_dependency_connections: usize,
-    /// Further connections while retired ones still have calls in flight.
+    /// Number of further connections while retired ones still have calls in flight.
     pub(crate) spare_dependency_connections: usize,
-    /// Calls that one connection carries before it is retired.
+    /// Number of calls after which a connection is retired.
     pub(crate) max_calls_per_connection: usize,
     /// Idle time after which a connection is closed. The dependency may close or drop an idle connection later than
     /// this, so no call crosses that.
     pub(crate) dependency_idle_ms: u64,
     /// Multiple of the mean latency after which a connection with an unanswered call counts as broken.
     pub(crate) reply_timeout_multiple: f64,
-    /// Lower bound of that time.
+    /// Lower bound of the time after which a connection counts as broken.
     pub(crate) min_reply_timeout_ms: u64,
-    /// Upper bound of that time.
+    /// Upper bound of the time after which a connection counts as broken.
     pub(crate) max_reply_timeout_ms: u64,
     /// Weight of one call in the mean latency.
     pub(crate) latency_weight: f64,
@@ -147,7 +148,8 @@
     // ---- drain
     /// Time after which a connection is closed whose client doesn't react to the announcement of closing.
     pub(crate) closing_timeout_ms: f64,
-    /// The same time once new connections are refused. It exceeds the time of a request that crosses the announcement.
+    /// Value of `closing_timeout_ms` once new connections are refused. It exceeds the time of a request that crosses
+    /// the announcement.
     pub(crate) final_closing_timeout_ms: f64,
     /// Time between the announcement of closing and the refusal of new connections.
     pub(crate) closing_lead_ms: f64,
@@ -159,7 +161,7 @@
     // ---- log
     /// Interval of the log lines about each bulkhead.
     pub(crate) bulkhead_log_interval_ms: f64,
-    /// Log lines per second about faults of peers.
+    /// Maximum number of log lines per second about faults of peers.
     pub(crate) max_peer_errors_per_s: u32,
 }
 
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -1,6 +1,6 @@
 //! Links between processes: one outgoing link to each peer, and incoming links from peers.
 //!
-//! A link carries frames in one direction only, except for the answer to a question. Frames may get lost, as on a
+//! A link transfers frames in one direction only, except for the answer to a question. Frames may get lost, as on a
 //! network: if a full queue or a broken link drops them, the state machines that need them send them again.
 //!
 //! | outgoing link | left when |
--- a/crates/plovershelf-server/src/service.rs
+++ b/crates/plovershelf-server/src/service.rs
@@ -60,7 +60,7 @@
         tracing::info!(event = "drain_notice", "drain notice received before listening");
         return Ok(());
     };
-    // Tasks spawn others on the executor, so it must live as long as the program.
+    // Tasks spawn further tasks on the executor, so it needs a static lifetime.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let Configuration {
         name,
