--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -94,6 +94,7 @@
 
 /// Starts the cluster's thread. Returns the sender of its inputs.
 ///
+/// # Errors
 /// Returns an error of one line if the listener or the storage can't be opened.
 pub fn start(
     setup: Setup,
--- a/crates/plovershelf-server/src/cluster/failover.rs
+++ b/crates/plovershelf-server/src/cluster/failover.rs
@@ -34,7 +34,7 @@
 const COUNTED_PERIODS: usize = 4;
 /// Fewer answers than this don't give a meaningful fraction in time.
 const MIN_ANSWERS: f64 = 10.0;
-/// Most caller reports that wait for the next period.
+/// Maximum number of caller reports that wait for the next period.
 const MAX_WAITING_CALLERS: usize = 4 * MAX_CALLER_REPORTS;
 /// Upper bound of the remaining validity in a status, in milliseconds.
 const MAX_REMAINING_MS: f64 = 1e9;
@@ -60,7 +60,7 @@
 /// Actions that are due after a period.
 #[derive(Default)]
 pub(super) struct DueActions {
-    /// Receiver and content of a load report: the leader gets it.
+    /// Receiver and content of a load report; the receiver is the leader.
     pub(super) report: Option<(NodeId, Vec<u8>)>,
     /// Version and content of a plan to propose.
     pub(super) proposal: Option<(u64, Vec<u8>)>,
@@ -90,8 +90,8 @@
 }
 
 impl FailoverDriver {
+    /// # Errors
     /// Returns an error if the topology lacks this member's zone.
-    /// The zone of this member is none of those.
     pub(super) fn new(zones: Zones, own_zone_name: &str, now_ms: f64) -> Result<Self, UnknownZoneError> {
         let own_zone = zones.topology.index_of(own_zone_name);
         let own_zone = own_zone.ok_or_else(|| UnknownZoneError { zone: own_zone_name.into() })?;
--- a/crates/plovershelf-server/src/cluster/storage.rs
+++ b/crates/plovershelf-server/src/cluster/storage.rs
@@ -58,6 +58,7 @@
 
 /// Restores the node from its folder, or creates a new one. A corrupt file is copied aside first.
 ///
+/// # Errors
 /// Returns an error if the folder can't be used or the file belongs to another node.
 pub(super) fn open(setup: &Setup, name: &str, created_at_ms: u64) -> Result<Opened, StorageError> {
     let header = FileHeader {
@@ -135,6 +136,7 @@
 
     /// Appends records and syncs them to disk. A partial write is truncated.
     ///
+    /// # Errors
     /// Returns the I/O error; no record was appended then.
     pub(super) fn append(
         &mut self,
@@ -156,6 +158,7 @@
 
     /// Writes a new file and replaces the old one with it.
     ///
+    /// # Errors
     /// Returns the I/O error; the old file remains in place then.
     pub(super) fn rewrite(&mut self, persistent: &PersistentState<ClusterState>) -> io::Result<()> {
         simulate_full_disk()?;
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -18,7 +18,7 @@
 const PROPOSAL_TIMEOUT_MS: f64 = 4000.0;
 /// Interval at which a proposal is repeated, because the message to the leader may be lost.
 const PROPOSAL_RETRY_MS: f64 = 700.0;
-/// Most pending proposals; further ones are rejected.
+/// Maximum number of pending proposals; further ones are rejected.
 const MAX_PROPOSALS: usize = 16;
 
 /// State of the consensus group with its newest commit, as the cluster's thread reports it.
--- a/crates/plovershelf-server/src/deduplication.rs
+++ b/crates/plovershelf-server/src/deduplication.rs
@@ -58,7 +58,7 @@
     /// True for keyed requests, which match a completed request of any age, with or without a result. Other requests
     /// match only one with a recent result.
     pub(crate) is_keyed: bool,
-    /// Greatest age of a result that is_match as recent, in milliseconds.
+    /// Greatest age of a result that counts as recent, in milliseconds.
     pub(crate) max_age_ms: f64,
 }
 
@@ -112,7 +112,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DeduplicationLimits {
     pub(crate) max_keys: usize,
-    /// Most bytes of results in all records; further records are stored without their result.
+    /// Maximum size of the results in all records; further records are stored without their result.
     pub(crate) max_result_bytes: usize,
     /// Time for which a record is kept after its window, for requests that are read late, in milliseconds.
     pub(crate) grace_ms: f64,
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -30,11 +30,11 @@
 /// Bounds on the number of links and their idle time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkLimits {
-    /// Most outgoing links; a new one beyond that replaces the one that has been idle longest.
+    /// Maximum number of outgoing links. A further one replaces the link that has been idle longest.
     pub(crate) max_outgoing: usize,
-    /// Most incoming links; further ones are refused.
-    /// Time without a frame after which an outgoing link is closed, in milliseconds.
+    /// Maximum number of incoming links; further ones are refused.
     pub(crate) max_incoming: usize,
+    /// Time without a frame after which an outgoing link is closed, in milliseconds. Incoming links get twice this time.
     pub(crate) idle_timeout_ms: u64,
 }
 
--- a/crates/plovershelf-server/src/links/incoming.rs
+++ b/crates/plovershelf-server/src/links/incoming.rs
@@ -18,11 +18,11 @@
 const HELLO_TIMEOUT_MS: u64 = 1000;
 /// Time within which a question is answered: more than a proposal takes at most, and less than the command waits.
 const ANSWER_TIMEOUT_MS: u64 = 8000;
-/// Pause after an error of accepting.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE_MS: u64 = 20;
 /// Bytes that the buffer of a link may hold beyond one frame.
 const BUFFER_SLACK_BYTES: usize = 64;
-/// Most bytes per read.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
 /// Accepts links until the event queue is closed.
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -27,9 +27,9 @@
 const ADDRESS: &str = "an ADDRESS:PORT";
 const NAME: &str = "one word";
 const SEED: &str = "a hexadecimal number of at most 64 bits";
-/// Memory of the program, in MiB.
+/// Valid range of the memory of the program, in MiB.
 const PROGRAM_MEMORY_MB: NumberRange = NumberRange::above(0.0, (1u64 << 24) as f64);
-/// Descriptors of the process; few systems allow more than 2^20.
+/// Valid range of the descriptors of the process; few systems allow more than 2^20.
 const SOCKETS: NumberRange = NumberRange::whole(1.0, (1u64 << 20) as f64);
 
 /// Error of reading the configuration.
