--- a/crates/plovershelf-config-distribution/src/aggregation.rs
+++ b/crates/plovershelf-config-distribution/src/aggregation.rs
@@ -1,4 +1,4 @@
-//! How many processes are up to date, and which are missing: what each process reports to its parent.
+//! Reports to the parent: the number of processes that are up to date, and the names of those that are missing.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use crate::message::{Aggregate, Attachment, MAX_NAMES};
 use crate::version::Version;
 
-/// Names of processes that fell silent, at most.
+/// Maximum number of names of processes that timed out.
 const MAX_SILENT: usize = 64;
-/// For how long a name is remembered.
+/// Time for which a name is remembered, in milliseconds.
 const NAME_RETENTION_MS: f64 = 600_000.0;
-/// Processes of which an origin remembers where they attached, at most.
+/// Maximum number of processes whose parent an origin remembers.
 const MAX_LOCATIONS: usize = 2048;
-/// Attachments that are still to be passed on, at most.
+/// Maximum number of attachments in the queue for the parent or the other origins.
 const MAX_PENDING: usize = 256;
 
-/// Children that fell silent without detaching.
+/// Children that timed out or lost their connection without a `Detach` message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SilentNodes(Vec<SilentNode>);
 
@@ -36,7 +36,7 @@
         self.0.push(SilentNode { name, until_ms: now_ms + NAME_RETENTION_MS });
     }
 
-    /// It was heard of again.
+    /// Removes a process that attached or detached since it was added.
     pub(crate) fn remove(&mut self, name: &str) {
         self.0.retain(|node| node.name != name);
     }
@@ -45,21 +45,22 @@
         self.0.retain(|node| node.until_ms > now_ms);
     }
 
-    /// The latest first.
+    /// Returns the names, the most recent first.
     fn names(&self) -> impl Iterator<Item = &String> {
         self.0.iter().rev().map(|node| &node.name)
     }
 }
 
-/// Where processes attached lately.
+/// Recent attachments of processes.
 ///
-/// A process that moved to another parent would stay on the old parent's list of silent ones. So attachments are passed
-/// up to the origins and among them, which correct a relay that still names such a process as missing.
+/// A process that moves to another parent would remain in the old parent's list of missing processes. Therefore
+/// attachments are sent up to the origins and exchanged between them, and an origin corrects a relay that still
+/// reports such a process as missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttachmentLog {
-    /// Of an origin: by name, when, and the relay or origin that feeds it.
+    /// On an origin: the time of the attachment and the address of the parent, by process name.
     located: BTreeMap<String, (f64, SocketAddr)>,
-    /// To be passed on.
+    /// Attachments to send to the parent or to the other origins.
     pending: VecDeque<Attachment>,
 }
 
@@ -85,7 +86,7 @@
         !self.pending.is_empty()
     }
 
-    /// The oldest of those to be passed on, which are forgotten here.
+    /// Removes and returns the oldest attachments in the queue.
     pub(crate) fn take_pending(&mut self, most: usize) -> Vec<Attachment> {
         let count = most.min(self.pending.len());
         self.pending.drain(..count).collect()
@@ -95,20 +96,20 @@
         self.located.retain(|_, (at_ms, _)| *at_ms + NAME_RETENTION_MS > now_ms);
     }
 
-    /// Whether it attached to another parent than this one.
+    /// Returns true if the process is known to have another parent than this one.
     pub(crate) fn is_elsewhere(&self, name: &str, parent: SocketAddr) -> bool {
         self.located.get(name).is_some_and(|(_, at)| *at != parent)
     }
 }
 
-/// Whether a process counts itself: a listener does, an origin does not.
+/// Whether a process counts itself in its aggregate. A listener does, an origin does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountSelf {
     Yes,
     No,
 }
 
-/// The aggregate of a process over its children.
+/// Returns the aggregate of a process and its children.
 pub(crate) fn aggregate(
     count_self: CountSelf,
     version: Version,
@@ -148,7 +149,7 @@
     aggregate
 }
 
-/// When a listener reports: at an interval, and soon after something changed.
+/// Schedule of a listener's reports: periodic, and sooner after a change.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportTimer {
     due_ms: f64,
@@ -164,7 +165,8 @@
         self.due_ms
     }
 
-    /// Something changed: as soon as the least interval since the last report allows.
+    /// Moves the next report to the earliest time that the minimum interval allows, because there is something new to
+    /// report.
     pub(crate) fn hasten(&mut self) {
         self.due_ms = self.due_ms.min(self.min_due_ms);
     }
@@ -173,7 +175,7 @@
         self.due_ms = now_ms;
     }
 
-    /// Whether it is time for a report; the next one is due after the interval.
+    /// Returns true if a report is due, and schedules the next one after the regular interval.
     pub(crate) fn handle_timeout(&mut self, now_ms: f64, config: &DistributionConfig) -> bool {
         if now_ms < self.due_ms {
             return false;
--- a/crates/plovershelf-config-distribution/src/change.rs
+++ b/crates/plovershelf-config-distribution/src/change.rs
@@ -1,4 +1,4 @@
-//! Edits of tenants' quotas, and the change that carries them under one version.
+//! Edits of tenant quotas, and changes, which group edits under one version.
 
 use std::fmt;
 
@@ -7,31 +7,31 @@
 use crate::entry::{quoted, InvalidEntry, MAX_TENANTS};
 use crate::version::Version;
 
-/// Bytes of an encoded change, at most: what the consensus group takes as one entry.
+/// Maximum size of an encoded change in bytes, equal to the size limit of an entry of the consensus group.
 pub const MAX_CHANGE_BYTES: usize = 64 << 10;
-/// Bytes of an encoded change beside its edits, at most.
+/// Maximum size of an encoded change without its edits, in bytes.
 const CHANGE_OVERHEAD_BYTES: usize = 96;
-/// Bytes of an encoded edit beside the name, at most: its kind, the name's length and the quota.
+/// Maximum size of an encoded edit without the name, in bytes: the variant, the length of the name, and the quota.
 const EDIT_OVERHEAD_BYTES: usize = 11;
 
-/// One tenant's quota is set, added or removed.
+/// An edit of one tenant's quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Edit {
-    /// Another quota for a tenant that is in the table.
+    /// Sets a new quota for a tenant that is in the table.
     Set {
         /// The tenant's name.
         tenant: String,
-        /// Requests a second.
+        /// The new quota in requests per second.
         quota_per_s: f64,
     },
-    /// A tenant that is not in the table yet.
+    /// Adds a tenant that is not in the table.
     Add {
         /// The tenant's name.
         tenant: String,
-        /// Requests a second.
+        /// The quota in requests per second.
         quota_per_s: f64,
     },
-    /// A tenant that leaves the table.
+    /// Removes a tenant from the table.
     Remove {
         /// The tenant's name.
         tenant: String,
@@ -39,14 +39,14 @@
 }
 
 impl Edit {
-    /// The tenant's name.
+    /// Returns the tenant's name.
     pub fn tenant(&self) -> &str {
         match self {
             Edit::Set { tenant, .. } | Edit::Add { tenant, .. } | Edit::Remove { tenant } => tenant,
         }
     }
 
-    /// The new quota in requests a second; none for a tenant that is removed.
+    /// Returns the new quota in requests per second, or `None` if the tenant is removed.
     pub fn quota_per_s(&self) -> Option<f64> {
         match self {
             Edit::Set { quota_per_s, .. } | Edit::Add { quota_per_s, .. } => Some(*quota_per_s),
@@ -69,43 +69,43 @@
     }
 }
 
-/// A committed change: the delta from one version to the next.
+/// A committed change, which leads from one version to the next.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that the change leads to.
+    /// The version after the change.
     pub version: Version,
-    /// The version that it applies to.
+    /// The version to which the change applies.
     pub previous: Version,
-    /// Digest of the table that it leads to.
+    /// The digest of the table after the change.
     pub digest: u128,
-    /// At least one, each for another tenant.
+    /// The edits; at least one, and at most one per tenant.
     pub edits: Vec<Edit>,
-    /// When it was proposed, in Unix milliseconds, for people; nothing is decided by it.
+    /// The time of the proposal in Unix milliseconds. For display only; no decision depends on it.
     pub proposed_unix_ms: u64,
 }
 
 impl Change {
-    /// Upper bound of the encoded length.
+    /// Returns an upper bound of the encoded size in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         max_encoded_bytes(&self.edits)
     }
 }
 
-/// Upper bound of the encoded length of a change with these edits.
+/// Returns an upper bound of the encoded size of a change with these edits, in bytes.
 pub(crate) fn max_encoded_bytes(edits: &[Edit]) -> usize {
     CHANGE_OVERHEAD_BYTES + edits.iter().map(Edit::max_encoded_bytes).sum::<usize>()
 }
 
-/// Why one edit does not fit the table.
+/// Reason why an edit can't be applied to the table.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EditError {
-    /// The name or quota is not valid by itself.
+    /// The tenant's name or the quota is invalid.
     #[error(transparent)]
     InvalidEntry(#[from] InvalidEntry),
-    /// An earlier edit of the change names the tenant too.
+    /// An earlier edit of the same change has the same tenant.
     #[error("the tenant is named twice in one change; name it once")]
     NamedTwice,
-    /// The tenant to add is in the table, with this quota.
+    /// The tenant to add is already in the table, with this quota.
     #[error("the tenant is known, with {0}; set it instead")]
     AlreadyKnown(f64),
     /// The tenant to set is not in the table.
@@ -116,34 +116,34 @@
     UnknownToRemove,
 }
 
-/// Why the edits of a change can't be applied to the table, in one line.
+/// Reason why a change can't be applied to the table. The `Display` text is one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidChange {
-    /// There is no edit.
+    /// The change has no edits.
     #[error("a change with no edit; name at least one tenant")]
     Empty,
-    /// Encoded it would be longer than [`MAX_CHANGE_BYTES`].
+    /// The encoded change would exceed [`MAX_CHANGE_BYTES`].
     #[error(
         "{edits} edits of {bytes} bytes; a change holds {max} bytes at most, propose it in several",
         max = MAX_CHANGE_BYTES
     )]
     TooLong {
-        /// How many there are.
+        /// Number of edits.
         edits: usize,
-        /// Upper bound of the encoded length.
+        /// Upper bound of the encoded size in bytes.
         bytes: usize,
     },
-    /// One of the edits does not fit.
+    /// One of the edits can't be applied.
     #[error("edit {position}, {edit}: {source}")]
     Edit {
-        /// Counted from 1.
+        /// Position of the edit in the change, counted from 1.
         position: usize,
-        /// The edit that does not fit.
+        /// The edit that can't be applied.
         edit: Box<Edit>,
-        /// Why it does not.
+        /// The reason why the edit can't be applied.
         source: EditError,
     },
-    /// The table would hold more than [`MAX_TENANTS`].
+    /// The table would have this many tenants, more than [`MAX_TENANTS`].
     #[error("{0} tenants after this change; {max} at most, remove some first", max = MAX_TENANTS)]
     TooManyTenants(usize),
 }
--- a/crates/plovershelf-config-distribution/src/change_log.rs
+++ b/crates/plovershelf-config-distribution/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The last changes, from which deltas are answered.
+//! Log of the most recent changes, from which deltas are sent.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 const MAX_CHANGES: usize = 256;
 const MAX_BYTES: usize = 256 << 10;
 
-/// The last changes, bounded by count and bytes, each following on the one before.
+/// The most recent consecutive changes, bounded by number and encoded size.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     changes: VecDeque<Change>,
@@ -16,7 +16,7 @@
 }
 
 impl ChangeLog {
-    /// Appends a change. Where it does not follow on the last one, those before it are dropped.
+    /// Appends a change. If it does not directly follow the last change, drops all earlier ones.
     pub fn push(&mut self, change: Change) {
         if self.changes.back().is_some_and(|last| last.version != change.previous) {
             self.clear();
@@ -35,7 +35,7 @@
         self.bytes = 0;
     }
 
-    /// All changes after this version; none where the log does not reach back that far.
+    /// Returns all changes after this version, or `None` if the log does not reach back to it.
     pub fn after(&self, version: Version) -> Option<impl Iterator<Item = &Change>> {
         let at = self.changes.partition_point(|change| change.previous < version);
         let first = self.changes.get(at).filter(|change| change.previous == version)?;
@@ -43,18 +43,18 @@
         Some(self.changes.range(at..))
     }
 
-    /// The change that led to this version.
+    /// Returns the change that led to this version.
     pub fn get(&self, version: Version) -> Option<&Change> {
         let at = self.changes.partition_point(|change| change.version < version);
         self.changes.get(at).filter(|change| change.version == version)
     }
 
-    /// Oldest first.
+    /// Returns the changes, the oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter()
     }
 
-    /// Upper bound of the encoded length of all.
+    /// Returns an upper bound of the total encoded size in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/plovershelf-config-distribution/src/config.rs
+++ b/crates/plovershelf-config-distribution/src/config.rs
@@ -1,53 +1,56 @@
-//! Intervals, timeouts and fan-outs.
+//! Intervals, timeouts and fan-outs of the distribution tree.
 
-/// How many a process feeds, and when it sends, waits and gives up. Spans are in milliseconds.
+/// Tuning parameters of a node. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DistributionConfig {
-    /// Children of a relay. Default 16.
+    /// Maximum number of a relay's children in regular operation. Default 16.
     pub fan_out: usize,
-    /// Children of a relay with those that lost their parent. Default 32.
+    /// Maximum number of a relay's children, including those that lost their parent. Default 32.
     pub failover_fan_out: usize,
-    /// Relays of an origin. Default 32.
+    /// Maximum number of an origin's relays in regular operation. Default 32.
     pub origin_fan_out: usize,
-    /// Relays of an origin with those that lost theirs. Default 64.
+    /// Maximum number of an origin's relays, including those that lost their origin. Default 64.
     pub origin_failover_fan_out: usize,
-    /// Between heartbeats to children, and between origins. Default 500 ms.
+    /// Interval between heartbeats to children, and between origins. Default 500 ms.
     pub heartbeat_interval_ms: f64,
-    /// Between aggregates to the parent. Default 1 s.
+    /// Interval between aggregates to the parent. Default 1 s.
     pub aggregate_interval_ms: f64,
-    /// A parent that is silent for this long is lost. Default 1.2 s.
+    /// Lower bound of the time without a message after which a listener drops its parent. Default 1.2 s.
     pub min_parent_timeout_ms: f64,
-    /// Each process draws its timeout from the minimum to this, so that not all of a parent's children leave it at once.
-    /// Default 1.5 s.
+    /// Upper bound of that time. Each process draws its timeout between the two bounds, so that a parent's children do
+    /// not all leave it at once. Default 1.5 s.
     pub max_parent_timeout_ms: f64,
-    /// A child that is silent for this long is gone. Default 2.5 s.
+    /// Time without a report after which a parent drops a child. Default 2.5 s.
     pub child_timeout_ms: f64,
-    /// Changes that come closer together than this go on in one message. Default 30 ms.
+    /// Minimum time between two deltas to children; changes that arrive in between are sent in one message. Default 30
+    /// ms.
     pub delta_coalescing_ms: f64,
-    /// Aggregates are never closer together than this. Default 100 ms.
+    /// Minimum time between two aggregates. Default 100 ms.
     pub min_aggregate_interval_ms: f64,
-    /// How often a leaf asks its backup parent whether that holds a newer version. Default 10 s.
+    /// Interval at which a leaf probes its backup parent for a newer version. Default 10 s.
     pub leaf_probe_interval_ms: f64,
-    /// How often a relay does. Default 2 s.
+    /// Interval at which a relay probes its backup parent for a newer version. Default 2 s.
     pub relay_probe_interval_ms: f64,
-    /// A listener that heard from no origin for this long probes its backup parent at once. Default 2.5 s.
+    /// Time without origin contact after which a listener probes other processes every second. Default 2.5 s.
     pub stale_after_ms: f64,
-    /// Until an attempt to find or attach to a parent is given up. Default 400 ms.
+    /// Timeout of a request for a parent or for attachment. Default 400 ms.
     pub attach_timeout_ms: f64,
-    /// Until a request for a delta or chunk is given up. Default 1 s.
+    /// Timeout of a request for a delta or chunk. Default 1 s.
     pub fetch_timeout_ms: f64,
-    /// The longest backoff before an origin is asked again. Default 1.5 s.
+    /// Upper bound of the backoff before an origin is asked again. Default 1.5 s.
     pub max_backoff_ms: f64,
-    /// The first requests after a start are spread over this. Default 200 ms.
+    /// Period over which the first requests after a start are spread. Default 200 ms.
     pub start_jitter_ms: f64,
-    /// Between an origin's lists of relays to other origins, and of alternate parents to children. Default 2 s.
+    /// Interval at which an origin sends its list of relays to other origins and alternate parents to children.
+    /// Default 2 s.
     pub relay_list_interval_ms: f64,
-    /// How often a parent with too many children, or an origin that is not the nearest, sends one of them elsewhere.
-    /// Default 5 s.
+    /// Interval at which a relay with too many children, or an origin with a relay that fits another origin better,
+    /// moves one child elsewhere. Default 5 s.
     pub rebalance_interval_ms: f64,
-    /// A relay that feeds nobody for this long becomes a leaf. Default 2 minutes.
+    /// Time without children after which a relay becomes a leaf. Default 2 minutes.
     pub relay_idle_timeout_ms: f64,
-    /// A process that was not called for this long was paused itself, and takes nobody for silent. Default 700 ms.
+    /// Gap between two inputs above which a node assumes that its own process was paused, and extends the timeouts of
+    /// its peers. Default 700 ms.
     pub pause_detection_ms: f64,
 }
 
--- a/crates/plovershelf-config-distribution/src/entry.rs
+++ b/crates/plovershelf-config-distribution/src/entry.rs
@@ -1,15 +1,15 @@
-//! One tenant's quota, and which names and quotas are valid.
+//! A tenant's quota, and the validation of names and quotas.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Tenants in a table, at most.
+/// Maximum number of tenants in a table.
 pub const MAX_TENANTS: usize = 100_000;
-/// Bytes of a tenant's name, at most.
+/// Maximum length of a tenant's name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// A quota, at most, in requests a second.
+/// Maximum quota in requests per second.
 pub const MAX_QUOTA_PER_S: f64 = 1e9;
-/// Bytes of an encoded entry beside the name, at most: the name's length and the quota.
+/// Maximum size of an encoded entry without the name, in bytes: the length of the name, and the quota.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 10;
 
 /// A tenant and its quota.
@@ -17,7 +17,7 @@
 pub struct Entry {
     /// The tenant's name.
     pub tenant: String,
-    /// Requests a second.
+    /// The quota in requests per second.
     pub quota_per_s: f64,
 }
 
@@ -27,19 +27,19 @@
     }
 }
 
-/// Why a tenant's name or quota is not valid.
+/// Reason why a tenant's name or quota is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidEntry {
     /// The name is empty.
     #[error("a tenant with no name; 1 to 64 bytes would be right")]
     EmptyName,
-    /// The name has this many bytes.
+    /// The name has this length in bytes, above [`MAX_NAME_BYTES`].
     #[error("a tenant's name of {0} bytes; {max} at most", max = MAX_NAME_BYTES)]
     LongName(usize),
-    /// The name would not stay on one line of a log or a table.
+    /// The name contains a control character, which could break the line in a log or a printed table.
     #[error("the tenant's name {name} holds a control character; leave it out", name = quoted(.0))]
     ControlCharacter(String),
-    /// The quota is negative, too high or not a number.
+    /// The quota is negative, above [`MAX_QUOTA_PER_S`], or not a number.
     #[error(
         "a quota of {quota_per_s} for tenant {name}; 0 to {max} requests a second would be right",
         name = quoted(tenant),
@@ -48,12 +48,12 @@
     QuotaOutOfRange {
         /// The tenant's name.
         tenant: String,
-        /// Requests a second.
+        /// The rejected quota in requests per second.
         quota_per_s: f64,
     },
 }
 
-/// A name as it stands in messages for people: quoted, and never more than a line, whatever came.
+/// Returns a name for use in a message: quoted, escaped to one line, and truncated.
 pub(crate) fn quoted(tenant: &str) -> String {
     let cut: String = tenant.chars().take(MAX_NAME_BYTES + 1).collect();
     format!("{cut:?}")
@@ -79,7 +79,8 @@
     Err(InvalidEntry::QuotaOutOfRange { tenant: tenant.to_string(), quota_per_s })
 }
 
-/// Digest of one entry. A table's digest is the sum over its entries, so that an edit changes it by its own entry alone.
+/// Returns the digest of one entry. The digest of a table is the sum over its entries, so an edit changes it only by
+/// the edited entry.
 pub(crate) fn entry_digest(name: &str, quota_per_s: f64) -> u128 {
     let mut bytes = [0; MAX_NAME_BYTES + 8];
     let length = name.len().min(MAX_NAME_BYTES);
--- a/crates/plovershelf-config-distribution/src/fan_out.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out.rs
@@ -1,4 +1,4 @@
-//! The children that are fed from here, and the deltas that they still need.
+//! The children of a parent, and the deltas that they still need.
 
 use std::net::SocketAddr;
 
@@ -6,38 +6,38 @@
 use crate::store::ConfigStore;
 use crate::version::Version;
 
-/// A process that hears from this one.
+/// A process that receives its configuration from this one.
 #[derive(Clone, Debug)]
 pub(crate) struct Child {
     pub(crate) address: SocketAddr,
     pub(crate) node: NodeInfo,
-    /// What it reported last; before that, what it attached with.
+    /// The last report; before the first report, values derived from the attach request.
     pub(crate) aggregate: Aggregate,
     pub(crate) heard_at_ms: f64,
-    /// Has reported since it attached.
+    /// Whether the child has reported since it attached.
     ///
-    /// A child that can send but hears nothing attaches over and over and never reports. It looks as if it had the most
-    /// capacity, and nobody is to be sent there.
+    /// A child that can send but receives nothing attaches repeatedly and never reports. It appears to have the most
+    /// free capacity, so listeners must not be placed under it.
     pub(crate) has_reported: bool,
-    /// Was given more time once, as this process itself was paused.
+    /// Whether the timeout was already extended because of a pause of this process.
     extended: bool,
-    /// The version up to which it was sent everything.
+    /// The version up to which the child was sent all changes.
     sent: Version,
-    /// Alternate parents that it was sent.
+    /// The alternate parents that the child was sent last.
     pub(crate) alternates: Vec<SocketAddr>,
-    /// Listeners that an origin sent to it since its last report.
+    /// Number of listeners that the origin placed under the child, halved at each report of the child.
     pub(crate) recently_placed: u32,
 }
 
-/// All children, in the order in which they attached.
+/// The children of a node, in the order in which they attached.
 #[derive(Clone, Debug)]
 pub(crate) struct FanOut {
     children: Vec<Child>,
-    /// Whose name was reported last.
+    /// Index of the child whose name was returned last by `next_name`.
     turn: usize,
     child_timeout_ms: f64,
     coalescing_ms: f64,
-    /// Some child has not been sent the newest; not before this.
+    /// The time at which deltas are due, if a child lacks a version.
     flush_at_ms: Option<f64>,
     min_flush_at_ms: f64,
 }
@@ -78,7 +78,7 @@
         self.children.iter_mut().find(|child| child.address == address)
     }
 
-    /// Fed from now on. A child that attaches again keeps its last report, unless the process is another by now.
+    /// Adds a child. A child that attaches again keeps its last report, unless it restarted in between.
     pub(crate) fn add(
         &mut self,
         now_ms: f64,
@@ -116,12 +116,12 @@
         Some(self.children.remove(at))
     }
 
-    /// Removes all; their addresses.
+    /// Removes all children and returns their addresses.
     pub(crate) fn clear(&mut self) -> Vec<SocketAddr> {
         self.children.drain(..).map(|child| child.address).collect()
     }
 
-    /// A child's report; false where it comes from no child.
+    /// Records a child's report. Returns false if the sender is not a child.
     pub(crate) fn handle_aggregate(
         &mut self,
         now_ms: f64,
@@ -135,7 +135,8 @@
         true
     }
 
-    /// This process was paused for so long: what its children sent meanwhile is still to be read. Once for each child.
+    /// Extends the timeouts of the children, once each, after a pause of this process. Their messages may still be
+    /// waiting in the receive queue.
     pub(crate) fn handle_pause(&mut self, paused_ms: f64) {
         for child in &mut self.children {
             if !std::mem::replace(&mut child.extended, true) {
@@ -144,30 +145,31 @@
         }
     }
 
-    /// A child's name, at each call the next one's.
+    /// Returns the name of the next child in rotation.
     pub(crate) fn next_name(&mut self) -> Option<String> {
         self.turn = (self.turn + 1) % self.children.len().max(1);
         self.children.get(self.turn).map(|child| child.node.name.clone())
     }
 
-    /// Removes those that fell silent.
+    /// Removes and returns the children whose timeout has passed.
     pub(crate) fn remove_silent(&mut self, now_ms: f64) -> Vec<Child> {
         let timeout_ms = self.child_timeout_ms;
         self.children.extract_if(.., |child| now_ms >= child.heard_at_ms + timeout_ms).collect()
     }
 
-    /// The next time at which a child falls silent, or at which deltas are due.
+    /// Returns the next time at which a child times out or deltas are due.
     pub(crate) fn poll_timeout(&self) -> f64 {
         let silent_at_ms = self.children.iter().map(|child| child.heard_at_ms + self.child_timeout_ms);
         silent_at_ms.fold(self.flush_at_ms.unwrap_or(f64::INFINITY), f64::min)
     }
 
-    /// Children lack a version; deltas that come close together go on together.
+    /// Schedules deltas for children that lack a version. Changes within the coalescing interval are sent together.
     pub(crate) fn schedule_flush(&mut self, now_ms: f64) {
         self.flush_at_ms = Some(self.min_flush_at_ms.max(now_ms));
     }
 
-    /// To each child that was sent less, the delta, or where that is long a heartbeat as a sign to ask for it.
+    /// Returns the due messages for children that lack a version: the delta, or a heartbeat that makes the child request the
+    /// data if the delta exceeds one message or the change log does not reach back far enough.
     pub(crate) fn flush(
         &mut self,
         now_ms: f64,
--- a/crates/plovershelf-config-distribution/src/fetch.rs
+++ b/crates/plovershelf-config-distribution/src/fetch.rs
@@ -1,16 +1,16 @@
-//! One request at a time for what is missing here: a delta where the other's log reaches back, else a snapshot, chunk by
-//! chunk.
+//! Requests for missing data, one at a time. The answer is a delta if the sender's change log reaches back far enough,
+//! and otherwise a snapshot in chunks.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
 //! | idle | another process is known to be ahead | waiting for a delta or the first chunk |
-//! | idle | a change did not fit | waiting for the first chunk |
-//! | waiting | a delta that was asked for | idle |
-//! | waiting | the first chunk | assembling |
-//! | assembling | the next chunk | assembling; the one after it is asked for |
-//! | assembling | the first chunk again, too often | idle, for a drawn pause |
-//! | assembling | the last chunk | idle: the table is in force if its digest is right, else dropped for a pause |
-//! | waiting, assembling | no answer in time | idle; after some in a row the parent is left |
+//! | idle | a change could not be applied | waiting for the first chunk |
+//! | waiting | the requested delta arrives | idle |
+//! | waiting | the first chunk arrives | assembling |
+//! | assembling | the next chunk arrives | assembling; the chunk after it is requested |
+//! | assembling | the first chunk arrives again, too often | idle; no request for a random delay |
+//! | assembling | the last chunk arrives | idle; the table takes effect if its digest matches, otherwise it is dropped and no request is sent for one timeout |
+//! | waiting, assembling | timeout | idle; after several timeouts in a row the parent is replaced |
 
 use std::net::SocketAddr;
 
@@ -23,14 +23,16 @@
 use crate::snapshot::{SnapshotBuilder, SnapshotError};
 use crate::version::Version;
 
-/// How often a snapshot may start again before it is left, to be asked for again a little later.
+/// Maximum number of times that a sender may start a snapshot before the transfer is abandoned and requested again
+/// after a delay.
 ///
-/// Against a sender whose version moves on faster than its log is long: the transfer would never end.
+/// Without the limit, a transfer would never end if the sender's version advances faster than its change log can
+/// cover.
 const MAX_STARTS: u32 = 8;
-/// Requests in a row that nothing came of, after which the parent is left.
+/// Number of consecutive failed requests after which the parent is replaced.
 const MAX_FAILURES: u32 = 3;
 
-/// A chunk as it came.
+/// The contents of a received [`Message::SnapshotChunk`](crate::message::Message::SnapshotChunk).
 pub(crate) struct ReceivedChunk {
     pub(crate) version: Version,
     pub(crate) digest: u128,
@@ -39,24 +41,24 @@
     pub(crate) is_last: bool,
 }
 
-/// What follows from a chunk.
+/// The result of processing a chunk.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ChunkOutcome {
-    /// It was not asked for, or is not the one that comes next.
+    /// The chunk was not requested or is not the next one.
     Ignored,
-    /// The snapshot started again too often and is left.
+    /// The sender started the snapshot too often, so the transfer was abandoned.
     Abandoned,
-    /// The next chunk is to be asked for.
+    /// The next chunk must be requested.
     RequestNext { version: Version, after: Option<String> },
-    /// All chunks are here and the digest is right.
+    /// The snapshot is complete and its digest matches.
     Complete(QuotaTable),
-    /// An entry is not valid.
+    /// The chunk contains an invalid entry.
     InvalidChunk(SnapshotError),
-    /// All chunks are here and the digest is wrong.
+    /// The snapshot is complete but its digest does not match.
     InvalidTable(SnapshotError),
 }
 
-/// An answer that is waited for.
+/// A request that has not been answered completely.
 #[derive(Clone, Debug)]
 struct Pending {
     from: SocketAddr,
@@ -65,21 +67,21 @@
     starts: u32,
 }
 
-/// A request that nothing came of.
+/// A request that timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FailedRequest {
     pub(crate) from: SocketAddr,
-    /// It is one of too many in a row.
+    /// True if the sender has reached the limit of consecutive failures.
     pub(crate) gives_up: bool,
 }
 
-/// The request that is under way, if any.
+/// The pending request, if any, and the number of consecutive failures.
 #[derive(Clone, Debug)]
 pub(crate) struct Fetcher {
     pending: Option<Pending>,
-    /// Requests in a row that nothing came of.
+    /// Number of consecutive requests that timed out.
     failures: u32,
-    /// Nothing is asked for before.
+    /// The earliest time of the next request, in milliseconds.
     not_before_ms: f64,
     timeout_ms: f64,
 }
@@ -97,30 +99,31 @@
         self.pending.as_ref().is_some_and(|pending| pending.from == from)
     }
 
-    /// Whether a new request may be sent.
+    /// Returns true if a new request may be sent.
     pub(crate) fn is_ready(&self, now_ms: f64) -> bool {
         self.pending.is_none() && now_ms >= self.not_before_ms
     }
 
-    /// When the pending request is given up; while there is none, from when on the next may be sent.
+    /// Returns the time at which the pending request times out, or the earliest time of the next request if none is
+    /// pending.
     pub(crate) fn poll_timeout(&self) -> f64 {
         self.pending.as_ref().map_or(self.not_before_ms, |pending| pending.until_ms)
     }
 
-    /// Drops a request that nothing came of in time.
+    /// Drops the pending request and returns it if it has timed out.
     pub(crate) fn handle_timeout(&mut self, now_ms: f64) -> Option<FailedRequest> {
         let pending = self.pending.take_if(|pending| now_ms >= pending.until_ms)?;
         self.failures += 1;
         Some(FailedRequest { from: pending.from, gives_up: self.failures >= MAX_FAILURES })
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub(crate) fn begin(&mut self, now_ms: f64, from: SocketAddr) {
         let until_ms = now_ms + self.timeout_ms;
         self.pending = Some(Pending { from, until_ms, builder: None, starts: 0 });
     }
 
-    /// The parent is another from now on.
+    /// Drops the pending request and the failure count, since the parent changed or the request succeeded.
     pub(crate) fn reset(&mut self) {
         self.pending = None;
         self.failures = 0;
@@ -130,7 +133,7 @@
         self.pending.take_if(|pending| pending.from == address);
     }
 
-    /// A change came from there: a snapshot that it is sending moves on.
+    /// Applies a change to the snapshot under assembly if both come from the same sender.
     pub(crate) fn handle_change(&mut self, from: SocketAddr, change: &Change) {
         let pending = self.pending.as_mut().filter(|pending| pending.from == from);
         if let Some(builder) = pending.and_then(|pending| pending.builder.as_mut()) {
@@ -138,19 +141,20 @@
         }
     }
 
-    /// The delta that was asked for has come, unless it only moves on a snapshot that is being assembled.
+    /// Completes a pending request for a delta. A request for a snapshot stays pending, since the delta only updates
+    /// the snapshot under assembly.
     pub(crate) fn handle_delta_end(&mut self) {
         if self.pending.as_ref().is_none_or(|pending| pending.builder.is_none()) {
             self.reset();
         }
     }
 
-    /// What was fetched is in force.
+    /// Resets the failure count after fetched data took effect.
     pub(crate) fn handle_success(&mut self) {
         self.failures = 0;
     }
 
-    /// A chunk of a snapshot.
+    /// Adds a chunk to the snapshot under assembly.
     pub(crate) fn handle_chunk(
         &mut self,
         now_ms: f64,
--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -1,7 +1,8 @@
-//! How long ago an origin was heard from, and whether another process is fresher than the parent.
+//! Time since the last origin contact, and detection of processes that are more up to date than the parent.
 //!
-//! A parent that is stuck but not silent would hold its children back. So a listener asks its backup parent from time to
-//! time what it holds, and others in turn once no origin was heard from for long.
+//! A parent that still sends heartbeats but receives no changes would keep its children behind. Therefore a listener
+//! periodically probes its backup parent, and after a long time without origin contact it probes several other
+//! processes in rotation.
 
 use std::net::SocketAddr;
 
@@ -10,35 +11,38 @@
 use crate::parent_selection::ParentSelector;
 use crate::version::Version;
 
-/// The next probe comes no later than this while no origin was heard from for long, or another process is ahead.
+/// Upper bound, in milliseconds, of the time to the next probe while the origin contact is stale or another process
+/// has a newer version.
 const URGENT_PROBE_MS: f64 = 1000.0;
 
-/// What follows from the answer to a probe.
+/// Conclusion from the answer to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeVerdict {
     KeepParent,
-    /// The one that answered is fresher, or ahead for the second time with nothing under way here.
+    /// The probed process has a more recent origin contact, or it was ahead in two probes in a row while no fetch was
+    /// pending.
     SwitchParent,
 }
 
-/// Whether a delta or snapshot is on its way here.
+/// Whether a request for a delta or snapshot is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchState {
     Idle,
     UnderWay,
 }
 
-/// A listener's view of how far its parent can be trusted to be up to date.
+/// A listener's information about how up to date its parent is.
 #[derive(Clone, Debug)]
 pub(crate) struct Freshness {
-    /// What the parent was last heard to hold.
+    /// The version information that the parent sent last.
     parent_held: Option<HeldVersion>,
-    /// When an origin sent the latest heartbeat that came here, directly or through relays.
+    /// The send time of the latest heartbeat of an origin that arrived here, directly or through relays, in
+    /// milliseconds.
     origin_contact_ms: Option<f64>,
     probed: Option<SocketAddr>,
-    /// Probes in a row that were sent because no origin was heard from.
+    /// Number of consecutive probes that were sent because the origin contact was stale.
     stale_probes: usize,
-    /// What the last one that was probed held and this process did not.
+    /// The version of the last probed process, if it was newer than the version in force here.
     ahead_elsewhere: Option<Version>,
     probe_at_ms: f64,
 }
@@ -71,7 +75,7 @@
         self.probe_at_ms
     }
 
-    /// A heartbeat or the like of the parent.
+    /// Records the version information in a message from the parent.
     pub(crate) fn handle_parent_held(&mut self, now_ms: f64, held: HeldVersion) {
         if held.age_ms < u32::MAX {
             let at_ms = now_ms - f64::from(held.age_ms);
@@ -80,12 +84,12 @@
         self.parent_held = Some(held);
     }
 
-    /// The parent sent a change with this version, which has no age.
+    /// Records the version of a change that the parent sent. A change carries no age.
     pub(crate) fn handle_parent_change(&mut self, version: Version, short_digest: u64) {
         self.parent_held = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
     }
 
-    /// The parent is lost or left: what it held no longer counts, and answers of those probed are about it.
+    /// Drops the information about a former parent, and the probes that were compared with it.
     pub(crate) fn handle_detached(&mut self) {
         self.parent_held = None;
         self.probed = None;
@@ -96,7 +100,7 @@
         self.probe_at_ms = at_ms;
     }
 
-    /// Whom to probe now, if it is time.
+    /// Returns the process to probe if a probe is due.
     pub(crate) fn handle_timeout(
         &mut self,
         now_ms: f64,
@@ -124,12 +128,12 @@
         probed
     }
 
-    /// Whether this one was probed last, so that its answer is expected.
+    /// Returns true if this process was the last one probed, so that its answer is expected.
     pub(crate) fn is_probed(&self, from: SocketAddr) -> bool {
         self.probed == Some(from)
     }
 
-    /// The answer of the one that was probed.
+    /// Handles the answer of the probed process.
     pub(crate) fn handle_probe_reply(
         &mut self,
         now_ms: f64,
--- a/crates/plovershelf-config-distribution/src/known_parents.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents.rs
@@ -1,26 +1,26 @@
-//! Which parents a listener knows, and which of them failed it of late.
+//! The parents that a listener knows, and those that failed it recently.
 
 use std::net::SocketAddr;
 
 use crate::message::{ListenerKind, MAX_ADDRESSES};
 
-/// Failed addresses that are remembered while a parent is sought, at most.
+/// Maximum number of failed addresses that are remembered while the listener has no parent.
 const MAX_FAILED: usize = MAX_ADDRESSES;
-/// Failed addresses that are remembered once a parent is found.
+/// Maximum number of failed addresses that are remembered after the listener attached to a parent.
 const FAILED_KEPT: usize = 4;
-/// Alternates that are asked whether they hold newer, before origins are.
+/// Number of alternate parents that are probed for a newer version before the origins are.
 const ALTERNATES_PROBED: usize = 2;
 
-/// Origins from the operator's file, and the alternates that the parent sent.
+/// The origins from the operator's file, and the alternate parents that the parent sent.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownParents {
-    /// The backup first.
+    /// Alternate parents; the first one is the backup parent.
     alternates: Vec<SocketAddr>,
-    /// The nearest first, as far as that is known.
+    /// All origins, the nearest first once the parent has sent their order.
     origins: Vec<SocketAddr>,
-    /// Which origin is asked next.
+    /// Index of the origin to ask next, modulo the number of origins.
     next_origin: usize,
-    /// Those that did not answer or rejected the listener, the last of them.
+    /// Addresses that did not answer or that rejected the listener, the most recent last.
     failed: Vec<SocketAddr>,
 }
 
@@ -50,7 +50,7 @@
         &self.failed
     }
 
-    /// Whom such a listener may attach to: a relay to origins, a leaf to relays.
+    /// Returns the addresses to which a listener of this kind may attach: origins for a relay, relays for a leaf.
     pub(crate) fn of_kind(&self, kind: ListenerKind) -> &[SocketAddr] {
         match kind {
             ListenerKind::Relay => &self.origins,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Where a listener goes when this parent is lost.
+    /// Returns the address to which the listener attaches if it loses this parent.
     pub(crate) fn backup(&self, kind: ListenerKind, parent: Option<SocketAddr>) -> Option<SocketAddr> {
         let other = |list: &[SocketAddr]| list.iter().copied().find(|at| Some(*at) != parent);
         match kind {
@@ -67,9 +67,10 @@
         }
     }
 
-    /// Whom to probe when no origin was heard from through the parent for long.
+    /// Returns the process to probe after a long time without origin contact through the parent.
     ///
-    /// The backup and one more alternate, as the backup may hear no origin either, then origins; at each turn the next.
+    /// The targets are the backup parent, one more alternate parent because the backup may have no origin contact
+    /// either, and then the origins. Successive values of `turn` select successive targets.
     pub(crate) fn probe_target(
         &self,
         kind: ListenerKind,
@@ -83,7 +84,8 @@
         others.get(turn % others.len().max(1)).copied()
     }
 
-    /// The parent's list. Origins are sorted as the parent knows them to be near; only those of the file count.
+    /// Applies the lists sent by the parent. Sorts the origins in the parent's order of distance, and ignores any that
+    /// are not in the operator's file.
     pub(crate) fn update(&mut self, relays: Vec<SocketAddr>, origins: &[SocketAddr], own: SocketAddr) {
         self.alternates = relays.into_iter().filter(|at| *at != own).take(MAX_ADDRESSES).collect();
         let place = |at: &SocketAddr| origins.iter().position(|known| known == at).unwrap_or(MAX_ADDRESSES);
@@ -91,9 +93,9 @@
         self.next_origin = 0;
     }
 
-    /// A leaf goes there first when it leaves its parent, as that one holds newer.
+    /// Makes a leaf attach to this address first after it leaves its parent, since the address has a newer version.
     ///
-    /// Where it is an origin, all alternates are as far behind as the parent.
+    /// If the address is an origin, all alternate parents are as far behind as the parent, so they count as failed.
     pub(crate) fn prefer(&mut self, address: SocketAddr) {
         if self.is_origin(address) {
             let alternates = std::mem::take(&mut self.alternates);
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The next origin in turn that did not fail of late, or just the next where all did.
+    /// Returns the next origin in rotation that did not fail recently, or the next one if all did.
     pub(crate) fn next_origin(&self) -> Option<SocketAddr> {
         let count = self.origins.len().max(1);
         let first = *self.origins.get(self.next_origin % count)?;
@@ -113,7 +115,7 @@
         Some(in_turn.find(|origin| !self.failed.contains(origin)).copied().unwrap_or(first))
     }
 
-    /// All origins in turn, those that failed of late last.
+    /// Returns all origins in rotation, those that failed recently last.
     pub(crate) fn origins_in_turn(&self) -> Vec<SocketAddr> {
         let mut origins = self.origins.clone();
         origins.rotate_left(self.next_origin % self.origins.len().max(1));
@@ -121,7 +123,7 @@
         origins
     }
 
-    /// The next time another origin comes first.
+    /// Advances the rotation to the next origin.
     pub(crate) fn advance_turn(&mut self) {
         self.next_origin += 1;
     }
@@ -134,7 +136,7 @@
         }
     }
 
-    /// A parent is found: most of those that failed get another chance.
+    /// Forgets all but the most recent failures after the listener attached to a parent.
     pub(crate) fn handle_attached(&mut self, parent: SocketAddr) {
         self.failed.retain(|at| *at != parent);
         self.failed.drain(..self.failed.len().saturating_sub(FAILED_KEPT));
--- a/crates/plovershelf-config-distribution/src/lib.rs
+++ b/crates/plovershelf-config-distribution/src/lib.rs
@@ -1,41 +1,42 @@
 //! Distribution of a versioned configuration to a whole fleet over a tree of relays.
 //!
-//! Origin servers learn from a consensus group what was committed. A bounded number of relays hear from them, and each
-//! relay feeds a bounded number of leaves of its zone. Every process has a backup parent, and an aggregate of what is in
-//! force where travels back up the same tree. Nothing here owns a clock, a socket or a file: a driver passes in the time,
-//! messages and ends of connections, and carries out what [`Node::poll_actions`] returns.
+//! Origin servers receive committed changes from a consensus group. Each origin sends them to a bounded number of
+//! relays, and each relay to a bounded number of leaves in its zone. Every listener has a backup parent, and
+//! aggregates of the versions in force are reported up the same tree. The crate uses no clock, sockets or files: a
+//! driver supplies the time, messages and lost connections, and executes the actions that [`Node::poll_actions`]
+//! returns.
 //!
 //! | guarantee | meaning |
 //! | --- | --- |
-//! | ONE_CONTENT_A_NUMBER | two processes that have the same version in force have the same quotas in force |
-//! | NEVER_BACKWARDS | a process's version in force only ever grows |
-//! | AGREED_IS_IN_FORCE | a committed change is in force within 4 s on all processes that an origin can reach |
-//! | CUT_OFF_SERVES_ON | a process without a parent keeps its quotas and reports how old they are |
-//! | BAD_CHANGES_NOTHING | an invalid change is in force nowhere, not even in part |
+//! | ONE_CONTENT_A_NUMBER | two processes with the same version in force have the same quotas in force |
+//! | NEVER_BACKWARDS | the version in force on a process only increases |
+//! | AGREED_IS_IN_FORCE | a committed change is in force within 4 s on every process that an origin can reach |
+//! | CUT_OFF_SERVES_ON | a process without a parent keeps its quotas and reports their age |
+//! | BAD_CHANGES_NOTHING | no part of an invalid change is in force on any process |
 //!
-//! Each module uses only those above it in this table.
+//! Each module uses only modules listed above it in this table.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`broken`] | faults that tests switch on to show that breaking a promise is caught |
-//! | `version` | position of a change in the committed order |
-//! | `entry` | one tenant's quota, and which names and quotas are valid |
-//! | `change` | edits and the change that carries them |
-//! | `quota_table` | the configuration in force: validates and applies changes |
-//! | `snapshot` | assembles a whole table from chunks beside the one in force |
-//! | `change_log` | the last changes, from which deltas are answered |
-//! | `store` | table and log together: what a process holds and can hand on |
+//! | [`broken`] | fault injection for tests of the checks |
+//! | `version` | position of a change in the order of commits |
+//! | `entry` | a tenant's quota, and validation of names and quotas |
+//! | `change` | edits, and changes that group them under a version |
+//! | `quota_table` | the table in force: validates and applies changes |
+//! | `snapshot` | assembly of a table from chunks |
+//! | `change_log` | the most recent changes, from which deltas are sent |
+//! | `store` | the table in force together with its change log |
 //! | `message` | the wire protocol |
 //! | `config` | intervals, timeouts and fan-outs |
-//! | `known_parents` | which parents a listener knows, and which of them failed it of late |
-//! | `parent_selection` | a listener's state machine for finding, keeping and replacing its parent |
-//! | `freshness` | how long ago an origin was heard from, and whether another process is fresher |
-//! | `fan_out` | the children that are fed from here, and the deltas they still need |
-//! | `origin_peers` | what an origin knows of the other origins |
-//! | `placement` | to which parent an origin sends a listener that looks for one |
-//! | `aggregation` | how many processes are up to date, and which are missing |
-//! | `fetch` | one request at a time for a delta or a snapshot that is missing here |
-//! | `node` | joins the parts: the driver's interface |
+//! | `known_parents` | the parents that a listener knows, and their recent failures |
+//! | `parent_selection` | state machine with which a listener finds, monitors and replaces its parent |
+//! | `freshness` | time since the last origin contact, and detection of processes that are more up to date |
+//! | `fan_out` | the children of a node, and the deltas that they still need |
+//! | `origin_peers` | the state of the other origins, as known to an origin |
+//! | `placement` | selection of the parent that an origin assigns to a listener |
+//! | `aggregation` | counts of processes that are up to date, and names of missing ones |
+//! | `fetch` | requests for missing deltas and snapshots, one at a time |
+//! | `node` | combines the other modules behind the driver interface |
 
 mod aggregation;
 pub mod broken;
--- a/crates/plovershelf-config-distribution/src/message.rs
+++ b/crates/plovershelf-config-distribution/src/message.rs
@@ -1,4 +1,5 @@
-//! The wire protocol. Encoded by position, so variants, fields and their types keep their order.
+//! The wire protocol between the nodes of the distribution tree. The encoding is positional, so the order and the
+//! types of variants and fields must not change.
 
 use std::net::SocketAddr;
 
@@ -8,27 +9,28 @@
 use crate::entry::{Entry, MAX_NAME_BYTES};
 use crate::version::Version;
 
-/// Addresses in a list, at most.
+/// Maximum number of addresses in a list.
 pub(crate) const MAX_ADDRESSES: usize = 16;
-/// Names of missing processes in an aggregate, at most; of attached ones too.
+/// Maximum number of missing processes, and of attached processes, in an aggregate.
 pub(crate) const MAX_NAMES: usize = 8;
-/// Processes that attached lately, in a message between origins, at most.
+/// Maximum number of attachments in a message between origins.
 pub(crate) const MAX_ATTACHMENTS: usize = 80;
-/// Relays in an origin's list for another origin, at most.
+/// Maximum number of relays in an origin's list for another origin.
 pub(crate) const MAX_RELAYS: usize = 64;
 
-/// How a process introduces itself.
+/// Identity and location that a process sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Unique in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: String,
-    /// The zone it runs in.
+    /// The zone of the process.
     pub zone: String,
     /// The region of the zone.
     pub region: String,
-    /// Where it is reached.
+    /// The address at which the process accepts connections.
     pub address: SocketAddr,
-    /// Drawn at each start, so that a process is told apart from its predecessor at the same address.
+    /// Random number drawn at each start. It distinguishes a restarted process from its predecessor at the same
+    /// address.
     pub incarnation: u64,
 }
 
@@ -39,168 +41,173 @@
     }
 }
 
-/// What a listener does for others.
+/// The position of a listener in the distribution tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListenerKind {
-    /// Feeds nobody and hears from a relay.
+    /// Has no children; its parent is a relay.
     Leaf,
-    /// Feeds leaves and hears from an origin.
+    /// Has leaves as children; its parent is an origin.
     Relay,
 }
 
-/// Up to which of the two fan-outs a parent takes a child.
+/// Selects which of a parent's two fan-out limits applies to a new child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FanOutLimit {
-    /// The ordinary one.
+    /// The regular fan-out.
     Normal,
-    /// The higher one, which is reserved for those that lost their parent.
+    /// The higher limit. The difference to the regular fan-out is reserved for processes that lost their parent.
     Failover,
 }
 
 /// A relay in the lists that origins exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayInfo {
-    /// Where it is reached.
+    /// The address of the relay.
     pub address: SocketAddr,
-    /// The zone it runs in.
+    /// The zone of the relay.
     pub zone: String,
     /// The region of the zone.
     pub region: String,
-    /// How many it feeds.
+    /// Number of the relay's children.
     pub children: u32,
 }
 
-/// How many processes of a subtree are up to date; the sender counts itself.
+/// Counts of the processes in the sender's subtree, and of those that are up to date. A listener counts itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Aggregate {
-    /// The sender's own; `up_to_date` counts those that have just this one in force.
+    /// The version in force on the sender; `up_to_date` counts the processes with exactly this version.
     pub version: Version,
-    /// Processes in the subtree.
+    /// Number of processes in the subtree.
     pub nodes: u32,
-    /// Those of them that have `version` in force.
+    /// Number of processes in the subtree that have `version` in force.
     pub up_to_date: u32,
-    /// The lowest version among them.
+    /// The lowest version in the subtree.
     pub oldest: Version,
-    /// How many hear directly from the sender.
+    /// Number of the sender's direct children.
     pub children: u32,
-    /// Names of some that are behind or fell silent.
+    /// Names of some processes that are behind or timed out.
     pub missing: Vec<String>,
-    /// Names of some that attached to the sender since its last aggregate.
+    /// Names of some processes that attached to the sender since its last aggregate, and of known children in
+    /// rotation.
     pub attached: Vec<String>,
 }
 
-/// The version that a process holds, and how long ago an origin was heard from.
+/// The version in force on a process, and the time since its last origin contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldVersion {
-    /// In force there.
+    /// The version in force on the sender.
     pub version: Version,
-    /// The low half of the table's digest.
+    /// The low 64 bits of the digest of the sender's table.
     pub short_digest: u64,
-    /// How long ago an origin was last heard from, directly or through relays; `u32::MAX` where it never was.
+    /// Time since the last origin contact, directly or through relays, in milliseconds; `u32::MAX` if there was none.
     pub age_ms: u32,
 }
 
-/// A process, and the relay or origin that feeds it.
+/// A process and its parent, which is a relay or an origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attachment {
-    /// Of the process.
+    /// The name of the process.
     pub name: String,
-    /// Where its parent is reached.
+    /// The address of its parent.
     pub parent: SocketAddr,
 }
 
-/// What processes send to each other. Each message travels with the address of its sender.
+/// A message between processes. The transport supplies the sender's address with each message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Listener to origin: which parent may I attach to?
+    /// Sent by a listener to an origin: requests candidates for a parent.
     FindParent {
-        /// Who asks.
+        /// The listener that looks for a parent.
         node: NodeInfo,
-        /// Those that did not answer or are gone, which the answer leaves out.
+        /// Addresses that failed the listener recently and that the answer must not contain.
         excluded: Vec<SocketAddr>,
-        /// Sent here by another origin, so not to be redirected again.
+        /// True if another origin redirected the listener, which must not be redirected again.
         redirected: bool,
     },
-    /// An origin's answer: try these relays in this order, or become a relay that I feed, or ask that origin.
+    /// An origin's answer to [`Message::FindParent`]: candidate relays, the instruction to become a relay of this
+    /// origin, or a redirection to another origin.
     ParentCandidates {
-        /// To be tried in this order; none where one of the other two is meant.
+        /// The candidates, in the order in which the listener should try them; empty for the other two answers.
         relays: Vec<SocketAddr>,
-        /// What the listener is to be.
+        /// The kind that the listener must have from now on.
         kind: ListenerKind,
-        /// `Failover`: the relays have no capacity but what is reserved for those that lost their parent.
+        /// `Failover` if all candidates have reached their regular fan-out.
         limit: FanOutLimit,
-        /// An origin that is nearer.
+        /// An origin in the listener's region, which the listener should ask instead.
         ask_origin: Option<SocketAddr>,
     },
-    /// To a parent: feed me, from the version that I hold.
+    /// Sent to a prospective parent: requests attachment and the changes after the version in `held`.
     Attach {
-        /// Who asks.
+        /// The listener that requests attachment.
         node: NodeInfo,
-        /// What it holds.
+        /// The version in force on the listener.
         held: HeldVersion,
-        /// A relay attaches to an origin, a leaf to a relay.
+        /// The kind of the listener: a relay attaches to an origin, a leaf to a relay.
         kind: ListenerKind,
-        /// `Failover`: its last parent is lost.
+        /// `Failover` if the listener lost its previous parent.
         limit: FanOutLimit,
     },
-    /// The parent feeds the sender of [`Message::Attach`] from now on.
+    /// Accepts a [`Message::Attach`]: the receiver is a child of the sender from now on.
     Attached(HeldVersion),
-    /// No capacity, or not a process that feeds others; also to one that is not known as a child (any more).
+    /// Rejects an attachment for lack of capacity or because the sender accepts no such child. Also answers messages
+    /// of a process that the sender doesn't have as a child, or no longer has.
     Rejected,
-    /// I do not hear from you, or do not feed you, any more.
+    /// Ends a parent-child relation; sent by either side.
     Detach,
-    /// A sign of life from a parent, and between origins.
+    /// Sent periodically from a parent to its children, and between origins.
     Heartbeat(HeldVersion),
-    /// To a child: other parents that it may go to.
+    /// Sent to a child: other parents that it may attach to if it loses this one.
     AlternateParents {
-        /// Its backup parent first.
+        /// Alternate relays; the first one is the backup parent.
         relays: Vec<SocketAddr>,
-        /// The nearest first.
+        /// All known origins, the nearest first.
         origins: Vec<SocketAddr>,
     },
-    /// Consecutive changes.
+    /// Consecutive changes, in order of their versions.
     Delta(Vec<Change>),
-    /// What comes after this? Answered with a delta, or with the first chunk of a snapshot.
+    /// Requests the data that follows the sender's version. The answer is a delta, the first chunk of a snapshot, or a
+    /// [`Message::ProbeReply`] if there is nothing newer.
     SyncRequest(HeldVersion),
-    /// The chunk of this version's snapshot that follows on a name. Where the sender of the snapshot moved on, the delta
-    /// comes before the chunk, or the snapshot starts again.
+    /// Requests the chunk that follows a name in the snapshot of this version. If the receiver's version has advanced,
+    /// the changes since then precede the chunk, or the snapshot starts again from its first chunk.
     ChunkRequest {
-        /// The version that is being assembled.
+        /// The version of the snapshot that is being assembled.
         version: Version,
-        /// The last name that came; none for the first chunk.
+        /// The last name that was received; `None` requests the first chunk.
         after: Option<String>,
     },
-    /// A bounded run of a snapshot's entries.
+    /// A bounded range of a snapshot's entries.
     SnapshotChunk {
-        /// Of the whole snapshot.
+        /// The version of the whole snapshot.
         version: Version,
-        /// Of the whole snapshot.
+        /// The digest of the whole snapshot.
         digest: u128,
-        /// The name that the entries follow on.
+        /// The name that the entries follow; `None` for the first chunk.
         after: Option<String>,
-        /// In order of their names.
+        /// The entries, sorted by name.
         entries: Vec<Entry>,
-        /// No entry comes after these.
+        /// True if no entries follow this chunk.
         is_last: bool,
     },
-    /// Child to parent: how many are up to date.
+    /// Sent to the parent: counts of the processes in the sender's subtree.
     Aggregate(Aggregate),
-    /// Attach elsewhere. From a relay that feeds more than its fan-out, without an address: ask an origin again. From an
-    /// origin to a relay: attach to that origin, which is nearer or feeds far fewer.
+    /// Instructs a child to attach elsewhere. A relay that exceeds its fan-out sends it without an address to a leaf,
+    /// which asks an origin for another parent. An origin sends it to a relay with the address of an origin that is
+    /// nearer or has far fewer children.
     Reattach(Option<SocketAddr>),
-    /// From an origin: these, named as missing, have attached elsewhere since.
+    /// Sent by an origin to a child: these processes, which the child reported as missing, are attached elsewhere.
     Relocated(Vec<String>),
-    /// Between origins: who attached lately, and where.
+    /// Exchanged between origins: recent attachments.
     Attachments(Vec<Attachment>),
-    /// What do you hold? To a backup parent, from time to time.
+    /// Requests the version in force on the receiver. Sent periodically to the backup parent.
     Probe,
-    /// Answer to [`Message::Probe`].
+    /// The answer to [`Message::Probe`].
     ProbeReply(HeldVersion),
-    /// Between origins: who I am, and the relays that I feed.
+    /// Exchanged between origins: the sender's identity and its relays.
     OriginRelays {
-        /// The origin.
+        /// The sending origin.
         origin: NodeInfo,
-        /// Its relays.
+        /// The relays that are children of the sender.
         relays: Vec<RelayInfo>,
     },
 }
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -1,15 +1,15 @@
-//! One process of the tree: the driver's interface, and the parts behind it joined.
+//! A node of the distribution tree: the interface for the driver, and the components behind it.
 //!
-//! | input | what may follow |
+//! | input | possible effects |
 //! | --- | --- |
-//! | [`Node::handle_message`] | answers; a change or snapshot in force; another parent |
-//! | [`Node::handle_connection_lost`] | a child is missing, another parent is sought, a request is given up |
-//! | [`Node::handle_commit`] | an origin has the change in force and sends it on |
-//! | [`Node::handle_timeout`] | heartbeats, reports, probes, deltas, silent parents and children, the next request |
+//! | [`Node::handle_message`] | replies are sent; a change or snapshot takes effect; the parent changes |
+//! | [`Node::handle_connection_lost`] | a child is recorded as missing; the parent is replaced; a pending request is cancelled |
+//! | [`Node::handle_commit`] | an origin applies the change and sends it to its children |
+//! | [`Node::handle_timeout`] | heartbeats, reports, probes and deltas are sent; unresponsive parents and children are dropped; the next request starts |
 //!
-//! A listener's states are those of `parent_selection` (whom it hears from) and `fetch` (what it asks for), which do not
-//! depend on each other. An origin has no parent. After each input the driver carries out [`Node::poll_actions`] and calls
-//! [`Node::handle_timeout`] at [`Node::poll_timeout`].
+//! A listener combines two independent state machines: `parent_selection` chooses its parent, and `fetch` requests
+//! missing data. An origin has no parent. After each input the driver must execute the result of
+//! [`Node::poll_actions`], and it must call [`Node::handle_timeout`] at the time returned by [`Node::poll_timeout`].
 
 mod children;
 mod interface;
@@ -41,16 +41,16 @@
 use crate::quota_table::QuotaTable;
 use crate::store::ConfigStore;
 
-/// When the node's own recurring work is due.
+/// Due times of the node's periodic work, in milliseconds of the driver's clock.
 #[derive(Clone, Debug)]
 struct Timers {
     heartbeat_ms: f64,
-    /// Of an origin: the list of relays, to other origins and children.
+    /// When an origin next sends its list of relays to other origins and its lists of alternate parents to children.
     relay_list_ms: f64,
     rebalance_ms: f64,
 }
 
-/// One process that receives changes and may hand them on.
+/// A process that receives configuration changes and, as an origin or relay, forwards them to its children.
 #[derive(Clone, Debug)]
 pub struct Node {
     info: NodeInfo,
@@ -60,24 +60,24 @@
     store: ConfigStore,
     fan_out: FanOut,
     fetcher: Fetcher,
-    /// Of a listener; an origin's stays idle.
+    /// Parent selection of a listener; idle on an origin.
     parent: ParentSelector,
     freshness: Freshness,
-    /// Of an origin; a listener has none.
+    /// The other origins; empty on a listener.
     origins: OriginPeers,
     placement: Placement,
     silent: SilentNodes,
     attachments: AttachmentLog,
     report: ReportTimer,
     timers: Timers,
-    /// Since when a relay has fed nobody.
+    /// Time at which the relay last had a child, in milliseconds.
     idle_since_ms: f64,
     last_input_ms: f64,
     actions: Actions,
 }
 
 impl Node {
-    /// A node that has its table in force and no connection yet.
+    /// Creates a node with the startup table in force and no connections.
     pub fn new(startup: Startup, now_ms: f64) -> Self {
         let Startup { node, role, origins, config, table, seed } = startup;
         let mut rng = Pcg32::seed_from_u64(seed);
@@ -110,22 +110,23 @@
         }
     }
 
-    /// How the node introduces itself.
+    /// Returns the name, location, address and incarnation that the node sends to its peers.
     pub fn info(&self) -> &NodeInfo {
         &self.info
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     pub fn table(&self) -> &QuotaTable {
         self.store.table()
     }
 
-    /// Whether it is a listener that feeds others.
+    /// Returns true if the node is a listener that may have children.
     pub fn is_relay(&self) -> bool {
         self.parent.is_relay()
     }
 
-    /// A message from the process that is reached at `from`. A stranger's is ignored, unless it looks for a parent.
+    /// Handles a message from the process at `from`. Messages from unknown processes are ignored, except requests for a
+    /// parent or attachment, and probes.
     pub fn handle_message(&mut self, now_ms: f64, from: SocketAddr, message: Message) {
         self.note_input(now_ms);
         if !self.accepts(from, &message) {
@@ -136,7 +137,7 @@
         self.fetch_missing(now_ms);
     }
 
-    /// Nothing can be sent to this address, or the connection there ended.
+    /// Handles a failure to send to this address, or the end of the connection to it.
     pub fn handle_connection_lost(&mut self, now_ms: f64, address: SocketAddr) {
         self.note_input(now_ms);
         if let Some(child) = self.fan_out.remove(address) {
@@ -148,7 +149,7 @@
         self.fetch_missing(now_ms);
     }
 
-    /// When [`Node::handle_timeout`] is to be called next, in milliseconds of the driver's clock.
+    /// Returns the time at which [`Node::handle_timeout`] must be called next, in milliseconds of the driver's clock.
     pub fn poll_timeout(&self) -> f64 {
         let mut at_ms = self.timers.heartbeat_ms.min(self.fan_out.poll_timeout());
         if !self.fetcher.is_idle() {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The time is `now_ms`: what is due by now is done.
+    /// Performs all work that is due at `now_ms`.
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.note_input(now_ms);
         self.flush_deltas(now_ms);
@@ -187,12 +188,13 @@
         self.fetch_missing(now_ms);
     }
 
-    /// What is to be sent and published since the last call.
+    /// Returns the messages and events that accumulated since the last call.
     pub fn poll_actions(&mut self) -> Actions {
         std::mem::take(&mut self.actions)
     }
 
-    /// The process ends on purpose: parent and children are notified, so that nobody waits for its silence.
+    /// Prepares an orderly shutdown: sends `Detach` to the parent and all children, so that they need not wait for a
+    /// timeout.
     pub fn close(&mut self) {
         let children = self.fan_out.clear();
         for to in children.into_iter().chain(self.parent.parent()) {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// This process's view of the fleet.
+    /// Returns this process's view of its subtree.
     pub fn status(&self, now_ms: f64) -> NodeStatus {
         let aggregate = self.aggregate();
         NodeStatus {
@@ -222,12 +224,13 @@
         }
     }
 
-    /// The last changes that are kept, oldest first.
+    /// Returns the changes in the change log, oldest first.
     pub fn history(&self) -> Vec<Change> {
         self.store.log().iter().cloned().collect()
     }
 
-    /// Not a message from its own address, nor a parent's request to attach where it can't.
+    /// Rejects messages that carry this node's own address as sender, and a parent's `Reattach` to a target that this
+    /// node must not attach to.
     fn accepts(&self, from: SocketAddr, message: &Message) -> bool {
         match message {
             Message::Reattach(to) if self.parent.is_parent(from) => self.accepts_reattach(*to),
@@ -270,12 +273,12 @@
         }
     }
 
-    /// Whether it may have children.
+    /// Returns true if this node accepts children.
     fn feeds_others(&self) -> bool {
         self.role == Role::Origin || self.parent.is_relay()
     }
 
-    /// What this process holds, as heartbeats carry it.
+    /// Returns the version in force and the time since the last origin contact, as sent in heartbeats.
     fn held(&self, now_ms: f64) -> HeldVersion {
         let age_ms = match self.role {
             Role::Origin => 0.0,
@@ -304,9 +307,11 @@
         self.actions.events.push(Event::Warning(warning));
     }
 
-    /// Each input begins here. After a pause of this process itself parents and children get more time.
+    /// Records that the driver called the node. After a pause of this process, extends the timeouts of the parent and
+    /// the children.
     ///
-    /// Against taking others for silent when it is this process that stood still: what they sent is still to be read.
+    /// Without the extension, the node would treat its peers as unresponsive although their messages are still waiting
+    /// in its own receive queue.
     fn note_input(&mut self, now_ms: f64) {
         let paused_ms = now_ms - self.last_input_ms;
         if paused_ms > self.config.pause_detection_ms {
@@ -316,7 +321,7 @@
         self.last_input_ms = self.last_input_ms.max(now_ms);
     }
 
-    /// To children and other origins.
+    /// Sends heartbeats to all children and other origins.
     fn send_heartbeats(&mut self, now_ms: f64) {
         self.timers.heartbeat_ms = now_ms + self.config.heartbeat_interval_ms;
         let held = self.held(now_ms);
--- a/crates/plovershelf-config-distribution/src/node/children.rs
+++ b/crates/plovershelf-config-distribution/src/node/children.rs
@@ -1,4 +1,4 @@
-//! What a parent does for its children: accepts them, handles their reports, keeps their lists of alternate parents.
+//! Parent behavior: accepting children, handling their reports, and sending them alternate parents.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::message::{Aggregate, FanOutLimit, HeldVersion, ListenerKind, Message, NodeInfo, MAX_NAMES};
 use crate::placement::rotated_for;
 
-/// A process asks to be fed.
+/// The contents of a [`Message::Attach`].
 pub(super) struct AttachRequest {
     pub(super) node: NodeInfo,
     pub(super) held: HeldVersion,
@@ -17,13 +17,13 @@
 }
 
 impl Node {
-    /// A child fell silent, or its connection is lost.
+    /// Records a child as missing after it timed out or its connection was lost.
     pub(super) fn on_child_gone(&mut self, now_ms: f64, child: Child) {
         self.silent.add(now_ms, child.node.name);
         self.report.hasten();
     }
 
-    /// A process asks to be fed from here.
+    /// Handles a process's request to become a child of this node.
     pub(super) fn on_attach(&mut self, now_ms: f64, from: SocketAddr, request: AttachRequest) {
         let AttachRequest { node, held, kind, limit } = request;
         let is_known = self.fan_out.contains(from);
@@ -47,10 +47,11 @@
         self.report.hasten();
     }
 
-    /// Origins feed relays and relays feed leaves.
+    /// Returns true if this node accepts a child of this kind: origins accept relays, and relays accept leaves.
     ///
-    /// Against a cycle of parents, in which all would wait for each other: it shows as an age that grows on processes
-    /// whose parents are alive. With two levels of one kind each there is none.
+    /// The restriction prevents a cycle of parents, in which every process would wait for the others. Such a cycle
+    /// would show as a growing age on processes whose parents still respond. With two levels of one kind each, no
+    /// cycle is possible.
     fn may_feed(&self, from: SocketAddr, kind: ListenerKind) -> bool {
         let fits = match self.role {
             Role::Origin => kind == ListenerKind::Relay,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A child leaves, or the parent does not feed this process any more.
+    /// Handles a child that leaves, or a parent that no longer serves this node.
     pub(super) fn on_detach(&mut self, now_ms: f64, from: SocketAddr) {
         if let Some(child) = self.fan_out.remove(from) {
             self.silent.remove(&child.node.name);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A child's report.
+    /// Handles a child's report about its subtree.
     pub(super) fn on_aggregate(&mut self, now_ms: f64, from: SocketAddr, mut aggregate: Aggregate) {
         let fits = |names: &[String]| {
             names.len() <= MAX_NAMES && names.iter().all(|name| name.len() <= MAX_NAME_BYTES)
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Sends children their alternate parents, where the list changed since it was sent last.
+    /// Sends each child its list of alternate parents if the list changed since it was last sent.
     pub(super) fn send_alternates(&mut self, now_ms: f64) {
         let mut changed = Vec::new();
         for child in self.fan_out.children() {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A relay's children are leaves, which count themselves alone, whatever they report.
+/// Reduces a leaf's report to the leaf itself, since the children of a relay have no children of their own.
 fn reduce_to_leaf(aggregate: &mut Aggregate) {
     aggregate.nodes = 1;
     aggregate.up_to_date = aggregate.up_to_date.min(1);
--- a/crates/plovershelf-config-distribution/src/node/interface.rs
+++ b/crates/plovershelf-config-distribution/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! Types of the driver's interface: what a node starts with, and what it returns.
+//! Types of the driver interface: startup parameters, actions, events, errors and status.
 
 use std::net::SocketAddr;
 
@@ -11,173 +11,174 @@
 use crate::snapshot::SnapshotError;
 use crate::version::Version;
 
-/// Where a process gets committed changes from.
+/// Source of committed changes for a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// From its consensus group.
+    /// Changes come from the consensus group that the process belongs to.
     Origin,
-    /// From a parent.
+    /// Changes come from a parent in the distribution tree.
     Listener,
 }
 
-/// What a node starts with.
+/// Parameters for [`Node::new`](crate::Node::new).
 #[derive(Clone, Debug)]
 pub struct Startup {
-    /// How it introduces itself.
+    /// Name, location, address and incarnation that the node sends to its peers.
     pub node: NodeInfo,
-    /// Whether it is an origin.
+    /// Whether the node is an origin or a listener.
     pub role: Role,
-    /// Where origins are reached; an origin has the others here.
+    /// Addresses of all origins. The node's own address is ignored.
     pub origins: Vec<SocketAddr>,
     /// Intervals, timeouts and fan-outs.
     pub config: DistributionConfig,
-    /// In force as it starts.
+    /// The quota table that is in force at the start.
     pub table: QuotaTable,
-    /// Of all random draws.
+    /// Seed of the random number generator that the node uses for jitter and random choices.
     pub seed: u64,
 }
 
-/// What the driver is to publish to those that use the configuration, in order.
+/// An event that the driver must publish, in order, to the users of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// In force from now on: these edits of what was.
+    /// A change took effect and applied these edits to the previous table.
     DeltaApplied {
-        /// The version that they lead to.
+        /// The version in force after the edits.
         version: Version,
-        /// In order.
+        /// The edits, in the order of their application.
         edits: Vec<Edit>,
     },
-    /// In force from now on: all of [`Node::table`](crate::Node::table), as no delta leads there.
+    /// A snapshot took effect. Users must reload all of [`Node::table`](crate::Node::table), since no edits describe
+    /// the difference.
     SnapshotApplied {
-        /// The table's version.
+        /// The version of the new table.
         version: Version,
     },
-    /// Something that people should know of.
+    /// A problem to report to the operators.
     Warning(Warning),
 }
 
-/// What a node noticed and left out; each is one line.
+/// A problem with received or committed data that the node rejected. The `Display` text is one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Warning {
-    /// A change that came does not fit.
-    #[error("change {version} from {from}: {error}; nothing of it is in force")]
+    /// A received change can't be applied to the table in force.
+    #[error("change {version} from {from} not applied: {error}")]
     ChangeNotApplied {
-        /// Of the change.
+        /// The version of the rejected change.
         version: Version,
-        /// Who sent it.
+        /// The address of the sender.
         from: SocketAddr,
-        /// Why it does not fit.
+        /// The reason for the rejection.
         error: ApplyError,
     },
-    /// A change came under a version that is known here with another digest.
-    #[error("change {0} came with another content than is held; it is left out")]
+    /// A change arrived with a version that is known here under another digest.
+    #[error("change {0} ignored: its digest differs from that of the known change with this version")]
     ContradictingChange(Version),
-    /// A chunk of a snapshot is not valid.
-    #[error("the whole of {version} from {from}: {error}; nothing of it is in force")]
+    /// A chunk of a snapshot contains an invalid entry.
+    #[error("snapshot {version} from {from} rejected: {error}")]
     InvalidChunk {
-        /// Of the snapshot.
+        /// The version of the snapshot.
         version: Version,
-        /// Who sent it.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// The reason for the rejection.
         error: SnapshotError,
     },
-    /// A snapshot is complete and has another digest.
-    #[error("{error}, from {from}; nothing of it is in force")]
+    /// A complete snapshot does not match its digest.
+    #[error("snapshot from {from} rejected: {error}")]
     InvalidSnapshot {
-        /// Who sent it.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// The reason for the rejection.
         error: SnapshotError,
     },
-    /// A committed change does not apply to what an origin holds: it missed some in between.
-    #[error("change {version} was agreed, {held} is in force here: it {error}")]
+    /// A committed change can't be applied on this origin, since the origin missed earlier changes.
+    #[error("committed change {version} not applied to version {held}: {error}")]
     CommittedChangeNotApplied {
-        /// Of the change.
+        /// The version of the committed change.
         version: Version,
-        /// In force here.
+        /// The version in force here.
         held: Version,
-        /// Why it does not apply.
+        /// The reason for the rejection.
         error: ApplyError,
     },
 }
 
-/// What the driver is to carry out.
+/// Messages and events that the driver must send and publish.
 #[derive(Clone, Debug, Default)]
 pub struct Actions {
-    /// To be sent, in order, each to the process that is reached there.
+    /// Messages to send, in order, with the address of the receiver.
     pub messages: Vec<(SocketAddr, Message)>,
-    /// To be published, in order.
+    /// Events to publish, in order.
     pub events: Vec<Event>,
 }
 
-/// Why an origin does not propose a change, in one line.
+/// Reason why an origin rejects a proposal. The `Display` text is one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ProposalError {
-    /// This process, of this name, is a listener.
+    /// The process with this name is a listener.
     #[error("{0} is no source; propose to one of the machines set aside")]
     NotAnOrigin(String),
-    /// The change was to follow on another number than the newest.
+    /// The proposal requires a version number that is not the newest one.
     #[error("after {after}: the newest number is {newest}; look at it, then propose after {newest}")]
     NotAfterNewest {
-        /// The number that it was to follow on.
+        /// The version number that the proposal requires.
         after: u64,
-        /// The newest here.
+        /// The newest version number on this origin.
         newest: u64,
     },
-    /// A relay is ahead, so this origin has missed a change.
+    /// A relay has a newer version in force, so this origin has missed a change.
     #[error("{name} has {theirs} in force, {own} is the newest here; propose when that came here")]
     Behind {
-        /// The relay.
+        /// The name of the relay.
         name: String,
-        /// In force there.
+        /// The version in force on the relay.
         theirs: Version,
-        /// In force here.
+        /// The version in force on this origin.
         own: Version,
     },
-    /// Another origin holds another table under the same version.
+    /// Another origin has a different table in force under the same version.
     #[error(
         "the source at {origin} has another content under {version}; mend the one that is wrong, then propose"
     )]
     ConflictingOrigin {
-        /// Where the other origin is reached.
+        /// The address of the other origin.
         origin: SocketAddr,
-        /// In force in both.
+        /// The version in force on both origins.
         version: Version,
     },
-    /// The edits do not fit the table.
+    /// The edits can't be applied to the table.
     #[error(transparent)]
     Invalid(#[from] InvalidChange),
-    /// There is no number after the newest.
+    /// The version number can't be increased any further.
     #[error("the numbers of this era are used up")]
     NumbersUsedUp,
 }
 
-/// One process's view of the fleet, for people.
+/// A process's view of its subtree, for display.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Of this process.
+    /// The name of this process.
     pub name: String,
-    /// In force here.
+    /// The version in force on this process.
     pub version: Version,
-    /// Of the table in force here.
+    /// The digest of the table in force on this process.
     pub digest: u128,
-    /// How many the table has.
+    /// Number of tenants in the table.
     pub tenants: u64,
-    /// How long ago an origin was last heard from, directly or through relays; none where it never was.
+    /// Time since the last origin contact, directly or through relays, in milliseconds; `None` if there was none.
     pub age_ms: Option<f64>,
-    /// Whom it hears from.
+    /// The address of the parent.
     pub parent: Option<SocketAddr>,
-    /// Where it goes when its parent is lost.
+    /// The address that the process attaches to if it loses its parent.
     pub backup_parent: Option<SocketAddr>,
-    /// How many hear from it.
+    /// Number of direct children.
     pub children: u64,
-    /// Processes in the subtree; a listener counts itself, an origin does not.
+    /// Number of processes in the subtree; a listener counts itself, an origin does not.
     pub nodes: u64,
-    /// Those of them that have this version in force.
+    /// Number of processes in the subtree that have this version in force.
     pub up_to_date: u64,
-    /// The lowest version among them.
+    /// The lowest version in the subtree.
     pub oldest: Version,
-    /// Names of some that are behind or fell silent.
+    /// Names of some processes that are behind or timed out.
     pub missing: Vec<String>,
 }
--- a/crates/plovershelf-config-distribution/src/node/listener.rs
+++ b/crates/plovershelf-config-distribution/src/node/listener.rs
@@ -1,4 +1,4 @@
-//! What a listener does: finds and keeps a parent, reports to it, probes others, and as a relay sheds children.
+//! Listener behavior: selecting a parent, reporting to it, probing other processes and, as a relay, shedding children.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::parent_selection::{Failure, FindRequest, ParentAction};
 use crate::quota_table::QuotaTable;
 
-/// An origin's answer to a listener that looks for a parent.
+/// The contents of an origin's [`Message::ParentCandidates`].
 pub(super) struct Candidates {
     pub(super) relays: Vec<SocketAddr>,
     pub(super) kind: ListenerKind,
@@ -20,7 +20,8 @@
 }
 
 impl Node {
-    /// The parent, reports, probes, children and the own kind, as far as they are due.
+    /// Performs the due work of a listener: parent timeout or selection, report, probe, shedding of children, and
+    /// retirement of an idle relay.
     pub(super) fn handle_listener_timeout(&mut self, now_ms: f64) {
         if let Some(parent) = self.parent.silent_parent(now_ms) {
             self.on_parent_silent(now_ms, parent);
@@ -46,14 +47,16 @@
         if self.attachments.has_pending() {
             self.report.hasten();
         } else if let Some(child) = self.fan_out.next_name() {
-            // In turn again, as what was reported once may be lost with a connection or an origin.
+            // Repeat the names of known children in rotation, since an earlier report may have been lost with a
+            // connection or with a restart of the origin.
             aggregate.attached.push(child);
             aggregate.attached.truncate(MAX_NAMES);
         }
         self.send(parent, Message::Aggregate(aggregate));
     }
 
-    /// A relay that took over from one that died comes back to its fan-out, one child at a time.
+    /// Moves children elsewhere, one per interval, while a relay has more than its fan-out. A relay exceeds its
+    /// fan-out when it takes over the children of a failed relay.
     fn shed_excess_child(&mut self, now_ms: f64) {
         if self.fan_out.len() <= self.config.fan_out {
             let interval_ms = self.rng.random_range(1.0..2.0) * self.config.rebalance_interval_ms;
@@ -87,14 +90,15 @@
         self.seek_other_parent(now_ms, parent);
     }
 
-    /// The parent is lost or left: goes to another.
+    /// Attaches to another parent after the current one was lost or detached this node.
     pub(super) fn replace_parent(&mut self, now_ms: f64, parent: SocketAddr) {
         if !self.keeps_lost_parent(now_ms) {
             self.seek_other_parent(now_ms, parent);
         }
     }
 
-    /// Faults that tests switch on: the parent is waited for, or the table is dropped with it.
+    /// Applies injected faults: waits for a lost parent, or drops the table with it. Returns true if the parent must
+    /// be retained.
     fn keeps_lost_parent(&mut self, now_ms: f64) -> bool {
         if broken::is(Broken::SpareNeverUsed) {
             self.parent.handle_parent_heard(now_ms);
@@ -112,7 +116,7 @@
         self.carry_out(now_ms, action);
     }
 
-    /// What was under way with the parent, and what it held, no longer counts.
+    /// Drops the pending request and the version information that belong to the former parent.
     fn forget_parent(&mut self) {
         self.fetcher.reset();
         self.freshness.handle_detached();
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Nothing can be sent there: the parent, or the one that an attempt is made at.
+    /// Handles an unreachable address, which may be the parent or the target of a pending attempt.
     pub(super) fn on_unreachable(&mut self, now_ms: f64, address: SocketAddr) {
         if self.parent.is_parent(address) {
             self.replace_parent(now_ms, address);
@@ -149,7 +153,7 @@
         }
     }
 
-    /// An origin's answer to a listener that looks for a parent.
+    /// Handles an origin's answer to [`Message::FindParent`].
     pub(super) fn on_candidates(&mut self, now_ms: f64, from: SocketAddr, candidates: Candidates) {
         let Some(request) = self.parent.find_request(from) else { return };
         let Candidates { relays, kind, limit, ask_origin } = candidates;
@@ -197,7 +201,8 @@
         self.carry_out(now_ms, action);
     }
 
-    /// The parent's list of other parents; a relay passes on what changed.
+    /// Updates the list of alternate parents from the parent's message. A relay forwards changed lists to its
+    /// children.
     pub(super) fn on_alternates(
         &mut self,
         now_ms: f64,
@@ -212,7 +217,7 @@
         }
     }
 
-    /// From an origin: these, which were reported as missing, attached elsewhere.
+    /// Handles an origin's notice that these processes, which were reported as missing, are attached elsewhere.
     pub(super) fn on_relocated(&mut self, from: SocketAddr, names: &[String]) {
         if names.len() <= MAX_NAMES && self.parent.is_parent(from) {
             names.iter().for_each(|name| self.silent.remove(name));
@@ -220,7 +225,8 @@
         }
     }
 
-    /// A relay goes to an origin only, a leaf wherever an origin sends it.
+    /// Returns true if this node may follow the parent's `Reattach`: a relay may attach only to an origin, and a leaf
+    /// asks an origin for a new parent.
     pub(super) fn accepts_reattach(&self, to: Option<SocketAddr>) -> bool {
         match to {
             Some(origin) => self.parent.is_relay() && self.parent.known().is_origin(origin),
@@ -228,7 +234,7 @@
         }
     }
 
-    /// The parent sends this process elsewhere.
+    /// Handles the parent's instruction to attach elsewhere.
     pub(super) fn on_reattach(&mut self, now_ms: f64, parent: SocketAddr, to: Option<SocketAddr>) {
         if !self.parent.is_parent(parent) {
             return;
@@ -250,7 +256,7 @@
         }
     }
 
-    /// What the parent, or another origin, holds.
+    /// Records the version information of the parent or of another origin.
     pub(super) fn on_held_version(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) {
         if self.origins.handle_held(now_ms, from, held) || !self.parent.is_parent(from) {
             return;
@@ -259,7 +265,7 @@
         self.freshness.handle_parent_held(now_ms, held);
     }
 
-    /// Somebody asks what this process holds.
+    /// Answers a request for the version in force here.
     pub(super) fn on_probe(&mut self, now_ms: f64, from: SocketAddr) {
         if self.feeds_others() {
             let held = self.held(now_ms);
@@ -267,7 +273,7 @@
         }
     }
 
-    /// The answer of the parent, of another origin, or of one that was probed.
+    /// Handles the version information sent by the parent, another origin, or a probed process.
     pub(super) fn on_probe_reply(&mut self, now_ms: f64, from: SocketAddr, theirs: HeldVersion) {
         if self.parent.is_parent(from) || self.origins.contains(from) {
             return self.on_held_version(now_ms, from, theirs);
@@ -283,7 +289,7 @@
         }
     }
 
-    /// Somebody feeds this process, which hears from another by now.
+    /// Detaches from a process that sends this listener data but is not its parent.
     pub(super) fn decline_feeding(&mut self, from: SocketAddr) {
         let is_expected = self.parent.is_attaching_to(from) || self.parent.is_parent(from);
         if !is_expected && self.role == Role::Listener {
--- a/crates/plovershelf-config-distribution/src/node/origin.rs
+++ b/crates/plovershelf-config-distribution/src/node/origin.rs
@@ -1,4 +1,4 @@
-//! What an origin does: proposals and commits, placement of listeners, the exchange among origins.
+//! Origin behavior: proposals and commits, placement of listeners, and the exchange between origins.
 
 use std::net::SocketAddr;
 
@@ -13,18 +13,19 @@
 use crate::placement::ParentRequest;
 use crate::version::Version;
 
-/// Children whose names are sent to the other origins again, each time that the list of relays is.
+/// Number of child names that are sent again to the other origins with each list of relays.
 const CHILDREN_RESENT: usize = 4;
 
 impl Node {
-    /// Of an origin: makes of edits the change that would come next, validated against the table in force.
+    /// Returns the next change for these edits, validated against the table in force. Only origins prepare changes.
     ///
-    /// With `after` only if that is the newest number. The driver proposes the change to the consensus group and passes it
-    /// in with [`Node::handle_commit`] once it is committed.
+    /// If `after` is given, it must be the newest version number. The driver proposes the change to the consensus
+    /// group and calls [`Node::handle_commit`] once the change is committed.
     ///
     /// # Errors
     ///
-    /// This process is no origin, it is behind or in conflict with another, or the edits do not fit.
+    /// Returns an error if this process is a listener, if it is behind or in conflict with another process, or if the
+    /// edits can't be applied.
     pub fn prepare_change(
         &self,
         edits: Vec<Edit>,
@@ -44,8 +45,8 @@
             let (name, theirs) = (child.node.name.clone(), child.aggregate.version);
             return Err(ProposalError::Behind { name, theirs, own: previous });
         }
-        // Against an origin that began from another list: what it proposes would be in force everywhere. The digest in the
-        // others' heartbeats shows it.
+        // Reject proposals if another origin started from a different table, since a change based on the wrong table
+        // would take effect everywhere. The digests in the heartbeats of the other origins reveal the difference.
         if let Some(origin) = self.origins.conflicting_with(previous, self.store.short_digest()) {
             return Err(ProposalError::ConflictingOrigin { origin, version: previous });
         }
@@ -55,7 +56,7 @@
         Ok(Change { version, previous, digest, edits, proposed_unix_ms })
     }
 
-    /// Of an origin: the consensus group has committed this change.
+    /// Applies a change that the consensus group has committed. The driver calls it on origins only.
     pub fn handle_commit(&mut self, now_ms: f64, change: Change) {
         self.note_input(now_ms);
         let (version, held) = (change.version, self.store.version());
@@ -73,7 +74,8 @@
         self.flush_deltas(now_ms);
     }
 
-    /// Sends relay lists to the other origins and to children; now and then sends a relay to a better origin.
+    /// Sends the lists of relays to the other origins and the lists of alternate parents to children. Periodically
+    /// moves one relay to a better origin.
     pub(super) fn handle_origin_timeout(&mut self, now_ms: f64) {
         if now_ms < self.timers.relay_list_ms {
             return;
@@ -105,7 +107,8 @@
         }
     }
 
-    /// A few children are named again, in turn, as what was sent once may be lost with a connection.
+    /// Queues the names of a few children again, in rotation, since an earlier message may have been lost with a
+    /// connection.
     fn resend_children(&mut self, now_ms: f64) {
         for _ in 0..CHILDREN_RESENT.min(self.fan_out.len()) {
             let Some(child) = self.fan_out.next_name() else { break };
@@ -114,7 +117,7 @@
         }
     }
 
-    /// A listener looks for a parent.
+    /// Handles a listener's request for a parent.
     pub(super) fn on_find_parent(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
         if self.role != Role::Origin {
             self.send(request.from, Message::Rejected);
@@ -127,7 +130,8 @@
         }
     }
 
-    /// Records who attached to a child lately, and notifies the child of missing ones that attached elsewhere.
+    /// Records the processes that attached to a child, and notifies the child about missing processes that are
+    /// attached elsewhere.
     pub(super) fn locate_attached(&mut self, now_ms: f64, from: SocketAddr, aggregate: &mut Aggregate) {
         for name in std::mem::take(&mut aggregate.attached) {
             self.locate(now_ms, &name, from);
@@ -141,7 +145,7 @@
         }
     }
 
-    /// From another origin: who attached where.
+    /// Records the attachments that another origin reports.
     pub(super) fn on_attachments(&mut self, now_ms: f64, from: SocketAddr, attached: Vec<Attachment>) {
         if attached.len() > MAX_ATTACHMENTS || !self.origins.contains(from) {
             return;
@@ -153,13 +157,13 @@
         }
     }
 
-    /// It is attached there, so it is not missing here.
+    /// Records the parent of a process, which is therefore no longer missing.
     fn locate(&mut self, now_ms: f64, name: &str, parent: SocketAddr) {
         self.attachments.locate(now_ms, name, parent);
         self.silent.remove(name);
     }
 
-    /// Another origin introduces itself and its relays.
+    /// Records the identity and the relays of another origin.
     pub(super) fn on_origin_relays(
         &mut self,
         now_ms: f64,
--- a/crates/plovershelf-config-distribution/src/node/sync.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -1,4 +1,4 @@
-//! Deltas and snapshots: answers to those that may ask, and what is fetched and applied here.
+//! Deltas and snapshots: serving the requests of other processes, and fetching and applying missing data.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 use crate::version::Version;
 
 impl Node {
-    /// Children, other origins, and the parent: an origin that begins from nothing asks its relays.
+    /// Returns true if this process may request deltas and snapshots: a child, another origin, or the parent. The
+    /// parent is included because an origin that starts from an empty state fetches from its relays.
     fn may_ask(&self, from: SocketAddr) -> bool {
         self.fan_out.contains(from) || self.origins.contains(from) || self.parent.is_parent(from)
     }
@@ -30,7 +31,8 @@
         }
     }
 
-    /// The next chunk, after what changed since the last one; or the first one of what is in force by now.
+    /// Sends the next chunk of the snapshot, preceded by the changes since the last chunk. Sends the first chunk of
+    /// the current snapshot if the change log does not reach back far enough.
     pub(super) fn on_chunk_request(&mut self, from: SocketAddr, version: Version, after: Option<String>) {
         if !self.may_ask(from) || after.as_ref().is_some_and(|after| after.len() > MAX_NAME_BYTES) {
             return;
@@ -40,7 +42,7 @@
         self.send_chunk(from, after.filter(|_| continues));
     }
 
-    /// All changes after a version; false where the log does not reach back that far.
+    /// Sends all changes after a version. Returns false if the change log does not reach back to that version.
     fn send_delta(&mut self, to: SocketAddr, after: Version) -> bool {
         let Some(batches) = self.store.delta_batches(after) else { return false };
         for changes in batches {
@@ -55,7 +57,7 @@
         self.send(to, Message::SnapshotChunk { version, digest, after, entries, is_last });
     }
 
-    /// Who holds what is missing here.
+    /// Returns the address of a process that has data which is missing here.
     pub(super) fn fetch_target(&self) -> Option<SocketAddr> {
         match self.role {
             Role::Origin => self.origin_fetch_target(),
@@ -66,16 +68,18 @@
         }
     }
 
-    /// Whether a parent holds what this process does not: a later version, or another table that it started from.
+    /// Returns true if the parent has a later version, or if both are at the initial version with different tables.
     fn lacks(&self, held: &HeldVersion) -> bool {
         let own = self.store.version();
         let started_otherwise = own == Version::default() && held.short_digest != self.store.short_digest();
         held.version > own || (held.version == own && started_otherwise)
     }
 
-    /// Another origin that is ahead; else, for an origin that begins from nothing as all others do, a relay.
+    /// Returns another origin that is ahead. If there is none and this origin is at the initial version, returns the
+    /// relay with the newest version.
     ///
-    /// Not from a relay later: only origins know what is committed.
+    /// The second case covers a restart of all origins without stored state. After it, an origin never fetches from a
+    /// relay, since only origins know which changes are committed.
     fn origin_fetch_target(&self) -> Option<SocketAddr> {
         let own = self.store.version();
         if let Some(origin) = self.origins.ahead_of(own) {
@@ -87,7 +91,7 @@
         ahead.max_by_key(|child| child.aggregate.version).map(|child| child.address)
     }
 
-    /// Asks for what is missing here, if nothing is under way.
+    /// Requests missing data if no request is pending. Handles the timeout of the pending request first.
     pub(super) fn fetch_missing(&mut self, now_ms: f64) {
         if let Some(failed) = self.fetcher.handle_timeout(now_ms) {
             self.origins.forget_held(failed.from);
@@ -129,7 +133,8 @@
         }
     }
 
-    /// Applies a change that came. One that is known or leaves a gap changes nothing; the gap is asked for.
+    /// Applies a received change. Ignores a known change and one that leaves a gap; the gap triggers a separate
+    /// request.
     fn take_change(&mut self, now_ms: f64, from: SocketAddr, change: Change) -> Result<(), Warning> {
         self.fetcher.handle_change(from, &change);
         let version = change.version;
@@ -146,7 +151,7 @@
         }
     }
 
-    /// A version that is in force, or from before: nothing changes, and another digest under it is a warning.
+    /// Warns if a change for a version in force, or an earlier one, has another digest than the known change.
     pub(super) fn check_known_change(&mut self, change: &Change) {
         if self.store.contradicts(change) {
             self.warn(Warning::ContradictingChange(change.version));
@@ -187,7 +192,8 @@
         self.parent.handle_heard_from(now_ms, from);
     }
 
-    /// Takes a table that is later than the one in force, or that the origins started from in place of the own.
+    /// Installs a complete snapshot if it is later than the table in force, or if it replaces an initial table that
+    /// differs from the origins' one.
     fn take_snapshot(&mut self, now_ms: f64, table: QuotaTable) {
         let own = self.store.version();
         let is_first = own == Version::default() && table.version() == own;
--- a/crates/plovershelf-config-distribution/src/origin_peers.rs
+++ b/crates/plovershelf-config-distribution/src/origin_peers.rs
@@ -1,4 +1,4 @@
-//! What an origin knows of the other origins.
+//! The state of the other origins, as known to one origin.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
         self.node.as_ref().is_some_and(|node| node.region == region)
     }
 
-    /// Whether its relays and region are known.
+    /// Returns true if the peer has sent its identity and relays.
     pub(crate) fn is_introduced(&self) -> bool {
         self.node.is_some()
     }
@@ -30,11 +30,11 @@
     }
 }
 
-/// The other origins, as the operator's file lists them. A listener has none.
+/// The other origins, as listed in the operator's file; empty on a listener.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginPeers {
     peers: Vec<OriginPeer>,
-    /// One that is silent for this long is left out, and its relays with it.
+    /// Time without a message after which a peer and its relays are disregarded, in milliseconds.
     silent_after_ms: f64,
 }
 
@@ -62,7 +62,7 @@
         self.peers.iter_mut().find(|peer| peer.address == address)
     }
 
-    /// A heartbeat or the like; false where it comes from no origin.
+    /// Records a peer's version information. Returns false if the sender is not an origin.
     pub(crate) fn handle_held(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) -> bool {
         let Some(peer) = self.get_mut(from) else { return false };
         peer.held = Some(held);
@@ -70,7 +70,8 @@
         true
     }
 
-    /// It did not answer or its connection is lost: it is not asked again before its next heartbeat.
+    /// Drops the version of a peer that did not answer or whose connection was lost, so that nothing is requested from
+    /// it before its next heartbeat.
     pub(crate) fn forget_held(&mut self, address: SocketAddr) {
         if let Some(peer) = self.get_mut(address) {
             peer.held = None;
@@ -91,31 +92,31 @@
         peer.relays = relays;
     }
 
-    /// Those that are not silent.
+    /// Returns the peers that have not timed out.
     pub(crate) fn live(&self, now_ms: f64) -> impl Iterator<Item = &OriginPeer> {
         self.peers.iter().filter(move |peer| peer.heard_at_ms + self.silent_after_ms > now_ms)
     }
 
-    /// All relays of the other origins; those of silent ones too.
+    /// Returns the relays of all peers, including those that timed out.
     pub(crate) fn relays_mut(&mut self) -> impl Iterator<Item = &mut RelayInfo> {
         self.peers.iter_mut().flat_map(|peer| &mut peer.relays)
     }
 
-    /// The origin that holds the newest version, if that is newer than this.
+    /// Returns the peer with the newest version if that is newer than this one.
     pub(crate) fn ahead_of(&self, version: Version) -> Option<SocketAddr> {
         let newer = |held: &HeldVersion| held.version > version;
         let ahead = self.peers.iter().filter(|peer| peer.held.as_ref().is_some_and(newer));
         ahead.max_by_key(|peer| peer.held.map(|held| held.version)).map(|peer| peer.address)
     }
 
-    /// An origin that holds another table under the same version.
+    /// Returns a peer that has a different table under the same version.
     pub(crate) fn conflicting_with(&self, version: Version, short_digest: u64) -> Option<SocketAddr> {
         let conflicts = |held: &HeldVersion| held.version == version && held.short_digest != short_digest;
         let peer = self.peers.iter().find(|peer| peer.held.as_ref().is_some_and(conflicts))?;
         Some(peer.address)
     }
 
-    /// All origins, this one too, those of a region first.
+    /// Returns the addresses of all origins, including this one, with those in the given region first.
     pub(crate) fn nearest_first(&self, own: &NodeInfo, region: &str) -> Vec<SocketAddr> {
         let own = (own.region != region, own.address);
         let peers = self.peers.iter().map(|peer| (!peer.is_in_region(region), peer.address));
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -1,22 +1,22 @@
-//! A listener's state machine for finding, keeping and replacing its parent.
+//! State machine with which a listener finds, monitors and replaces its parent.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | BackingOff | the backoff is over | Finding, an origin is asked; a relay goes to Attaching, at an origin |
-//! | Finding | candidates: relays | Attaching, at the first of them |
-//! | Finding | candidates: be a relay | Attaching, at the origin that answered, as a relay |
-//! | Finding | candidates: ask that origin | Finding, at that one |
-//! | Finding | no candidates, no answer in time, connection lost | BackingOff, doubled up to a bound; then another origin |
+//! | BackingOff | the backoff has elapsed | a leaf: Finding, at the next origin; a relay: Attaching, at the next origin |
+//! | Finding | candidates: a list of relays | Attaching, at the first relay |
+//! | Finding | candidates: become a relay | Attaching, as a relay, at the origin that answered |
+//! | Finding | candidates: ask another origin | Finding, at that origin |
+//! | Finding | no candidates, timeout, connection lost | BackingOff, doubled up to a limit; then Finding, at another origin |
 //! | Attaching | attached | Attached |
-//! | Attaching | rejected, no answer in time, connection lost | Attaching, at the next; BackingOff where there is none |
-//! | Attached | parent silent, rejects, detaches, connection lost; or its backup holds newer | a leaf: Attaching, at its backup, then other alternates; a relay: Attaching, at another origin |
-//! | Attached | a relay that feeds nobody for long | Finding, as a leaf again |
-//! | Attached | a leaf whose relay feeds more than its fan-out and sends it elsewhere | Finding |
-//! | Attached | a relay whose origin sends it to a nearer one, or to one that feeds far fewer | Attaching, at that one |
-//! | Attaching, as a relay | rejected by each origin, twice | BackingOff, as a leaf; its children are detached |
+//! | Attaching | rejected, timeout, connection lost | Attaching, at the next candidate; BackingOff if there is none |
+//! | Attached | the parent times out, rejects or detaches, the connection is lost, or a probed process is more up to date | a leaf: Attaching, at its backup parent, then at other alternates; a relay: Attaching, at another origin |
+//! | Attached | a relay has had no children for a long time | Finding, as a leaf |
+//! | Attached | a leaf is told to leave because its relay exceeds the fan-out | Finding |
+//! | Attached | a relay is told to move to an origin that is nearer or has far fewer relays | Attaching, at that origin |
+//! | Attaching, as a relay | rejected twice by each origin | BackingOff, as a leaf; its children are detached |
 //!
-//! A relay attaches to origins only and a leaf feeds nobody, so no cycle of parents can come about. In all states what is
-//! in force stays in force.
+//! A relay attaches only to origins and a leaf has no children, so no cycle of parents can form. The table in force
+//! stays in force in all states.
 
 use std::net::SocketAddr;
 
@@ -29,12 +29,12 @@
 use crate::message::{FanOutLimit, ListenerKind, MAX_ADDRESSES};
 
 const FIRST_BACKOFF_MS: f64 = 100.0;
-/// Doublings of the backoff, at most.
+/// Maximum number of times that the first backoff is doubled.
 const MAX_BACKOFF_SHIFT: u32 = 10;
-/// Candidates in a row that do not answer before an origin is asked anew.
+/// Number of consecutive candidates without an answer after which the listener asks an origin for new candidates.
 ///
-/// Against a list of relays that all stand still with their zone: each costs a timeout, and the listener would be behind
-/// for as many timeouts as the list is long.
+/// The limit covers a list of relays that are all unresponsive because their zone has failed. Each such relay costs
+/// one timeout, and without the limit the listener would fall behind by one timeout per relay in the list.
 const MAX_UNANSWERED: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -49,43 +49,43 @@
 struct Parent {
     address: SocketAddr,
     heard_at_ms: f64,
-    /// Was given more time once, as this process itself was paused.
+    /// Whether the timeout was already extended because of a pause of this process.
     extended: bool,
 }
 
-/// A question for candidates.
+/// A request for candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FindRequest {
     pub(crate) origin: SocketAddr,
-    /// Another origin sent the listener there.
+    /// Whether another origin redirected the listener to this one.
     pub(crate) redirected: bool,
 }
 
-/// What the listener is to send next.
+/// The next action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ParentAction {
-    /// Ask an origin for candidates.
+    /// Request candidates from an origin.
     Find(FindRequest),
-    /// Ask a candidate to be its parent.
+    /// Request attachment to a candidate.
     Attach {
-        /// The candidate.
+        /// The address of the candidate.
         to: SocketAddr,
-        /// Which of its fan-outs applies.
+        /// Which of the candidate's fan-out limits applies.
         limit: FanOutLimit,
     },
-    /// No origin takes it as a relay: its children are to be detached, as it is a leaf from now on.
+    /// Become a leaf and detach all children, since no origin accepts this process as a relay.
     ReleaseChildren,
 }
 
-/// How an attempt, or a parent, failed.
+/// The way in which an attempt or a parent failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     Rejected,
-    /// No answer in time, or the connection was lost.
+    /// No answer before the timeout, or the connection was lost.
     Unreachable,
 }
 
-/// A listener's way to a parent. An origin has one without origins, which stays idle.
+/// Parent selection of a listener. On an origin it has an empty list of origins and stays idle.
 #[derive(Clone, Debug)]
 pub(crate) struct ParentSelector {
     state: State,
@@ -93,9 +93,9 @@
     known: KnownParents,
     attempts: u32,
     rejections: u32,
-    /// Candidates in a row that did not answer.
+    /// Number of consecutive candidates that did not answer.
     unanswered: u32,
-    /// A parent that is silent for this long is lost.
+    /// Time without a message after which the parent counts as lost, in milliseconds.
     parent_timeout_ms: f64,
     attach_timeout_ms: f64,
     max_backoff_ms: f64,
@@ -149,7 +149,7 @@
         matches!(self.state, State::Attaching { to, .. } if to == address)
     }
 
-    /// The question that this origin was asked and has not answered yet.
+    /// Returns the pending request for candidates if it was sent to this origin.
     pub(crate) fn find_request(&self, address: SocketAddr) -> Option<FindRequest> {
         match self.state {
             State::Finding { request, .. } if request.origin == address => Some(request),
@@ -161,12 +161,13 @@
         &self.known
     }
 
-    /// Where it goes when its parent is lost.
+    /// Returns the address to which the listener attaches if it loses its parent.
     pub(crate) fn backup_parent(&self) -> Option<SocketAddr> {
         self.known.backup(self.kind, self.parent())
     }
 
-    /// Whom to probe when no origin was heard from through the parent for long; at each turn the next.
+    /// Returns the process to probe after a long time without origin contact; successive turns select successive
+    /// targets.
     pub(crate) fn probe_target(&self, turn: usize) -> Option<SocketAddr> {
         self.known.probe_target(self.kind, self.parent(), turn)
     }
@@ -180,12 +181,12 @@
         }
     }
 
-    /// The parent, if it is silent for too long.
+    /// Returns the parent if its timeout has passed.
     pub(crate) fn silent_parent(&self, now_ms: f64) -> Option<SocketAddr> {
         self.parent().filter(|_| now_ms >= self.poll_timeout())
     }
 
-    /// A backoff or an attempt that is over.
+    /// Handles the end of a backoff, or the timeout of an attempt or of the parent.
     pub(crate) fn handle_timeout(&mut self, now_ms: f64, rng: &mut Pcg32) -> Option<ParentAction> {
         if now_ms < self.poll_timeout() {
             return None;
@@ -208,24 +209,25 @@
         }
     }
 
-    /// Something came from the parent.
+    /// Restarts the parent's timeout after a message from the parent.
     pub(crate) fn handle_parent_heard(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
             (parent.heard_at_ms, parent.extended) = (now_ms, false);
         }
     }
 
-    /// Something came from there, which may be the parent.
+    /// Restarts the parent's timeout if the sender of a message is the parent.
     pub(crate) fn handle_heard_from(&mut self, now_ms: f64, from: SocketAddr) {
         if self.is_parent(from) {
             self.handle_parent_heard(now_ms);
         }
     }
 
-    /// This process was paused: what its parent sent meanwhile is still to be read.
+    /// Extends the parent's timeout after a pause of this process, since messages from the parent may still be waiting
+    /// in the receive queue.
     ///
-    /// The parent gets half its timeout once, not twice, so that a process that is paused over and over leaves a parent
-    /// that is gone.
+    /// The parent gets half of its timeout, and only once until its next message. Otherwise a process that is paused
+    /// repeatedly would never leave a parent that has failed.
     pub(crate) fn handle_pause(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
             if !std::mem::replace(&mut parent.extended, true) {
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The parent's list of alternates, and of origins as it knows them to be near.
+    /// Updates the alternate parents and the order of the origins from the parent's lists.
     pub(crate) fn handle_alternates(
         &mut self,
         relays: Vec<SocketAddr>,
@@ -252,7 +254,7 @@
         self.known.handle_attached(parent);
     }
 
-    /// The origin asks for more relays: attaches there as one.
+    /// Becomes a relay on an origin's request and attaches to that origin.
     pub(crate) fn become_relay(
         &mut self,
         now_ms: f64,
@@ -267,20 +269,21 @@
         self.kind = ListenerKind::Leaf;
     }
 
-    /// Another process holds what the parent lacks: a leaf goes there first. A relay asks origins in turn anyway.
+    /// Makes a leaf attach first to a process that has data which the parent lacks. A relay needs no preference, since
+    /// it asks the origins in rotation.
     pub(crate) fn prefer(&mut self, address: SocketAddr) {
         if !self.is_relay() {
             self.known.prefer(address);
         }
     }
 
-    /// Asks the next origin for candidates.
+    /// Requests candidates from the next origin.
     pub(crate) fn find(&mut self, now_ms: f64) -> Option<ParentAction> {
         let origin = self.known.next_origin()?;
         Some(self.ask_origin(now_ms, FindRequest { origin, redirected: false }))
     }
 
-    /// Asks the origin that another one pointed to.
+    /// Requests candidates from the origin to which another one redirected the listener.
     pub(crate) fn find_at(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
         self.ask_origin(now_ms, FindRequest { origin, redirected: true })
     }
@@ -290,7 +293,7 @@
         ParentAction::Find(request)
     }
 
-    /// Tries these one after the other; backs off where there is none.
+    /// Tries the candidates in order. Backs off if the list is empty.
     pub(crate) fn attach(
         &mut self,
         now_ms: f64,
@@ -309,7 +312,8 @@
         Some(ParentAction::Attach { to, limit })
     }
 
-    /// The parent does not know it any more, as after a restart of one of the two: attaches there again, or elsewhere.
+    /// Attaches again, first to the same parent, after the parent rejected a message because it does not have this
+    /// process as a child. This happens when either of the two restarts.
     pub(crate) fn reattach(
         &mut self,
         now_ms: f64,
@@ -321,7 +325,7 @@
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// A relay whose origin sends it to another origin.
+    /// Moves a relay to another origin on the request of its present origin.
     pub(crate) fn move_to(
         &mut self,
         now_ms: f64,
@@ -333,7 +337,7 @@
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// The parent, or the one that an attempt is made at, rejects, does not answer or is lost; of others nothing follows.
+    /// Handles a failure of the parent or of the target of the pending attempt. Ignores failures of other addresses.
     pub(crate) fn handle_failure(
         &mut self,
         now_ms: f64,
@@ -347,7 +351,7 @@
                 self.attach_to_next(now_ms, at, failure, next, limit, rng)
             }
             State::Finding { request, .. } if request.origin == at => {
-                // So that no other origin sends it there again.
+                // Record the failure so that other origins do not redirect the listener there.
                 self.known.remember_failed(at);
                 self.back_off(now_ms, rng);
                 None
@@ -401,13 +405,14 @@
         self.attach(now_ms, next, limit, rng)
     }
 
-    /// A relay whose backoff is over.
+    /// Attaches a relay to the next origin after a backoff.
     fn attach_to_next_origin(&mut self, now_ms: f64, rng: &mut Pcg32) -> Option<ParentAction> {
         let candidates = self.known.origins_in_turn();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// Waits, longer each time. The span is drawn, so that many that lost the same parent do not come at once.
+    /// Starts a backoff, longer at each attempt. The random duration keeps processes that lost the same parent from
+    /// retrying at the same time.
     fn back_off(&mut self, now_ms: f64, rng: &mut Pcg32) {
         let doubled_ms = FIRST_BACKOFF_MS * f64::from(1 << self.attempts.min(MAX_BACKOFF_SHIFT));
         let most_ms = doubled_ms.min(self.max_backoff_ms);
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -1,8 +1,8 @@
-//! To which parent an origin sends a listener that looks for one.
+//! Selection of the parent that an origin assigns to a listener.
 //!
-//! A relay of the listener's zone that has capacity, the one with the most of it first. Where there is none, the listener
-//! becomes a relay itself, as long as the origin has capacity. Else a relay of its region, of another region, or one over
-//! its fan-out up to the failover limit.
+//! The first choice is a relay in the listener's zone with free capacity, the least loaded first. If there is none,
+//! the listener becomes a relay itself as long as the origin has free capacity. Otherwise it gets a relay in its
+//! region, then one in another region, and finally a relay that exceeds its fan-out but not the failover limit.
 
 use std::net::SocketAddr;
 
@@ -13,26 +13,26 @@
 use crate::message::{FanOutLimit, ListenerKind, Message, NodeInfo, RelayInfo, MAX_RELAYS};
 use crate::origin_peers::{OriginPeer, OriginPeers};
 
-/// By how many relays two origins of a region may differ before one is sent from the one to the other.
+/// Largest tolerated difference between the relay counts of two origins in one region. Above it, a relay is moved.
 const REBALANCE_SLACK: usize = 4;
-/// For how long a place is reserved for a listener that is to become a relay.
+/// Time for which an origin reserves capacity for a listener that it told to become a relay, in milliseconds.
 const PROMISE_MS: f64 = 2000.0;
-/// Alternate parents in a relay's list for a child, at most; an origin twice as many.
+/// Maximum number of alternate parents that a relay sends to a child. An origin sends up to twice as many.
 const MAX_ALTERNATES: usize = 4;
-/// Relays in an answer to a listener, at most.
+/// Maximum number of relays in the answer to a listener.
 const MAX_CANDIDATES: usize = 3;
 
-/// A listener that looks for a parent.
+/// A listener's request for a parent.
 pub(crate) struct ParentRequest<'a> {
     pub(crate) from: SocketAddr,
     pub(crate) node: &'a NodeInfo,
-    /// Those that failed it.
+    /// Addresses that failed the listener recently.
     pub(crate) excluded: &'a [SocketAddr],
-    /// Another origin sent it here.
+    /// True if another origin redirected the listener to this one.
     pub(crate) redirected: bool,
 }
 
-/// How far a relay is from a listener; the nearest is the least.
+/// Distance between a relay and a listener, ordered from near to far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
@@ -48,21 +48,21 @@
     }
 }
 
-/// A place for a listener that is to become a relay and has not reported yet.
+/// Capacity reserved for a listener that becomes a relay and has not reported yet.
 #[derive(Clone, Debug)]
 struct Promise {
     relay: RelayInfo,
     until_ms: f64,
 }
 
-/// A relay that would be better off at another origin.
+/// A relay that should move to another origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Relocation {
     pub(crate) relay: SocketAddr,
     pub(crate) to_origin: SocketAddr,
 }
 
-/// An origin's placement of listeners.
+/// An origin's state for assigning parents to listeners.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     origin: NodeInfo,
@@ -70,7 +70,8 @@
     fan_out: usize,
     failover_fan_out: usize,
     origin_fan_out: usize,
-    /// A relay reports once a second: one that is silent for this long may stand still, and is not counted on.
+    /// Time without a report after which a relay is not offered as a parent. A relay reports once a second, so a relay
+    /// without reports for this long may be paused.
     silent_after_ms: f64,
 }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The answer to a listener that looks for a parent.
+    /// Returns the answer to a listener that looks for a parent.
     pub(crate) fn handle_find_parent(
         &mut self,
         now_ms: f64,
@@ -117,12 +118,12 @@
         parent_candidates(found, ListenerKind::Leaf, limit, None)
     }
 
-    /// Whether a place is reserved for it here, though others may have come meanwhile.
+    /// Returns true if this origin reserved capacity for the process, even if it has since reached its fan-out.
     pub(crate) fn is_promised(&self, address: SocketAddr) -> bool {
         self.promises.iter().any(|promise| promise.relay.address == address)
     }
 
-    /// It has reported: it counts as a child from now on.
+    /// Removes the reservation of a relay that has reported, since it now counts as a child.
     pub(crate) fn fulfil_promise(&mut self, address: SocketAddr) {
         self.promises.retain(|promise| promise.relay.address != address);
     }
@@ -131,13 +132,14 @@
         self.promises.retain(|promise| promise.until_ms > now_ms);
     }
 
-    /// This origin's own relays, for the other origins.
+    /// Returns this origin's relays in the form that the other origins receive.
     pub(crate) fn own_relays(&self, children: &FanOut) -> Vec<RelayInfo> {
         let reported = children.children().iter().filter(|child| child.has_reported);
         reported.take(MAX_RELAYS).map(relay_info).collect()
     }
 
-    /// Relays that a child may go to, of its zone where there are any. Each child gets another one first.
+    /// Returns the relays that a child may attach to: those in its zone, or in its region if its zone has no other
+    /// relay. The list starts at a different relay for each child.
     pub(crate) fn alternates_for(
         &self,
         now_ms: f64,
@@ -160,7 +162,8 @@
         alternates
     }
 
-    /// A relay that is nearer to another origin, or one of many where another origin of this region feeds far fewer.
+    /// Returns a relay that is in the region of another origin, or a relay to move to an origin in this region that
+    /// has far fewer relays.
     pub(crate) fn relocation(
         &self,
         now_ms: f64,
@@ -185,7 +188,8 @@
         })
     }
 
-    /// Every relay that is known here, with how many it feeds or will: own children, promised ones, other origins'.
+    /// Returns all known relays with their numbers of children: own children, reservations, and the other origins'
+    /// relays.
     fn known_relays(&self, now_ms: f64, children: &FanOut, peers: &OriginPeers) -> Vec<RelayInfo> {
         let counts = |child: &&Child| child.has_reported && child.heard_at_ms + self.silent_after_ms > now_ms;
         let own = children.children().iter().filter(counts).map(relay_info);
@@ -193,7 +197,7 @@
         own.chain(promised).chain(peers.live(now_ms).flat_map(|peer| peer.relays().iter().cloned())).collect()
     }
 
-    /// The known relays that are not ruled out, the nearest and least loaded first.
+    /// Returns the known relays that are not excluded, sorted by distance and then by load.
     fn candidates(
         &self,
         now_ms: f64,
@@ -207,7 +211,8 @@
         relays
     }
 
-    /// An origin of the listener's region, where this one is of another and the listener was not sent here.
+    /// Returns an origin in the listener's region if this origin is in another region and the listener was not
+    /// redirected here.
     fn nearer_origin(
         &self,
         now_ms: f64,
@@ -234,7 +239,8 @@
         self.promises.push(Promise { relay, until_ms: now_ms + PROMISE_MS });
     }
 
-    /// A listener was sent to this relay, so that the next one is not sent there before its report counts the first.
+    /// Counts a listener that was assigned to this relay, so that the next listener is not assigned there before the
+    /// relay's next report includes the first one.
     fn count_placed(&mut self, relay: SocketAddr, children: &mut FanOut, peers: &mut OriginPeers) {
         if let Some(child) = children.get_mut(relay) {
             child.recently_placed = child.recently_placed.saturating_add(1);
@@ -246,9 +252,10 @@
     }
 }
 
-/// A relay's list for a child, of the alternates that it knows itself.
+/// Returns a relay's list of alternate parents for a child.
 ///
-/// Each child gets another one first, drawn by its address, so that it stays the same as others come and go.
+/// The hash of the child's address selects the first entry, so that children get different lists and a child's list
+/// stays stable when other children come and go.
 pub(crate) fn rotated_for(alternates: &[SocketAddr], child: SocketAddr) -> Vec<SocketAddr> {
     let mut rotated: Vec<SocketAddr> =
         alternates.iter().copied().filter(|address| *address != child).collect();
--- a/crates/plovershelf-config-distribution/src/quota_table.rs
+++ b/crates/plovershelf-config-distribution/src/quota_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at a version: each tenant's quota. Validates a change as a whole before it applies any of it.
+//! The table of tenant quotas at one version. A change is validated as a whole before any part of it is applied.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -9,49 +9,50 @@
 use crate::entry::{ENTRY_OVERHEAD_BYTES, MAX_TENANTS};
 use crate::version::Version;
 
-/// Bytes of the entries of a chunk, at most.
+/// Maximum size of a chunk's entries in bytes.
 pub const MAX_CHUNK_BYTES: usize = 32 << 10;
 
-/// Why a change was not applied.
+/// Reason why a change was not applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    /// It does not apply to the version that is held.
-    #[error("does not follow on what is in force")]
+    /// The change applies to another version than the one in force.
+    #[error("the change applies to another version than the one in force")]
     Gap,
-    /// It leads to another table than its digest says.
-    #[error("comes to another content than its digest says")]
+    /// The change leads to a table with another digest than the change states.
+    #[error("the resulting table has another digest than the change states")]
     DigestMismatch,
-    /// Its edits do not fit the table.
+    /// The edits can't be applied to the table.
     #[error(transparent)]
     Invalid(#[from] InvalidChange),
 }
 
-/// Why a list of quotas can't be started from, in one line.
+/// Reason why an initial list of quotas is rejected. The `Display` text is one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidTable {
-    /// A name or quota is not valid.
+    /// A tenant's name or quota is invalid.
     #[error(transparent)]
     Entry(#[from] InvalidEntry),
-    /// The list holds more than [`MAX_TENANTS`]; this one is the first too many.
+    /// The list has more than [`MAX_TENANTS`] tenants; this is the first one above the limit.
     #[error("tenant {name}: the list is full at {max} tenants", name = quoted(.0), max = MAX_TENANTS)]
     TooManyTenants(String),
-    /// This tenant is in the list twice.
+    /// The list contains this tenant twice.
     #[error("tenant {name}: named twice; name it once", name = quoted(.0))]
     NamedTwice(String),
 }
 
-/// A bounded run of consecutive entries of a table.
+/// A bounded range of consecutive entries of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
-    /// In order of their names.
+    /// The entries, sorted by name.
     pub entries: Vec<Entry>,
-    /// No entry of the table comes after these.
+    /// True if no entries of the table follow.
     pub is_last: bool,
 }
 
 /// All quotas in force at a version.
 ///
-/// It takes 82 bytes a tenant with names of 12 bytes, 88 with names of 23: 2.8 MB for 34,000.
+/// Memory use is 82 bytes per tenant with names of 12 bytes and 88 bytes with names of 23 bytes, or 2.8 MB for 34,000
+/// tenants.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaTable {
     version: Version,
@@ -60,11 +61,11 @@
 }
 
 impl QuotaTable {
-    /// The table that a process starts from, before any change.
+    /// Returns the initial table of a process, before any change.
     ///
     /// # Errors
     ///
-    /// A name or quota is not valid, a tenant is named twice, or there are too many.
+    /// Returns an error if a name or quota is invalid, a tenant occurs twice, or there are too many tenants.
     pub fn initial<N: Into<Box<str>>>(
         list: impl IntoIterator<Item = (N, f64)>,
     ) -> Result<QuotaTable, InvalidTable> {
@@ -84,41 +85,41 @@
         Ok(table)
     }
 
-    /// The version in force.
+    /// Returns the version of the table.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Digest of all entries; the same for the same entries, whatever changes led to them.
+    /// Returns the digest of all entries. It depends only on the entries, not on the changes that led to them.
     pub fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// How many tenants there are.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.quotas.len()
     }
 
-    /// Whether there is no tenant.
+    /// Returns true if the table has no tenants.
     pub fn is_empty(&self) -> bool {
         self.quotas.is_empty()
     }
 
-    /// A tenant's quota in requests a second.
+    /// Returns a tenant's quota in requests per second.
     pub fn quota_per_s(&self, tenant: &str) -> Option<f64> {
         self.quotas.get(tenant).copied()
     }
 
-    /// Names and quotas, in order of the names.
+    /// Returns the names and quotas, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, f64)> {
         self.quotas.iter().map(|(name, quota)| (&**name, *quota))
     }
 
-    /// The digest after these edits; nothing is changed.
+    /// Validates the edits and returns the digest of the table that would result. Does not change the table.
     ///
     /// # Errors
     ///
-    /// An edit does not fit the table, or the change is too large.
+    /// Returns an error if an edit can't be applied to the table or the change is too large.
     pub fn validate(&self, edits: &[Edit]) -> Result<u128, InvalidChange> {
         if edits.is_empty() {
             return Err(InvalidChange::Empty);
@@ -154,7 +155,7 @@
         Ok(digest)
     }
 
-    /// Checks one edit against the table and against those before it, whose tenants are in `named`.
+    /// Validates one edit against the table and against the preceding edits, whose tenants are in `named`.
     fn validate_edit<'a>(&self, edit: &'a Edit, named: &mut BTreeSet<&'a str>) -> Result<(), EditError> {
         let tenant = edit.tenant();
         check_name(tenant)?;
@@ -172,11 +173,11 @@
         }
     }
 
-    /// Applies a change as a whole or not at all.
+    /// Applies a change completely, or not at all.
     ///
     /// # Errors
     ///
-    /// The change does not apply to the version held, its edits do not fit, or its digest is another.
+    /// Returns an error if the change applies to another version, an edit is invalid, or the digest does not match.
     pub fn apply(&mut self, change: &Change) -> Result<(), ApplyError> {
         let is_next = change.previous == self.version && change.version > self.version;
         let any_version = broken::is(Broken::VersionNotCompared);
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    /// The entries after a name, as many as make a chunk; from the first one where there is no name.
+    /// Returns the entries after a name, up to the size limit of a chunk. `None` starts at the first entry.
     pub fn chunk(&self, after: Option<&str>) -> Chunk {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut bytes = 0;
@@ -214,7 +215,8 @@
         Chunk { entries, is_last: true }
     }
 
-    /// Adds a tenant that is not in the table; one that is keeps its place in the digest.
+    /// Adds a tenant that is not in the table. For a tenant that is in the table, the digest does not reflect the new
+    /// quota; the caller must remove the tenant first.
     pub(crate) fn insert(&mut self, name: Box<str>, quota_per_s: f64) {
         let digest = entry_digest(&name, quota_per_s);
         if self.quotas.insert(name, quota_per_s).is_none() {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// The same entries, in force at this version.
+    /// Returns the same entries under another version.
     pub(crate) fn at_version(self, version: Version) -> Self {
         QuotaTable { version, ..self }
     }
--- a/crates/plovershelf-config-distribution/src/snapshot.rs
+++ b/crates/plovershelf-config-distribution/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Assembles a whole table from chunks, beside the one in force, until its digest shows that it is complete.
+//! Assembly of a table from snapshot chunks. The table in force stays in use until the digest confirms that the new
+//! one is complete.
 
 use crate::broken::{self, Broken};
 use crate::change::Change;
@@ -6,27 +7,27 @@
 use crate::quota_table::QuotaTable;
 use crate::version::Version;
 
-/// Why a snapshot was dropped, in one line.
+/// Reason why a snapshot was rejected. The `Display` text is one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SnapshotError {
-    /// A name or quota is not valid.
+    /// A tenant's name or quota is invalid.
     #[error(transparent)]
     Entry(#[from] InvalidEntry),
-    /// This tenant does not come after the one before it.
-    #[error("tenant {name} out of its order", name = quoted(.0))]
+    /// The name of this tenant does not sort after the preceding name.
+    #[error("tenant {name} is out of order", name = quoted(.0))]
     OutOfOrder(String),
-    /// There are more than [`MAX_TENANTS`].
+    /// The snapshot has more than [`MAX_TENANTS`] tenants.
     #[error("more than {max} tenants", max = MAX_TENANTS)]
     TooManyTenants,
-    /// All chunks of this version came, and their digest is not that of the sender's table.
-    #[error("the whole of {0} has another digest than was said")]
+    /// All chunks of this version arrived, but the table's digest differs from the sender's digest.
+    #[error("the table of version {0} has another digest than the sender stated")]
     DigestMismatch(Version),
 }
 
-/// A table that comes in chunks.
+/// A table under assembly from chunks.
 ///
-/// At any time it holds the version's entries up to the last name that came. A change that comes in between is applied to
-/// that much, so that a transfer need not start again when the sender's version moves on.
+/// It always contains the entries of its version up to the last received name. A change that arrives between two
+/// chunks is applied to those entries, so the transfer need not restart when the sender's version advances.
 #[derive(Clone, Debug)]
 pub struct SnapshotBuilder {
     version: Version,
@@ -36,26 +37,26 @@
 }
 
 impl SnapshotBuilder {
-    /// Begins with the sender's version and digest.
+    /// Starts the assembly of a table with the sender's version and digest.
     pub fn new(version: Version, digest: u128) -> Self {
         SnapshotBuilder { version, digest, last_name: None, table: QuotaTable::default() }
     }
 
-    /// The name that the next chunk follows on.
+    /// Returns the last received name, which the next chunk must follow.
     pub fn last_name(&self) -> Option<&str> {
         self.last_name.as_deref()
     }
 
-    /// Whether the sender's table is still the one that is assembled here.
+    /// Returns true if the version and digest under assembly are those of the sender's table.
     pub(crate) fn is_of(&self, version: Version, digest: u128) -> bool {
         (self.version, self.digest) == (version, digest)
     }
 
-    /// Takes in the entries of the next chunk.
+    /// Adds the entries of the next chunk.
     ///
     /// # Errors
     ///
-    /// An entry is not valid, not in order of its name, or one too many.
+    /// Returns an error if an entry is invalid or out of order, or if there are too many tenants.
     pub fn add_entries(&mut self, entries: Vec<Entry>) -> Result<(), SnapshotError> {
         for Entry { tenant, quota_per_s } in entries {
             check_name(&tenant)?;
@@ -72,7 +73,8 @@
         Ok(())
     }
 
-    /// The sender's version moved on. A change that does not follow is left out; the digest shows it at the end.
+    /// Applies a change with which the sender's version advanced. Ignores a change that does not directly follow; the
+    /// final digest check reveals the gap.
     pub fn apply_change(&mut self, change: &Change) {
         if change.previous != self.version || change.version <= self.version {
             return;
@@ -91,11 +93,11 @@
         self.digest = change.digest;
     }
 
-    /// The complete table.
+    /// Returns the complete table.
     ///
     /// # Errors
     ///
-    /// Its digest is another than the sender's.
+    /// Returns an error if the table's digest differs from the sender's digest.
     pub fn finish(self) -> Result<QuotaTable, SnapshotError> {
         if self.table.digest() != self.digest && !broken::is(Broken::DigestNotChecked) {
             return Err(SnapshotError::DigestMismatch(self.version));
--- a/crates/plovershelf-config-distribution/src/store.rs
+++ b/crates/plovershelf-config-distribution/src/store.rs
@@ -1,11 +1,11 @@
-//! What a process holds of the configuration, and what it can hand on: the table in force and the log that led to it.
+//! The configuration data of a process: the table in force, and the log of the changes that led to it.
 
 use crate::change::{Change, Edit};
 use crate::change_log::ChangeLog;
 use crate::quota_table::{ApplyError, QuotaTable, MAX_CHUNK_BYTES};
 use crate::version::Version;
 
-/// Table and log, which always end at the same version.
+/// The table in force and the change log, which always end at the same version.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigStore {
     table: QuotaTable,
@@ -25,7 +25,7 @@
         self.table.version()
     }
 
-    /// The low half of the digest, as heartbeats carry it.
+    /// Returns the low 64 bits of the table's digest, as sent in heartbeats.
     pub(crate) fn short_digest(&self) -> u64 {
         self.table.digest() as u64
     }
@@ -42,13 +42,13 @@
         Ok(edits)
     }
 
-    /// Another table, to which no change of the log leads.
+    /// Replaces the table with one that no logged change leads to, and clears the log.
     pub(crate) fn replace(&mut self, table: QuotaTable) {
         self.table = table;
         self.log.clear();
     }
 
-    /// Whether the change's version is known here with another digest.
+    /// Returns true if the change's version is known here with another digest.
     pub(crate) fn contradicts(&self, change: &Change) -> bool {
         let held = match self.table.version() == change.version {
             true => Some(self.table.digest()),
@@ -57,14 +57,15 @@
         held.is_some_and(|held| held != change.digest)
     }
 
-    /// The changes after a version where they make one message of bounded length.
+    /// Returns the changes after a version if they fit into one message.
     pub(crate) fn short_delta(&self, after: Version) -> Option<Vec<Change>> {
         let changes: Vec<Change> = self.log.after(after)?.cloned().collect();
         let bytes = changes.iter().map(Change::max_encoded_bytes).sum::<usize>();
         (changes.len() == 1 || bytes <= MAX_CHUNK_BYTES).then_some(changes)
     }
 
-    /// All changes after a version, in batches of bounded length; none where the log does not reach back that far.
+    /// Returns all changes after a version in batches that fit into one message each, or `None` if the log does not
+    /// reach back to that version.
     pub(crate) fn delta_batches(&self, after: Version) -> Option<Vec<Vec<Change>>> {
         let mut batches = Vec::new();
         let mut batch = Vec::new();
--- a/crates/plovershelf-config-distribution/src/test_support.rs
+++ b/crates/plovershelf-config-distribution/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What several modules' tests begin with.
+//! Helper functions for the unit tests of several modules.
 
 use std::net::SocketAddr;
 
--- a/crates/plovershelf-config-distribution/src/version.rs
+++ b/crates/plovershelf-config-distribution/src/version.rs
@@ -1,17 +1,17 @@
-//! Position of a change in the committed order.
+//! Version numbers of changes.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Position of a change in the committed order; a later one is greater.
+/// Position of a change in the order of commits. A later change has a greater version.
 ///
-/// The epoch is compared first, so that a change of a later epoch is later whatever its number.
+/// The epoch is compared first, so a change from a later epoch is greater regardless of its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Epoch of the consensus group that committed the change.
+    /// The epoch of the consensus group that committed the change.
     pub epoch: u64,
-    /// Goes up by one with each change; 0 stands for the table that a process starts from.
+    /// Increases by one with each change; 0 is the initial table of a process.
     pub number: u64,
 }
 
