--- a/crates/plovershelf-config-distribution/src/aggregation.rs
+++ b/crates/plovershelf-config-distribution/src/aggregation.rs
@@ -9,31 +9,31 @@
 use crate::version::Version;
 
 /// Maximum number of names of processes that timed out.
-const MAX_SILENT: usize = 64;
+const MAX_TIMED_OUT: usize = 64;
 /// Time for which a name is remembered, in milliseconds.
 const NAME_RETENTION_MS: f64 = 600_000.0;
 /// Maximum number of processes whose parent an origin remembers.
-const MAX_LOCATIONS: usize = 2048;
+const MAX_RECORDED: usize = 2048;
 /// Maximum number of attachments in the queue for the parent or the other origins.
 const MAX_PENDING: usize = 256;
 
 /// Children that timed out or lost their connection without a `Detach` message.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SilentNodes(Vec<SilentNode>);
+pub(crate) struct TimedOutNodes(Vec<TimedOutNode>);
 
 #[derive(Clone, Debug)]
-struct SilentNode {
+struct TimedOutNode {
     name: String,
     until_ms: f64,
 }
 
-impl SilentNodes {
+impl TimedOutNodes {
     pub(crate) fn add(&mut self, now_ms: f64, name: String) {
         self.remove(&name);
-        if self.0.len() == MAX_SILENT {
+        if self.0.len() == MAX_TIMED_OUT {
             self.0.remove(0);
         }
-        self.0.push(SilentNode { name, until_ms: now_ms + NAME_RETENTION_MS });
+        self.0.push(TimedOutNode { name, until_ms: now_ms + NAME_RETENTION_MS });
     }
 
     /// Removes a process that attached or detached since it was added.
@@ -59,23 +59,23 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttachmentLog {
     /// On an origin: the time of the attachment and the address of the parent, by process name.
-    located: BTreeMap<String, (f64, SocketAddr)>,
+    recorded: BTreeMap<String, (f64, SocketAddr)>,
     /// Attachments to send to the parent or to the other origins.
     pending: VecDeque<Attachment>,
 }
 
 impl AttachmentLog {
-    pub(crate) fn locate(&mut self, now_ms: f64, name: &str, parent: SocketAddr) {
-        if self.located.len() >= MAX_LOCATIONS && !self.located.contains_key(name) {
-            let oldest = self.located.iter().min_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
+    pub(crate) fn record(&mut self, now_ms: f64, name: &str, parent: SocketAddr) {
+        if self.recorded.len() >= MAX_RECORDED && !self.recorded.contains_key(name) {
+            let oldest = self.recorded.iter().min_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
             if let Some(oldest) = oldest.map(|(name, _)| name.clone()) {
-                self.located.remove(&oldest);
+                self.recorded.remove(&oldest);
             }
         }
-        self.located.insert(name.to_string(), (now_ms, parent));
+        self.recorded.insert(name.to_string(), (now_ms, parent));
     }
 
-    pub(crate) fn pass_on(&mut self, name: &str, parent: SocketAddr) {
+    pub(crate) fn enqueue(&mut self, name: &str, parent: SocketAddr) {
         if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
         }
@@ -87,18 +87,18 @@
     }
 
     /// Removes and returns the oldest attachments in the queue.
-    pub(crate) fn take_pending(&mut self, most: usize) -> Vec<Attachment> {
-        let count = most.min(self.pending.len());
+    pub(crate) fn take_pending(&mut self, max_count: usize) -> Vec<Attachment> {
+        let count = max_count.min(self.pending.len());
         self.pending.drain(..count).collect()
     }
 
     pub(crate) fn expire(&mut self, now_ms: f64) {
-        self.located.retain(|_, (at_ms, _)| *at_ms + NAME_RETENTION_MS > now_ms);
+        self.recorded.retain(|_, (at_ms, _)| *at_ms + NAME_RETENTION_MS > now_ms);
     }
 
     /// Returns true if the process is known to have another parent than this one.
-    pub(crate) fn is_elsewhere(&self, name: &str, parent: SocketAddr) -> bool {
-        self.located.get(name).is_some_and(|(_, at)| *at != parent)
+    pub(crate) fn is_attached_elsewhere(&self, name: &str, parent: SocketAddr) -> bool {
+        self.recorded.get(name).is_some_and(|(_, recorded_parent)| *recorded_parent != parent)
     }
 }
 
@@ -114,7 +114,7 @@
     count_self: CountSelf,
     version: Version,
     children: &[Child],
-    silent: &SilentNodes,
+    timed_out: &TimedOutNodes,
 ) -> Aggregate {
     let own = u32::from(count_self == CountSelf::Yes);
     let mut aggregate = Aggregate {
@@ -137,7 +137,7 @@
         }
     }
     missing.extend(children.iter().flat_map(|child| &child.aggregate.missing));
-    missing.extend(silent.names());
+    missing.extend(timed_out.names());
     for name in missing {
         if aggregate.missing.len() == MAX_NAMES {
             break;
@@ -167,7 +167,7 @@
 
     /// Moves the next report to the earliest time that the minimum interval allows, because there is something new to
     /// report.
-    pub(crate) fn hasten(&mut self) {
+    pub(crate) fn expedite(&mut self) {
         self.due_ms = self.due_ms.min(self.min_due_ms);
     }
 
--- a/crates/plovershelf-config-distribution/src/change.rs
+++ b/crates/plovershelf-config-distribution/src/change.rs
@@ -104,16 +104,16 @@
     InvalidEntry(#[from] InvalidEntry),
     /// An earlier edit of the same change has the same tenant.
     #[error("the tenant is named twice in one change; name it once")]
-    NamedTwice,
+    DuplicateTenant,
     /// The tenant to add is already in the table, with this quota.
     #[error("the tenant is known, with {0}; set it instead")]
-    AlreadyKnown(f64),
+    TenantExists(f64),
     /// The tenant to set is not in the table.
     #[error("no such tenant; add it instead")]
-    UnknownToSet,
+    SetUnknownTenant,
     /// The tenant to remove is not in the table.
     #[error("no such tenant; name one that is known")]
-    UnknownToRemove,
+    RemoveUnknownTenant,
 }
 
 /// Reason why a change can't be applied to the table. The `Display` text is one line.
--- a/crates/plovershelf-config-distribution/src/change_log.rs
+++ b/crates/plovershelf-config-distribution/src/change_log.rs
@@ -37,16 +37,16 @@
 
     /// Returns all changes after this version, or `None` if the log does not reach back to it.
     pub fn after(&self, version: Version) -> Option<impl Iterator<Item = &Change>> {
-        let at = self.changes.partition_point(|change| change.previous < version);
-        let first = self.changes.get(at).filter(|change| change.previous == version)?;
+        let index = self.changes.partition_point(|change| change.previous < version);
+        let first = self.changes.get(index).filter(|change| change.previous == version)?;
         debug_assert!(first.version > version);
-        Some(self.changes.range(at..))
+        Some(self.changes.range(index..))
     }
 
     /// Returns the change that led to this version.
     pub fn get(&self, version: Version) -> Option<&Change> {
-        let at = self.changes.partition_point(|change| change.version < version);
-        self.changes.get(at).filter(|change| change.version == version)
+        let index = self.changes.partition_point(|change| change.version < version);
+        self.changes.get(index).filter(|change| change.version == version)
     }
 
     /// Returns the changes, the oldest first.
--- a/crates/plovershelf-config-distribution/src/entry.rs
+++ b/crates/plovershelf-config-distribution/src/entry.rs
@@ -35,7 +35,7 @@
     EmptyName,
     /// The name has this length in bytes, above [`MAX_NAME_BYTES`].
     #[error("a tenant's name of {0} bytes; {max} at most", max = MAX_NAME_BYTES)]
-    LongName(usize),
+    NameTooLong(usize),
     /// The name contains a control character, which could break the line in a log or a printed table.
     #[error("the tenant's name {name} holds a control character; leave it out", name = quoted(.0))]
     ControlCharacter(String),
@@ -55,8 +55,8 @@
 
 /// Returns a name for use in a message: quoted, escaped to one line, and truncated.
 pub(crate) fn quoted(tenant: &str) -> String {
-    let cut: String = tenant.chars().take(MAX_NAME_BYTES + 1).collect();
-    format!("{cut:?}")
+    let truncated: String = tenant.chars().take(MAX_NAME_BYTES + 1).collect();
+    format!("{truncated:?}")
 }
 
 pub(crate) fn check_name(name: &str) -> Result<(), InvalidEntry> {
@@ -64,7 +64,7 @@
         return Err(InvalidEntry::EmptyName);
     }
     if name.len() > MAX_NAME_BYTES {
-        return Err(InvalidEntry::LongName(name.len()));
+        return Err(InvalidEntry::NameTooLong(name.len()));
     }
     if name.chars().any(char::is_control) {
         return Err(InvalidEntry::ControlCharacter(name.to_string()));
--- a/crates/plovershelf-config-distribution/src/fan_out.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out.rs
@@ -13,14 +13,14 @@
     pub(crate) node: NodeInfo,
     /// The last report; before the first report, values derived from the attach request.
     pub(crate) aggregate: Aggregate,
-    pub(crate) heard_at_ms: f64,
+    pub(crate) last_message_ms: f64,
     /// Whether the child has reported since it attached.
     ///
     /// A child that can send but receives nothing attaches repeatedly and never reports. It appears to have the most
     /// free capacity, so listeners must not be placed under it.
     pub(crate) has_reported: bool,
     /// Whether the timeout was already extended because of a pause of this process.
-    extended: bool,
+    timeout_extended: bool,
     /// The version up to which the child was sent all changes.
     sent: Version,
     /// The alternate parents that the child was sent last.
@@ -33,8 +33,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FanOut {
     children: Vec<Child>,
-    /// Index of the child whose name was returned last by `next_name`.
-    turn: usize,
+    /// Index of the child whose name was returned last by `next_child_name`.
+    last_named: usize,
     child_timeout_ms: f64,
     coalescing_ms: f64,
     /// The time at which deltas are due, if a child lacks a version.
@@ -46,7 +46,7 @@
     pub(crate) fn new(now_ms: f64, child_timeout_ms: f64, coalescing_ms: f64) -> Self {
         FanOut {
             children: Vec::new(),
-            turn: 0,
+            last_named: 0,
             child_timeout_ms,
             coalescing_ms,
             flush_at_ms: None,
@@ -84,27 +84,27 @@
         now_ms: f64,
         address: SocketAddr,
         node: NodeInfo,
-        held: HeldVersion,
+        version_info: HeldVersion,
         sent: Version,
     ) {
-        let before = self.remove(address).filter(|child| child.node.incarnation == node.incarnation);
-        let aggregate = before.map_or_else(
+        let previous = self.remove(address).filter(|child| child.node.incarnation == node.incarnation);
+        let aggregate = previous.map_or_else(
             || Aggregate {
-                version: held.version,
+                version: version_info.version,
                 nodes: 1,
                 up_to_date: 1,
-                oldest: held.version,
+                oldest: version_info.version,
                 ..Aggregate::default()
             },
-            |before| before.aggregate,
+            |previous| previous.aggregate,
         );
         self.children.push(Child {
             address,
             node,
             aggregate,
-            heard_at_ms: now_ms,
+            last_message_ms: now_ms,
             has_reported: false,
-            extended: false,
+            timeout_extended: false,
             sent,
             alternates: Vec::new(),
             recently_placed: 0,
@@ -112,8 +112,8 @@
     }
 
     pub(crate) fn remove(&mut self, address: SocketAddr) -> Option<Child> {
-        let at = self.children.iter().position(|child| child.address == address)?;
-        Some(self.children.remove(at))
+        let index = self.children.iter().position(|child| child.address == address)?;
+        Some(self.children.remove(index))
     }
 
     /// Removes all children and returns their addresses.
@@ -129,7 +129,7 @@
         aggregate: Aggregate,
     ) -> bool {
         let Some(child) = self.get_mut(address) else { return false };
-        (child.heard_at_ms, child.extended, child.has_reported) = (now_ms, false, true);
+        (child.last_message_ms, child.timeout_extended, child.has_reported) = (now_ms, false, true);
         child.recently_placed /= 2;
         child.aggregate = aggregate;
         true
@@ -139,28 +139,29 @@
     /// waiting in the receive queue.
     pub(crate) fn handle_pause(&mut self, paused_ms: f64) {
         for child in &mut self.children {
-            if !std::mem::replace(&mut child.extended, true) {
-                child.heard_at_ms += paused_ms;
+            if !std::mem::replace(&mut child.timeout_extended, true) {
+                child.last_message_ms += paused_ms;
             }
         }
     }
 
     /// Returns the name of the next child in rotation.
-    pub(crate) fn next_name(&mut self) -> Option<String> {
-        self.turn = (self.turn + 1) % self.children.len().max(1);
-        self.children.get(self.turn).map(|child| child.node.name.clone())
+    pub(crate) fn next_child_name(&mut self) -> Option<String> {
+        self.last_named = (self.last_named + 1) % self.children.len().max(1);
+        self.children.get(self.last_named).map(|child| child.node.name.clone())
     }
 
     /// Removes and returns the children whose timeout has passed.
-    pub(crate) fn remove_silent(&mut self, now_ms: f64) -> Vec<Child> {
+    pub(crate) fn remove_timed_out(&mut self, now_ms: f64) -> Vec<Child> {
         let timeout_ms = self.child_timeout_ms;
-        self.children.extract_if(.., |child| now_ms >= child.heard_at_ms + timeout_ms).collect()
+        self.children.extract_if(.., |child| now_ms >= child.last_message_ms + timeout_ms).collect()
     }
 
     /// Returns the next time at which a child times out or deltas are due.
     pub(crate) fn poll_timeout(&self) -> f64 {
-        let silent_at_ms = self.children.iter().map(|child| child.heard_at_ms + self.child_timeout_ms);
-        silent_at_ms.fold(self.flush_at_ms.unwrap_or(f64::INFINITY), f64::min)
+        let child_timeouts_ms =
+            self.children.iter().map(|child| child.last_message_ms + self.child_timeout_ms);
+        child_timeouts_ms.fold(self.flush_at_ms.unwrap_or(f64::INFINITY), f64::min)
     }
 
     /// Schedules deltas for children that lack a version. Changes within the coalescing interval are sent together.
@@ -173,7 +174,7 @@
     pub(crate) fn flush(
         &mut self,
         now_ms: f64,
-        held: HeldVersion,
+        version_info: HeldVersion,
         store: &ConfigStore,
     ) -> Vec<(SocketAddr, Message)> {
         if self.flush_at_ms.is_none_or(|at_ms| now_ms < at_ms) {
@@ -182,10 +183,10 @@
         self.flush_at_ms = None;
         self.min_flush_at_ms = now_ms + self.coalescing_ms;
         let mut messages = Vec::new();
-        for child in self.children.iter_mut().filter(|child| child.sent != held.version) {
+        for child in self.children.iter_mut().filter(|child| child.sent != version_info.version) {
             let delta = store.short_delta(child.sent);
-            messages.push((child.address, delta.map_or(Message::Heartbeat(held), Message::Delta)));
-            child.sent = held.version;
+            messages.push((child.address, delta.map_or(Message::Heartbeat(version_info), Message::Delta)));
+            child.sent = version_info.version;
         }
         messages
     }
--- a/crates/plovershelf-config-distribution/src/fetch.rs
+++ b/crates/plovershelf-config-distribution/src/fetch.rs
@@ -72,7 +72,7 @@
 pub(crate) struct FailedRequest {
     pub(crate) from: SocketAddr,
     /// True if the sender has reached the limit of consecutive failures.
-    pub(crate) gives_up: bool,
+    pub(crate) limit_reached: bool,
 }
 
 /// The pending request, if any, and the number of consecutive failures.
@@ -114,7 +114,7 @@
     pub(crate) fn handle_timeout(&mut self, now_ms: f64) -> Option<FailedRequest> {
         let pending = self.pending.take_if(|pending| now_ms >= pending.until_ms)?;
         self.failures += 1;
-        Some(FailedRequest { from: pending.from, gives_up: self.failures >= MAX_FAILURES })
+        Some(FailedRequest { from: pending.from, limit_reached: self.failures >= MAX_FAILURES })
     }
 
     /// Records that a request was sent.
@@ -179,12 +179,14 @@
             pending.builder = Some(SnapshotBuilder::new(chunk.version, chunk.digest));
         }
         let Some(builder) = pending.builder.as_mut() else { return ChunkOutcome::Ignored };
-        if !builder.is_of(chunk.version, chunk.digest) || builder.last_name() != chunk.after.as_deref() {
+        if !builder.matches_source(chunk.version, chunk.digest)
+            || builder.last_name() != chunk.after.as_deref()
+        {
             return ChunkOutcome::Ignored;
         }
         pending.until_ms = now_ms + self.timeout_ms;
         if let Err(error) = builder.add_entries(chunk.entries) {
-            self.drop_snapshot(now_ms);
+            self.reject_snapshot(now_ms);
             return ChunkOutcome::InvalidChunk(error);
         }
         if !chunk.is_last {
@@ -198,14 +200,14 @@
         match self.pending.take().and_then(|pending| pending.builder).map(SnapshotBuilder::finish) {
             Some(Ok(table)) => ChunkOutcome::Complete(table),
             Some(Err(error)) => {
-                self.drop_snapshot(now_ms);
+                self.reject_snapshot(now_ms);
                 ChunkOutcome::InvalidTable(error)
             }
             None => ChunkOutcome::Ignored,
         }
     }
 
-    fn drop_snapshot(&mut self, now_ms: f64) {
+    fn reject_snapshot(&mut self, now_ms: f64) {
         self.pending = None;
         self.not_before_ms = now_ms + self.timeout_ms;
     }
--- a/crates/plovershelf-config-distribution/src/fetch/tests.rs
+++ b/crates/plovershelf-config-distribution/src/fetch/tests.rs
@@ -8,9 +8,9 @@
     ReceivedChunk { version: version(3), digest: 7, after: after.map(String::from), entries, is_last }
 }
 
-/// The parent answers nothing. Each request must be given up in time, and the parent after three in a row.
+/// A parent answers no request. Each request must time out, and the third timeout in a row must report the limit.
 #[test]
-fn third_request_in_a_row_without_an_answer_gives_the_sender_up() {
+fn third_consecutive_timeout_reaches_the_failure_limit() {
     let mut fetcher = Fetcher::new(0.0, 1000.0);
     for attempt in 1..=3 {
         assert!(fetcher.is_ready(0.0));
@@ -18,16 +18,16 @@
         assert!(fetcher.is_waiting_for(address(1)) && !fetcher.is_ready(0.0));
         assert_eq!(fetcher.handle_timeout(999.0), None);
         let failed = fetcher.handle_timeout(1000.0);
-        assert_eq!(failed, Some(FailedRequest { from: address(1), gives_up: attempt == 3 }));
+        assert_eq!(failed, Some(FailedRequest { from: address(1), limit_reached: attempt == 3 }));
     }
     fetcher.reset();
     fetcher.begin(0.0, address(1));
-    assert!(fetcher.handle_timeout(1000.0).is_some_and(|failed| !failed.gives_up));
+    assert!(fetcher.handle_timeout(1000.0).is_some_and(|failed| !failed.limit_reached));
 }
 
-/// Chunks come from a stranger, out of turn, or twice. They must change nothing of the snapshot under way.
+/// Chunks arrive from an unknown process, out of order, or twice. They must not change the snapshot under assembly.
 #[test]
-fn chunks_out_of_turn_are_ignored() {
+fn unexpected_chunks_are_ignored() {
     let rng = &mut Pcg32::seed_from_u64(1);
     let mut fetcher = Fetcher::new(0.0, 1000.0);
     let first = || chunk(None, "b", 1.0, false);
@@ -41,10 +41,10 @@
     assert!(fetcher.is_waiting_for(address(1)));
 }
 
-/// A snapshot is complete with another digest, or holds a quota that can't be. It must be dropped, and not be asked for again
-/// at once.
+/// A snapshot has a digest that does not match or an invalid quota. It must be dropped, and the next request must be
+/// delayed.
 #[test]
-fn invalid_snapshots_are_dropped_for_a_pause() {
+fn invalid_snapshots_are_dropped_and_the_next_request_is_delayed() {
     let rng = &mut Pcg32::seed_from_u64(1);
     for (quota_per_s, is_last) in [(1.0, true), (-1.0, false)] {
         let mut fetcher = Fetcher::new(0.0, 1000.0);
@@ -58,10 +58,10 @@
     }
 }
 
-/// The sender's version moves on faster than its log is long, so that each chunk starts the snapshot again. The transfer must
-/// be left after some starts.
+/// Guards against an endless transfer: the sender's version advances faster than its change log can cover, so each
+/// chunk starts the snapshot again. The transfer must be abandoned after the maximum number of starts.
 #[test]
-fn snapshot_that_starts_again_too_often_is_abandoned() {
+fn snapshot_that_restarts_too_often_is_abandoned() {
     let rng = &mut Pcg32::seed_from_u64(1);
     let mut fetcher = Fetcher::new(0.0, 1000.0);
     fetcher.begin(0.0, address(1));
--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Freshness {
     /// The version information that the parent sent last.
-    parent_held: Option<HeldVersion>,
+    parent_version_info: Option<HeldVersion>,
     /// The send time of the latest heartbeat of an origin that arrived here, directly or through relays, in
     /// milliseconds.
     origin_contact_ms: Option<f64>,
@@ -43,24 +43,24 @@
     /// Number of consecutive probes that were sent because the origin contact was stale.
     stale_probes: usize,
     /// The version of the last probed process, if it was newer than the version in force here.
-    ahead_elsewhere: Option<Version>,
+    newer_version_seen: Option<Version>,
     probe_at_ms: f64,
 }
 
 impl Freshness {
     pub(crate) fn new(probe_at_ms: f64) -> Self {
         Freshness {
-            parent_held: None,
+            parent_version_info: None,
             origin_contact_ms: None,
             probed: None,
             stale_probes: 0,
-            ahead_elsewhere: None,
+            newer_version_seen: None,
             probe_at_ms,
         }
     }
 
-    pub(crate) fn parent_held(&self) -> Option<&HeldVersion> {
-        self.parent_held.as_ref()
+    pub(crate) fn parent_version_info(&self) -> Option<&HeldVersion> {
+        self.parent_version_info.as_ref()
     }
 
     pub(crate) fn origin_contact_age_ms(&self, now_ms: f64) -> Option<f64> {
@@ -76,24 +76,24 @@
     }
 
     /// Records the version information in a message from the parent.
-    pub(crate) fn handle_parent_held(&mut self, now_ms: f64, held: HeldVersion) {
-        if held.age_ms < u32::MAX {
-            let at_ms = now_ms - f64::from(held.age_ms);
+    pub(crate) fn handle_parent_version_info(&mut self, now_ms: f64, version_info: HeldVersion) {
+        if version_info.age_ms < u32::MAX {
+            let at_ms = now_ms - f64::from(version_info.age_ms);
             self.origin_contact_ms = Some(self.origin_contact_ms.map_or(at_ms, |latest| latest.max(at_ms)));
         }
-        self.parent_held = Some(held);
+        self.parent_version_info = Some(version_info);
     }
 
     /// Records the version of a change that the parent sent. A change carries no age.
     pub(crate) fn handle_parent_change(&mut self, version: Version, short_digest: u64) {
-        self.parent_held = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
+        self.parent_version_info = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
     }
 
     /// Drops the information about a former parent, and the probes that were compared with it.
     pub(crate) fn handle_detached(&mut self) {
-        self.parent_held = None;
+        self.parent_version_info = None;
         self.probed = None;
-        self.ahead_elsewhere = None;
+        self.newer_version_seen = None;
     }
 
     pub(crate) fn schedule_probe(&mut self, at_ms: f64) {
@@ -137,21 +137,21 @@
     pub(crate) fn handle_probe_reply(
         &mut self,
         now_ms: f64,
-        theirs: HeldVersion,
+        probed: HeldVersion,
         own: HeldVersion,
         fetch: FetchState,
         config: &DistributionConfig,
     ) -> ProbeVerdict {
-        let (own_age_ms, their_age_ms) = (f64::from(own.age_ms), f64::from(theirs.age_ms));
+        let (own_age_ms, probed_age_ms) = (f64::from(own.age_ms), f64::from(probed.age_ms));
         let is_fresher =
-            own_age_ms > config.stale_after_ms && their_age_ms + config.heartbeat_interval_ms < own_age_ms;
+            own_age_ms > config.stale_after_ms && probed_age_ms + config.heartbeat_interval_ms < own_age_ms;
         let still_behind =
-            self.ahead_elsewhere.is_some_and(|ahead| ahead > own.version) && fetch == FetchState::Idle;
+            self.newer_version_seen.is_some_and(|ahead| ahead > own.version) && fetch == FetchState::Idle;
         if is_fresher || still_behind {
             return ProbeVerdict::SwitchParent;
         }
-        self.ahead_elsewhere = Some(theirs.version).filter(|version| *version > own.version);
-        if self.ahead_elsewhere.is_some() {
+        self.newer_version_seen = Some(probed.version).filter(|version| *version > own.version);
+        if self.newer_version_seen.is_some() {
             self.probe_at_ms = self.probe_at_ms.min(now_ms + URGENT_PROBE_MS);
         }
         ProbeVerdict::KeepParent
--- a/crates/plovershelf-config-distribution/src/known_parents.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents.rs
@@ -7,9 +7,9 @@
 /// Maximum number of failed addresses that are remembered while the listener has no parent.
 const MAX_FAILED: usize = MAX_ADDRESSES;
 /// Maximum number of failed addresses that are remembered after the listener attached to a parent.
-const FAILED_KEPT: usize = 4;
+const MAX_FAILED_AFTER_ATTACH: usize = 4;
 /// Number of alternate parents that are probed for a newer version before the origins are.
-const ALTERNATES_PROBED: usize = 2;
+const MAX_PROBED_ALTERNATES: usize = 2;
 
 /// The origins from the operator's file, and the alternate parents that the parent sent.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     }
 
     /// Returns the addresses to which a listener of this kind may attach: origins for a relay, relays for a leaf.
-    pub(crate) fn of_kind(&self, kind: ListenerKind) -> &[SocketAddr] {
+    pub(crate) fn candidates_for(&self, kind: ListenerKind) -> &[SocketAddr] {
         match kind {
             ListenerKind::Relay => &self.origins,
             ListenerKind::Leaf => &self.alternates,
@@ -60,36 +60,39 @@
 
     /// Returns the address to which the listener attaches if it loses this parent.
     pub(crate) fn backup(&self, kind: ListenerKind, parent: Option<SocketAddr>) -> Option<SocketAddr> {
-        let other = |list: &[SocketAddr]| list.iter().copied().find(|at| Some(*at) != parent);
+        let first_other = |list: &[SocketAddr]| list.iter().copied().find(|address| Some(*address) != parent);
         match kind {
-            ListenerKind::Relay => other(&self.origins),
-            ListenerKind::Leaf => other(&self.alternates).or_else(|| other(&self.origins)),
+            ListenerKind::Relay => first_other(&self.origins),
+            ListenerKind::Leaf => first_other(&self.alternates).or_else(|| first_other(&self.origins)),
         }
     }
 
     /// Returns the process to probe after a long time without origin contact through the parent.
     ///
     /// The targets are the backup parent, one more alternate parent because the backup may have no origin contact
-    /// either, and then the origins. Successive values of `turn` select successive targets.
+    /// either, and then the origins. Successive values of `index` select successive targets.
     pub(crate) fn probe_target(
         &self,
         kind: ListenerKind,
         parent: Option<SocketAddr>,
-        turn: usize,
+        index: usize,
     ) -> Option<SocketAddr> {
         let alternates: &[SocketAddr] = if kind == ListenerKind::Relay { &[] } else { &self.alternates };
-        let but_parent = |at: &SocketAddr| Some(*at) != parent;
-        let near = alternates.iter().copied().filter(but_parent).take(ALTERNATES_PROBED);
-        let others: Vec<SocketAddr> = near.chain(self.origins.iter().copied().filter(but_parent)).collect();
-        others.get(turn % others.len().max(1)).copied()
+        let is_not_parent = |address: &SocketAddr| Some(*address) != parent;
+        let probed_alternates = alternates.iter().copied().filter(is_not_parent).take(MAX_PROBED_ALTERNATES);
+        let targets: Vec<SocketAddr> =
+            probed_alternates.chain(self.origins.iter().copied().filter(is_not_parent)).collect();
+        targets.get(index % targets.len().max(1)).copied()
     }
 
     /// Applies the lists sent by the parent. Sorts the origins in the parent's order of distance, and ignores any that
     /// are not in the operator's file.
     pub(crate) fn update(&mut self, relays: Vec<SocketAddr>, origins: &[SocketAddr], own: SocketAddr) {
-        self.alternates = relays.into_iter().filter(|at| *at != own).take(MAX_ADDRESSES).collect();
-        let place = |at: &SocketAddr| origins.iter().position(|known| known == at).unwrap_or(MAX_ADDRESSES);
-        self.origins.sort_by_key(place);
+        self.alternates = relays.into_iter().filter(|relay| *relay != own).take(MAX_ADDRESSES).collect();
+        let rank = |address: &SocketAddr| {
+            origins.iter().position(|origin| origin == address).unwrap_or(MAX_ADDRESSES)
+        };
+        self.origins.sort_by_key(rank);
         self.next_origin = 0;
     }
 
@@ -99,9 +102,9 @@
     pub(crate) fn prefer(&mut self, address: SocketAddr) {
         if self.is_origin(address) {
             let alternates = std::mem::take(&mut self.alternates);
-            alternates.into_iter().for_each(|at| self.remember_failed(at));
+            alternates.into_iter().for_each(|alternate| self.record_failure(alternate));
         } else {
-            self.alternates.retain(|at| *at != address);
+            self.alternates.retain(|alternate| *alternate != address);
             self.alternates.insert(0, address);
             self.alternates.truncate(MAX_ADDRESSES);
         }
@@ -111,12 +114,12 @@
     pub(crate) fn next_origin(&self) -> Option<SocketAddr> {
         let count = self.origins.len().max(1);
         let first = *self.origins.get(self.next_origin % count)?;
-        let mut in_turn = self.origins.iter().cycle().skip(self.next_origin % count).take(count);
-        Some(in_turn.find(|origin| !self.failed.contains(origin)).copied().unwrap_or(first))
+        let mut rotated = self.origins.iter().cycle().skip(self.next_origin % count).take(count);
+        Some(rotated.find(|origin| !self.failed.contains(origin)).copied().unwrap_or(first))
     }
 
     /// Returns all origins in rotation, those that failed recently last.
-    pub(crate) fn origins_in_turn(&self) -> Vec<SocketAddr> {
+    pub(crate) fn origins_in_rotation(&self) -> Vec<SocketAddr> {
         let mut origins = self.origins.clone();
         origins.rotate_left(self.next_origin % self.origins.len().max(1));
         origins.sort_by_key(|origin| self.failed.contains(origin));
@@ -124,12 +127,12 @@
     }
 
     /// Advances the rotation to the next origin.
-    pub(crate) fn advance_turn(&mut self) {
+    pub(crate) fn advance_rotation(&mut self) {
         self.next_origin += 1;
     }
 
-    pub(crate) fn remember_failed(&mut self, address: SocketAddr) {
-        self.failed.retain(|at| *at != address);
+    pub(crate) fn record_failure(&mut self, address: SocketAddr) {
+        self.failed.retain(|failed| *failed != address);
         self.failed.push(address);
         if self.failed.len() > MAX_FAILED {
             self.failed.remove(0);
@@ -138,8 +141,8 @@
 
     /// Forgets all but the most recent failures after the listener attached to a parent.
     pub(crate) fn handle_attached(&mut self, parent: SocketAddr) {
-        self.failed.retain(|at| *at != parent);
-        self.failed.drain(..self.failed.len().saturating_sub(FAILED_KEPT));
+        self.failed.retain(|failed| *failed != parent);
+        self.failed.drain(..self.failed.len().saturating_sub(MAX_FAILED_AFTER_ATTACH));
     }
 }
 
--- a/crates/plovershelf-config-distribution/src/known_parents/tests.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents/tests.rs
@@ -7,8 +7,8 @@
     known
 }
 
-/// The relay of a leaf hears no origin, and neither does the leaf's backup. Probes must reach an origin within a few turns,
-/// and never the parent.
+/// A leaf's relay and its backup parent have both lost their origin contact. The probes must reach an origin after two
+/// alternates, and must never go to the parent.
 #[test]
 fn probes_of_a_leaf_go_to_two_alternates_and_then_to_origins() {
     let known = known(&[1, 2], &[10, 11, 12, 13]);
@@ -18,21 +18,22 @@
     assert_eq!(relay, Some(address(2)));
 }
 
-/// An origin does not answer. It must not be asked again before the others, and again once all have failed.
+/// An origin does not answer. It must be asked again only after the others, or when all have failed.
 #[test]
 fn origins_that_failed_are_asked_after_the_others() {
     let mut known = known(&[1, 2, 3], &[]);
-    known.remember_failed(address(1));
+    known.record_failure(address(1));
     assert_eq!(known.next_origin(), Some(address(2)));
-    assert_eq!(known.origins_in_turn(), [2, 3, 1].map(address));
-    known.remember_failed(address(2));
-    known.remember_failed(address(3));
+    assert_eq!(known.origins_in_rotation(), [2, 3, 1].map(address));
+    known.record_failure(address(2));
+    known.record_failure(address(3));
     assert_eq!(known.next_origin(), Some(address(1)));
-    known.advance_turn();
+    known.advance_rotation();
     assert_eq!(known.next_origin(), Some(address(2)));
 }
 
-/// An origin holds what a leaf's parent lacks, so all relays near are as far behind. None of them must be tried next.
+/// An origin has data that a leaf's parent lacks, so the nearby relays are as far behind as the parent. None of them
+/// must be the next candidate.
 #[test]
 fn alternates_count_as_failed_when_an_origin_is_ahead_of_them() {
     let mut known = known(&[1, 2], &[10, 11]);
--- a/crates/plovershelf-config-distribution/src/message.rs
+++ b/crates/plovershelf-config-distribution/src/message.rs
@@ -36,8 +36,8 @@
 
 impl NodeInfo {
     pub(crate) fn is_bounded(&self) -> bool {
-        let fits = |text: &str| text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
-        !self.name.is_empty() && fits(&self.name) && fits(&self.zone) && fits(&self.region)
+        let is_valid = |text: &str| text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
+        !self.name.is_empty() && is_valid(&self.name) && is_valid(&self.zone) && is_valid(&self.region)
     }
 }
 
@@ -136,12 +136,12 @@
         /// An origin in the listener's region, which the listener should ask instead.
         ask_origin: Option<SocketAddr>,
     },
-    /// Sent to a prospective parent: requests attachment and the changes after the version in `held`.
+    /// Sent to a prospective parent: requests attachment and the changes after the version in `version_info`.
     Attach {
         /// The listener that requests attachment.
         node: NodeInfo,
         /// The version in force on the listener.
-        held: HeldVersion,
+        version_info: HeldVersion,
         /// The kind of the listener: a relay attaches to an origin, a leaf to a relay.
         kind: ListenerKind,
         /// `Failover` if the listener lost its previous parent.
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -28,7 +28,7 @@
 
 pub use interface::{Actions, Event, NodeStatus, ProposalError, Role, Startup, Warning};
 
-use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, SilentNodes};
+use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, TimedOutNodes};
 use crate::change::Change;
 use crate::config::DistributionConfig;
 use crate::fan_out::FanOut;
@@ -66,7 +66,7 @@
     /// The other origins; empty on a listener.
     origins: OriginPeers,
     placement: Placement,
-    silent: SilentNodes,
+    timed_out: TimedOutNodes,
     attachments: AttachmentLog,
     report: ReportTimer,
     timers: Timers,
@@ -81,12 +81,12 @@
     pub fn new(startup: Startup, now_ms: f64) -> Self {
         let Startup { node, role, origins, config, table, seed } = startup;
         let mut rng = Pcg32::seed_from_u64(seed);
-        let others: Vec<SocketAddr> = origins.into_iter().filter(|at| *at != node.address).collect();
-        let (origins, peers) = match role {
+        let others: Vec<SocketAddr> = origins.into_iter().filter(|origin| *origin != node.address).collect();
+        let (parent_origins, peer_origins) = match role {
             Role::Origin => (Vec::new(), others),
             Role::Listener => (others, Vec::new()),
         };
-        let parent = ParentSelector::new(origins, now_ms, &config, &mut rng);
+        let parent = ParentSelector::new(parent_origins, now_ms, &config, &mut rng);
         let probe_at_ms = now_ms + rng.random_range(0.5..1.0) * config.leaf_probe_interval_ms;
         Node {
             role,
@@ -95,9 +95,9 @@
             fetcher: Fetcher::new(now_ms, config.fetch_timeout_ms),
             parent,
             freshness: Freshness::new(probe_at_ms),
-            origins: OriginPeers::new(&peers, config.max_parent_timeout_ms),
+            origins: OriginPeers::new(&peer_origins, config.max_parent_timeout_ms),
             placement: Placement::new(node.clone(), &config),
-            silent: SilentNodes::default(),
+            timed_out: TimedOutNodes::default(),
             attachments: AttachmentLog::default(),
             report: ReportTimer::new(now_ms),
             timers: Timers { heartbeat_ms: now_ms, relay_list_ms: now_ms, rebalance_ms: now_ms },
@@ -141,9 +141,9 @@
     pub fn handle_connection_lost(&mut self, now_ms: f64, address: SocketAddr) {
         self.note_input(now_ms);
         if let Some(child) = self.fan_out.remove(address) {
-            self.on_child_gone(now_ms, child);
+            self.on_child_lost(now_ms, child);
         }
-        self.origins.forget_held(address);
+        self.origins.clear_version_info(address);
         self.fetcher.handle_connection_lost(address);
         self.on_unreachable(now_ms, address);
         self.fetch_missing(now_ms);
@@ -172,13 +172,13 @@
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.note_input(now_ms);
         self.flush_deltas(now_ms);
-        self.placement.expire_promises(now_ms);
-        for child in self.fan_out.remove_silent(now_ms) {
-            self.on_child_gone(now_ms, child);
+        self.placement.expire_reservations(now_ms);
+        for child in self.fan_out.remove_timed_out(now_ms) {
+            self.on_child_lost(now_ms, child);
         }
         if now_ms >= self.timers.heartbeat_ms {
             self.send_heartbeats(now_ms);
-            self.silent.expire(now_ms);
+            self.timed_out.expire(now_ms);
             self.attachments.expire(now_ms);
         }
         match self.role {
@@ -247,18 +247,18 @@
             Message::ParentCandidates { relays, kind, limit, ask_origin } => {
                 self.on_candidates(now_ms, from, Candidates { relays, kind, limit, ask_origin });
             }
-            Message::Attach { node, held, kind, limit } => {
-                self.on_attach(now_ms, from, AttachRequest { node, held, kind, limit });
+            Message::Attach { node, version_info, kind, limit } => {
+                self.on_attach(now_ms, from, AttachRequest { node, version_info, kind, limit });
             }
-            Message::Attached(held) => self.on_attached(now_ms, from, held),
+            Message::Attached(version_info) => self.on_attached(now_ms, from, version_info),
             Message::Rejected => self.on_rejected(now_ms, from),
             Message::Detach => self.on_detach(now_ms, from),
-            Message::Heartbeat(held) => self.on_heartbeat(now_ms, from, held),
+            Message::Heartbeat(version_info) => self.on_heartbeat(now_ms, from, version_info),
             Message::AlternateParents { relays, origins } => {
                 self.on_alternates(now_ms, from, relays, &origins)
             }
             Message::Delta(changes) => self.on_delta(now_ms, from, changes),
-            Message::SyncRequest(held) => self.on_sync_request(now_ms, from, held),
+            Message::SyncRequest(version_info) => self.on_sync_request(now_ms, from, version_info),
             Message::ChunkRequest { version, after } => self.on_chunk_request(from, version, after),
             Message::SnapshotChunk { version, digest, after, entries, is_last } => {
                 self.on_chunk(now_ms, from, ReceivedChunk { version, digest, after, entries, is_last });
@@ -268,18 +268,18 @@
             Message::Relocated(names) => self.on_relocated(from, &names),
             Message::Attachments(attached) => self.on_attachments(now_ms, from, attached),
             Message::Probe => self.on_probe(now_ms, from),
-            Message::ProbeReply(held) => self.on_probe_reply(now_ms, from, held),
+            Message::ProbeReply(version_info) => self.on_probe_reply(now_ms, from, version_info),
             Message::OriginRelays { origin, relays } => self.on_origin_relays(now_ms, from, origin, relays),
         }
     }
 
     /// Returns true if this node accepts children.
-    fn feeds_others(&self) -> bool {
+    fn may_have_children(&self) -> bool {
         self.role == Role::Origin || self.parent.is_relay()
     }
 
     /// Returns the version in force and the time since the last origin contact, as sent in heartbeats.
-    fn held(&self, now_ms: f64) -> HeldVersion {
+    fn version_info(&self, now_ms: f64) -> HeldVersion {
         let age_ms = match self.role {
             Role::Origin => 0.0,
             Role::Listener => self.freshness.origin_contact_age_ms(now_ms).unwrap_or(f64::INFINITY),
@@ -296,7 +296,7 @@
             Role::Origin => CountSelf::No,
             Role::Listener => CountSelf::Yes,
         };
-        aggregate(count_self, self.store.version(), self.fan_out.children(), &self.silent)
+        aggregate(count_self, self.store.version(), self.fan_out.children(), &self.timed_out)
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
@@ -324,16 +324,16 @@
     /// Sends heartbeats to all children and other origins.
     fn send_heartbeats(&mut self, now_ms: f64) {
         self.timers.heartbeat_ms = now_ms + self.config.heartbeat_interval_ms;
-        let held = self.held(now_ms);
+        let version_info = self.version_info(now_ms);
         let to: Vec<SocketAddr> = self.fan_out.addresses().chain(self.origins.addresses()).collect();
         for to in to {
-            self.send(to, Message::Heartbeat(held));
+            self.send(to, Message::Heartbeat(version_info));
         }
     }
 
     fn flush_deltas(&mut self, now_ms: f64) {
-        let held = self.held(now_ms);
-        let messages = self.fan_out.flush(now_ms, held, &self.store);
+        let version_info = self.version_info(now_ms);
+        let messages = self.fan_out.flush(now_ms, version_info, &self.store);
         self.actions.messages.extend(messages);
     }
 }
--- a/crates/plovershelf-config-distribution/src/node/interface.rs
+++ b/crates/plovershelf-config-distribution/src/node/interface.rs
@@ -72,7 +72,7 @@
     },
     /// A change arrived with a version that is known here under another digest.
     #[error("change {0} ignored: its digest differs from that of the known change with this version")]
-    ContradictingChange(Version),
+    ConflictingChange(Version),
     /// A chunk of a snapshot contains an invalid entry.
     #[error("snapshot {version} from {from} rejected: {error}")]
     InvalidChunk {
@@ -92,12 +92,12 @@
         error: SnapshotError,
     },
     /// A committed change can't be applied on this origin, since the origin missed earlier changes.
-    #[error("committed change {version} not applied to version {held}: {error}")]
+    #[error("committed change {version} not applied to version {current}: {error}")]
     CommittedChangeNotApplied {
         /// The version of the committed change.
         version: Version,
         /// The version in force here.
-        held: Version,
+        current: Version,
         /// The reason for the rejection.
         error: ApplyError,
     },
@@ -127,14 +127,16 @@
         newest: u64,
     },
     /// A relay has a newer version in force, so this origin has missed a change.
-    #[error("{name} has {theirs} in force, {own} is the newest here; propose when that came here")]
+    #[error(
+        "{relay} has {relay_version} in force, {own_version} is the newest here; propose when that came here"
+    )]
     Behind {
         /// The name of the relay.
-        name: String,
+        relay: String,
         /// The version in force on the relay.
-        theirs: Version,
+        relay_version: Version,
         /// The version in force on this origin.
-        own: Version,
+        own_version: Version,
     },
     /// Another origin has a different table in force under the same version.
     #[error(
@@ -151,7 +153,7 @@
     Invalid(#[from] InvalidChange),
     /// The version number can't be increased any further.
     #[error("the numbers of this era are used up")]
-    NumbersUsedUp,
+    VersionNumbersExhausted,
 }
 
 /// A process's view of its subtree, for display.
--- a/crates/plovershelf-config-distribution/src/node/origin.rs
+++ b/crates/plovershelf-config-distribution/src/node/origin.rs
@@ -42,8 +42,8 @@
         }
         let mut children = self.fan_out.children().iter();
         if let Some(child) = children.find(|child| child.aggregate.version > previous) {
-            let (name, theirs) = (child.node.name.clone(), child.aggregate.version);
-            return Err(ProposalError::Behind { name, theirs, own: previous });
+            let (relay, relay_version) = (child.node.name.clone(), child.aggregate.version);
+            return Err(ProposalError::Behind { relay, relay_version, own_version: previous });
         }
         // Reject proposals if another origin started from a different table, since a change based on the wrong table
         // would take effect everywhere. The digests in the heartbeats of the other origins reveal the difference.
@@ -51,7 +51,7 @@
             return Err(ProposalError::ConflictingOrigin { origin, version: previous });
         }
         let digest = self.table().validate(&edits)?;
-        let number = previous.number.checked_add(1).ok_or(ProposalError::NumbersUsedUp)?;
+        let number = previous.number.checked_add(1).ok_or(ProposalError::VersionNumbersExhausted)?;
         let version = Version { epoch: epoch.max(previous.epoch), number };
         Ok(Change { version, previous, digest, edits, proposed_unix_ms })
     }
@@ -59,13 +59,13 @@
     /// Applies a change that the consensus group has committed. The driver calls it on origins only.
     pub fn handle_commit(&mut self, now_ms: f64, change: Change) {
         self.note_input(now_ms);
-        let (version, held) = (change.version, self.store.version());
-        if version <= held {
+        let (version, current) = (change.version, self.store.version());
+        if version <= current {
             self.check_known_change(&change);
             return;
         }
         if let Err(error) = self.apply(now_ms, change) {
-            self.warn(Warning::CommittedChangeNotApplied { version, held, error });
+            self.warn(Warning::CommittedChangeNotApplied { version, current, error });
             let others: Vec<SocketAddr> = self.origins.addresses().collect();
             for other in others {
                 self.send(other, Message::Probe);
@@ -102,8 +102,8 @@
         }
         let interval_ms = self.rng.random_range(1.0..2.0) * self.config.rebalance_interval_ms;
         self.timers.rebalance_ms = now_ms + interval_ms;
-        if let Some(better) = self.placement.relocation(now_ms, &self.fan_out, &self.origins) {
-            self.send(better.relay, Message::Reattach(Some(better.to_origin)));
+        if let Some(relocation) = self.placement.relocation(now_ms, &self.fan_out, &self.origins) {
+            self.send(relocation.relay, Message::Reattach(Some(relocation.to_origin)));
         }
     }
 
@@ -111,9 +111,9 @@
     /// connection.
     fn resend_children(&mut self, now_ms: f64) {
         for _ in 0..CHILDREN_RESENT.min(self.fan_out.len()) {
-            let Some(child) = self.fan_out.next_name() else { break };
-            self.attachments.locate(now_ms, &child, self.info.address);
-            self.attachments.pass_on(&child, self.info.address);
+            let Some(child) = self.fan_out.next_child_name() else { break };
+            self.attachments.record(now_ms, &child, self.info.address);
+            self.attachments.enqueue(&child, self.info.address);
         }
     }
 
@@ -132,14 +132,19 @@
 
     /// Records the processes that attached to a child, and notifies the child about missing processes that are
     /// attached elsewhere.
-    pub(super) fn locate_attached(&mut self, now_ms: f64, from: SocketAddr, aggregate: &mut Aggregate) {
+    pub(super) fn record_child_attachments(
+        &mut self,
+        now_ms: f64,
+        from: SocketAddr,
+        aggregate: &mut Aggregate,
+    ) {
         for name in std::mem::take(&mut aggregate.attached) {
-            self.locate(now_ms, &name, from);
-            self.attachments.pass_on(&name, from);
+            self.record_attachment(now_ms, &name, from);
+            self.attachments.enqueue(&name, from);
         }
         let attachments = &self.attachments;
         let relocated: Vec<String> =
-            aggregate.missing.extract_if(.., |name| attachments.is_elsewhere(name, from)).collect();
+            aggregate.missing.extract_if(.., |name| attachments.is_attached_elsewhere(name, from)).collect();
         if !relocated.is_empty() {
             self.send(from, Message::Relocated(relocated));
         }
@@ -152,15 +157,15 @@
         }
         for Attachment { name, parent } in attached {
             if name.len() <= MAX_NAME_BYTES {
-                self.locate(now_ms, &name, parent);
+                self.record_attachment(now_ms, &name, parent);
             }
         }
     }
 
     /// Records the parent of a process, which is therefore no longer missing.
-    fn locate(&mut self, now_ms: f64, name: &str, parent: SocketAddr) {
-        self.attachments.locate(now_ms, name, parent);
-        self.silent.remove(name);
+    fn record_attachment(&mut self, now_ms: f64, name: &str, parent: SocketAddr) {
+        self.attachments.record(now_ms, name, parent);
+        self.timed_out.remove(name);
     }
 
     /// Records the identity and the relays of another origin.
--- a/crates/plovershelf-config-distribution/src/node/sync.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -14,19 +14,19 @@
 impl Node {
     /// Returns true if this process may request deltas and snapshots: a child, another origin, or the parent. The
     /// parent is included because an origin that starts from an empty state fetches from its relays.
-    fn may_ask(&self, from: SocketAddr) -> bool {
+    fn may_request_data(&self, from: SocketAddr) -> bool {
         self.fan_out.contains(from) || self.origins.contains(from) || self.parent.is_parent(from)
     }
 
-    pub(super) fn on_sync_request(&mut self, now_ms: f64, from: SocketAddr, theirs: HeldVersion) {
-        if !self.may_ask(from) {
+    pub(super) fn on_sync_request(&mut self, now_ms: f64, from: SocketAddr, requester: HeldVersion) {
+        if !self.may_request_data(from) {
             return;
         }
-        let own = self.held(now_ms);
-        let is_same = (theirs.version, theirs.short_digest) == (own.version, own.short_digest);
-        if theirs.version > own.version || is_same {
+        let own = self.version_info(now_ms);
+        let is_same = (requester.version, requester.short_digest) == (own.version, own.short_digest);
+        if requester.version > own.version || is_same {
             self.send(from, Message::ProbeReply(own));
-        } else if !self.send_delta(from, theirs.version) {
+        } else if !self.send_delta(from, requester.version) {
             self.send_chunk(from, None);
         }
     }
@@ -34,11 +34,11 @@
     /// Sends the next chunk of the snapshot, preceded by the changes since the last chunk. Sends the first chunk of
     /// the current snapshot if the change log does not reach back far enough.
     pub(super) fn on_chunk_request(&mut self, from: SocketAddr, version: Version, after: Option<String>) {
-        if !self.may_ask(from) || after.as_ref().is_some_and(|after| after.len() > MAX_NAME_BYTES) {
+        if !self.may_request_data(from) || after.as_ref().is_some_and(|after| after.len() > MAX_NAME_BYTES) {
             return;
         }
-        let is_same = version == self.store.version();
-        let continues = after.is_some() && (is_same || self.send_delta(from, version));
+        let is_current = version == self.store.version();
+        let continues = after.is_some() && (is_current || self.send_delta(from, version));
         self.send_chunk(from, after.filter(|_| continues));
     }
 
@@ -61,18 +61,18 @@
     pub(super) fn fetch_target(&self) -> Option<SocketAddr> {
         match self.role {
             Role::Origin => self.origin_fetch_target(),
-            Role::Listener => self
-                .parent
-                .parent()
-                .filter(|_| self.freshness.parent_held().is_some_and(|held| self.lacks(held))),
+            Role::Listener => self.parent.parent().filter(|_| {
+                self.freshness.parent_version_info().is_some_and(|version_info| self.is_behind(version_info))
+            }),
         }
     }
 
     /// Returns true if the parent has a later version, or if both are at the initial version with different tables.
-    fn lacks(&self, held: &HeldVersion) -> bool {
+    fn is_behind(&self, version_info: &HeldVersion) -> bool {
         let own = self.store.version();
-        let started_otherwise = own == Version::default() && held.short_digest != self.store.short_digest();
-        held.version > own || (held.version == own && started_otherwise)
+        let initial_tables_differ =
+            own == Version::default() && version_info.short_digest != self.store.short_digest();
+        version_info.version > own || (version_info.version == own && initial_tables_differ)
     }
 
     /// Returns another origin that is ahead. If there is none and this origin is at the initial version, returns the
@@ -85,17 +85,17 @@
         if let Some(origin) = self.origins.ahead_of(own) {
             return Some(origin);
         }
-        let begins_from_nothing = own == Version::default();
+        let is_at_initial_version = own == Version::default();
         let children = self.fan_out.children().iter();
-        let ahead = children.filter(|child| begins_from_nothing && child.aggregate.version > own);
+        let ahead = children.filter(|child| is_at_initial_version && child.aggregate.version > own);
         ahead.max_by_key(|child| child.aggregate.version).map(|child| child.address)
     }
 
     /// Requests missing data if no request is pending. Handles the timeout of the pending request first.
     pub(super) fn fetch_missing(&mut self, now_ms: f64) {
         if let Some(failed) = self.fetcher.handle_timeout(now_ms) {
-            self.origins.forget_held(failed.from);
-            if failed.gives_up && self.parent.is_parent(failed.from) {
+            self.origins.clear_version_info(failed.from);
+            if failed.limit_reached && self.parent.is_parent(failed.from) {
                 self.send(failed.from, Message::Detach);
                 self.replace_parent(now_ms, failed.from);
             }
@@ -104,8 +104,8 @@
             return;
         }
         if let Some(from) = self.fetch_target() {
-            let held = self.held(now_ms);
-            self.send(from, Message::SyncRequest(held));
+            let version_info = self.version_info(now_ms);
+            self.send(from, Message::SyncRequest(version_info));
             self.fetcher.begin(now_ms, from);
         }
     }
@@ -113,29 +113,29 @@
     pub(super) fn on_delta(&mut self, now_ms: f64, from: SocketAddr, changes: Vec<Change>) {
         let is_parent = self.parent.is_parent(from);
         if self.role == Role::Listener && !is_parent {
-            self.decline_feeding(from);
+            self.detach_unexpected_parent(from);
             return;
         }
-        let was_asked = self.fetcher.is_waiting_for(from);
-        if !is_parent && !was_asked && !self.origins.contains(from) {
+        let was_requested = self.fetcher.is_waiting_for(from);
+        if !is_parent && !was_requested && !self.origins.contains(from) {
             return;
         }
-        self.parent.handle_heard_from(now_ms, from);
+        self.parent.handle_message_from(now_ms, from);
         for change in changes {
-            if let Err(warning) = self.take_change(now_ms, from, change) {
+            if let Err(warning) = self.handle_change(now_ms, from, change) {
                 self.warn(warning);
                 self.request_snapshot(now_ms, from);
                 return;
             }
         }
-        if was_asked {
+        if was_requested {
             self.fetcher.handle_delta_end();
         }
     }
 
     /// Applies a received change. Ignores a known change and one that leaves a gap; the gap triggers a separate
     /// request.
-    fn take_change(&mut self, now_ms: f64, from: SocketAddr, change: Change) -> Result<(), Warning> {
+    fn handle_change(&mut self, now_ms: f64, from: SocketAddr, change: Change) -> Result<(), Warning> {
         self.fetcher.handle_change(from, &change);
         let version = change.version;
         if version <= self.store.version() && !broken::is(Broken::VersionNotCompared) {
@@ -153,8 +153,8 @@
 
     /// Warns if a change for a version in force, or an earlier one, has another digest than the known change.
     pub(super) fn check_known_change(&mut self, change: &Change) {
-        if self.store.contradicts(change) {
-            self.warn(Warning::ContradictingChange(change.version));
+        if self.store.conflicts_with(change) {
+            self.warn(Warning::ConflictingChange(change.version));
         }
     }
 
@@ -168,7 +168,7 @@
 
     fn on_table_changed(&mut self, now_ms: f64) {
         self.fan_out.schedule_flush(now_ms);
-        self.report.hasten();
+        self.report.expedite();
     }
 
     fn request_snapshot(&mut self, now_ms: f64, from: SocketAddr) {
@@ -183,21 +183,21 @@
             ChunkOutcome::RequestNext { version, after } => {
                 self.send(from, Message::ChunkRequest { version, after });
             }
-            ChunkOutcome::Complete(table) => self.take_snapshot(now_ms, table),
+            ChunkOutcome::Complete(table) => self.install_snapshot(now_ms, table),
             ChunkOutcome::InvalidChunk(error) => {
                 self.warn(Warning::InvalidChunk { version, from, error });
             }
             ChunkOutcome::InvalidTable(error) => self.warn(Warning::InvalidSnapshot { from, error }),
         }
-        self.parent.handle_heard_from(now_ms, from);
+        self.parent.handle_message_from(now_ms, from);
     }
 
     /// Installs a complete snapshot if it is later than the table in force, or if it replaces an initial table that
     /// differs from the origins' one.
-    fn take_snapshot(&mut self, now_ms: f64, table: QuotaTable) {
+    fn install_snapshot(&mut self, now_ms: f64, table: QuotaTable) {
         let own = self.store.version();
-        let is_first = own == Version::default() && table.version() == own;
-        if table.version() <= own && !is_first {
+        let replaces_initial_table = own == Version::default() && table.version() == own;
+        if table.version() <= own && !replaces_initial_table {
             return;
         }
         self.fetcher.handle_success();
--- a/crates/plovershelf-config-distribution/src/origin_peers.rs
+++ b/crates/plovershelf-config-distribution/src/origin_peers.rs
@@ -10,8 +10,8 @@
 pub(crate) struct OriginPeer {
     pub(crate) address: SocketAddr,
     node: Option<NodeInfo>,
-    held: Option<HeldVersion>,
-    heard_at_ms: f64,
+    version_info: Option<HeldVersion>,
+    last_message_ms: f64,
     relays: Vec<RelayInfo>,
 }
 
@@ -21,7 +21,7 @@
     }
 
     /// Returns true if the peer has sent its identity and relays.
-    pub(crate) fn is_introduced(&self) -> bool {
+    pub(crate) fn has_identity(&self) -> bool {
         self.node.is_some()
     }
 
@@ -35,19 +35,19 @@
 pub(crate) struct OriginPeers {
     peers: Vec<OriginPeer>,
     /// Time without a message after which a peer and its relays are disregarded, in milliseconds.
-    silent_after_ms: f64,
+    peer_timeout_ms: f64,
 }
 
 impl OriginPeers {
-    pub(crate) fn new(addresses: &[SocketAddr], silent_after_ms: f64) -> Self {
+    pub(crate) fn new(addresses: &[SocketAddr], peer_timeout_ms: f64) -> Self {
         let peer = |address: &SocketAddr| OriginPeer {
             address: *address,
             node: None,
-            held: None,
-            heard_at_ms: f64::MIN,
+            version_info: None,
+            last_message_ms: f64::MIN,
             relays: Vec::new(),
         };
-        OriginPeers { peers: addresses.iter().take(MAX_ADDRESSES).map(peer).collect(), silent_after_ms }
+        OriginPeers { peers: addresses.iter().take(MAX_ADDRESSES).map(peer).collect(), peer_timeout_ms }
     }
 
     pub(crate) fn contains(&self, address: SocketAddr) -> bool {
@@ -63,18 +63,23 @@
     }
 
     /// Records a peer's version information. Returns false if the sender is not an origin.
-    pub(crate) fn handle_held(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) -> bool {
+    pub(crate) fn handle_version_info(
+        &mut self,
+        now_ms: f64,
+        from: SocketAddr,
+        version_info: HeldVersion,
+    ) -> bool {
         let Some(peer) = self.get_mut(from) else { return false };
-        peer.held = Some(held);
-        peer.heard_at_ms = now_ms;
+        peer.version_info = Some(version_info);
+        peer.last_message_ms = now_ms;
         true
     }
 
     /// Drops the version of a peer that did not answer or whose connection was lost, so that nothing is requested from
     /// it before its next heartbeat.
-    pub(crate) fn forget_held(&mut self, address: SocketAddr) {
+    pub(crate) fn clear_version_info(&mut self, address: SocketAddr) {
         if let Some(peer) = self.get_mut(address) {
-            peer.held = None;
+            peer.version_info = None;
         }
     }
 
@@ -88,13 +93,13 @@
         let Some(peer) = self.get_mut(from) else { return };
         relays.truncate(MAX_RELAYS);
         peer.node = Some(node);
-        peer.heard_at_ms = now_ms;
+        peer.last_message_ms = now_ms;
         peer.relays = relays;
     }
 
     /// Returns the peers that have not timed out.
-    pub(crate) fn live(&self, now_ms: f64) -> impl Iterator<Item = &OriginPeer> {
-        self.peers.iter().filter(move |peer| peer.heard_at_ms + self.silent_after_ms > now_ms)
+    pub(crate) fn reachable(&self, now_ms: f64) -> impl Iterator<Item = &OriginPeer> {
+        self.peers.iter().filter(move |peer| peer.last_message_ms + self.peer_timeout_ms > now_ms)
     }
 
     /// Returns the relays of all peers, including those that timed out.
@@ -104,15 +109,19 @@
 
     /// Returns the peer with the newest version if that is newer than this one.
     pub(crate) fn ahead_of(&self, version: Version) -> Option<SocketAddr> {
-        let newer = |held: &HeldVersion| held.version > version;
-        let ahead = self.peers.iter().filter(|peer| peer.held.as_ref().is_some_and(newer));
-        ahead.max_by_key(|peer| peer.held.map(|held| held.version)).map(|peer| peer.address)
+        let newer = |version_info: &HeldVersion| version_info.version > version;
+        let ahead = self.peers.iter().filter(|peer| peer.version_info.as_ref().is_some_and(newer));
+        ahead
+            .max_by_key(|peer| peer.version_info.map(|version_info| version_info.version))
+            .map(|peer| peer.address)
     }
 
     /// Returns a peer that has a different table under the same version.
     pub(crate) fn conflicting_with(&self, version: Version, short_digest: u64) -> Option<SocketAddr> {
-        let conflicts = |held: &HeldVersion| held.version == version && held.short_digest != short_digest;
-        let peer = self.peers.iter().find(|peer| peer.held.as_ref().is_some_and(conflicts))?;
+        let conflicts = |version_info: &HeldVersion| {
+            version_info.version == version && version_info.short_digest != short_digest
+        };
+        let peer = self.peers.iter().find(|peer| peer.version_info.as_ref().is_some_and(conflicts))?;
         Some(peer.address)
     }
 
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -41,16 +41,16 @@
 enum State {
     BackingOff { until_ms: f64 },
     Finding { request: FindRequest, until_ms: f64 },
-    Attaching { to: SocketAddr, until_ms: f64, next: Vec<SocketAddr>, limit: FanOutLimit },
+    Attaching { to: SocketAddr, until_ms: f64, remaining: Vec<SocketAddr>, limit: FanOutLimit },
     Attached(Parent),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Parent {
     address: SocketAddr,
-    heard_at_ms: f64,
+    last_message_ms: f64,
     /// Whether the timeout was already extended because of a pause of this process.
-    extended: bool,
+    timeout_extended: bool,
 }
 
 /// A request for candidates.
@@ -90,7 +90,7 @@
 pub(crate) struct ParentSelector {
     state: State,
     kind: ListenerKind,
-    known: KnownParents,
+    known_parents: KnownParents,
     attempts: u32,
     rejections: u32,
     /// Number of consecutive candidates that did not answer.
@@ -110,13 +110,13 @@
     ) -> Self {
         let (min_ms, max_ms) = (config.min_parent_timeout_ms, config.max_parent_timeout_ms);
         let parent_timeout_ms = rng.random_range(min_ms..=max_ms.max(min_ms));
-        let mut known = KnownParents::new(origins);
-        known.origins_mut().shuffle(rng);
+        let mut known_parents = KnownParents::new(origins);
+        known_parents.origins_mut().shuffle(rng);
         let until_ms = now_ms + rng.random_range(0.0..config.start_jitter_ms.max(1.0));
         ParentSelector {
             state: State::BackingOff { until_ms },
             kind: ListenerKind::Leaf,
-            known,
+            known_parents,
             attempts: 0,
             rejections: 0,
             unanswered: 0,
@@ -157,19 +157,19 @@
         }
     }
 
-    pub(crate) fn known(&self) -> &KnownParents {
-        &self.known
+    pub(crate) fn known_parents(&self) -> &KnownParents {
+        &self.known_parents
     }
 
     /// Returns the address to which the listener attaches if it loses its parent.
     pub(crate) fn backup_parent(&self) -> Option<SocketAddr> {
-        self.known.backup(self.kind, self.parent())
+        self.known_parents.backup(self.kind, self.parent())
     }
 
-    /// Returns the process to probe after a long time without origin contact; successive turns select successive
+    /// Returns the process to probe after a long time without origin contact; successive indexes select successive
     /// targets.
-    pub(crate) fn probe_target(&self, turn: usize) -> Option<SocketAddr> {
-        self.known.probe_target(self.kind, self.parent(), turn)
+    pub(crate) fn probe_target(&self, index: usize) -> Option<SocketAddr> {
+        self.known_parents.probe_target(self.kind, self.parent(), index)
     }
 
     pub(crate) fn poll_timeout(&self) -> f64 {
@@ -177,12 +177,12 @@
             State::BackingOff { until_ms }
             | State::Finding { until_ms, .. }
             | State::Attaching { until_ms, .. } => *until_ms,
-            State::Attached(parent) => parent.heard_at_ms + self.parent_timeout_ms,
+            State::Attached(parent) => parent.last_message_ms + self.parent_timeout_ms,
         }
     }
 
     /// Returns the parent if its timeout has passed.
-    pub(crate) fn silent_parent(&self, now_ms: f64) -> Option<SocketAddr> {
+    pub(crate) fn timed_out_parent(&self, now_ms: f64) -> Option<SocketAddr> {
         self.parent().filter(|_| now_ms >= self.poll_timeout())
     }
 
@@ -194,32 +194,32 @@
         match &self.state {
             State::BackingOff { .. } if self.is_relay() => self.attach_to_next_origin(now_ms, rng),
             State::BackingOff { .. } => {
-                let action = self.find(now_ms);
+                let action = self.request_candidates(now_ms);
                 if action.is_none() {
                     self.back_off(now_ms, rng);
                 }
                 action
             }
-            State::Finding { request: FindRequest { origin: at, .. }, .. }
-            | State::Attaching { to: at, .. }
-            | State::Attached(Parent { address: at, .. }) => {
-                let at = *at;
-                self.handle_failure(now_ms, at, Failure::Unreachable, rng)
+            State::Finding { request: FindRequest { origin: address, .. }, .. }
+            | State::Attaching { to: address, .. }
+            | State::Attached(Parent { address, .. }) => {
+                let address = *address;
+                self.handle_failure(now_ms, address, Failure::Unreachable, rng)
             }
         }
     }
 
     /// Restarts the parent's timeout after a message from the parent.
-    pub(crate) fn handle_parent_heard(&mut self, now_ms: f64) {
+    pub(crate) fn handle_parent_message(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
-            (parent.heard_at_ms, parent.extended) = (now_ms, false);
+            (parent.last_message_ms, parent.timeout_extended) = (now_ms, false);
         }
     }
 
     /// Restarts the parent's timeout if the sender of a message is the parent.
-    pub(crate) fn handle_heard_from(&mut self, now_ms: f64, from: SocketAddr) {
+    pub(crate) fn handle_message_from(&mut self, now_ms: f64, from: SocketAddr) {
         if self.is_parent(from) {
-            self.handle_parent_heard(now_ms);
+            self.handle_parent_message(now_ms);
         }
     }
 
@@ -230,8 +230,8 @@
     /// repeatedly would never leave a parent that has failed.
     pub(crate) fn handle_pause(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
-            if !std::mem::replace(&mut parent.extended, true) {
-                parent.heard_at_ms = parent.heard_at_ms.max(now_ms - self.parent_timeout_ms / 2.0);
+            if !std::mem::replace(&mut parent.timeout_extended, true) {
+                parent.last_message_ms = parent.last_message_ms.max(now_ms - self.parent_timeout_ms / 2.0);
             }
         }
     }
@@ -243,15 +243,16 @@
         origins: &[SocketAddr],
         own: SocketAddr,
     ) {
-        self.known.update(relays, origins, own);
+        self.known_parents.update(relays, origins, own);
     }
 
     pub(crate) fn handle_attached(&mut self, now_ms: f64, parent: SocketAddr) {
-        self.state = State::Attached(Parent { address: parent, heard_at_ms: now_ms, extended: false });
+        self.state =
+            State::Attached(Parent { address: parent, last_message_ms: now_ms, timeout_extended: false });
         self.attempts = 0;
         self.rejections = 0;
         self.unanswered = 0;
-        self.known.handle_attached(parent);
+        self.known_parents.handle_attached(parent);
     }
 
     /// Becomes a relay on an origin's request and attaches to that origin.
@@ -273,18 +274,18 @@
     /// it asks the origins in rotation.
     pub(crate) fn prefer(&mut self, address: SocketAddr) {
         if !self.is_relay() {
-            self.known.prefer(address);
+            self.known_parents.prefer(address);
         }
     }
 
     /// Requests candidates from the next origin.
-    pub(crate) fn find(&mut self, now_ms: f64) -> Option<ParentAction> {
-        let origin = self.known.next_origin()?;
+    pub(crate) fn request_candidates(&mut self, now_ms: f64) -> Option<ParentAction> {
+        let origin = self.known_parents.next_origin()?;
         Some(self.ask_origin(now_ms, FindRequest { origin, redirected: false }))
     }
 
     /// Requests candidates from the origin to which another one redirected the listener.
-    pub(crate) fn find_at(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
+    pub(crate) fn request_candidates_from(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
         self.ask_origin(now_ms, FindRequest { origin, redirected: true })
     }
 
@@ -308,7 +309,7 @@
         candidates.truncate(MAX_ADDRESSES);
         let to = candidates.remove(0);
         let until_ms = now_ms + self.attach_timeout_ms;
-        self.state = State::Attaching { to, until_ms, next: candidates, limit };
+        self.state = State::Attaching { to, until_ms, remaining: candidates, limit };
         Some(ParentAction::Attach { to, limit })
     }
 
@@ -320,7 +321,12 @@
         parent: SocketAddr,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        let others = self.known.of_kind(self.kind).iter().copied().filter(|at| *at != parent);
+        let others = self
+            .known_parents
+            .candidates_for(self.kind)
+            .iter()
+            .copied()
+            .filter(|candidate| *candidate != parent);
         let candidates = std::iter::once(parent).chain(others).collect();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
@@ -332,7 +338,7 @@
         origin: SocketAddr,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        let others = self.known.origins().iter().copied().filter(|at| *at != origin);
+        let others = self.known_parents.origins().iter().copied().filter(|candidate| *candidate != origin);
         let candidates = std::iter::once(origin).chain(others).collect();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
@@ -341,18 +347,18 @@
     pub(crate) fn handle_failure(
         &mut self,
         now_ms: f64,
-        at: SocketAddr,
+        address: SocketAddr,
         failure: Failure,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
         match self.state.clone() {
-            State::Attached(parent) if parent.address == at => self.replace_parent(now_ms, at, rng),
-            State::Attaching { to, next, limit, .. } if to == at => {
-                self.attach_to_next(now_ms, at, failure, next, limit, rng)
+            State::Attached(parent) if parent.address == address => self.replace_parent(now_ms, address, rng),
+            State::Attaching { to, remaining, limit, .. } if to == address => {
+                self.attach_to_next(now_ms, address, failure, remaining, limit, rng)
             }
-            State::Finding { request, .. } if request.origin == at => {
+            State::Finding { request, .. } if request.origin == address => {
                 // Record the failure so that other origins do not redirect the listener there.
-                self.known.remember_failed(at);
+                self.known_parents.record_failure(address);
                 self.back_off(now_ms, rng);
                 None
             }
@@ -361,13 +367,13 @@
     }
 
     fn replace_parent(&mut self, now_ms: f64, lost: SocketAddr, rng: &mut Pcg32) -> Option<ParentAction> {
-        self.known.remember_failed(lost);
-        let mut candidates = self.known.of_kind(self.kind).to_vec();
-        candidates.retain(|at| *at != lost);
+        self.known_parents.record_failure(lost);
+        let mut candidates = self.known_parents.candidates_for(self.kind).to_vec();
+        candidates.retain(|candidate| *candidate != lost);
         if self.is_relay() {
             candidates.push(lost);
         } else if candidates.is_empty() {
-            return self.find(now_ms);
+            return self.request_candidates(now_ms);
         }
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
@@ -375,13 +381,13 @@
     fn attach_to_next(
         &mut self,
         now_ms: f64,
-        at: SocketAddr,
+        failed: SocketAddr,
         failure: Failure,
-        mut next: Vec<SocketAddr>,
+        mut remaining: Vec<SocketAddr>,
         limit: FanOutLimit,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        self.known.remember_failed(at);
+        self.known_parents.record_failure(failed);
         match failure {
             Failure::Rejected => {
                 self.rejections += 1;
@@ -391,23 +397,23 @@
         }
         if !self.is_relay() && self.unanswered >= MAX_UNANSWERED {
             self.unanswered = 0;
-            next.clear();
+            remaining.clear();
         }
-        if self.is_relay() && self.rejections as usize >= 2 * self.known.origins().len() {
+        if self.is_relay() && self.rejections as usize >= 2 * self.known_parents.origins().len() {
             self.rejections = 0;
             self.back_off(now_ms, rng);
             return Some(ParentAction::ReleaseChildren);
         }
-        if next.is_empty() && !self.is_relay() && self.attempts == 0 {
+        if remaining.is_empty() && !self.is_relay() && self.attempts == 0 {
             self.attempts = 1;
-            return self.find(now_ms);
+            return self.request_candidates(now_ms);
         }
-        self.attach(now_ms, next, limit, rng)
+        self.attach(now_ms, remaining, limit, rng)
     }
 
     /// Attaches a relay to the next origin after a backoff.
     fn attach_to_next_origin(&mut self, now_ms: f64, rng: &mut Pcg32) -> Option<ParentAction> {
-        let candidates = self.known.origins_in_turn();
+        let candidates = self.known_parents.origins_in_rotation();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
@@ -415,10 +421,10 @@
     /// retrying at the same time.
     fn back_off(&mut self, now_ms: f64, rng: &mut Pcg32) {
         let doubled_ms = FIRST_BACKOFF_MS * f64::from(1 << self.attempts.min(MAX_BACKOFF_SHIFT));
-        let most_ms = doubled_ms.min(self.max_backoff_ms);
+        let max_ms = doubled_ms.min(self.max_backoff_ms);
         self.attempts += 1;
-        self.known.advance_turn();
-        self.state = State::BackingOff { until_ms: now_ms + rng.random_range(most_ms / 4.0..=most_ms) };
+        self.known_parents.advance_rotation();
+        self.state = State::BackingOff { until_ms: now_ms + rng.random_range(max_ms / 4.0..=max_ms) };
     }
 }
 
--- a/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
@@ -22,16 +22,16 @@
     Some(ParentAction::Attach { to: address(last), limit })
 }
 
-/// The relay that a leaf hears from goes without a word. The leaf must try its alternates with the reserved fan-out, and ask
-/// an origin again when two in a row do not answer, as the whole zone may stand still.
+/// A leaf's parent times out. The leaf must try its alternate parents with the failover limit, and ask an origin when
+/// two in a row do not answer, since the whole zone may have failed.
 #[test]
-fn leaf_whose_parent_is_silent_tries_two_alternates_and_then_asks_an_origin() {
+fn leaf_whose_parent_times_out_tries_two_alternates_and_then_asks_an_origin() {
     let rng = &mut Pcg32::seed_from_u64(1);
     let mut selector = attached(rng, 10);
     selector.handle_alternates([11, 12, 13].map(address).to_vec(), &[], address(99));
-    assert_eq!(selector.silent_parent(900.0), None);
+    assert_eq!(selector.timed_out_parent(900.0), None);
     let silent_at_ms = selector.poll_timeout();
-    assert_eq!(selector.silent_parent(silent_at_ms), Some(address(10)));
+    assert_eq!(selector.timed_out_parent(silent_at_ms), Some(address(10)));
     let action = selector.handle_failure(silent_at_ms, address(10), Failure::Unreachable, rng);
     assert_eq!(action, attach_to(11, FanOutLimit::Failover));
     let action = selector.handle_timeout(selector.poll_timeout(), rng);
@@ -40,10 +40,10 @@
     assert!(matches!(action, Some(ParentAction::Find(_))), "{action:?}");
 }
 
-/// All origins are full. A relay that each of them rejected twice can't feed its children; it must release them rather than
-/// hold them back.
+/// All origins are at capacity. A relay that each of them has rejected twice can't serve its children, so it must
+/// detach them.
 #[test]
-fn relay_that_each_origin_rejects_twice_releases_its_children() {
+fn relay_that_each_origin_rejects_twice_detaches_its_children() {
     let rng = &mut Pcg32::seed_from_u64(2);
     let mut selector = selector(rng);
     let mut action = selector.become_relay(300.0, address(1), rng);
@@ -60,24 +60,24 @@
     assert_eq!(rejections, 6);
 }
 
-/// This process stands still, and again before it has read its connections. Its parent must get more time once only, so that
-/// one that is gone is left in the end.
+/// This process is paused twice without reading its connections in between. The parent's timeout must be extended once
+/// only, so that a parent that has failed is eventually replaced.
 #[test]
-fn parent_gets_more_time_after_one_pause_and_not_after_two() {
+fn parent_timeout_is_extended_after_one_pause_only() {
     let rng = &mut Pcg32::seed_from_u64(3);
     let mut selector = attached(rng, 10);
     selector.handle_pause(5000.0);
-    assert_eq!(selector.silent_parent(5000.0), None);
+    assert_eq!(selector.timed_out_parent(5000.0), None);
     selector.handle_pause(10_000.0);
-    assert_eq!(selector.silent_parent(10_000.0), Some(address(10)));
-    selector.handle_heard_from(10_000.0, address(11));
-    assert_eq!(selector.silent_parent(10_000.0), Some(address(10)));
-    selector.handle_heard_from(10_000.0, address(10));
+    assert_eq!(selector.timed_out_parent(10_000.0), Some(address(10)));
+    selector.handle_message_from(10_000.0, address(11));
+    assert_eq!(selector.timed_out_parent(10_000.0), Some(address(10)));
+    selector.handle_message_from(10_000.0, address(10));
     selector.handle_pause(15_000.0);
-    assert_eq!(selector.silent_parent(15_000.0), None);
+    assert_eq!(selector.timed_out_parent(15_000.0), None);
 }
 
-/// No origin answers. Waits must grow up to the bound, so that a fleet without origins does not flood the network.
+/// No origin answers. The backoff must grow up to its limit, so that listeners do not flood the network.
 #[test]
 fn backoff_doubles_up_to_its_bound() {
     let rng = &mut Pcg32::seed_from_u64(4);
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -16,7 +16,7 @@
 /// Largest tolerated difference between the relay counts of two origins in one region. Above it, a relay is moved.
 const REBALANCE_SLACK: usize = 4;
 /// Time for which an origin reserves capacity for a listener that it told to become a relay, in milliseconds.
-const PROMISE_MS: f64 = 2000.0;
+const RESERVATION_MS: f64 = 2000.0;
 /// Maximum number of alternate parents that a relay sends to a child. An origin sends up to twice as many.
 const MAX_ALTERNATES: usize = 4;
 /// Maximum number of relays in the answer to a listener.
@@ -50,7 +50,7 @@
 
 /// Capacity reserved for a listener that becomes a relay and has not reported yet.
 #[derive(Clone, Debug)]
-struct Promise {
+struct Reservation {
     relay: RelayInfo,
     until_ms: f64,
 }
@@ -66,24 +66,24 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     origin: NodeInfo,
-    promises: Vec<Promise>,
+    reservations: Vec<Reservation>,
     fan_out: usize,
     failover_fan_out: usize,
     origin_fan_out: usize,
     /// Time without a report after which a relay is not offered as a parent. A relay reports once a second, so a relay
     /// without reports for this long may be paused.
-    silent_after_ms: f64,
+    report_timeout_ms: f64,
 }
 
 impl Placement {
     pub(crate) fn new(origin: NodeInfo, config: &DistributionConfig) -> Self {
         Placement {
             origin,
-            promises: Vec::new(),
+            reservations: Vec::new(),
             fan_out: config.fan_out,
             failover_fan_out: config.failover_fan_out,
             origin_fan_out: config.origin_fan_out,
-            silent_after_ms: config.max_parent_timeout_ms,
+            report_timeout_ms: config.max_parent_timeout_ms,
         }
     }
 
@@ -101,9 +101,9 @@
             if let Some(origin) = self.nearer_origin(now_ms, request, peers) {
                 return parent_candidates(Vec::new(), ListenerKind::Leaf, FanOutLimit::Normal, Some(origin));
             }
-            let is_full = children.len() + self.pending_promises(children) >= self.origin_fan_out;
+            let is_full = children.len() + self.pending_reservations(children) >= self.origin_fan_out;
             if !is_full || children.contains(request.from) {
-                self.promise(now_ms, request);
+                self.reserve(now_ms, request);
                 return parent_candidates(Vec::new(), ListenerKind::Relay, FanOutLimit::Normal, None);
             }
             found = pick(&relays, request.node, self.fan_out, Distance::Far);
@@ -113,23 +113,23 @@
             found = pick(&relays, request.node, self.failover_fan_out, Distance::Far);
         }
         if let Some(first) = found.first().copied() {
-            self.count_placed(first, children, peers);
+            self.count_assignment(first, children, peers);
         }
         parent_candidates(found, ListenerKind::Leaf, limit, None)
     }
 
     /// Returns true if this origin reserved capacity for the process, even if it has since reached its fan-out.
-    pub(crate) fn is_promised(&self, address: SocketAddr) -> bool {
-        self.promises.iter().any(|promise| promise.relay.address == address)
+    pub(crate) fn has_reservation(&self, address: SocketAddr) -> bool {
+        self.reservations.iter().any(|reservation| reservation.relay.address == address)
     }
 
     /// Removes the reservation of a relay that has reported, since it now counts as a child.
-    pub(crate) fn fulfil_promise(&mut self, address: SocketAddr) {
-        self.promises.retain(|promise| promise.relay.address != address);
+    pub(crate) fn remove_reservation(&mut self, address: SocketAddr) {
+        self.reservations.retain(|reservation| reservation.relay.address != address);
     }
 
-    pub(crate) fn expire_promises(&mut self, now_ms: f64) {
-        self.promises.retain(|promise| promise.until_ms > now_ms);
+    pub(crate) fn expire_reservations(&mut self, now_ms: f64) {
+        self.reservations.retain(|reservation| reservation.until_ms > now_ms);
     }
 
     /// Returns this origin's relays in the form that the other origins receive.
@@ -171,8 +171,8 @@
         peers: &OriginPeers,
     ) -> Option<Relocation> {
         let has_capacity =
-            |peer: &&OriginPeer| peer.relays().len() < self.origin_fan_out && peer.is_introduced();
-        let peers: Vec<&OriginPeer> = peers.live(now_ms).filter(has_capacity).collect();
+            |peer: &&OriginPeer| peer.relays().len() < self.origin_fan_out && peer.has_identity();
+        let peers: Vec<&OriginPeer> = peers.reachable(now_ms).filter(has_capacity).collect();
         let far = children.children().iter().filter(|child| child.node.region != self.origin.region);
         let mut nearer = far.filter_map(|child| {
             let peer = peers.iter().find(|peer| peer.is_in_region(&child.node.region))?;
@@ -191,10 +191,13 @@
     /// Returns all known relays with their numbers of children: own children, reservations, and the other origins'
     /// relays.
     fn known_relays(&self, now_ms: f64, children: &FanOut, peers: &OriginPeers) -> Vec<RelayInfo> {
-        let counts = |child: &&Child| child.has_reported && child.heard_at_ms + self.silent_after_ms > now_ms;
-        let own = children.children().iter().filter(counts).map(relay_info);
-        let promised = self.promises.iter().map(|promise| promise.relay.clone());
-        own.chain(promised).chain(peers.live(now_ms).flat_map(|peer| peer.relays().iter().cloned())).collect()
+        let is_available =
+            |child: &&Child| child.has_reported && child.last_message_ms + self.report_timeout_ms > now_ms;
+        let own = children.children().iter().filter(is_available).map(relay_info);
+        let reserved = self.reservations.iter().map(|reservation| reservation.relay.clone());
+        own.chain(reserved)
+            .chain(peers.reachable(now_ms).flat_map(|peer| peer.relays().iter().cloned()))
+            .collect()
     }
 
     /// Returns the known relays that are not excluded, sorted by distance and then by load.
@@ -222,31 +225,31 @@
         if request.redirected || self.origin.region == request.node.region {
             return None;
         }
-        let fits = |peer: &&OriginPeer| {
+        let is_nearer = |peer: &&OriginPeer| {
             peer.is_in_region(&request.node.region) && !request.excluded.contains(&peer.address)
         };
-        peers.live(now_ms).find(fits).map(|peer| peer.address)
+        peers.reachable(now_ms).find(is_nearer).map(|peer| peer.address)
     }
 
-    fn pending_promises(&self, children: &FanOut) -> usize {
-        self.promises.iter().filter(|promise| !children.contains(promise.relay.address)).count()
+    fn pending_reservations(&self, children: &FanOut) -> usize {
+        self.reservations.iter().filter(|reservation| !children.contains(reservation.relay.address)).count()
     }
 
-    fn promise(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
-        self.fulfil_promise(request.from);
+    fn reserve(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
+        self.remove_reservation(request.from);
         let (zone, region) = (request.node.zone.clone(), request.node.region.clone());
         let relay = RelayInfo { address: request.from, zone, region, children: 0 };
-        self.promises.push(Promise { relay, until_ms: now_ms + PROMISE_MS });
+        self.reservations.push(Reservation { relay, until_ms: now_ms + RESERVATION_MS });
     }
 
     /// Counts a listener that was assigned to this relay, so that the next listener is not assigned there before the
     /// relay's next report includes the first one.
-    fn count_placed(&mut self, relay: SocketAddr, children: &mut FanOut, peers: &mut OriginPeers) {
+    fn count_assignment(&mut self, relay: SocketAddr, children: &mut FanOut, peers: &mut OriginPeers) {
         if let Some(child) = children.get_mut(relay) {
             child.recently_placed = child.recently_placed.saturating_add(1);
         }
-        let promised = self.promises.iter_mut().map(|promise| &mut promise.relay);
-        if let Some(relay) = promised.chain(peers.relays_mut()).find(|known| known.address == relay) {
+        let reserved = self.reservations.iter_mut().map(|reservation| &mut reservation.relay);
+        if let Some(relay) = reserved.chain(peers.relays_mut()).find(|known| known.address == relay) {
             relay.children = relay.children.saturating_add(1);
         }
     }
@@ -266,9 +269,9 @@
 }
 
 fn pick(sorted: &[RelayInfo], node: &NodeInfo, max_children: usize, farthest: Distance) -> Vec<SocketAddr> {
-    let fits =
+    let is_eligible =
         |relay: &&RelayInfo| (relay.children as usize) < max_children && distance(relay, node) <= farthest;
-    sorted.iter().filter(fits).take(MAX_CANDIDATES).map(|relay| relay.address).collect()
+    sorted.iter().filter(is_eligible).take(MAX_CANDIDATES).map(|relay| relay.address).collect()
 }
 
 fn parent_candidates(
--- a/crates/plovershelf-config-distribution/src/placement/tests.rs
+++ b/crates/plovershelf-config-distribution/src/placement/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::message::Aggregate;
-use crate::test_support::{address, held, node_in, version};
+use crate::test_support::{address, node_in, version, version_info};
 
 struct Origin {
     placement: Placement,
@@ -9,7 +9,7 @@
 }
 
 impl Origin {
-    /// At 1, in zone a of the north; the other origin is at 2.
+    /// Creates an origin at address 1, in zone a of region north, whose peer is at address 2.
     fn new(config: &DistributionConfig) -> Self {
         Origin {
             placement: Placement::new(node_in(1, "a", "north"), config),
@@ -20,7 +20,7 @@
 
     fn add_relay(&mut self, last: u8, zone: &str, children: u32) {
         let node = node_in(last, zone, "north");
-        self.children.add(0.0, address(last), node, held(1, 0), version(1));
+        self.children.add(0.0, address(last), node, version_info(1, 0), version(1));
         let aggregate = Aggregate { nodes: 1, up_to_date: 1, children, ..Aggregate::default() };
         assert!(self.children.handle_aggregate(0.0, address(last), aggregate));
     }
@@ -39,8 +39,8 @@
     DistributionConfig { fan_out: 2, failover_fan_out: 4, origin_fan_out: 1, ..DistributionConfig::default() }
 }
 
-/// Many listeners look for a parent between two reports of the relays. They must be spread, the least loaded relay of their
-/// zone first, and not all be sent to the one that had the most capacity in its last report.
+/// Many listeners look for a parent between two reports of the relays. They must be spread over the relays of their
+/// zone, the least loaded first, and not all be assigned to the relay with the most capacity in the last report.
 #[test]
 fn listeners_are_spread_over_the_relays_of_their_zone() {
     let mut origin = Origin::new(&DistributionConfig::default());
@@ -49,20 +49,20 @@
     origin.add_relay(12, "b", 0);
     let leaf = node_in(50, "a", "north");
     assert_eq!(origin.find(&leaf, &[]), relays(&[11, 10], FanOutLimit::Normal));
-    // The one that was sent there counts by now, and a second one too.
+    // The listeners that were already assigned count as children of the relay.
     assert_eq!(origin.find(&leaf, &[]), relays(&[10, 11], FanOutLimit::Normal));
     assert_eq!(origin.find(&leaf, &[address(10)]), relays(&[11], FanOutLimit::Normal));
 }
 
-/// Relays died, and the rest of the zone has no ordinary capacity. Listeners must be sent to other zones first, and to
-/// relays over their fan-out only with the limit that is reserved for those that lost their parent.
+/// Relays have failed, and the others in the zone have reached their fan-out. Listeners must be sent to other zones
+/// first. Relays above their fan-out must only be offered with the failover limit.
 #[test]
-fn full_relays_are_named_last_and_with_the_failover_limit() {
+fn relays_at_capacity_are_offered_last_and_with_the_failover_limit() {
     let mut origin = Origin::new(&one_relay());
     let leaf = node_in(50, "a", "north");
     let become_relay = parent_candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None);
     assert_eq!(origin.find(&leaf, &[]), become_relay);
-    origin.placement.fulfil_promise(leaf.address);
+    origin.placement.remove_reservation(leaf.address);
     origin.add_relay(10, "b", 1);
     assert_eq!(origin.find(&leaf, &[]), relays(&[10], FanOutLimit::Normal));
     assert_eq!(origin.find(&leaf, &[]), relays(&[10], FanOutLimit::Failover));
@@ -70,9 +70,10 @@
     assert_eq!(origin.find(&leaf, &[]), relays(&[], FanOutLimit::Failover));
 }
 
-/// A listener of another region asks. It must be redirected to an origin there, unless that one is silent.
+/// A listener in another region asks for a parent. It must be redirected to an origin in its region, unless that
+/// origin has timed out.
 #[test]
-fn listener_of_another_region_is_redirected_to_a_live_origin_there() {
+fn listener_of_another_region_is_redirected_to_a_reachable_origin_there() {
     let mut origin = Origin::new(&one_relay());
     let leaf = node_in(50, "c", "south");
     origin.peers.handle_relays(0.0, address(2), node_in(2, "c", "south"), Vec::new());
@@ -84,8 +85,8 @@
     assert_eq!(answer, parent_candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None));
 }
 
-/// An origin comes back and feeds nobody. Relays of its region must be sent there one by one, those that are nearer to it
-/// first, and none for a small difference.
+/// An origin returns and has no relays. Relays in its region must be moved to it one by one, those in another region
+/// than their current origin first, and none for a small difference.
 #[test]
 fn relays_are_relocated_to_a_nearer_origin_and_to_one_with_far_fewer() {
     let mut origin = Origin::new(&DistributionConfig::default());
@@ -96,6 +97,6 @@
     origin.children.remove(address(14));
     assert_eq!(better(&origin), None);
     origin.peers.handle_relays(0.0, address(2), node_in(2, "c", "south"), Vec::new());
-    origin.children.add(0.0, address(20), node_in(20, "c", "south"), held(1, 0), version(1));
+    origin.children.add(0.0, address(20), node_in(20, "c", "south"), version_info(1, 0), version(1));
     assert_eq!(better(&origin), Some(Relocation { relay: address(20), to_origin: address(2) }));
 }
--- a/crates/plovershelf-config-distribution/src/quota_table.rs
+++ b/crates/plovershelf-config-distribution/src/quota_table.rs
@@ -37,7 +37,7 @@
     TooManyTenants(String),
     /// The list contains this tenant twice.
     #[error("tenant {name}: named twice; name it once", name = quoted(.0))]
-    NamedTwice(String),
+    DuplicateTenant(String),
 }
 
 /// A bounded range of consecutive entries of a table.
@@ -78,7 +78,7 @@
                 return Err(InvalidTable::TooManyTenants(name.into()));
             }
             if table.quotas.contains_key(&name) {
-                return Err(InvalidTable::NamedTwice(name.into()));
+                return Err(InvalidTable::DuplicateTenant(name.into()));
             }
             table.insert(name, quota_per_s);
         }
@@ -130,9 +130,9 @@
         }
         let mut named = BTreeSet::new();
         let (mut digest, mut tenants) = (self.digest, self.quotas.len());
-        for (at, edit) in edits.iter().enumerate() {
+        for (index, edit) in edits.iter().enumerate() {
             self.validate_edit(edit, &mut named).map_err(|source| InvalidChange::Edit {
-                position: at + 1,
+                position: index + 1,
                 edit: Box::new(edit.clone()),
                 source,
             })?;
@@ -163,12 +163,12 @@
             check_quota(tenant, quota)?;
         }
         if !named.insert(tenant) {
-            return Err(EditError::NamedTwice);
+            return Err(EditError::DuplicateTenant);
         }
         match (edit, self.quota_per_s(tenant)) {
-            (Edit::Add { .. }, Some(quota)) => Err(EditError::AlreadyKnown(quota)),
-            (Edit::Set { .. }, None) => Err(EditError::UnknownToSet),
-            (Edit::Remove { .. }, None) => Err(EditError::UnknownToRemove),
+            (Edit::Add { .. }, Some(quota)) => Err(EditError::TenantExists(quota)),
+            (Edit::Set { .. }, None) => Err(EditError::SetUnknownTenant),
+            (Edit::Remove { .. }, None) => Err(EditError::RemoveUnknownTenant),
             (Edit::Add { .. }, None) | (Edit::Set { .. } | Edit::Remove { .. }, Some(_)) => Ok(()),
         }
     }
@@ -180,11 +180,11 @@
     /// Returns an error if the change applies to another version, an edit is invalid, or the digest does not match.
     pub fn apply(&mut self, change: &Change) -> Result<(), ApplyError> {
         let is_next = change.previous == self.version && change.version > self.version;
-        let any_version = broken::is(Broken::VersionNotCompared);
-        if !is_next && !any_version {
+        let skips_version_check = broken::is(Broken::VersionNotCompared);
+        if !is_next && !skips_version_check {
             return Err(ApplyError::Gap);
         }
-        if !any_version && !broken::is(Broken::EditsNotChecked) {
+        if !skips_version_check && !broken::is(Broken::EditsNotChecked) {
             let digest = self.validate(&change.edits)?;
             if digest != change.digest && !broken::is(Broken::DigestNotChecked) {
                 return Err(ApplyError::DigestMismatch);
--- a/crates/plovershelf-config-distribution/src/snapshot.rs
+++ b/crates/plovershelf-config-distribution/src/snapshot.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns true if the version and digest under assembly are those of the sender's table.
-    pub(crate) fn is_of(&self, version: Version, digest: u128) -> bool {
+    pub(crate) fn matches_source(&self, version: Version, digest: u128) -> bool {
         (self.version, self.digest) == (version, digest)
     }
 
--- a/crates/plovershelf-config-distribution/src/store.rs
+++ b/crates/plovershelf-config-distribution/src/store.rs
@@ -49,12 +49,12 @@
     }
 
     /// Returns true if the change's version is known here with another digest.
-    pub(crate) fn contradicts(&self, change: &Change) -> bool {
-        let held = match self.table.version() == change.version {
+    pub(crate) fn conflicts_with(&self, change: &Change) -> bool {
+        let known_digest = match self.table.version() == change.version {
             true => Some(self.table.digest()),
-            false => self.log.get(change.version).map(|held| held.digest),
+            false => self.log.get(change.version).map(|known| known.digest),
         };
-        held.is_some_and(|held| held != change.digest)
+        known_digest.is_some_and(|digest| digest != change.digest)
     }
 
     /// Returns the changes after a version if they fit into one message.
--- a/crates/plovershelf-config-distribution/src/test_support.rs
+++ b/crates/plovershelf-config-distribution/src/test_support.rs
@@ -23,6 +23,6 @@
     Version { epoch: 1, number }
 }
 
-pub(crate) fn held(number: u64, age_ms: u32) -> HeldVersion {
+pub(crate) fn version_info(number: u64, age_ms: u32) -> HeldVersion {
     HeldVersion { version: version(number), short_digest: number, age_ms }
 }
--- a/crates/plovershelf-config-distribution/tests/broken.rs
+++ b/crates/plovershelf-config-distribution/tests/broken.rs
@@ -1,5 +1,5 @@
-//! Each guarantee's check does catch a node that breaks it: one fault after the other, in one test, as a fault is set for the
-//! whole process. Without a fault the same runs find nothing.
+//! Verifies that the checks of the guarantees detect injected faults. The faults are tested one after the other in a
+//! single test, since a fault applies to the whole process. The same runs find no violation without a fault.
 
 mod net;
 
@@ -28,7 +28,8 @@
     }
 }
 
-/// What a run with changes, kills of relays, doubled and mangled messages finds broken, and who is behind at its end.
+/// Returns the violations of a run with changes, relay failures, and duplicated and corrupted messages, including
+/// nodes that are behind at the end.
 fn found(mangle: Mangle) -> Vec<String> {
     let mut net = Net::new(7, 3, 30, 4, DistributionConfig::default());
     net.mangle = mangle;
@@ -52,7 +53,8 @@
     found
 }
 
-/// One guarantee after the other is broken on purpose. The same runs that find nothing without a fault must name it.
+/// Breaks one guarantee at a time by fault injection. The check must report that guarantee, and nothing without the
+/// fault.
 #[test]
 fn each_broken_guarantee_is_caught() {
     let cases: [(&str, Broken, Mangle); 5] = [
--- a/crates/plovershelf-config-distribution/tests/checker.rs
+++ b/crates/plovershelf-config-distribution/tests/checker.rs
@@ -1,5 +1,5 @@
-//! One origin, one relay and two leaves explored completely by a model checker: each order of messages over ordered
-//! connections, changes, a lost message, a relay that ends, and times at which something is due, within each test's bounds.
+//! Exhaustive model checking of one origin, one relay and two leaves: every order of messages on ordered connections,
+//! changes, lost messages, a relay failure and timer expiry, within the budget of each test.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -65,7 +65,7 @@
             self.called(to);
         }
     }
-    /// On to the next time at which something is due.
+    /// Advances the time to the next timeout of any node and handles it.
     fn tick(&mut self) {
         let next = self.nodes.iter().flatten().map(Node::poll_timeout).fold(f64::INFINITY, f64::min);
         self.now = self.now.max(next);
@@ -101,7 +101,7 @@
     Deliver(usize, usize),
     Lose(usize, usize),
     Change,
-    /// The relay ends; its leaves are told, or find out.
+    /// Stops the relay; its peers get a lost connection if the value is true, and otherwise no signal.
     End(bool),
     Tick,
 }
@@ -116,7 +116,7 @@
     type State = World;
     type Action = Step;
 
-    /// All attached: the relay to the origin, the leaves to the relay.
+    /// Returns a state in which the relay is attached to the origin and both leaves to the relay.
     fn init_states(&self) -> Vec<World> {
         let held = QuotaTable::initial([("a", 1.0), ("b", 2.0)]).unwrap();
         let node = |at: usize| {
@@ -181,7 +181,8 @@
                 let origin = world.nodes[0].as_mut()?;
                 let edit =
                     Edit::Set { tenant: "a".to_string(), quota_per_s: 10.0 * world.agreed.len() as f64 };
-                // Refused where a relay has newer, which no agreed change allows.
+                // `prepare_change` fails only if a relay has a newer version, which can't happen with committed
+                // changes.
                 let change = origin.prepare_change(vec![edit], None, 0, 0).ok()?;
                 origin.handle_commit(world.now, change);
                 world.agreed.push(origin.table().clone());
@@ -225,20 +226,20 @@
     checker.unique_state_count()
 }
 
-/// Two changes go out and one message is lost, in every order and at every time that matters.
+/// Two changes with one lost message, in every order and with every timer expiry, must violate no guarantee.
 #[test]
 fn two_changes_with_a_lost_message_break_no_guarantee() {
     assert!(complete("two changes, a loss", Left { changes: 2, losses: 1, ends: 0, ticks: 2 }) > 2_000);
 }
 
-/// A relay ends between two changes, and its leaves are told or find out, in every order.
+/// A relay failure between two changes, with and without lost connections, must violate no guarantee in any order.
 #[test]
-fn two_changes_with_a_relay_that_ends_break_no_guarantee() {
+fn two_changes_with_a_relay_failure_break_no_guarantee() {
     assert!(complete("two changes, an end", Left { changes: 2, losses: 0, ends: 1, ticks: 0 }) > 2_000);
 }
 
-/// A relay ends while a change goes out, and a message is lost besides.
+/// A relay failure during a change, with a lost message, must violate no guarantee.
 #[test]
-fn change_with_a_relay_that_ends_and_a_lost_message_breaks_no_guarantee() {
+fn change_with_a_relay_failure_and_a_lost_message_breaks_no_guarantee() {
     assert!(complete("a change, an end, a loss", Left { changes: 1, losses: 1, ends: 1, ticks: 0 }) > 2_000);
 }
--- a/crates/plovershelf-config-distribution/tests/configuration.rs
+++ b/crates/plovershelf-config-distribution/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Validation of edits, the digest, chunks of a snapshot, the change log.
+//! Tests of edit validation, digests, snapshot chunks and the change log.
 
 use plovershelf_config_distribution::{
     ApplyError, Change, ChangeLog, Chunk, Edit, Entry, QuotaTable, SnapshotBuilder, Version,
@@ -24,7 +24,7 @@
     Change { version, previous, digest, edits, proposed_unix_ms: 1_700_000_000_000 }
 }
 
-/// An operator's change has an edit that does not fit. The error must name it in one line, and the table stay as it is.
+/// An operator's change has an invalid edit. The error must name the edit in one line, and the table must not change.
 #[test]
 fn invalid_edit_is_named_and_changes_nothing() {
     let table = list(3);
@@ -57,9 +57,10 @@
     }
 }
 
-/// A change or a list is too large. It must be rejected with the bound, and what is just small enough be taken.
+/// A change or an initial table is too large. The error must state the limit, and a change just below the limit must
+/// be accepted.
 #[test]
-fn change_is_bounded_by_what_the_consensus_group_takes_and_the_table_by_its_tenants() {
+fn changes_and_tables_are_bounded_in_size() {
     let table = list(10);
     let edits: Vec<Edit> = (0..3000).map(|at| add(&format!("a-tenant-{at:012}"), 1.0)).collect();
     let why = table.validate(&edits).unwrap_err().to_string();
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn digest_depends_on_the_entries_alone_not_on_the_changes_that_led_there() {
+fn digest_depends_only_on_the_entries() {
     let mut table = list(5);
     let edits = vec![set("tenant-00001", 7.5), remove("tenant-00002"), add("new", 3.0)];
     let change = next(&table, edits);
@@ -90,7 +91,7 @@
     assert_eq!((table.len(), table.quota_per_s("new")), (5, Some(3.0)));
 }
 
-/// A change comes twice, after a gap, or corrupt. It must not be applied, not even in part.
+/// A change arrives twice, after a gap, or corrupted. No part of it must be applied.
 #[test]
 fn change_for_another_version_or_with_another_digest_changes_nothing() {
     let mut table = list(5);
@@ -106,9 +107,9 @@
     assert_eq!(table, held);
 }
 
-/// A snapshot is complete but not what its digest says, or its entries are out of order or invalid. It must be refused.
+/// A snapshot does not match its digest, or its entries are out of order or invalid. It must be rejected.
 #[test]
-fn snapshot_goes_in_bounded_chunks_and_is_refused_with_another_digest() {
+fn snapshot_is_sent_in_bounded_chunks_and_rejected_with_another_digest() {
     let table = list(34_000);
     let mut builder = SnapshotBuilder::new(table.version(), table.digest());
     let mut wrong = SnapshotBuilder::new(table.version(), table.digest() ^ 1);
@@ -161,10 +162,10 @@
     assert_eq!(history.iter().count(), 1);
 }
 
-/// The sender's table changes between two chunks, before, at and after the last name that came. The snapshot must still be
-/// complete at the end, as the newest version.
+/// The sender's table changes between two chunks, with names before, at and after the last received one. The assembled
+/// snapshot must equal the newest version.
 #[test]
-fn snapshot_under_way_takes_in_the_changes_meanwhile() {
+fn snapshot_under_assembly_includes_concurrent_changes() {
     let mut table = list(4000);
     let mut builder = SnapshotBuilder::new(table.version(), table.digest());
     let mut step = 0;
--- a/crates/plovershelf-config-distribution/tests/net/mod.rs
+++ b/crates/plovershelf-config-distribution/tests/net/mod.rs
@@ -1,5 +1,6 @@
-//! A small network in simulated time: origins whose consensus group commits by number, listeners in zones, connections that
-//! delay, lose, are partitioned and end. Each guarantee is checked against the truth after each input of each node.
+//! A small network in simulated time, with origins whose consensus group commits changes, listeners in zones, and
+//! connections with delays, losses, partitions and resets. After each input to a node, the guarantees are checked
+//! against the committed changes.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -17,27 +18,27 @@
     pub rng: Pcg32,
     pub slots: Vec<Slot>,
     pub origins: usize,
-    /// By version, what was agreed.
+    /// The committed table of each version.
     pub truth: BTreeMap<Version, QuotaTable>,
     pub decided: Vec<Change>,
     pub initial: QuotaTable,
     pub config: DistributionConfig,
     pub delay_ms: (f64, f64),
     pub loss: f64,
-    /// A share of the messages comes a second time, later.
+    /// Fraction of messages that are delivered a second time, later.
     pub doubled: f64,
-    /// Done to each message on its way.
+    /// Applied to each message in transit.
     pub mangle: Option<fn(&mut Message, &mut Pcg32)>,
-    /// Pairs of groups that do not reach each other.
+    /// Pairs of groups that can't reach each other.
     pub cut: Vec<(usize, usize)>,
     pub notes: Vec<String>,
-    /// Promises that were broken.
+    /// Violations of the guarantees.
     pub violations: Vec<String>,
-    /// Bytes and messages sent by each since they were last counted.
+    /// Bytes and messages sent by each slot since counting started.
     pub bytes: Vec<u64>,
     pub messages: Vec<u64>,
     pub count_bytes: bool,
-    /// By version, when each came into force first and last.
+    /// The times at which each version first and last took effect on a node.
     pub in_force: BTreeMap<Version, (f64, f64)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     what: HashMap<u64, What>,
@@ -53,9 +54,9 @@
     pub region: String,
     pub group: usize,
     pub node: Option<Node>,
-    /// Not called until then, as a process that is stopped; what comes waits.
+    /// The node gets no input before this time, like a paused process; its input is delayed.
     pub stopped_until: f64,
-    /// The version at which its table was last compared with the truth.
+    /// The version at which the table was last compared with the committed one.
     checked: Option<Version>,
     shadow_list: BTreeMap<String, f64>,
     version: Version,
@@ -70,7 +71,7 @@
 }
 
 impl Net {
-    /// Two regions, two zones in each; origins in both.
+    /// Creates a network with two regions and origins in both.
     pub(crate) fn new(
         seed: u64,
         origins: usize,
@@ -161,7 +162,8 @@
         slot.stopped_until = 0.0;
         self.called(at);
     }
-    /// Dies; those with a link to it are told, or not, as when a machine goes.
+    /// Stops a node without notice and returns its table. If `told`, peers that can reach it get a lost connection;
+    /// otherwise they get no signal, as after a machine failure.
     pub(crate) fn kill(&mut self, at: usize, told: bool) -> Option<QuotaTable> {
         let node = self.slots[at].node.take()?;
         if told {
@@ -190,7 +192,7 @@
         self.what.insert(self.next, what);
         self.queue.push(Reverse(((at * 1000.0).ceil() as u64, self.next)));
     }
-    /// A change that is proposed at an origin and committed, if a majority of the origins is up and within reach of it.
+    /// Proposes a change at an origin and commits it if that origin can reach a majority of the running origins.
     pub(crate) fn propose(&mut self, at: usize, edits: Vec<Edit>) -> Result<Version, String> {
         let node = self.slots[at].node.as_ref().ok_or("down")?;
         let change =
@@ -232,7 +234,7 @@
     pub(crate) fn newest(&self) -> Version {
         *self.truth.keys().next_back().unwrap()
     }
-    /// Until then.
+    /// Processes all events up to this time.
     pub(crate) fn run(&mut self, until: f64) {
         while let Some(Reverse((at, key))) = self.queue.peek().copied() {
             let at = at as f64 / 1000.0;
@@ -278,7 +280,7 @@
         }
         self.called(to);
     }
-    /// Takes what a node wants after each call of it, and checks what it has in force.
+    /// Executes a node's actions after an input, and checks its table.
     fn called(&mut self, at: usize) {
         let node = self.slots[at].node.as_mut().unwrap();
         let actions = node.poll_actions();
@@ -292,7 +294,7 @@
         self.send_all(at, actions.messages);
     }
 
-    /// What a node applies, against what it had in force before.
+    /// Checks the events of a node against its previous version and table.
     fn check_events(&mut self, at: usize, events: Vec<Event>) {
         let slot = &mut self.slots[at];
         let node = slot.node.as_ref().unwrap();
@@ -332,7 +334,7 @@
         }
     }
 
-    /// A node's table, against what was committed and against what its events told.
+    /// Checks a node's table against the committed one and against the edits in its events.
     fn check_table(&mut self, at: usize) {
         let slot = &mut self.slots[at];
         let node = slot.node.as_ref().unwrap();
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Puts a node's messages on their way: lost, doubled, mangled or late as the net is.
+    /// Sends a node's messages with the configured loss, duplication, corruption and delay.
     fn send_all(&mut self, at: usize, messages: Vec<(SocketAddr, Message)>) {
         for (to, mut message) in messages {
             if self.count_bytes {
@@ -370,7 +372,7 @@
                 continue;
             }
             if self.slots[to].node.is_none() {
-                // Nobody listens there any more.
+                // The receiver has stopped, so the sender may get a lost connection.
                 if self.rng.random_bool(0.5) {
                     let in_ms = self.delay();
                     self.push(self.now + in_ms, What::Lost(at, self.slots[to].address));
@@ -391,7 +393,7 @@
             self.push(arrives, What::Message(to, at, Box::new(message)));
         }
     }
-    /// Those up that have not the newest in force.
+    /// Returns the running nodes that do not have the newest version in force.
     pub(crate) fn behind(&self) -> Vec<usize> {
         let newest = self.newest();
         let late = |slot: &Slot| slot.node.as_ref().is_some_and(|node| node.table().version() != newest);
@@ -405,7 +407,7 @@
             self.violations.first()
         );
     }
-    /// One line each, to look at.
+    /// Returns a line of status per node for assertion messages.
     pub(crate) fn show(&self) -> String {
         let mut lines = String::new();
         for slot in &self.slots {
--- a/crates/plovershelf-config-distribution/tests/node.rs
+++ b/crates/plovershelf-config-distribution/tests/node.rs
@@ -1,4 +1,5 @@
-//! One node by itself: what it answers, its bounds against misbehaving peers, message sizes, origins.
+//! Tests of single nodes and small networks: replies, bounds against misbehaving peers, message sizes, and the
+//! exchange between origins.
 
 mod net;
 
@@ -50,30 +51,30 @@
 fn number(number: u64) -> Version {
     Version { epoch: 1, number }
 }
-fn held(table: &QuotaTable) -> HeldVersion {
+fn version_info(table: &QuotaTable) -> HeldVersion {
     HeldVersion { version: table.version(), short_digest: table.digest() as u64, age_ms: 0 }
 }
 fn attach_relay(port: u8) -> Message {
     let (kind, limit) = (ListenerKind::Relay, FanOutLimit::Normal);
-    Message::Attach { node: info(port), held: held(&table()), kind, limit }
+    Message::Attach { node: info(port), version_info: version_info(&table()), kind, limit }
 }
-/// A listener that hears from the relay at 20.
+/// Returns a listener whose parent is the relay at address 20.
 fn attached() -> Node {
     let mut node = start(10, Role::Listener);
     node.handle_timeout(300.0);
     let origin = node.poll_actions().messages[0].0;
     node.handle_message(301.0, origin, candidates(vec![at(20)], ListenerKind::Leaf));
     assert!(matches!(&node.poll_actions().messages[..], [(to, Message::Attach { .. })] if *to == at(20)));
-    node.handle_message(302.0, at(20), Message::Attached(held(&table())));
+    node.handle_message(302.0, at(20), Message::Attached(version_info(&table())));
     node.poll_actions();
     assert_eq!(node.status(302.0).parent, Some(at(20)));
     node
 }
 
-/// An operator proposes with an old number in mind, names a tenant that is not there, or asks a listener. Each must be told
-/// what is wrong, and nothing may be committed.
+/// An operator's proposal requires an old version number, names an unknown tenant, or goes to a listener. Each error
+/// must state the reason, and nothing may be committed.
 #[test]
-fn proposal_after_an_old_number_for_an_unknown_tenant_or_to_a_listener_is_rejected() {
+fn proposal_for_an_old_version_or_an_unknown_tenant_or_to_a_listener_is_rejected() {
     let mut origin = start(1, Role::Origin);
     let change = origin.prepare_change(vec![set("tenant-1", 5.0)], Some(0), 1, 7).unwrap();
     assert_eq!(
@@ -90,21 +91,21 @@
     assert!(why.contains("no source"), "{why}");
 }
 
-/// Two origins started from different lists, which shows as two digests under one version. What the wrong one proposed would
-/// be in force everywhere, so it must propose nothing until both hold the same.
+/// Guards against a wrong table taking effect everywhere. Two origins started from different tables, so their digests
+/// differ under the same version. The origin must reject proposals until the tables agree.
 #[test]
-fn origin_beside_one_with_another_initial_table_proposes_nothing() {
+fn origin_rejects_proposals_while_another_origin_has_a_different_table() {
     let mut origin = start(1, Role::Origin);
     let other = QuotaTable::initial([("tenant-1".to_string(), 7.0)]).unwrap();
-    origin.handle_message(1.0, at(2), Message::Heartbeat(held(&other)));
+    origin.handle_message(1.0, at(2), Message::Heartbeat(version_info(&other)));
     let why = origin.prepare_change(vec![set("tenant-1", 5.0)], None, 1, 7).unwrap_err().to_string();
     assert!(why.contains("127.0.0.2:4000") && why.contains("another content"), "{why}");
-    origin.handle_message(2.0, at(2), Message::Heartbeat(held(&table())));
+    origin.handle_message(2.0, at(2), Message::Heartbeat(version_info(&table())));
     assert!(origin.prepare_change(vec![set("tenant-1", 5.0)], None, 1, 7).is_ok());
 }
 
-/// The consensus group tells an origin again what it committed, or something else under the same version. The table must stay,
-/// and the contradiction be reported.
+/// The consensus group delivers a commit twice, or another change with the same version. The table must not change,
+/// and the conflicting digest must be reported.
 #[test]
 fn commit_of_a_version_in_force_changes_nothing_and_another_digest_is_reported() {
     let mut origin = start(1, Role::Origin);
@@ -123,7 +124,7 @@
     assert_eq!(origin.table().quota_per_s("tenant-1"), Some(5.0));
 }
 
-/// An origin missed two commits and hears of the third, which does not apply to what it holds. It must fetch what it lacks.
+/// An origin misses two commits and receives the third, which can't be applied. It must fetch the missing changes.
 #[test]
 fn origin_that_missed_commits_fetches_them_from_the_others() {
     let (mut first, mut second) = (start(1, Role::Origin), start(2, Role::Origin));
@@ -147,8 +148,8 @@
     assert_eq!(second.table(), first.table());
 }
 
-/// All origins end and start without their folders, while relays still hold what was committed. The origins must fetch it from
-/// them, and go on from there.
+/// All origins restart without stored state while relays still have the committed changes. The origins must fetch the
+/// changes from the relays.
 #[test]
 fn origins_that_all_restart_empty_fetch_the_newest_from_a_relay() {
     let mut net = Net::new(3, 3, 20, 2, DistributionConfig::default());
@@ -170,15 +171,15 @@
     assert_eq!((net.behind(), net.newest()), (vec![], number(5)));
 }
 
-/// A listener restarts with its initial table after more changes than a log holds, and fifty more a second come meanwhile. The
-/// snapshot must complete within a second, without a warning.
+/// A listener restarts with its initial table after more changes than the change log can contain, while fifty changes
+/// per second continue. The snapshot must complete within a second, without a warning.
 #[test]
 fn snapshot_of_34_000_tenants_completes_while_changes_go_on() {
     let list =
         |quota: f64| QuotaTable::initial((0..34_000).map(|at| (format!("tenant-{at:05}"), quota))).unwrap();
     let mut net = Net::with(list(1.0), 4, 3, 8, 2, DistributionConfig::default());
     net.run(1000.0);
-    // More than a history holds, to one that lost all but its file.
+    // Make more changes than the change log can contain before the listener restarts with only its initial table.
     for at in 0..10 {
         let edits = (0..1500).map(|tenant| set(&format!("tenant-{tenant:05}"), f64::from(at))).collect();
         net.propose(0, edits).unwrap();
@@ -205,9 +206,10 @@
     assert!(net.notes.is_empty(), "{:?}", net.notes);
 }
 
-/// A listener's file differs from the origins', under the version that both start from. The origins' table must win.
+/// A listener's initial table differs from the one of the origins under the same version. The origins' table must
+/// replace it.
 #[test]
-fn listener_with_another_initial_table_takes_that_of_the_origins() {
+fn listener_with_another_initial_table_installs_that_of_the_origins() {
     let mut net = Net::new(4, 3, 12, 2, DistributionConfig::default());
     net.kill(8, true);
     let other = QuotaTable::initial([("tenant-1", 5.0)]).unwrap();
@@ -216,10 +218,10 @@
     assert_eq!(net.node(8).table(), &net.initial);
 }
 
-/// A process that is neither parent nor child sends changes, snapshots, heartbeats and lists. Nothing of it may be taken or
-/// answered, but that it is told to stop feeding.
+/// A process that is neither parent nor child sends changes, snapshots, heartbeats and lists. The node must ignore
+/// them, or answer with `Detach`.
 #[test]
-fn listener_ignores_strangers() {
+fn listener_ignores_unknown_processes() {
     let mut node = attached();
     let before = node.status(303.0);
     let mut other = table();
@@ -233,7 +235,7 @@
     let chunk = Message::SnapshotChunk { version: number(1), digest, after: None, entries, is_last };
     let near = Message::AlternateParents { relays: vec![at(66)], origins: vec![] };
     for message in
-        [Message::Delta(vec![change]), chunk, Message::Heartbeat(held(&other)), near, Message::Detach]
+        [Message::Delta(vec![change]), chunk, Message::Heartbeat(version_info(&other)), near, Message::Detach]
     {
         node.handle_message(303.0, at(99), message);
     }
@@ -242,19 +244,23 @@
         .messages
         .iter()
         .all(|(to, message)| *to == at(99) && *message == Message::Detach));
-    node.handle_message(303.0, at(99), Message::SyncRequest(held(&table())));
+    node.handle_message(303.0, at(99), Message::SyncRequest(version_info(&table())));
     node.handle_message(303.0, at(99), Message::Probe);
     assert!(node.poll_actions().messages.is_empty());
     assert_eq!(node.status(303.0), before);
 }
 
-/// Listeners ask a leaf to be fed, or a relay asks a relay. A cycle of parents could come about, so both must be rejected; and a
-/// relay must not be led to a parent that is no origin.
+/// Guards against cycles of parents. A leaf must reject children, a relay must reject relays, and a relay must attach
+/// only to origins.
 #[test]
-fn leaf_takes_no_children_and_relay_no_relays() {
+fn leaf_rejects_children_and_relay_rejects_relays() {
     let mut leaf = attached();
-    let attach =
-        |kind| Message::Attach { node: info(30), held: held(&table()), kind, limit: FanOutLimit::Failover };
+    let attach = |kind| Message::Attach {
+        node: info(30),
+        version_info: version_info(&table()),
+        kind,
+        limit: FanOutLimit::Failover,
+    };
     leaf.handle_message(303.0, at(30), attach(ListenerKind::Leaf));
     assert_eq!(leaf.poll_actions().messages, vec![(at(30), Message::Rejected)]);
     let mut relay = start(11, Role::Listener);
@@ -266,7 +272,7 @@
         matches!(&sent[..], [(to, Message::Attach { kind: ListenerKind::Relay, .. })] if *to == origin),
         "{sent:?}"
     );
-    relay.handle_message(302.0, origin, Message::Attached(held(&table())));
+    relay.handle_message(302.0, origin, Message::Attached(version_info(&table())));
     relay.poll_actions();
     relay.handle_message(303.0, at(30), attach(ListenerKind::Relay));
     assert_eq!(relay.poll_actions().messages[0], (at(30), Message::Rejected));
@@ -274,7 +280,7 @@
         relay.handle_message(304.0, at(100 + child), attach(ListenerKind::Leaf));
     }
     assert_eq!(relay.status(304.0).children, 32);
-    // It looks for parents among origins alone, whatever it is told.
+    // Addresses from a message that are not configured origins must never become parents of a relay.
     let strangers = vec![at(100), at(101)];
     relay.handle_message(
         305.0,
@@ -291,7 +297,7 @@
     }
 }
 
-/// A listener reaches nobody for an hour. It must serve on with what it holds, and report how old that is.
+/// A listener has no contact for an hour. It must keep its table and report the age.
 #[test]
 fn listener_without_a_parent_keeps_its_table_and_reports_its_age() {
     let mut node = attached();
@@ -305,8 +311,8 @@
     assert!(status.age_ms.is_some_and(|age| age > 3_590_000.0), "{status:?}");
 }
 
-/// Half of the relays die, and the others take their children over the ordinary fan-out. They must come back to it, and nobody
-/// may be behind for that.
+/// Half of the relays fail, and the others exceed their fan-out with the orphaned children. They must return to their
+/// fan-out, and no process may be behind.
 #[test]
 fn relays_return_to_their_fan_out_after_taking_over_children() {
     let mut net = Net::new(8, 3, 150, 2, DistributionConfig::default());
@@ -327,8 +333,8 @@
     assert!(net.behind().is_empty() && net.violations.is_empty());
 }
 
-/// An origin ends, its relays go to the others, and it comes back. It must get the relays of its region again, and about as many
-/// as the other origin there.
+/// An origin stops, its relays attach to the others, and it restarts. It must get back the relays in its region, about
+/// as many as the other origin there has.
 #[test]
 fn restarted_origin_gets_the_relays_of_its_region_and_its_share_back() {
     let mut net = Net::new(9, 3, 300, 4, DistributionConfig::default());
@@ -350,8 +356,8 @@
     assert!(net.behind().is_empty() && net.violations.is_empty());
 }
 
-/// Many processes end without a word and come back at other parents. The old parents must stop to name them as missing; only the
-/// one that stays away is named.
+/// Many processes stop without notice and restart at other parents. The former parents must not report them as
+/// missing; only the process that stays down may be reported.
 #[test]
 fn process_that_attached_elsewhere_is_not_missing() {
     let mut net = Net::new(6, 3, 60, 4, DistributionConfig::default());
@@ -369,9 +375,10 @@
     assert_eq!(missing(&net), vec!["process-3".to_string()]);
 }
 
-/// One child ends on purpose, another falls silent. Only the second is missing, and is forgotten after ten minutes.
+/// One child stops in an orderly way, another times out. Only the second must be reported as missing, and no longer
+/// after ten minutes.
 #[test]
-fn silent_child_is_named_as_missing_and_one_that_detached_is_not() {
+fn timed_out_child_is_reported_as_missing_and_a_detached_one_is_not() {
     let mut origin = start(1, Role::Origin);
     for child in [30, 31] {
         let attach = attach_relay(child);
@@ -390,10 +397,10 @@
     assert!(origin.status(654_000.0).missing.is_empty());
 }
 
-/// A process stands still for a minute, and its clock with it jumps ahead. What its children sent meanwhile is still to be read,
-/// so it must keep them.
+/// A process is paused for a minute. It must keep its children, since their messages are still waiting in its receive
+/// queue.
 #[test]
-fn paused_process_takes_no_child_for_silent() {
+fn paused_process_keeps_its_children() {
     let mut origin = start(1, Role::Origin);
     origin.handle_timeout(0.0);
     let attach = attach_relay(30);
@@ -437,7 +444,7 @@
 fn random_message(rng: &mut Pcg32) -> Message {
     let version = |rng: &mut Pcg32| Version { epoch: rng.random_range(0..3), number: rng.random_range(0..6) };
     let address = |rng: &mut Pcg32| at(rng.random_range(0..40));
-    let held_version = |rng: &mut Pcg32| HeldVersion {
+    let random_version_info = |rng: &mut Pcg32| HeldVersion {
         version: version(rng),
         short_digest: rng.random_range(0..3),
         age_ms: if rng.random_bool(0.2) { u32::MAX } else { rng.random_range(0..5000) },
@@ -474,18 +481,18 @@
         },
         3 => {
             let node = NodeInfo { name: name(rng), ..info(rng.random_range(0..40)) };
-            let held = held_version(rng);
-            Message::Attach { node, held, kind: kind(rng.random()), limit: limit(rng.random()) }
+            let version_info = random_version_info(rng);
+            Message::Attach { node, version_info, kind: kind(rng.random()), limit: limit(rng.random()) }
         }
-        4 | 5 => Message::Attached(held_version(rng)),
+        4 | 5 => Message::Attached(random_version_info(rng)),
         6 => Message::Rejected,
         7 => Message::Detach,
-        8 => Message::Heartbeat(held_version(rng)),
+        8 => Message::Heartbeat(random_version_info(rng)),
         9 => Message::AlternateParents { relays: addresses(rng), origins: addresses(rng) },
         10 => Message::Delta((0..rng.random_range(0..4)).map(|_| change(rng)).collect()),
-        11 => Message::SyncRequest(held_version(rng)),
+        11 => Message::SyncRequest(random_version_info(rng)),
         12 => Message::ChunkRequest { version: version(rng), after: rng.random_bool(0.5).then(|| name(rng)) },
-        // The digest of an empty list is 0, so that would fit.
+        // A digest of 0 is excluded, because it is the digest of an empty list and would therefore match.
         13 => Message::SnapshotChunk {
             version: version(rng),
             digest: rng.random_range(1..4),
@@ -509,7 +516,7 @@
         }
         15 => Message::Probe,
         19 => Message::Reattach(rng.random_bool(0.5).then(|| address(rng))),
-        16 => Message::ProbeReply(held_version(rng)),
+        16 => Message::ProbeReply(random_version_info(rng)),
         17 => Message::Relocated((0..rng.random_range(0..10)).map(|_| name(rng)).collect()),
         18 => Message::Attachments((0..rng.random_range(0..100)).map(|_| attachment(rng)).collect()),
         _ => {
@@ -523,10 +530,10 @@
     }
 }
 
-/// A peer sends anything at all, in any state and order. Nothing that was drawn has a digest that fits, so nothing of it may ever
-/// be in force.
+/// A peer sends arbitrary messages in any state and order. None of the random digests matches, so nothing may take
+/// effect.
 #[test]
-fn no_message_in_any_state_panics_goes_back_or_applies_what_does_not_fit() {
+fn arbitrary_messages_in_any_state_cause_no_panic_rollback_or_invalid_table() {
     let mut states = std::collections::BTreeSet::new();
     for seed in 0..100 {
         let mut rng = Pcg32::seed_from_u64(seed);
@@ -536,7 +543,7 @@
         for _ in 0..1000 {
             now += rng.random_range(0.0..200.0);
             let message = random_message(&mut rng);
-            // From one that it deals with, more often than not.
+            // Prefer the parent or a process that the node has contacted as the sender.
             let parent = node.status(now).parent.filter(|_| rng.random_bool(0.3));
             let asked = node.poll_actions().messages.pop().map(|(to, _)| to).filter(|_| rng.random_bool(0.5));
             let from = parent.or(asked).unwrap_or_else(|| at(rng.random_range(0..40)));
--- a/crates/plovershelf-config-distribution/tests/pins.rs
+++ b/crates/plovershelf-config-distribution/tests/pins.rs
@@ -1,7 +1,8 @@
-//! The bytes of each message and of a committed change, as an earlier build wrote them.
+//! Wire format compatibility: the encoded bytes of each message and of a committed change, as recorded from an earlier
+//! build.
 //!
-//! A process of that build and one of this are in the same fleet while a release is under way. A field or variant that
-//! moved, or has another type, shows as bytes that differ or as a value that comes back different.
+//! During a release, processes of both builds run in the same fleet. A field or variant that was moved or that has
+//! another type changes the bytes or the decoded value.
 
 use std::net::SocketAddr;
 
@@ -27,7 +28,7 @@
 fn version(epoch: u64, number: u64) -> Version {
     Version { epoch, number }
 }
-fn held() -> HeldVersion {
+fn version_info() -> HeldVersion {
     HeldVersion { version: version(3, 300), short_digest: 0xfedc_ba98_7654_3210, age_ms: 1234 }
 }
 fn change() -> Change {
@@ -55,7 +56,7 @@
     }
 }
 
-/// One value of each variant and of each option in it; the field's values all differ.
+/// Returns a value of each variant and of each option in it. All values of a field differ.
 #[expect(clippy::too_many_lines, reason = "one value for each kind of message")]
 fn messages() -> Vec<(&'static str, Message)> {
     let addresses = |from: u8| vec![address(from, 7000), address(from + 1, 7001)];
@@ -97,7 +98,7 @@
             "attach-relay",
             Message::Attach {
                 node: info(),
-                held: held(),
+                version_info: version_info(),
                 kind: ListenerKind::Relay,
                 limit: FanOutLimit::Normal,
             },
@@ -106,18 +107,18 @@
             "attach-over",
             Message::Attach {
                 node: info(),
-                held: held(),
+                version_info: version_info(),
                 kind: ListenerKind::Leaf,
                 limit: FanOutLimit::Failover,
             },
         ),
-        ("attached", Message::Attached(held())),
+        ("attached", Message::Attached(version_info())),
         ("refused", Message::Rejected),
         ("leave", Message::Detach),
-        ("beat", Message::Heartbeat(held())),
+        ("beat", Message::Heartbeat(version_info())),
         ("near", Message::AlternateParents { relays: addresses(50), origins: addresses(60) }),
         ("changes", Message::Delta(vec![change()])),
-        ("ask", Message::SyncRequest(held())),
+        ("ask", Message::SyncRequest(version_info())),
         ("ask-part", Message::ChunkRequest { version: version(7, 70), after: Some("acme".into()) }),
         ("ask-part-first", Message::ChunkRequest { version: version(7, 70), after: None }),
         ("part", chunk(Some("abel"), false)),
@@ -131,12 +132,13 @@
             Message::Attachments(vec![Attachment { name: "new-1".into(), parent: address(80, 8000) }]),
         ),
         ("check", Message::Probe),
-        ("checked", Message::ProbeReply(held())),
+        ("checked", Message::ProbeReply(version_info())),
         ("relays", Message::OriginRelays { origin: info(), relays: vec![relay] }),
     ]
 }
 
-/// A variant that is new has to be pinned too: this does not compile until it is named here.
+/// Returns the fixture name of a message. The exhaustive match makes a new variant fail to compile until it is added
+/// here.
 fn kind(message: &Message) -> &'static str {
     match message {
         Message::FindParent { .. } => "seek",
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn every_message_has_the_bytes_of_the_earlier_build_and_comes_back_from_them() {
+fn every_message_matches_the_bytes_of_the_earlier_build() {
     let kinds: std::collections::BTreeSet<_> = messages().iter().map(|(_, message)| kind(message)).collect();
     assert_eq!(kinds.len(), 19);
     assert_eq!(FIXTURE.lines().count(), messages().len() + 1);
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn a_change_as_it_is_agreed_on_has_the_bytes_of_the_earlier_build_and_comes_back_from_them() {
+fn committed_change_matches_the_bytes_of_the_earlier_build() {
     assert_eq!(hex(&postcard::to_stdvec(&change()).unwrap()), hex(&pinned("agreed-change")));
     assert_eq!(postcard::from_bytes::<Change>(&pinned("agreed-change")), Ok(change()));
 }
--- a/crates/plovershelf-config-distribution/tests/properties.rs
+++ b/crates/plovershelf-config-distribution/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The guarantees on a small network under faults, by many seeds, each the same at each run.
+//! Tests of the guarantees on a small network with faults, with many reproducible seeds.
 
 mod net;
 
@@ -35,7 +35,8 @@
     assert!(statuses.iter().all(|status| status.missing.is_empty()));
 }
 
-/// Kills, restarts, stops, cuts, ends of links and changes for half a minute, then all heals. The promises are held at each step.
+/// Runs a network for half a minute with failures, restarts, pauses, partitions, lost connections and changes, then
+/// repairs all faults. Checks the guarantees after each step.
 fn troubled(seed: u64, listeners: usize, loss: f64) -> Net {
     let mut net = Net::new(seed, 3, listeners, 4, DistributionConfig::default());
     net.loss = loss;
@@ -81,7 +82,7 @@
     for (at, held) in down {
         net.start(at, held);
     }
-    // The last fault ends when the last that is stopped goes on.
+    // The last fault ends when the last paused process resumes.
     let stopped = net.slots.iter().map(|slot| slot.stopped_until).fold(net.now, f64::max);
     net.run(stopped);
     let edits = net.random_edits();
@@ -89,8 +90,9 @@
     net
 }
 
-/// Crashes, restarts, pauses, partitions, lost connections and changes for half a minute, then all heals. Four seconds later all
-/// must have the newest in force, and the counts be right; at last nobody may be named as missing.
+/// Runs crashes, restarts, pauses, partitions, lost connections and changes for half a minute, then repairs all
+/// faults. Four seconds later the newest version must be in force everywhere and the counts must be correct; in the
+/// end no process may be reported as missing.
 #[test]
 fn newest_is_in_force_everywhere_4_s_after_the_last_fault() {
     for seed in 0..60 {
@@ -112,9 +114,9 @@
     }
 }
 
-/// The same with one message in a hundred lost.
+/// Repeats the test with a message loss of one percent.
 #[test]
-fn lost_messages_are_made_up_for() {
+fn newest_is_in_force_everywhere_despite_lost_messages() {
     for seed in 100..120 {
         let mut net = troubled(seed, 30, 0.01);
         net.run(net.now + 4000.0);
@@ -123,17 +125,18 @@
     }
 }
 
-/// The one fault that there is comes just before a change, in the worst moment as nobody has missed anything yet: all others
-/// have the change within 4 s.
+/// A single fault occurs just before a change, so that no process has detected it yet. All other processes must have
+/// the change in force within 4 s.
 #[test]
-fn change_is_in_force_within_4_s_of_its_commit_whatever_single_thing_fails_before() {
+fn change_is_in_force_within_4_s_after_any_single_fault() {
     let mut worst: f64 = 0.0;
     for seed in 0..40 {
         let mut net = Net::new(seed, 3, 60, 4, DistributionConfig::default());
         net.run(3000.0 + seed as f64 * 37.0);
         let relays: Vec<usize> = (3..63).filter(|at| net.node(*at).is_relay()).collect();
         let mut dead = match seed % 4 {
-            // A rack: two relays at once, or an origin, or a relay that is paused, or one whose connections end.
+            // Two relays fail at once, as with a rack, or an origin fails, or one relay is paused, or one relay loses
+            // its connections.
             0 => relays.iter().copied().step_by(relays.len() / 2).take(2).collect(),
             1 => vec![seed as usize % 3],
             _ => vec![relays[seed as usize % relays.len()]],
@@ -161,10 +164,10 @@
     assert!(worst > 500.0 && worst < 3500.0, "{worst}");
 }
 
-/// An origin reaches all listeners and no other origin, so it does not learn what those commit. Its relays must find out from
-/// another within 4 s.
+/// An origin reaches all listeners but no other origin, so it does not receive their commits. Its relays must get them
+/// from another origin within 4 s.
 #[test]
-fn origin_partitioned_from_the_others_holds_nobody_back() {
+fn origin_partitioned_from_the_others_delays_no_listener() {
     let mut worst: f64 = 0.0;
     for seed in 0..12 {
         let mut net = Net::new(seed, 3, 40, 4, DistributionConfig::default());
--- a/crates/plovershelf-config-distribution/tests/unreported_relay.rs
+++ b/crates/plovershelf-config-distribution/tests/unreported_relay.rs
@@ -1,4 +1,4 @@
-//! A relay that can send to its origin and receives nothing of it.
+//! A relay that can send to its origin but receives nothing from it.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Where an origin sends a listener that looks for a parent.
+/// Returns the candidates that an origin offers to a listener.
 fn candidates(origin: &mut Node, now: f64, port: u16) -> Vec<SocketAddr> {
     let seeker = info(port);
     let find = Message::FindParent { node: seeker.clone(), excluded: Vec::new(), redirected: false };
@@ -31,10 +31,10 @@
     told.expect("an answer")
 }
 
-/// A relay can send to its origin and receives nothing. It attaches over and over, and looks as if it had the most capacity. No
-/// listener may be sent there before it has reported.
+/// A relay can send to its origin but receives nothing, so it attaches repeatedly and appears to have the most
+/// capacity. No listener may be assigned to it before it has reported.
 #[test]
-fn nobody_is_sent_to_a_relay_that_never_reported() {
+fn no_listener_is_assigned_to_a_relay_that_never_reported() {
     let startup = Startup {
         node: info(1),
         role: Role::Origin,
@@ -45,10 +45,10 @@
     };
     let mut origin = Node::new(startup, 0.0);
     let relay = info(2);
-    let held = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
+    let version_info = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
     let attach = Message::Attach {
         node: relay.clone(),
-        held,
+        version_info,
         kind: ListenerKind::Relay,
         limit: FanOutLimit::Failover,
     };
--- a/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -1,4 +1,4 @@
-//! Origins that stand still: they take what is sent to them, and answer nothing.
+//! Unresponsive origins, which accept messages but do not answer, and reservations for new relays.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     Node::new(Startup { node: info(port), role, origins, config, table: QuotaTable::default(), seed }, 0.0)
 }
 
-/// Where it looks for a parent from its start on, nobody answering, and when.
+/// Returns the times and targets of a node's requests for a parent while no origin answers.
 fn asked(node: &mut Node, until: f64) -> Vec<(f64, SocketAddr)> {
     let (mut asked, mut now) = (Vec::new(), 0.0);
     while now < until {
@@ -34,8 +34,8 @@
     asked
 }
 
-/// Origins stand still: connections to them open, and nothing is answered. A listener must ask each of them before it asks one a
-/// second time, and go on asking.
+/// All origins are unresponsive: connections open, but no request is answered. A listener must ask each origin once
+/// before it asks one a second time, and must continue to ask.
 #[test]
 fn each_origin_is_asked_before_one_that_did_not_answer_is_asked_again() {
     for seed in 1..=20 {
@@ -48,16 +48,20 @@
     }
 }
 
-/// A listener is told to become a relay, and relays that lost another origin come in between. The place that it was promised must
-/// still be there; one that was promised nothing is rejected.
+/// An origin tells a listener to become a relay, and relays of a failed origin attach before the listener does. The
+/// reserved capacity must still be available to the listener; a relay without a reservation is rejected.
 #[test]
-fn promised_relay_is_taken_though_others_took_the_capacity_meanwhile() {
+fn relay_with_a_reservation_is_accepted_after_others_filled_the_capacity() {
     let config =
         DistributionConfig { origin_fan_out: 2, origin_failover_fan_out: 4, ..DistributionConfig::default() };
     let mut origin = node(1, Role::Origin, &[], config, 1);
-    let held = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
-    let attach =
-        |port: u16, limit| Message::Attach { node: info(port), held, kind: ListenerKind::Relay, limit };
+    let version_info = HeldVersion { version: origin.table().version(), short_digest: 0, age_ms: 0 };
+    let attach = |port: u16, limit| Message::Attach {
+        node: info(port),
+        version_info,
+        kind: ListenerKind::Relay,
+        limit,
+    };
     origin.handle_message(
         10.0,
         at(9),
@@ -68,7 +72,7 @@
         matches!(&told[..], [(to, Message::ParentCandidates { kind: ListenerKind::Relay, .. })] if *to == at(9)),
         "{told:?}"
     );
-    // Relays of another origin, which is gone, come in between.
+    // Relays that lost another origin attach in between.
     for port in [20, 21] {
         origin.handle_message(20.0, at(port), attach(port, FanOutLimit::Failover));
     }
@@ -76,7 +80,7 @@
     origin.handle_message(30.0, at(9), attach(9, FanOutLimit::Normal));
     let told = origin.poll_actions().messages;
     assert!(told.iter().any(|(to, say)| *to == at(9) && matches!(say, Message::Attached(_))), "{told:?}");
-    // One that was promised nothing is rejected.
+    // A relay without a reservation is rejected.
     origin.handle_message(40.0, at(10), attach(10, FanOutLimit::Normal));
     let told = origin.poll_actions().messages;
     assert!(told.iter().any(|(to, say)| *to == at(10) && matches!(say, Message::Rejected)), "{told:?}");
