--- a/crates/plovershelf-config-distribution/src/aggregation/tests.rs
+++ b/crates/plovershelf-config-distribution/src/aggregation/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn timed_out_nodes_are_bounded_and_expire() {
     let mut timed_out = TimedOutNodes::default();
-    (0..100).for_each(|at| timed_out.add(0.0, format!("process-{at}")));
+    (0..100).for_each(|index| timed_out.add(0.0, format!("process-{index}")));
     assert_eq!(
         (timed_out.names().count(), timed_out.names().next().map(String::as_str)),
         (64, Some("process-99"))
--- a/crates/plovershelf-config-distribution/src/fan_out/tests.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out/tests.rs
@@ -4,13 +4,14 @@
 use crate::test_support::{address, node_in, version, version_info};
 
 fn store_with(numbers: u64) -> ConfigStore {
-    let mut store = ConfigStore::new(QuotaTable::initial([("acme", 1.0)]).expect("a table"));
+    let mut store =
+        ConfigStore::new(QuotaTable::initial([("acme", 1.0)]).expect("the initial table is valid"));
     for number in 1..=numbers {
         let edits = vec![Edit::Set { tenant: "acme".into(), quota_per_s: number as f64 }];
-        let digest = store.table().validate(&edits).expect("an edit that fits");
+        let digest = store.table().validate(&edits).expect("the edit is valid");
         let previous = store.version();
         let change = Change { version: version(number), previous, digest, edits, proposed_unix_ms: 0 };
-        store.apply(change).expect("it follows");
+        store.apply(change).expect("the change follows the version in force");
     }
     store
 }
@@ -24,7 +25,7 @@
     for (last, sent) in [(10, 1), (11, 3), (12, 2)] {
         children.add(0.0, address(last), node_in(last, "a", "north"), version_info(sent, 0), version(sent));
     }
-    assert!(children.flush(0.0, version_info(3, 0), &store).is_empty(), "nothing is due");
+    assert!(children.flush(0.0, version_info(3, 0), &store).is_empty(), "no flush is scheduled");
     children.schedule_flush(0.0);
     let sent = children.flush(0.0, version_info(3, 0), &store);
     let delta = |message: &Message| match message {
--- a/crates/plovershelf-config-distribution/src/known_parents/tests.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents/tests.rs
@@ -12,7 +12,8 @@
 #[test]
 fn probes_of_a_leaf_go_to_two_alternates_and_then_to_origins() {
     let known = known(&[1, 2], &[10, 11, 12, 13]);
-    let target = |turn| known.probe_target(ListenerKind::Leaf, Some(address(10)), turn).expect("somebody");
+    let target =
+        |probe| known.probe_target(ListenerKind::Leaf, Some(address(10)), probe).expect("there is a target");
     assert_eq!([0, 1, 2, 3, 4].map(target), [11, 12, 1, 2, 11].map(address));
     let relay = known.probe_target(ListenerKind::Relay, Some(address(1)), 0);
     assert_eq!(relay, Some(address(2)));
--- a/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
@@ -30,9 +30,9 @@
     let mut selector = attached(rng, 10);
     selector.handle_alternates([11, 12, 13].map(address).to_vec(), &[], address(99));
     assert_eq!(selector.timed_out_parent(900.0), None);
-    let silent_at_ms = selector.poll_timeout();
-    assert_eq!(selector.timed_out_parent(silent_at_ms), Some(address(10)));
-    let action = selector.handle_failure(silent_at_ms, address(10), Failure::Unreachable, rng);
+    let timeout_ms = selector.poll_timeout();
+    assert_eq!(selector.timed_out_parent(timeout_ms), Some(address(10)));
+    let action = selector.handle_failure(timeout_ms, address(10), Failure::Unreachable, rng);
     assert_eq!(action, attach_to(11, FanOutLimit::Failover));
     let action = selector.handle_timeout(selector.poll_timeout(), rng);
     assert_eq!(action, attach_to(12, FanOutLimit::Failover));
--- a/crates/plovershelf-config-distribution/src/placement/tests.rs
+++ b/crates/plovershelf-config-distribution/src/placement/tests.rs
@@ -35,7 +35,7 @@
     parent_candidates(relays.iter().copied().map(address).collect(), ListenerKind::Leaf, limit, None)
 }
 
-fn one_relay() -> DistributionConfig {
+fn single_relay_config() -> DistributionConfig {
     DistributionConfig { fan_out: 2, failover_fan_out: 4, origin_fan_out: 1, ..DistributionConfig::default() }
 }
 
@@ -58,7 +58,7 @@
 /// first. Relays above their fan-out must only be offered with the failover limit.
 #[test]
 fn relays_at_capacity_are_offered_last_and_with_the_failover_limit() {
-    let mut origin = Origin::new(&one_relay());
+    let mut origin = Origin::new(&single_relay_config());
     let leaf = node_in(50, "a", "north");
     let become_relay = parent_candidates(vec![], ListenerKind::Relay, FanOutLimit::Normal, None);
     assert_eq!(origin.find(&leaf, &[]), become_relay);
@@ -74,7 +74,7 @@
 /// origin has timed out.
 #[test]
 fn listener_of_another_region_is_redirected_to_a_reachable_origin_there() {
-    let mut origin = Origin::new(&one_relay());
+    let mut origin = Origin::new(&single_relay_config());
     let leaf = node_in(50, "c", "south");
     origin.peers.handle_relays(0.0, address(2), node_in(2, "c", "south"), Vec::new());
     let redirect = parent_candidates(vec![], ListenerKind::Leaf, FanOutLimit::Normal, Some(address(2)));
@@ -92,11 +92,11 @@
     let mut origin = Origin::new(&DistributionConfig::default());
     (10..15).for_each(|last| origin.add_relay(last, "a", 1));
     origin.peers.handle_relays(0.0, address(2), node_in(2, "b", "north"), Vec::new());
-    let better = |origin: &Origin| origin.placement.relocation(10.0, &origin.children, &origin.peers);
-    assert_eq!(better(&origin), Some(Relocation { relay: address(14), to_origin: address(2) }));
+    let relocation = |origin: &Origin| origin.placement.relocation(10.0, &origin.children, &origin.peers);
+    assert_eq!(relocation(&origin), Some(Relocation { relay: address(14), to_origin: address(2) }));
     origin.children.remove(address(14));
-    assert_eq!(better(&origin), None);
+    assert_eq!(relocation(&origin), None);
     origin.peers.handle_relays(0.0, address(2), node_in(2, "c", "south"), Vec::new());
     origin.children.add(0.0, address(20), node_in(20, "c", "south"), version_info(1, 0), version(1));
-    assert_eq!(better(&origin), Some(Relocation { relay: address(20), to_origin: address(2) }));
+    assert_eq!(relocation(&origin), Some(Relocation { relay: address(20), to_origin: address(2) }));
 }
--- a/crates/plovershelf-config-distribution/tests/configuration.rs
+++ b/crates/plovershelf-config-distribution/tests/configuration.rs
@@ -6,7 +6,7 @@
 };
 
 fn list(tenants: usize) -> QuotaTable {
-    QuotaTable::initial((0..tenants).map(|at| (format!("tenant-{at:05}"), at as f64))).unwrap()
+    QuotaTable::initial((0..tenants).map(|index| (format!("tenant-{index:05}"), index as f64))).unwrap()
 }
 fn set(tenant: &str, quota_per_s: f64) -> Edit {
     Edit::Set { tenant: tenant.to_string(), quota_per_s }
@@ -43,15 +43,15 @@
         (vec![add(&long, 1.0)], &["65 bytes", "64 at most"]),
         (vec![add("a\nb", 1.0)], &["control character"]),
     ];
-    for (edits, parts) in cases {
-        let why = table.validate(&edits).unwrap_err().to_string();
-        assert!(parts.iter().all(|part| why.contains(part)), "{why:?} lacks one of {parts:?}");
-        assert!(!why.contains('\n') && why.len() < 400, "{why:?}");
+    for (edits, fragments) in cases {
+        let error = table.validate(&edits).unwrap_err().to_string();
+        assert!(fragments.iter().all(|part| error.contains(part)), "{error:?} lacks one of {fragments:?}");
+        assert!(!error.contains('\n') && error.len() < 400, "{error:?}");
         let mut changed = table.clone();
         let version = Version { epoch: 1, number: 1 };
         let change = Change { version, previous: Version::default(), digest: 0, edits, proposed_unix_ms: 0 };
         assert!(
-            matches!(changed.apply(&change), Err(ApplyError::Invalid(error)) if error.to_string() == why)
+            matches!(changed.apply(&change), Err(ApplyError::Invalid(cause)) if cause.to_string() == error)
         );
         assert_eq!(changed, table);
     }
@@ -62,17 +62,17 @@
 #[test]
 fn changes_and_tables_are_bounded_in_size() {
     let table = list(10);
-    let edits: Vec<Edit> = (0..3000).map(|at| add(&format!("a-tenant-{at:012}"), 1.0)).collect();
-    let why = table.validate(&edits).unwrap_err().to_string();
-    assert!(why.contains("65536 bytes at most"), "{why}");
-    let most = (MAX_CHANGE_BYTES - 96) / (21 + 11);
-    let change = next(&table, edits[..most].to_vec());
+    let edits: Vec<Edit> = (0..3000).map(|index| add(&format!("a-tenant-{index:012}"), 1.0)).collect();
+    let error = table.validate(&edits).unwrap_err().to_string();
+    assert!(error.contains("65536 bytes at most"), "{error}");
+    let max_edits = (MAX_CHANGE_BYTES - 96) / (21 + 11);
+    let change = next(&table, edits[..max_edits].to_vec());
     assert!(change.max_encoded_bytes() <= MAX_CHANGE_BYTES);
     assert!(postcard::to_stdvec(&change).unwrap().len() <= MAX_CHANGE_BYTES);
     let full = list(MAX_TENANTS);
     assert!(full.validate(&[add("one more", 1.0)]).unwrap_err().to_string().contains("100000 at most"));
     assert!(full.validate(&[add("one more", 1.0), remove("tenant-00001")]).is_ok());
-    let list = (0..=MAX_TENANTS).map(|at| (format!("{at}"), 1.0));
+    let list = (0..=MAX_TENANTS).map(|index| (format!("{index}"), 1.0));
     assert!(QuotaTable::initial(list).unwrap_err().to_string().contains("100000"));
     assert!(QuotaTable::initial([("a", 1.0), ("a", 2.0)]).unwrap_err().to_string().contains("named twice"));
 }
@@ -97,14 +97,14 @@
     let mut table = list(5);
     let first = next(&table, vec![set("tenant-00001", 2.0)]);
     table.apply(&first).unwrap();
-    let held = table.clone();
+    let before = table.clone();
     assert_eq!(table.apply(&first), Err(ApplyError::Gap));
     let mut second = next(&table, vec![set("tenant-00001", 3.0)]);
     second.digest ^= 1;
     assert_eq!(table.apply(&second), Err(ApplyError::DigestMismatch));
     second.previous.number += 1;
     assert_eq!(table.apply(&second), Err(ApplyError::Gap));
-    assert_eq!(table, held);
+    assert_eq!(table, before);
 }
 
 /// A snapshot does not match its digest, or its entries are out of order or invalid. It must be rejected.
@@ -113,21 +113,21 @@
     let table = list(34_000);
     let mut builder = SnapshotBuilder::new(table.version(), table.digest());
     let mut wrong = SnapshotBuilder::new(table.version(), table.digest() ^ 1);
-    let mut parts = 0;
+    let mut chunks = 0;
     loop {
         let after = builder.last_name().map(str::to_string);
         let Chunk { entries, is_last } = table.chunk(after.as_deref());
         assert!(postcard::to_stdvec(&entries).unwrap().len() <= MAX_CHUNK_BYTES);
         wrong.add_entries(entries.clone()).unwrap();
         builder.add_entries(entries).unwrap();
-        parts += 1;
+        chunks += 1;
         if is_last {
             break;
         }
     }
     assert_eq!(builder.finish().unwrap(), table);
     assert!(wrong.finish().unwrap_err().to_string().contains("another digest"));
-    println!("34,000 tenants in {parts} parts");
+    println!("34,000 tenants in {chunks} chunks");
     let mut unordered = SnapshotBuilder::new(Version::default(), 0);
     let one = |tenant: &str, quota_per_s| vec![Entry { tenant: tenant.to_string(), quota_per_s }];
     unordered.add_entries(one("b", 1.0)).unwrap();
@@ -138,28 +138,28 @@
 #[test]
 fn change_log_is_bounded_by_count_and_bytes_and_has_no_gap() {
     let mut table = list(2000);
-    let mut history = ChangeLog::default();
-    for at in 0..400 {
-        let change = next(&table, vec![set("tenant-00001", f64::from(at))]);
+    let mut log = ChangeLog::default();
+    for index in 0..400 {
+        let change = next(&table, vec![set("tenant-00001", f64::from(index))]);
         table.apply(&change).unwrap();
-        history.push(change);
+        log.push(change);
     }
     let number = |number| Version { epoch: 1, number };
-    assert_eq!(history.iter().count(), 256);
-    assert_eq!(history.after(number(144)).unwrap().count(), 256);
-    assert!(history.after(number(143)).is_none() && history.after(number(400)).is_none());
-    assert_eq!(history.after(number(399)).unwrap().next().unwrap().version, number(400));
-    for at in 0..20 {
-        let edits = (0..1500).map(|tenant| set(&format!("tenant-{tenant:05}"), f64::from(at))).collect();
+    assert_eq!(log.iter().count(), 256);
+    assert_eq!(log.after(number(144)).unwrap().count(), 256);
+    assert!(log.after(number(143)).is_none() && log.after(number(400)).is_none());
+    assert_eq!(log.after(number(399)).unwrap().next().unwrap().version, number(400));
+    for index in 0..20 {
+        let edits = (0..1500).map(|tenant| set(&format!("tenant-{tenant:05}"), f64::from(index))).collect();
         let change = next(&table, edits);
         table.apply(&change).unwrap();
-        history.push(change);
+        log.push(change);
     }
-    assert!(history.bytes() <= 256 << 10 && history.iter().count() < 20);
-    let mut late = next(&table, vec![set("tenant-00001", 1.0)]);
-    late.previous.number += 5;
-    history.push(late);
-    assert_eq!(history.iter().count(), 1);
+    assert!(log.bytes() <= 256 << 10 && log.iter().count() < 20);
+    let mut change_after_gap = next(&table, vec![set("tenant-00001", 1.0)]);
+    change_after_gap.previous.number += 5;
+    log.push(change_after_gap);
+    assert_eq!(log.iter().count(), 1);
 }
 
 /// The sender's table changes between two chunks, with names before, at and after the last received one. The assembled
--- a/crates/plovershelf-config-distribution/tests/pins.rs
+++ b/crates/plovershelf-config-distribution/tests/pins.rs
@@ -170,7 +170,7 @@
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
-fn pinned(name: &str) -> Vec<u8> {
+fn recorded(name: &str) -> Vec<u8> {
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     unhex(line.unwrap_or_else(|| panic!("{name} is not in the fixture")))
 }
@@ -181,13 +181,13 @@
     assert_eq!(kinds.len(), 19);
     assert_eq!(FIXTURE.lines().count(), messages().len() + 1);
     for (name, message) in messages() {
-        assert_eq!(hex(&postcard::to_stdvec(&message).unwrap()), hex(&pinned(name)), "{name}");
-        assert_eq!(postcard::from_bytes::<Message>(&pinned(name)), Ok(message), "{name}");
+        assert_eq!(hex(&postcard::to_stdvec(&message).unwrap()), hex(&recorded(name)), "{name}");
+        assert_eq!(postcard::from_bytes::<Message>(&recorded(name)), Ok(message), "{name}");
     }
 }
 
 #[test]
 fn committed_change_matches_the_bytes_of_the_earlier_build() {
-    assert_eq!(hex(&postcard::to_stdvec(&change()).unwrap()), hex(&pinned("agreed-change")));
-    assert_eq!(postcard::from_bytes::<Change>(&pinned("agreed-change")), Ok(change()));
+    assert_eq!(hex(&postcard::to_stdvec(&change()).unwrap()), hex(&recorded("agreed-change")));
+    assert_eq!(postcard::from_bytes::<Change>(&recorded("agreed-change")), Ok(change()));
 }
--- a/crates/plovershelf-config-distribution/tests/unreported_relay.rs
+++ b/crates/plovershelf-config-distribution/tests/unreported_relay.rs
@@ -20,15 +20,15 @@
 
 /// Returns the candidates that an origin offers to a listener.
 fn candidates(origin: &mut Node, now: f64, port: u16) -> Vec<SocketAddr> {
-    let seeker = info(port);
-    let find = Message::FindParent { node: seeker.clone(), excluded: Vec::new(), redirected: false };
-    origin.handle_message(now, seeker.address, find);
+    let listener = info(port);
+    let find = Message::FindParent { node: listener.clone(), excluded: Vec::new(), redirected: false };
+    origin.handle_message(now, listener.address, find);
     let sent = origin.poll_actions().messages;
-    let told = sent.into_iter().find_map(|(to, message)| match message {
-        Message::ParentCandidates { relays, .. } if to == seeker.address => Some(relays),
+    let candidates = sent.into_iter().find_map(|(to, message)| match message {
+        Message::ParentCandidates { relays, .. } if to == listener.address => Some(relays),
         _ => None,
     });
-    told.expect("an answer")
+    candidates.expect("the origin answers every request for a parent")
 }
 
 /// A relay can send to its origin but receives nothing, so it attaches repeatedly and appears to have the most
--- a/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -7,17 +7,17 @@
     Startup,
 };
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
 fn info(port: u16) -> NodeInfo {
     let (zone, region) = ("z1".to_string(), "r1".to_string());
-    NodeInfo { name: format!("n{port}"), zone, region, address: at(port), incarnation: port.into() }
+    NodeInfo { name: format!("n{port}"), zone, region, address: address(port), incarnation: port.into() }
 }
 
 fn node(port: u16, role: Role, origins: &[u16], config: DistributionConfig, seed: u64) -> Node {
-    let origins = origins.iter().map(|port| at(*port)).collect();
+    let origins = origins.iter().map(|port| address(*port)).collect();
     Node::new(Startup { node: info(port), role, origins, config, table: QuotaTable::default(), seed }, 0.0)
 }
 
@@ -41,10 +41,11 @@
     for seed in 1..=20 {
         let mut listener = node(9, Role::Listener, &[1, 2, 3], DistributionConfig::default(), seed);
         let asked = asked(&mut listener, 10_000.0);
-        let first: std::collections::BTreeSet<SocketAddr> = asked.iter().take(3).map(|(_, at)| *at).collect();
+        let first: std::collections::BTreeSet<SocketAddr> =
+            asked.iter().take(3).map(|(_, origin)| *origin).collect();
         assert_eq!(first.len(), 3, "{seed}: {asked:?}");
         assert!(asked[2].0 < 2500.0, "{seed}: {asked:?}");
-        assert!(asked.len() > 5, "{seed}: it goes on: {asked:?}");
+        assert!(asked.len() > 5, "{seed}: too few requests: {asked:?}");
     }
 }
 
@@ -64,24 +65,30 @@
     };
     origin.handle_message(
         10.0,
-        at(9),
+        address(9),
         Message::FindParent { node: info(9), excluded: Vec::new(), redirected: false },
     );
-    let told = origin.poll_actions().messages;
+    let sent = origin.poll_actions().messages;
     assert!(
-        matches!(&told[..], [(to, Message::ParentCandidates { kind: ListenerKind::Relay, .. })] if *to == at(9)),
-        "{told:?}"
+        matches!(&sent[..], [(to, Message::ParentCandidates { kind: ListenerKind::Relay, .. })] if *to == address(9)),
+        "{sent:?}"
     );
     // Relays that lost another origin attach in between.
     for port in [20, 21] {
-        origin.handle_message(20.0, at(port), attach(port, FanOutLimit::Failover));
+        origin.handle_message(20.0, address(port), attach(port, FanOutLimit::Failover));
     }
     origin.poll_actions();
-    origin.handle_message(30.0, at(9), attach(9, FanOutLimit::Normal));
-    let told = origin.poll_actions().messages;
-    assert!(told.iter().any(|(to, say)| *to == at(9) && matches!(say, Message::Attached(_))), "{told:?}");
+    origin.handle_message(30.0, address(9), attach(9, FanOutLimit::Normal));
+    let sent = origin.poll_actions().messages;
+    assert!(
+        sent.iter().any(|(to, message)| *to == address(9) && matches!(message, Message::Attached(_))),
+        "{sent:?}"
+    );
     // A relay without a reservation is rejected.
-    origin.handle_message(40.0, at(10), attach(10, FanOutLimit::Normal));
-    let told = origin.poll_actions().messages;
-    assert!(told.iter().any(|(to, say)| *to == at(10) && matches!(say, Message::Rejected)), "{told:?}");
+    origin.handle_message(40.0, address(10), attach(10, FanOutLimit::Normal));
+    let sent = origin.poll_actions().messages;
+    assert!(
+        sent.iter().any(|(to, message)| *to == address(10) && matches!(message, Message::Rejected)),
+        "{sent:?}"
+    );
 }
