--- a/crates/plovershelf-config-distribution/src/fan_out.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out.rs
@@ -13,6 +13,7 @@
     pub(crate) node: NodeInfo,
     /// The last report; before the first report, values derived from the attach request.
     pub(crate) aggregate: Aggregate,
+    /// Time of the last report or of the attachment, moved forward by a pause of this process.
     pub(crate) last_message_ms: f64,
     /// Whether the child has reported since it attached.
     ///
@@ -39,6 +40,7 @@
     coalescing_ms: f64,
     /// The time at which deltas are due, if a child lacks a version.
     flush_at_ms: Option<f64>,
+    /// The earliest time of the next deltas, which enforces the coalescing interval.
     min_flush_at_ms: f64,
 }
 
@@ -169,8 +171,8 @@
         self.flush_at_ms = Some(self.min_flush_at_ms.max(now_ms));
     }
 
-    /// Returns the due messages for children that lack a version: the delta, or a heartbeat that makes the child request the
-    /// data if the delta exceeds one message or the change log does not reach back far enough.
+    /// Returns the due messages for children that lack a version: the delta, or a heartbeat that makes the child
+    /// request the data if the delta exceeds one message or the change log does not reach back far enough.
     pub(crate) fn flush(
         &mut self,
         now_ms: f64,
@@ -184,7 +186,7 @@
         self.min_flush_at_ms = now_ms + self.coalescing_ms;
         let mut messages = Vec::new();
         for child in self.children.iter_mut().filter(|child| child.sent != version_info.version) {
-            let delta = store.short_delta(child.sent);
+            let delta = store.single_message_delta(child.sent);
             messages.push((child.address, delta.map_or(Message::Heartbeat(version_info), Message::Delta)));
             child.sent = version_info.version;
         }
--- a/crates/plovershelf-config-distribution/src/fetch.rs
+++ b/crates/plovershelf-config-distribution/src/fetch.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FailedRequest {
     pub(crate) from: SocketAddr,
-    /// True if the sender has reached the limit of consecutive failures.
+    /// True if the limit of consecutive failures is reached.
     pub(crate) limit_reached: bool,
 }
 
@@ -143,7 +143,7 @@
 
     /// Completes a pending request for a delta. A request for a snapshot stays pending, since the delta only updates
     /// the snapshot under assembly.
-    pub(crate) fn handle_delta_end(&mut self) {
+    pub(crate) fn handle_delta_complete(&mut self) {
         if self.pending.as_ref().is_none_or(|pending| pending.builder.is_none()) {
             self.reset();
         }
--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchState {
     Idle,
-    UnderWay,
+    Pending,
 }
 
 /// A listener's information about how up to date its parent is.
--- a/crates/plovershelf-config-distribution/src/freshness/tests.rs
+++ b/crates/plovershelf-config-distribution/src/freshness/tests.rs
@@ -28,7 +28,7 @@
     let own = version_info(5, 10);
     let mut verdict = |theirs, fetch| freshness.handle_probe_reply(10.0, theirs, own, fetch, &config);
     assert_eq!(verdict(version_info(6, 10), FetchState::Idle), ProbeVerdict::KeepParent);
-    assert_eq!(verdict(version_info(6, 10), FetchState::UnderWay), ProbeVerdict::KeepParent);
+    assert_eq!(verdict(version_info(6, 10), FetchState::Pending), ProbeVerdict::KeepParent);
     assert_eq!(verdict(version_info(6, 10), FetchState::Idle), ProbeVerdict::SwitchParent);
     assert_eq!(freshness.poll_timeout(), 10.0 + URGENT_PROBE_MS);
     freshness.handle_detached();
--- a/crates/plovershelf-config-distribution/src/known_parents.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents.rs
@@ -8,7 +8,7 @@
 const MAX_FAILED: usize = MAX_ADDRESSES;
 /// Maximum number of failed addresses that are remembered after the listener attached to a parent.
 const MAX_FAILED_AFTER_ATTACH: usize = 4;
-/// Number of alternate parents that are probed for a newer version before the origins are.
+/// Maximum number of alternate parents that are probed for a newer version before the origins are probed.
 const MAX_PROBED_ALTERNATES: usize = 2;
 
 /// The origins from the operator's file, and the alternate parents that the parent sent.
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -125,8 +125,9 @@
         self.parent.is_relay()
     }
 
-    /// Handles a message from the process at `from`. Messages from unknown processes are ignored, except requests for a
-    /// parent or attachment, and probes.
+    /// Handles a message from the process at `from`. Requests for a parent or attachment and probes are accepted from
+    /// any process. Other messages have no effect unless the sender has the role that they require, such as parent or
+    /// child; the reply to them is `Detach` or `Rejected`, or there is none.
     pub fn handle_message(&mut self, now_ms: f64, from: SocketAddr, message: Message) {
         self.note_input(now_ms);
         if !self.accepts(from, &message) {
--- a/crates/plovershelf-config-distribution/src/node/listener.rs
+++ b/crates/plovershelf-config-distribution/src/node/listener.rs
@@ -21,7 +21,7 @@
 
 impl Node {
     /// Performs the due work of a listener: parent timeout or selection, report, probe, shedding of children, and
-    /// retirement of an idle relay.
+    /// demotion of an idle relay to a leaf.
     pub(super) fn handle_listener_timeout(&mut self, now_ms: f64) {
         if let Some(parent) = self.parent.timed_out_parent(now_ms) {
             self.on_parent_timeout(now_ms, parent);
@@ -133,7 +133,7 @@
                 let kind = self.parent.kind();
                 self.send(to, Message::Attach { node, version_info, kind, limit });
             }
-            Some(ParentAction::ReleaseChildren) => {
+            Some(ParentAction::DetachChildren) => {
                 self.parent.become_leaf();
                 for child in self.fan_out.clear() {
                     self.send(child, Message::Detach);
@@ -280,7 +280,7 @@
             return self.on_version_info(now_ms, from, probed);
         }
         let Some(parent) = self.parent.parent().filter(|_| self.freshness.is_probed(from)) else { return };
-        let fetch = if self.fetcher.is_idle() { FetchState::Idle } else { FetchState::UnderWay };
+        let fetch = if self.fetcher.is_idle() { FetchState::Idle } else { FetchState::Pending };
         let own = self.version_info(now_ms);
         let verdict = self.freshness.handle_probe_reply(now_ms, probed, own, fetch, &self.config);
         if verdict == ProbeVerdict::SwitchParent {
--- a/crates/plovershelf-config-distribution/src/node/origin.rs
+++ b/crates/plovershelf-config-distribution/src/node/origin.rs
@@ -14,7 +14,7 @@
 use crate::version::Version;
 
 /// Number of child names that are sent again to the other origins with each list of relays.
-const CHILDREN_RESENT: usize = 4;
+const RESENT_CHILD_NAMES: usize = 4;
 
 impl Node {
     /// Returns the next change for these edits, validated against the table in force. Only origins prepare changes.
@@ -82,7 +82,7 @@
         }
         self.timers.relay_list_ms = now_ms + self.config.relay_list_interval_ms;
         self.rebalance_origins(now_ms);
-        self.resend_children(now_ms);
+        self.requeue_child_names(now_ms);
         let attached = self.attachments.take_pending(MAX_ATTACHMENTS);
         let relays = self.placement.own_relays(&self.fan_out);
         let peers: Vec<SocketAddr> = self.origins.addresses().collect();
@@ -109,8 +109,8 @@
 
     /// Queues the names of a few children again, in rotation, since an earlier message may have been lost with a
     /// connection.
-    fn resend_children(&mut self, now_ms: f64) {
-        for _ in 0..CHILDREN_RESENT.min(self.fan_out.len()) {
+    fn requeue_child_names(&mut self, now_ms: f64) {
+        for _ in 0..RESENT_CHILD_NAMES.min(self.fan_out.len()) {
             let Some(child) = self.fan_out.next_child_name() else { break };
             self.attachments.record(now_ms, &child, self.info.address);
             self.attachments.enqueue(&child, self.info.address);
--- a/crates/plovershelf-config-distribution/src/node/sync.rs
+++ b/crates/plovershelf-config-distribution/src/node/sync.rs
@@ -129,7 +129,7 @@
             }
         }
         if was_requested {
-            self.fetcher.handle_delta_end();
+            self.fetcher.handle_delta_complete();
         }
     }
 
@@ -192,8 +192,8 @@
         self.parent.handle_message_from(now_ms, from);
     }
 
-    /// Installs a complete snapshot if it is later than the table in force, or if it replaces an initial table that
-    /// differs from the origins' one.
+    /// Installs a complete snapshot if it is later than the table in force, or if both are at the initial version and
+    /// the table of the origins replaces this one.
     fn install_snapshot(&mut self, now_ms: f64, table: QuotaTable) {
         let own = self.store.version();
         let replaces_initial_table = own == Version::default() && table.version() == own;
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -9,10 +9,11 @@
 //! | Finding | no candidates, timeout, connection lost | BackingOff, doubled up to a limit; then Finding, at another origin |
 //! | Attaching | attached | Attached |
 //! | Attaching | rejected, timeout, connection lost | Attaching, at the next candidate; BackingOff if there is none |
-//! | Attached | the parent times out, rejects or detaches, the connection is lost, or a probed process is more up to date | a leaf: Attaching, at its backup parent, then at other alternates; a relay: Attaching, at another origin |
+//! | Attached | the parent rejects a message | Attaching, at the same parent, then at other known parents |
+//! | Attached | the parent times out or detaches, the connection is lost, or a probed process is more up to date | a leaf: Attaching, at its backup parent, then at other alternates; a relay: Attaching, at another origin |
 //! | Attached | a relay has had no children for a long time | Finding, as a leaf |
-//! | Attached | a leaf is told to leave because its relay exceeds the fan-out | Finding |
-//! | Attached | a relay is told to move to an origin that is nearer or has far fewer relays | Attaching, at that origin |
+//! | Attached | a leaf receives `Reattach` because its relay exceeds the fan-out | Finding |
+//! | Attached | a relay receives `Reattach` with an origin that is nearer or has far fewer relays | Attaching, at that origin |
 //! | Attaching, as a relay | rejected twice by each origin | BackingOff, as a leaf; its children are detached |
 //!
 //! A relay attaches only to origins and a leaf has no children, so no cycle of parents can form. The table in force
@@ -74,7 +75,7 @@
         limit: FanOutLimit,
     },
     /// Become a leaf and detach all children, since no origin accepts this process as a relay.
-    ReleaseChildren,
+    DetachChildren,
 }
 
 /// The way in which an attempt or a parent failed.
@@ -402,7 +403,7 @@
         if self.is_relay() && self.rejections as usize >= 2 * self.known_parents.origins().len() {
             self.rejections = 0;
             self.back_off(now_ms, rng);
-            return Some(ParentAction::ReleaseChildren);
+            return Some(ParentAction::DetachChildren);
         }
         if remaining.is_empty() && !self.is_relay() && self.attempts == 0 {
             self.attempts = 1;
--- a/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
@@ -48,7 +48,7 @@
     let mut selector = selector(rng);
     let mut action = selector.become_relay(300.0, address(1), rng);
     let mut rejections = 0;
-    while action != Some(ParentAction::ReleaseChildren) {
+    while action != Some(ParentAction::DetachChildren) {
         assert!(rejections < 6 && selector.is_relay());
         if let Some(ParentAction::Attach { to, .. }) = action {
             rejections += 1;
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -1,8 +1,9 @@
 //! Selection of the parent that an origin assigns to a listener.
 //!
-//! The first choice is a relay in the listener's zone with free capacity, the least loaded first. If there is none,
-//! the listener becomes a relay itself as long as the origin has free capacity. Otherwise it gets a relay in its
-//! region, then one in another region, and finally a relay that exceeds its fan-out but not the failover limit.
+//! The first choice is a relay in the listener's zone with free capacity, the least loaded first. If there is none, a
+//! listener of another region is redirected to an origin in that region, and any other listener becomes a relay as long
+//! as this origin has free capacity. Otherwise it gets a relay in its region, then one in another region, and finally a
+//! relay that has reached its fan-out but not the failover limit.
 
 use std::net::SocketAddr;
 
@@ -15,7 +16,7 @@
 
 /// Largest tolerated difference between the relay counts of two origins in one region. Above it, a relay is moved.
 const REBALANCE_SLACK: usize = 4;
-/// Time for which an origin reserves capacity for a listener that it told to become a relay, in milliseconds.
+/// Time for which an origin reserves capacity for a listener that becomes a relay on its request, in milliseconds.
 const RESERVATION_MS: f64 = 2000.0;
 /// Maximum number of alternate parents that a relay sends to a child. An origin sends up to twice as many.
 const MAX_ALTERNATES: usize = 4;
@@ -162,8 +163,8 @@
         alternates
     }
 
-    /// Returns a relay that is in the region of another origin, or a relay to move to an origin in this region that
-    /// has far fewer relays.
+    /// Returns a relay of another region with an origin in its region. If there is none, returns a relay to move to an
+    /// origin in this region that has far fewer relays.
     pub(crate) fn relocation(
         &self,
         now_ms: f64,
@@ -179,12 +180,12 @@
             Some(Relocation { relay: child.address, to_origin: peer.address })
         });
         nearer.next().or_else(|| {
-            let feeds_fewer = |peer: &&&OriginPeer| {
+            let has_fewer_relays = |peer: &&&OriginPeer| {
                 peer.relays().len() + REBALANCE_SLACK < children.len()
                     && peer.is_in_region(&self.origin.region)
             };
             let relay = children.children().last()?.address;
-            Some(Relocation { relay, to_origin: peers.iter().find(feeds_fewer)?.address })
+            Some(Relocation { relay, to_origin: peers.iter().find(has_fewer_relays)?.address })
         })
     }
 
--- a/crates/plovershelf-config-distribution/src/store.rs
+++ b/crates/plovershelf-config-distribution/src/store.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the changes after a version if they fit into one message.
-    pub(crate) fn short_delta(&self, after: Version) -> Option<Vec<Change>> {
+    pub(crate) fn single_message_delta(&self, after: Version) -> Option<Vec<Change>> {
         let changes: Vec<Change> = self.log.after(after)?.cloned().collect();
         let bytes = changes.iter().map(Change::max_encoded_bytes).sum::<usize>();
         (changes.len() == 1 || bytes <= MAX_CHUNK_BYTES).then_some(changes)
--- a/crates/plovershelf-config-distribution/tests/net/mod.rs
+++ b/crates/plovershelf-config-distribution/tests/net/mod.rs
@@ -162,8 +162,8 @@
         slot.paused_until = 0.0;
         self.after_input(index);
     }
-    /// Stops a node without notice and returns its table. If `notify_peers`, peers that can reach it get a lost connection;
-    /// otherwise they get no signal, as after a machine failure.
+    /// Stops a node without notice and returns its table. If `notify_peers` is set, peers that can reach it get a lost
+    /// connection; otherwise they get no signal, as after a machine failure.
     pub(crate) fn kill(&mut self, index: usize, notify_peers: bool) -> Option<QuotaTable> {
         let node = self.slots[index].node.take()?;
         if notify_peers {
--- a/crates/plovershelf-config-distribution/tests/node.rs
+++ b/crates/plovershelf-config-distribution/tests/node.rs
@@ -48,15 +48,15 @@
 fn set(tenant: &str, quota_per_s: f64) -> Edit {
     Edit::Set { tenant: tenant.to_string(), quota_per_s }
 }
-fn number(number: u64) -> Version {
+fn version(number: u64) -> Version {
     Version { epoch: 1, number }
 }
 fn version_info(table: &QuotaTable) -> HeldVersion {
     HeldVersion { version: table.version(), short_digest: table.digest() as u64, age_ms: 0 }
 }
-fn attach_relay(port: u8) -> Message {
+fn attach_relay(last: u8) -> Message {
     let (kind, limit) = (ListenerKind::Relay, FanOutLimit::Normal);
-    Message::Attach { node: info(port), version_info: version_info(&table()), kind, limit }
+    Message::Attach { node: info(last), version_info: version_info(&table()), kind, limit }
 }
 /// Returns a listener whose parent is the relay at address 20.
 fn attached() -> Node {
@@ -81,7 +81,7 @@
     let change = origin.prepare_change(vec![set("tenant-1", 5.0)], Some(0), 1, 7).unwrap();
     assert_eq!(
         (change.version, change.previous, change.proposed_unix_ms),
-        (number(1), Version::default(), 7)
+        (version(1), Version::default(), 7)
     );
     origin.handle_commit(0.0, change);
     let error = origin.prepare_change(vec![set("tenant-1", 6.0)], Some(0), 1, 8).unwrap_err().to_string();
@@ -170,7 +170,7 @@
     }
     net.run(net.now + 4000.0);
     net.check();
-    assert_eq!((net.behind(), net.newest()), (vec![], number(5)));
+    assert_eq!((net.behind(), net.newest()), (vec![], version(5)));
 }
 
 /// A listener restarts with its initial table after more changes than the change log can contain, while fifty changes
@@ -231,11 +231,11 @@
     let edits = vec![set("tenant-1", 99.0)];
     let digest = other.validate(&edits).unwrap();
     let change =
-        Change { version: number(1), previous: Version::default(), digest, edits, proposed_unix_ms: 0 };
+        Change { version: version(1), previous: Version::default(), digest, edits, proposed_unix_ms: 0 };
     other.apply(&change).unwrap();
     let chunk = other.chunk(None);
     let (entries, is_last) = (chunk.entries, chunk.is_last);
-    let chunk = Message::SnapshotChunk { version: number(1), digest, after: None, entries, is_last };
+    let chunk = Message::SnapshotChunk { version: version(1), digest, after: None, entries, is_last };
     let alternates = Message::AlternateParents { relays: vec![address(66)], origins: vec![] };
     for message in [
         Message::Delta(vec![change]),
@@ -333,9 +333,9 @@
     }
     net.run(net.now + 4000.0);
     let max_children = |net: &Net| {
-        let fed =
+        let child_counts =
             net.slots.iter().filter_map(|slot| slot.node.as_ref()).map(|node| node.status(0.0).children);
-        fed.max().unwrap()
+        child_counts.max().unwrap()
     };
     assert!((17..=32).contains(&max_children(&net)), "{}", max_children(&net));
     net.run(net.now + 120_000.0);
@@ -349,7 +349,8 @@
 fn restarted_origin_gets_the_relays_of_its_region_and_its_share_back() {
     let mut net = Net::new(9, 3, 300, 4, DistributionConfig::default());
     net.run(3000.0);
-    let fed = |net: &Net| (0..3).map(|index| net.node(index).status(0.0).children).collect::<Vec<_>>();
+    let child_counts =
+        |net: &Net| (0..3).map(|index| net.node(index).status(0.0).children).collect::<Vec<_>>();
     for origin in [2, 0] {
         net.kill(origin, false);
         net.run(net.now + 4000.0);
@@ -360,8 +361,8 @@
             let parent = net.slots.iter().find(|slot| slot.address == parent).unwrap();
             assert_eq!(parent.region, net.slots[index].region, "{index}\n{}", net.describe());
         }
-        let fed = fed(&net);
-        assert!(fed[0].abs_diff(fed[1]) <= 5 && fed[2] > 0, "{fed:?}");
+        let child_counts = child_counts(&net);
+        assert!(child_counts[0].abs_diff(child_counts[1]) <= 5 && child_counts[2] > 0, "{child_counts:?}");
     }
     assert!(net.behind().is_empty() && net.violations.is_empty());
 }
--- a/crates/plovershelf-config-distribution/tests/pins.rs
+++ b/crates/plovershelf-config-distribution/tests/pins.rs
@@ -167,7 +167,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 fn unhex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hex digits");
+    let byte = |index: usize| u8::from_str_radix(&text[index..index + 2], 16).expect("two hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 fn recorded(name: &str) -> Vec<u8> {
