--- a/crates/plovershelf-config-distribution/src/change.rs
+++ b/crates/plovershelf-config-distribution/src/change.rs
@@ -133,7 +133,7 @@
         /// Upper bound of the encoded size in bytes.
         bytes: usize,
     },
-    /// One of the edits can't be applied.
+    /// An edit of the change can't be applied.
     #[error("edit {position}, {edit}: {source}")]
     Edit {
         /// Position of the edit in the change, counted from 1.
--- a/crates/plovershelf-config-distribution/src/fan_out/tests.rs
+++ b/crates/plovershelf-config-distribution/src/fan_out/tests.rs
@@ -51,7 +51,7 @@
     assert_eq!(sent, [(address(10), Message::Heartbeat(version_info(2, 0)))]);
 }
 
-/// This process is paused and can't tell whether its children were active. Their timeouts must be extended by the
+/// After a pause, a process does not know whether its children were active. It must extend their timeouts by the
 /// duration of the pause, once only.
 #[test]
 fn child_timeouts_are_extended_after_one_pause_only() {
--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -84,7 +84,7 @@
         self.parent_version_info = Some(version_info);
     }
 
-    /// Records the version of a change that the parent sent. A change carries no age.
+    /// Records the version of a change that the parent sent. A change does not include the age of an origin contact.
     pub(crate) fn handle_parent_change(&mut self, version: Version, short_digest: u64) {
         self.parent_version_info = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
     }
--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -45,7 +45,8 @@
 #[derive(Clone, Debug)]
 struct Timers {
     heartbeat_ms: f64,
-    /// When an origin next sends its list of relays to other origins and its lists of alternate parents to children.
+    /// Time at which an origin next sends its list of relays to other origins and lists of alternate parents to its
+    /// children.
     relay_list_ms: f64,
     rebalance_ms: f64,
 }
--- a/crates/plovershelf-config-distribution/src/origin_peers.rs
+++ b/crates/plovershelf-config-distribution/src/origin_peers.rs
@@ -5,7 +5,7 @@
 use crate::message::{HeldVersion, NodeInfo, RelayInfo, MAX_ADDRESSES, MAX_RELAYS};
 use crate::version::Version;
 
-/// Another origin.
+/// State of another origin, from its messages.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginPeer {
     pub(crate) address: SocketAddr,
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -78,7 +78,7 @@
     DetachChildren,
 }
 
-/// The way in which an attempt or a parent failed.
+/// Cause of the failure of an attachment attempt or of a parent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     Rejected,
--- a/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection/tests.rs
@@ -60,7 +60,7 @@
     assert_eq!(rejections, 6);
 }
 
-/// This process is paused twice without reading its connections in between. The parent's timeout must be extended once
+/// A process is paused twice without reading its connections in between. The parent's timeout must be extended once
 /// only, so that a parent that has failed is eventually replaced.
 #[test]
 fn parent_timeout_is_extended_after_one_pause_only() {
--- a/crates/plovershelf-config-distribution/tests/node.rs
+++ b/crates/plovershelf-config-distribution/tests/node.rs
@@ -387,8 +387,8 @@
     assert_eq!(missing(&net), vec!["process-3".to_string()]);
 }
 
-/// One child stops in an orderly way, another times out. Only the second must be reported as missing, and no longer
-/// after ten minutes.
+/// The first child detaches before it stops, the second times out. Only the second must be reported as missing, and no
+/// longer after ten minutes.
 #[test]
 fn timed_out_child_is_reported_as_missing_and_a_detached_one_is_not() {
     let mut origin = start(1, Role::Origin);
--- a/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
+++ b/crates/plovershelf-config-distribution/tests/unresponsive_origins.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// An origin tells a listener to become a relay, and relays of a failed origin attach before the listener does. The
+/// An origin instructs a listener to become a relay, and relays of a failed origin attach before the listener does. The
 /// reserved capacity must still be available to the listener; a relay without a reservation is rejected.
 #[test]
 fn relay_with_a_reservation_is_accepted_after_others_filled_the_capacity() {
