--- a/crates/plovershelf-config-distribution/src/node.rs
+++ b/crates/plovershelf-config-distribution/src/node.rs
@@ -1,15 +1,15 @@
-//! One process of the tree: the driver's interface, and the parts behind it joined.
+//! A node of the distribution tree: the interface for the driver, and the components behind it.
 //!
-//! | input | what may follow |
+//! | input | possible effects |
 //! | --- | --- |
-//! | [`Node::handle_message`] | answers; a change or snapshot in force; another parent |
-//! | [`Node::handle_connection_lost`] | a child is missing, another parent is sought, a request is given up |
-//! | [`Node::handle_commit`] | an origin has the change in force and sends it on |
-//! | [`Node::handle_timeout`] | heartbeats, reports, probes, deltas, silent parents and children, the next request |
+//! | [`Node::handle_message`] | replies are sent; a change or snapshot takes effect; the parent changes |
+//! | [`Node::handle_connection_lost`] | a child is recorded as missing; the parent is replaced; a pending request is cancelled |
+//! | [`Node::handle_commit`] | an origin applies the change and sends it to its children |
+//! | [`Node::handle_timeout`] | heartbeats, reports, probes and deltas are sent; unresponsive parents and children are dropped; the next request starts |
 //!
-//! A listener's states are those of `parent_selection` (whom it hears from) and `fetch` (what it asks for), which do not
-//! depend on each other. An origin has no parent. After each input the driver carries out [`Node::poll_actions`] and calls
-//! [`Node::handle_timeout`] at [`Node::poll_timeout`].
+//! A listener combines two independent state machines: `parent_selection` chooses its parent, and `fetch` requests
+//! missing data. An origin has no parent. After each input the driver must execute the result of
+//! [`Node::poll_actions`], and it must call [`Node::handle_timeout`] at the time returned by [`Node::poll_timeout`].
 
 mod children;
 mod interface;
@@ -28,7 +28,7 @@
 
 pub use interface::{Actions, Event, NodeStatus, ProposalError, Role, Startup, Warning};
 
-use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, SilentNodes};
+use crate::aggregation::{aggregate, AttachmentLog, CountSelf, ReportTimer, TimedOutNodes};
 use crate::change::Change;
 use crate::config::DistributionConfig;
 use crate::fan_out::FanOut;
@@ -41,16 +41,17 @@
 use crate::quota_table::QuotaTable;
 use crate::store::ConfigStore;
 
-/// When the node's own recurring work is due.
+/// Due times of the node's periodic work, in milliseconds of the driver's clock.
 #[derive(Clone, Debug)]
 struct Timers {
     heartbeat_ms: f64,
-    /// Of an origin: the list of relays, to other origins and children.
+    /// Time at which an origin next sends its list of relays to other origins and lists of alternate parents to its
+    /// children.
     relay_list_ms: f64,
     rebalance_ms: f64,
 }
 
-/// One process that receives changes and may hand them on.
+/// A process that receives configuration changes and, as an origin or relay, forwards them to its children.
 #[derive(Clone, Debug)]
 pub struct Node {
     info: NodeInfo,
@@ -60,33 +61,33 @@
     store: ConfigStore,
     fan_out: FanOut,
     fetcher: Fetcher,
-    /// Of a listener; an origin's stays idle.
+    /// Parent selection of a listener; idle on an origin.
     parent: ParentSelector,
     freshness: Freshness,
-    /// Of an origin; a listener has none.
+    /// The other origins; empty on a listener.
     origins: OriginPeers,
     placement: Placement,
-    silent: SilentNodes,
+    timed_out: TimedOutNodes,
     attachments: AttachmentLog,
     report: ReportTimer,
     timers: Timers,
-    /// Since when a relay has fed nobody.
+    /// Time at which the relay last had a child, in milliseconds.
     idle_since_ms: f64,
     last_input_ms: f64,
     actions: Actions,
 }
 
 impl Node {
-    /// A node that has its table in force and no connection yet.
+    /// Creates a node with the startup table in force and no connections.
     pub fn new(startup: Startup, now_ms: f64) -> Self {
         let Startup { node, role, origins, config, table, seed } = startup;
         let mut rng = Pcg32::seed_from_u64(seed);
-        let others: Vec<SocketAddr> = origins.into_iter().filter(|at| *at != node.address).collect();
-        let (origins, peers) = match role {
+        let others: Vec<SocketAddr> = origins.into_iter().filter(|origin| *origin != node.address).collect();
+        let (parent_origins, peer_origins) = match role {
             Role::Origin => (Vec::new(), others),
             Role::Listener => (others, Vec::new()),
         };
-        let parent = ParentSelector::new(origins, now_ms, &config, &mut rng);
+        let parent = ParentSelector::new(parent_origins, now_ms, &config, &mut rng);
         let probe_at_ms = now_ms + rng.random_range(0.5..1.0) * config.leaf_probe_interval_ms;
         Node {
             role,
@@ -95,9 +96,9 @@
             fetcher: Fetcher::new(now_ms, config.fetch_timeout_ms),
             parent,
             freshness: Freshness::new(probe_at_ms),
-            origins: OriginPeers::new(&peers, config.max_parent_timeout_ms),
+            origins: OriginPeers::new(&peer_origins, config.max_parent_timeout_ms),
             placement: Placement::new(node.clone(), &config),
-            silent: SilentNodes::default(),
+            timed_out: TimedOutNodes::default(),
             attachments: AttachmentLog::default(),
             report: ReportTimer::new(now_ms),
             timers: Timers { heartbeat_ms: now_ms, relay_list_ms: now_ms, rebalance_ms: now_ms },
@@ -110,22 +111,24 @@
         }
     }
 
-    /// How the node introduces itself.
+    /// Returns the name, location, address and incarnation that the node sends to its peers.
     pub fn info(&self) -> &NodeInfo {
         &self.info
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     pub fn table(&self) -> &QuotaTable {
         self.store.table()
     }
 
-    /// Whether it is a listener that feeds others.
+    /// Returns true if the node is a listener that may have children.
     pub fn is_relay(&self) -> bool {
         self.parent.is_relay()
     }
 
-    /// A message from the process that is reached at `from`. A stranger's is ignored, unless it looks for a parent.
+    /// Handles a message from the process at `from`. Requests for a parent or attachment and probes are accepted from
+    /// any process. Other messages have no effect unless the sender has the role that they require, such as parent or
+    /// child; the reply to them is `Detach` or `Rejected`, or there is none.
     pub fn handle_message(&mut self, now_ms: f64, from: SocketAddr, message: Message) {
         self.note_input(now_ms);
         if !self.accepts(from, &message) {
@@ -136,19 +139,19 @@
         self.fetch_missing(now_ms);
     }
 
-    /// Nothing can be sent to this address, or the connection there ended.
+    /// Handles a failure to send to this address, or the end of the connection to it.
     pub fn handle_connection_lost(&mut self, now_ms: f64, address: SocketAddr) {
         self.note_input(now_ms);
         if let Some(child) = self.fan_out.remove(address) {
-            self.on_child_gone(now_ms, child);
+            self.on_child_lost(now_ms, child);
         }
-        self.origins.forget_held(address);
+        self.origins.clear_version_info(address);
         self.fetcher.handle_connection_lost(address);
         self.on_unreachable(now_ms, address);
         self.fetch_missing(now_ms);
     }
 
-    /// When [`Node::handle_timeout`] is to be called next, in milliseconds of the driver's clock.
+    /// Returns the time at which [`Node::handle_timeout`] must be called next, in milliseconds of the driver's clock.
     pub fn poll_timeout(&self) -> f64 {
         let mut at_ms = self.timers.heartbeat_ms.min(self.fan_out.poll_timeout());
         if !self.fetcher.is_idle() {
@@ -167,17 +170,17 @@
         }
     }
 
-    /// The time is `now_ms`: what is due by now is done.
+    /// Performs all work that is due at `now_ms`.
     pub fn handle_timeout(&mut self, now_ms: f64) {
         self.note_input(now_ms);
         self.flush_deltas(now_ms);
-        self.placement.expire_promises(now_ms);
-        for child in self.fan_out.remove_silent(now_ms) {
-            self.on_child_gone(now_ms, child);
+        self.placement.expire_reservations(now_ms);
+        for child in self.fan_out.remove_timed_out(now_ms) {
+            self.on_child_lost(now_ms, child);
         }
         if now_ms >= self.timers.heartbeat_ms {
             self.send_heartbeats(now_ms);
-            self.silent.expire(now_ms);
+            self.timed_out.expire(now_ms);
             self.attachments.expire(now_ms);
         }
         match self.role {
@@ -187,12 +190,13 @@
         self.fetch_missing(now_ms);
     }
 
-    /// What is to be sent and published since the last call.
+    /// Returns the messages and events that accumulated since the last call.
     pub fn poll_actions(&mut self) -> Actions {
         std::mem::take(&mut self.actions)
     }
 
-    /// The process ends on purpose: parent and children are notified, so that nobody waits for its silence.
+    /// Prepares an orderly shutdown: sends `Detach` to the parent and all children, so that they need not wait for a
+    /// timeout.
     pub fn close(&mut self) {
         let children = self.fan_out.clear();
         for to in children.into_iter().chain(self.parent.parent()) {
@@ -200,7 +204,7 @@
         }
     }
 
-    /// This process's view of the fleet.
+    /// Returns this process's view of its subtree.
     pub fn status(&self, now_ms: f64) -> NodeStatus {
         let aggregate = self.aggregate();
         NodeStatus {
@@ -222,12 +226,13 @@
         }
     }
 
-    /// The last changes that are kept, oldest first.
+    /// Returns the changes in the change log, oldest first.
     pub fn history(&self) -> Vec<Change> {
         self.store.log().iter().cloned().collect()
     }
 
-    /// Not a message from its own address, nor a parent's request to attach where it can't.
+    /// Rejects messages that carry this node's own address as sender, and a parent's `Reattach` to a target that this
+    /// node must not attach to.
     fn accepts(&self, from: SocketAddr, message: &Message) -> bool {
         match message {
             Message::Reattach(to) if self.parent.is_parent(from) => self.accepts_reattach(*to),
@@ -244,18 +249,18 @@
             Message::ParentCandidates { relays, kind, limit, ask_origin } => {
                 self.on_candidates(now_ms, from, Candidates { relays, kind, limit, ask_origin });
             }
-            Message::Attach { node, held, kind, limit } => {
-                self.on_attach(now_ms, from, AttachRequest { node, held, kind, limit });
+            Message::Attach { node, version_info, kind, limit } => {
+                self.on_attach(now_ms, from, AttachRequest { node, version_info, kind, limit });
             }
-            Message::Attached(held) => self.on_attached(now_ms, from, held),
+            Message::Attached(version_info) => self.on_attached(now_ms, from, version_info),
             Message::Rejected => self.on_rejected(now_ms, from),
             Message::Detach => self.on_detach(now_ms, from),
-            Message::Heartbeat(held) => self.on_heartbeat(now_ms, from, held),
+            Message::Heartbeat(version_info) => self.on_heartbeat(now_ms, from, version_info),
             Message::AlternateParents { relays, origins } => {
                 self.on_alternates(now_ms, from, relays, &origins)
             }
             Message::Delta(changes) => self.on_delta(now_ms, from, changes),
-            Message::SyncRequest(held) => self.on_sync_request(now_ms, from, held),
+            Message::SyncRequest(version_info) => self.on_sync_request(now_ms, from, version_info),
             Message::ChunkRequest { version, after } => self.on_chunk_request(from, version, after),
             Message::SnapshotChunk { version, digest, after, entries, is_last } => {
                 self.on_chunk(now_ms, from, ReceivedChunk { version, digest, after, entries, is_last });
@@ -265,18 +270,18 @@
             Message::Relocated(names) => self.on_relocated(from, &names),
             Message::Attachments(attached) => self.on_attachments(now_ms, from, attached),
             Message::Probe => self.on_probe(now_ms, from),
-            Message::ProbeReply(held) => self.on_probe_reply(now_ms, from, held),
+            Message::ProbeReply(version_info) => self.on_probe_reply(now_ms, from, version_info),
             Message::OriginRelays { origin, relays } => self.on_origin_relays(now_ms, from, origin, relays),
         }
     }
 
-    /// Whether it may have children.
-    fn feeds_others(&self) -> bool {
+    /// Returns true if this node accepts children.
+    fn may_have_children(&self) -> bool {
         self.role == Role::Origin || self.parent.is_relay()
     }
 
-    /// What this process holds, as heartbeats carry it.
-    fn held(&self, now_ms: f64) -> HeldVersion {
+    /// Returns the version in force and the time since the last origin contact, as sent in heartbeats.
+    fn version_info(&self, now_ms: f64) -> HeldVersion {
         let age_ms = match self.role {
             Role::Origin => 0.0,
             Role::Listener => self.freshness.origin_contact_age_ms(now_ms).unwrap_or(f64::INFINITY),
@@ -293,7 +298,7 @@
             Role::Origin => CountSelf::No,
             Role::Listener => CountSelf::Yes,
         };
-        aggregate(count_self, self.store.version(), self.fan_out.children(), &self.silent)
+        aggregate(count_self, self.store.version(), self.fan_out.children(), &self.timed_out)
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
@@ -304,9 +309,11 @@
         self.actions.events.push(Event::Warning(warning));
     }
 
-    /// Each input begins here. After a pause of this process itself parents and children get more time.
+    /// Records that the driver called the node. After a pause of this process, extends the timeouts of the parent and
+    /// the children.
     ///
-    /// Against taking others for silent when it is this process that stood still: what they sent is still to be read.
+    /// Without the extension, the node would treat its peers as unresponsive although their messages are still waiting
+    /// in its own receive queue.
     fn note_input(&mut self, now_ms: f64) {
         let paused_ms = now_ms - self.last_input_ms;
         if paused_ms > self.config.pause_detection_ms {
@@ -316,19 +323,19 @@
         self.last_input_ms = self.last_input_ms.max(now_ms);
     }
 
-    /// To children and other origins.
+    /// Sends heartbeats to all children and other origins.
     fn send_heartbeats(&mut self, now_ms: f64) {
         self.timers.heartbeat_ms = now_ms + self.config.heartbeat_interval_ms;
-        let held = self.held(now_ms);
+        let version_info = self.version_info(now_ms);
         let to: Vec<SocketAddr> = self.fan_out.addresses().chain(self.origins.addresses()).collect();
         for to in to {
-            self.send(to, Message::Heartbeat(held));
+            self.send(to, Message::Heartbeat(version_info));
         }
     }
 
     fn flush_deltas(&mut self, now_ms: f64) {
-        let held = self.held(now_ms);
-        let messages = self.fan_out.flush(now_ms, held, &self.store);
+        let version_info = self.version_info(now_ms);
+        let messages = self.fan_out.flush(now_ms, version_info, &self.store);
         self.actions.messages.extend(messages);
     }
 }
--- a/crates/plovershelf-config-distribution/src/node/listener.rs
+++ b/crates/plovershelf-config-distribution/src/node/listener.rs
@@ -1,4 +1,4 @@
-//! What a listener does: finds and keeps a parent, reports to it, probes others, and as a relay sheds children.
+//! Listener behavior: selecting a parent, reporting to it, probing other processes and, as a relay, shedding children.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::parent_selection::{Failure, FindRequest, ParentAction};
 use crate::quota_table::QuotaTable;
 
-/// An origin's answer to a listener that looks for a parent.
+/// The contents of an origin's [`Message::ParentCandidates`].
 pub(super) struct Candidates {
     pub(super) relays: Vec<SocketAddr>,
     pub(super) kind: ListenerKind,
@@ -20,23 +20,24 @@
 }
 
 impl Node {
-    /// The parent, reports, probes, children and the own kind, as far as they are due.
+    /// Performs the due work of a listener: parent timeout or selection, report, probe, shedding of children, and
+    /// demotion of an idle relay to a leaf.
     pub(super) fn handle_listener_timeout(&mut self, now_ms: f64) {
-        if let Some(parent) = self.parent.silent_parent(now_ms) {
-            self.on_parent_silent(now_ms, parent);
+        if let Some(parent) = self.parent.timed_out_parent(now_ms) {
+            self.on_parent_timeout(now_ms, parent);
         } else {
             let action = self.parent.handle_timeout(now_ms, &mut self.rng);
-            self.carry_out(now_ms, action);
+            self.execute_parent_action(now_ms, action);
         }
         let Some(parent) = self.parent.parent() else { return };
         if self.report.handle_timeout(now_ms, &self.config) {
             self.send_report(parent);
         }
-        if let Some(probed) = self.freshness.handle_timeout(now_ms, &self.parent, &self.config) {
-            self.send(probed, Message::Probe);
+        if let Some(target) = self.freshness.handle_timeout(now_ms, &self.parent, &self.config) {
+            self.send(target, Message::Probe);
         }
         self.shed_excess_child(now_ms);
-        self.retire_idle_relay(now_ms, parent);
+        self.demote_idle_relay(now_ms, parent);
     }
 
     fn send_report(&mut self, parent: SocketAddr) {
@@ -44,16 +45,18 @@
         let attached = self.attachments.take_pending(MAX_NAMES);
         aggregate.attached = attached.into_iter().map(|attachment| attachment.name).collect();
         if self.attachments.has_pending() {
-            self.report.hasten();
-        } else if let Some(child) = self.fan_out.next_name() {
-            // In turn again, as what was reported once may be lost with a connection or an origin.
+            self.report.expedite();
+        } else if let Some(child) = self.fan_out.next_child_name() {
+            // Repeat the names of known children in rotation, since an earlier report may have been lost with a
+            // connection or with a restart of the origin.
             aggregate.attached.push(child);
             aggregate.attached.truncate(MAX_NAMES);
         }
         self.send(parent, Message::Aggregate(aggregate));
     }
 
-    /// A relay that took over from one that died comes back to its fan-out, one child at a time.
+    /// Moves children elsewhere, one per interval, while a relay has more than its fan-out. A relay exceeds its
+    /// fan-out when it takes over the children of a failed relay.
     fn shed_excess_child(&mut self, now_ms: f64) {
         if self.fan_out.len() <= self.config.fan_out {
             let interval_ms = self.rng.random_range(1.0..2.0) * self.config.rebalance_interval_ms;
@@ -66,38 +69,39 @@
         }
     }
 
-    fn retire_idle_relay(&mut self, now_ms: f64, parent: SocketAddr) {
+    fn demote_idle_relay(&mut self, now_ms: f64, parent: SocketAddr) {
         if !self.parent.is_relay() || !self.fan_out.is_empty() {
             self.idle_since_ms = now_ms;
         } else if now_ms - self.idle_since_ms > self.config.relay_idle_timeout_ms {
             self.idle_since_ms = now_ms;
             self.send(parent, Message::Detach);
             self.parent.become_leaf();
-            let action = self.parent.find(now_ms);
-            self.forget_parent();
-            self.carry_out(now_ms, action);
+            let action = self.parent.request_candidates(now_ms);
+            self.reset_parent_state();
+            self.execute_parent_action(now_ms, action);
         }
     }
 
-    fn on_parent_silent(&mut self, now_ms: f64, parent: SocketAddr) {
-        if self.keeps_lost_parent(now_ms) {
+    fn on_parent_timeout(&mut self, now_ms: f64, parent: SocketAddr) {
+        if self.apply_parent_loss_faults(now_ms) {
             return;
         }
         self.send(parent, Message::Detach);
-        self.seek_other_parent(now_ms, parent);
+        self.attach_to_other_parent(now_ms, parent);
     }
 
-    /// The parent is lost or left: goes to another.
+    /// Attaches to another parent after the current one was lost or detached this node.
     pub(super) fn replace_parent(&mut self, now_ms: f64, parent: SocketAddr) {
-        if !self.keeps_lost_parent(now_ms) {
-            self.seek_other_parent(now_ms, parent);
+        if !self.apply_parent_loss_faults(now_ms) {
+            self.attach_to_other_parent(now_ms, parent);
         }
     }
 
-    /// Faults that tests switch on: the parent is waited for, or the table is dropped with it.
-    fn keeps_lost_parent(&mut self, now_ms: f64) -> bool {
+    /// Applies injected faults: waits for a lost parent, or drops the table with it. Returns true if the parent must
+    /// be retained.
+    fn apply_parent_loss_faults(&mut self, now_ms: f64) -> bool {
         if broken::is(Broken::SpareNeverUsed) {
-            self.parent.handle_parent_heard(now_ms);
+            self.parent.handle_parent_message(now_ms);
             return true;
         }
         if broken::is(Broken::CutOffForgets) {
@@ -106,30 +110,30 @@
         false
     }
 
-    fn seek_other_parent(&mut self, now_ms: f64, parent: SocketAddr) {
+    fn attach_to_other_parent(&mut self, now_ms: f64, parent: SocketAddr) {
         let action = self.parent.handle_failure(now_ms, parent, Failure::Unreachable, &mut self.rng);
-        self.forget_parent();
-        self.carry_out(now_ms, action);
+        self.reset_parent_state();
+        self.execute_parent_action(now_ms, action);
     }
 
-    /// What was under way with the parent, and what it held, no longer counts.
-    fn forget_parent(&mut self) {
+    /// Drops the pending request and the version information that belong to the former parent.
+    fn reset_parent_state(&mut self) {
         self.fetcher.reset();
         self.freshness.handle_detached();
     }
 
-    fn carry_out(&mut self, now_ms: f64, action: Option<ParentAction>) {
+    fn execute_parent_action(&mut self, now_ms: f64, action: Option<ParentAction>) {
         match action {
             Some(ParentAction::Find(FindRequest { origin, redirected })) => {
-                let excluded = self.parent.known().failed().to_vec();
+                let excluded = self.parent.known_parents().failed().to_vec();
                 self.send(origin, Message::FindParent { node: self.info.clone(), excluded, redirected });
             }
             Some(ParentAction::Attach { to, limit }) => {
-                let (held, node) = (self.held(now_ms), self.info.clone());
+                let (version_info, node) = (self.version_info(now_ms), self.info.clone());
                 let kind = self.parent.kind();
-                self.send(to, Message::Attach { node, held, kind, limit });
+                self.send(to, Message::Attach { node, version_info, kind, limit });
             }
-            Some(ParentAction::ReleaseChildren) => {
+            Some(ParentAction::DetachChildren) => {
                 self.parent.become_leaf();
                 for child in self.fan_out.clear() {
                     self.send(child, Message::Detach);
@@ -139,17 +143,17 @@
         }
     }
 
-    /// Nothing can be sent there: the parent, or the one that an attempt is made at.
+    /// Handles an unreachable address, which may be the parent or the target of a pending attempt.
     pub(super) fn on_unreachable(&mut self, now_ms: f64, address: SocketAddr) {
         if self.parent.is_parent(address) {
             self.replace_parent(now_ms, address);
         } else {
             let action = self.parent.handle_failure(now_ms, address, Failure::Unreachable, &mut self.rng);
-            self.carry_out(now_ms, action);
+            self.execute_parent_action(now_ms, action);
         }
     }
 
-    /// An origin's answer to a listener that looks for a parent.
+    /// Handles an origin's answer to [`Message::FindParent`].
     pub(super) fn on_candidates(&mut self, now_ms: f64, from: SocketAddr, candidates: Candidates) {
         let Some(request) = self.parent.find_request(from) else { return };
         let Candidates { relays, kind, limit, ask_origin } = candidates;
@@ -157,32 +161,33 @@
             return;
         }
         let ask_origin =
-            ask_origin.filter(|origin| !request.redirected && self.parent.known().is_origin(*origin));
+            ask_origin.filter(|origin| !request.redirected && self.parent.known_parents().is_origin(*origin));
         let action = if kind == ListenerKind::Relay {
             self.idle_since_ms = now_ms;
             self.parent.become_relay(now_ms, from, &mut self.rng)
         } else if let Some(origin) = ask_origin {
-            Some(self.parent.find_at(now_ms, origin))
+            Some(self.parent.request_candidates_from(now_ms, origin))
         } else {
-            let is_candidate =
-                |at: &SocketAddr| *at != self.info.address && !self.parent.known().is_origin(*at);
+            let is_candidate = |relay: &SocketAddr| {
+                *relay != self.info.address && !self.parent.known_parents().is_origin(*relay)
+            };
             let relays = relays.into_iter().filter(is_candidate).collect();
             self.parent.attach(now_ms, relays, limit, &mut self.rng)
         };
-        self.carry_out(now_ms, action);
+        self.execute_parent_action(now_ms, action);
     }
 
-    pub(super) fn on_attached(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) {
+    pub(super) fn on_attached(&mut self, now_ms: f64, from: SocketAddr, version_info: HeldVersion) {
         if !self.parent.is_attaching_to(from) {
-            self.decline_feeding(from);
+            self.detach_unexpected_parent(from);
             return;
         }
         self.parent.handle_attached(now_ms, from);
-        self.forget_parent();
+        self.reset_parent_state();
         self.report.set_due(now_ms);
         let probe_in_ms = self.rng.random_range(0.5..1.0) * self.config.relay_probe_interval_ms;
         self.freshness.schedule_probe(now_ms + probe_in_ms);
-        self.on_held_version(now_ms, from, held);
+        self.on_version_info(now_ms, from, version_info);
     }
 
     pub(super) fn on_rejected(&mut self, now_ms: f64, from: SocketAddr) {
@@ -192,12 +197,13 @@
             false => self.parent.handle_failure(now_ms, from, Failure::Rejected, &mut self.rng),
         };
         if is_parent {
-            self.forget_parent();
+            self.reset_parent_state();
         }
-        self.carry_out(now_ms, action);
+        self.execute_parent_action(now_ms, action);
     }
 
-    /// The parent's list of other parents; a relay passes on what changed.
+    /// Updates the list of alternate parents from the parent's message. A relay forwards changed lists to its
+    /// children.
     pub(super) fn on_alternates(
         &mut self,
         now_ms: f64,
@@ -212,70 +218,71 @@
         }
     }
 
-    /// From an origin: these, which were reported as missing, attached elsewhere.
+    /// Handles an origin's notice that these processes, which were reported as missing, are attached elsewhere.
     pub(super) fn on_relocated(&mut self, from: SocketAddr, names: &[String]) {
         if names.len() <= MAX_NAMES && self.parent.is_parent(from) {
-            names.iter().for_each(|name| self.silent.remove(name));
-            self.report.hasten();
+            names.iter().for_each(|name| self.timed_out.remove(name));
+            self.report.expedite();
         }
     }
 
-    /// A relay goes to an origin only, a leaf wherever an origin sends it.
+    /// Returns true if this node may follow the parent's `Reattach`: a relay may attach only to an origin, and a leaf
+    /// asks an origin for a new parent.
     pub(super) fn accepts_reattach(&self, to: Option<SocketAddr>) -> bool {
         match to {
-            Some(origin) => self.parent.is_relay() && self.parent.known().is_origin(origin),
+            Some(origin) => self.parent.is_relay() && self.parent.known_parents().is_origin(origin),
             None => !self.parent.is_relay(),
         }
     }
 
-    /// The parent sends this process elsewhere.
+    /// Handles the parent's instruction to attach elsewhere.
     pub(super) fn on_reattach(&mut self, now_ms: f64, parent: SocketAddr, to: Option<SocketAddr>) {
         if !self.parent.is_parent(parent) {
             return;
         }
         let action = match to {
             Some(origin) => self.parent.move_to(now_ms, origin, &mut self.rng),
-            None => self.parent.find(now_ms),
+            None => self.parent.request_candidates(now_ms),
         };
         self.send(parent, Message::Detach);
-        self.forget_parent();
-        self.carry_out(now_ms, action);
+        self.reset_parent_state();
+        self.execute_parent_action(now_ms, action);
     }
 
-    pub(super) fn on_heartbeat(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) {
+    pub(super) fn on_heartbeat(&mut self, now_ms: f64, from: SocketAddr, version_info: HeldVersion) {
         if self.parent.is_parent(from) || self.origins.contains(from) {
-            self.on_held_version(now_ms, from, held);
+            self.on_version_info(now_ms, from, version_info);
         } else {
-            self.decline_feeding(from);
+            self.detach_unexpected_parent(from);
         }
     }
 
-    /// What the parent, or another origin, holds.
-    pub(super) fn on_held_version(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) {
-        if self.origins.handle_held(now_ms, from, held) || !self.parent.is_parent(from) {
+    /// Records the version information of the parent or of another origin.
+    pub(super) fn on_version_info(&mut self, now_ms: f64, from: SocketAddr, version_info: HeldVersion) {
+        if self.origins.handle_version_info(now_ms, from, version_info) || !self.parent.is_parent(from) {
             return;
         }
-        self.parent.handle_parent_heard(now_ms);
-        self.freshness.handle_parent_held(now_ms, held);
+        self.parent.handle_parent_message(now_ms);
+        self.freshness.handle_parent_version_info(now_ms, version_info);
     }
 
-    /// Somebody asks what this process holds.
+    /// Answers a request for the version in force here.
     pub(super) fn on_probe(&mut self, now_ms: f64, from: SocketAddr) {
-        if self.feeds_others() {
-            let held = self.held(now_ms);
-            self.send(from, Message::ProbeReply(held));
+        if self.may_have_children() {
+            let version_info = self.version_info(now_ms);
+            self.send(from, Message::ProbeReply(version_info));
         }
     }
 
-    /// The answer of the parent, of another origin, or of one that was probed.
-    pub(super) fn on_probe_reply(&mut self, now_ms: f64, from: SocketAddr, theirs: HeldVersion) {
+    /// Handles the version information sent by the parent, another origin, or a probed process.
+    pub(super) fn on_probe_reply(&mut self, now_ms: f64, from: SocketAddr, probed: HeldVersion) {
         if self.parent.is_parent(from) || self.origins.contains(from) {
-            return self.on_held_version(now_ms, from, theirs);
+            return self.on_version_info(now_ms, from, probed);
         }
         let Some(parent) = self.parent.parent().filter(|_| self.freshness.is_probed(from)) else { return };
-        let fetch = if self.fetcher.is_idle() { FetchState::Idle } else { FetchState::UnderWay };
-        let own = self.held(now_ms);
-        let verdict = self.freshness.handle_probe_reply(now_ms, theirs, own, fetch, &self.config);
+        let fetch = if self.fetcher.is_idle() { FetchState::Idle } else { FetchState::Pending };
+        let own = self.version_info(now_ms);
+        let verdict = self.freshness.handle_probe_reply(now_ms, probed, own, fetch, &self.config);
         if verdict == ProbeVerdict::SwitchParent {
             self.parent.prefer(from);
             self.send(parent, Message::Detach);
@@ -283,8 +290,8 @@
         }
     }
 
-    /// Somebody feeds this process, which hears from another by now.
-    pub(super) fn decline_feeding(&mut self, from: SocketAddr) {
+    /// Detaches from a process that sends this listener data but is not its parent.
+    pub(super) fn detach_unexpected_parent(&mut self, from: SocketAddr) {
         let is_expected = self.parent.is_attaching_to(from) || self.parent.is_parent(from);
         if !is_expected && self.role == Role::Listener {
             self.send(from, Message::Detach);
--- a/crates/plovershelf-config-distribution/src/origin_peers.rs
+++ b/crates/plovershelf-config-distribution/src/origin_peers.rs
@@ -1,17 +1,17 @@
-//! What an origin knows of the other origins.
+//! The state of the other origins, as known to one origin.
 
 use std::net::SocketAddr;
 
 use crate::message::{HeldVersion, NodeInfo, RelayInfo, MAX_ADDRESSES, MAX_RELAYS};
 use crate::version::Version;
 
-/// Another origin.
+/// State of another origin, from its messages.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginPeer {
     pub(crate) address: SocketAddr,
     node: Option<NodeInfo>,
-    held: Option<HeldVersion>,
-    heard_at_ms: f64,
+    version_info: Option<HeldVersion>,
+    last_message_ms: f64,
     relays: Vec<RelayInfo>,
 }
 
@@ -20,8 +20,8 @@
         self.node.as_ref().is_some_and(|node| node.region == region)
     }
 
-    /// Whether its relays and region are known.
-    pub(crate) fn is_introduced(&self) -> bool {
+    /// Returns true if the peer has sent its identity and relays.
+    pub(crate) fn has_identity(&self) -> bool {
         self.node.is_some()
     }
 
@@ -30,24 +30,24 @@
     }
 }
 
-/// The other origins, as the operator's file lists them. A listener has none.
+/// The other origins, as listed in the operator's file; empty on a listener.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginPeers {
     peers: Vec<OriginPeer>,
-    /// One that is silent for this long is left out, and its relays with it.
-    silent_after_ms: f64,
+    /// Time without a message after which a peer and its relays are disregarded, in milliseconds.
+    peer_timeout_ms: f64,
 }
 
 impl OriginPeers {
-    pub(crate) fn new(addresses: &[SocketAddr], silent_after_ms: f64) -> Self {
+    pub(crate) fn new(addresses: &[SocketAddr], peer_timeout_ms: f64) -> Self {
         let peer = |address: &SocketAddr| OriginPeer {
             address: *address,
             node: None,
-            held: None,
-            heard_at_ms: f64::MIN,
+            version_info: None,
+            last_message_ms: f64::MIN,
             relays: Vec::new(),
         };
-        OriginPeers { peers: addresses.iter().take(MAX_ADDRESSES).map(peer).collect(), silent_after_ms }
+        OriginPeers { peers: addresses.iter().take(MAX_ADDRESSES).map(peer).collect(), peer_timeout_ms }
     }
 
     pub(crate) fn contains(&self, address: SocketAddr) -> bool {
@@ -62,18 +62,24 @@
         self.peers.iter_mut().find(|peer| peer.address == address)
     }
 
-    /// A heartbeat or the like; false where it comes from no origin.
-    pub(crate) fn handle_held(&mut self, now_ms: f64, from: SocketAddr, held: HeldVersion) -> bool {
+    /// Records a peer's version information. Returns false if the sender is not an origin.
+    pub(crate) fn handle_version_info(
+        &mut self,
+        now_ms: f64,
+        from: SocketAddr,
+        version_info: HeldVersion,
+    ) -> bool {
         let Some(peer) = self.get_mut(from) else { return false };
-        peer.held = Some(held);
-        peer.heard_at_ms = now_ms;
+        peer.version_info = Some(version_info);
+        peer.last_message_ms = now_ms;
         true
     }
 
-    /// It did not answer or its connection is lost: it is not asked again before its next heartbeat.
-    pub(crate) fn forget_held(&mut self, address: SocketAddr) {
+    /// Drops the version of a peer that did not answer or whose connection was lost, so that nothing is requested from
+    /// it before its next heartbeat.
+    pub(crate) fn clear_version_info(&mut self, address: SocketAddr) {
         if let Some(peer) = self.get_mut(address) {
-            peer.held = None;
+            peer.version_info = None;
         }
     }
 
@@ -87,35 +93,39 @@
         let Some(peer) = self.get_mut(from) else { return };
         relays.truncate(MAX_RELAYS);
         peer.node = Some(node);
-        peer.heard_at_ms = now_ms;
+        peer.last_message_ms = now_ms;
         peer.relays = relays;
     }
 
-    /// Those that are not silent.
-    pub(crate) fn live(&self, now_ms: f64) -> impl Iterator<Item = &OriginPeer> {
-        self.peers.iter().filter(move |peer| peer.heard_at_ms + self.silent_after_ms > now_ms)
+    /// Returns the peers that have not timed out.
+    pub(crate) fn reachable(&self, now_ms: f64) -> impl Iterator<Item = &OriginPeer> {
+        self.peers.iter().filter(move |peer| peer.last_message_ms + self.peer_timeout_ms > now_ms)
     }
 
-    /// All relays of the other origins; those of silent ones too.
+    /// Returns the relays of all peers, including those that timed out.
     pub(crate) fn relays_mut(&mut self) -> impl Iterator<Item = &mut RelayInfo> {
         self.peers.iter_mut().flat_map(|peer| &mut peer.relays)
     }
 
-    /// The origin that holds the newest version, if that is newer than this.
+    /// Returns the peer with the newest version if that is newer than this one.
     pub(crate) fn ahead_of(&self, version: Version) -> Option<SocketAddr> {
-        let newer = |held: &HeldVersion| held.version > version;
-        let ahead = self.peers.iter().filter(|peer| peer.held.as_ref().is_some_and(newer));
-        ahead.max_by_key(|peer| peer.held.map(|held| held.version)).map(|peer| peer.address)
+        let newer = |version_info: &HeldVersion| version_info.version > version;
+        let ahead = self.peers.iter().filter(|peer| peer.version_info.as_ref().is_some_and(newer));
+        ahead
+            .max_by_key(|peer| peer.version_info.map(|version_info| version_info.version))
+            .map(|peer| peer.address)
     }
 
-    /// An origin that holds another table under the same version.
+    /// Returns a peer that has a different table under the same version.
     pub(crate) fn conflicting_with(&self, version: Version, short_digest: u64) -> Option<SocketAddr> {
-        let conflicts = |held: &HeldVersion| held.version == version && held.short_digest != short_digest;
-        let peer = self.peers.iter().find(|peer| peer.held.as_ref().is_some_and(conflicts))?;
+        let conflicts = |version_info: &HeldVersion| {
+            version_info.version == version && version_info.short_digest != short_digest
+        };
+        let peer = self.peers.iter().find(|peer| peer.version_info.as_ref().is_some_and(conflicts))?;
         Some(peer.address)
     }
 
-    /// All origins, this one too, those of a region first.
+    /// Returns the addresses of all origins, including this one, with those in the given region first.
     pub(crate) fn nearest_first(&self, own: &NodeInfo, region: &str) -> Vec<SocketAddr> {
         let own = (own.region != region, own.address);
         let peers = self.peers.iter().map(|peer| (!peer.is_in_region(region), peer.address));
--- a/crates/plovershelf-config-distribution/src/parent_selection.rs
+++ b/crates/plovershelf-config-distribution/src/parent_selection.rs
@@ -1,22 +1,23 @@
-//! A listener's state machine for finding, keeping and replacing its parent.
+//! State machine with which a listener finds, monitors and replaces its parent.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | BackingOff | the backoff is over | Finding, an origin is asked; a relay goes to Attaching, at an origin |
-//! | Finding | candidates: relays | Attaching, at the first of them |
-//! | Finding | candidates: be a relay | Attaching, at the origin that answered, as a relay |
-//! | Finding | candidates: ask that origin | Finding, at that one |
-//! | Finding | no candidates, no answer in time, connection lost | BackingOff, doubled up to a bound; then another origin |
+//! | BackingOff | the backoff has elapsed | a leaf: Finding, at the next origin; a relay: Attaching, at the next origin |
+//! | Finding | candidates: a list of relays | Attaching, at the first relay |
+//! | Finding | candidates: become a relay | Attaching, as a relay, at the origin that answered |
+//! | Finding | candidates: ask another origin | Finding, at that origin |
+//! | Finding | no candidates, timeout, connection lost | BackingOff, doubled up to a limit; then Finding, at another origin |
 //! | Attaching | attached | Attached |
-//! | Attaching | rejected, no answer in time, connection lost | Attaching, at the next; BackingOff where there is none |
-//! | Attached | parent silent, rejects, detaches, connection lost; or its backup holds newer | a leaf: Attaching, at its backup, then other alternates; a relay: Attaching, at another origin |
-//! | Attached | a relay that feeds nobody for long | Finding, as a leaf again |
-//! | Attached | a leaf whose relay feeds more than its fan-out and sends it elsewhere | Finding |
-//! | Attached | a relay whose origin sends it to a nearer one, or to one that feeds far fewer | Attaching, at that one |
-//! | Attaching, as a relay | rejected by each origin, twice | BackingOff, as a leaf; its children are detached |
+//! | Attaching | rejected, timeout, connection lost | Attaching, at the next candidate; BackingOff if there is none |
+//! | Attached | the parent rejects a message | Attaching, at the same parent, then at other known parents |
+//! | Attached | the parent times out or detaches, the connection is lost, or a probed process is more up to date | a leaf: Attaching, at its backup parent, then at other alternates; a relay: Attaching, at another origin |
+//! | Attached | a relay has had no children for a long time | Finding, as a leaf |
+//! | Attached | a leaf receives `Reattach` because its relay exceeds the fan-out | Finding |
+//! | Attached | a relay receives `Reattach` with an origin that is nearer or has far fewer relays | Attaching, at that origin |
+//! | Attaching, as a relay | rejected twice by each origin | BackingOff, as a leaf; its children are detached |
 //!
-//! A relay attaches to origins only and a leaf feeds nobody, so no cycle of parents can come about. In all states what is
-//! in force stays in force.
+//! A relay attaches only to origins and a leaf has no children, so no cycle of parents can form. The table in force
+//! stays in force in all states.
 
 use std::net::SocketAddr;
 
@@ -29,73 +30,73 @@
 use crate::message::{FanOutLimit, ListenerKind, MAX_ADDRESSES};
 
 const FIRST_BACKOFF_MS: f64 = 100.0;
-/// Doublings of the backoff, at most.
+/// Maximum number of times that the first backoff is doubled.
 const MAX_BACKOFF_SHIFT: u32 = 10;
-/// Candidates in a row that do not answer before an origin is asked anew.
+/// Number of consecutive candidates without an answer after which the listener asks an origin for new candidates.
 ///
-/// Against a list of relays that all stand still with their zone: each costs a timeout, and the listener would be behind
-/// for as many timeouts as the list is long.
+/// The limit covers a list of relays that are all unresponsive because their zone has failed. Each such relay costs
+/// one timeout, and without the limit the listener would fall behind by one timeout per relay in the list.
 const MAX_UNANSWERED: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     BackingOff { until_ms: f64 },
     Finding { request: FindRequest, until_ms: f64 },
-    Attaching { to: SocketAddr, until_ms: f64, next: Vec<SocketAddr>, limit: FanOutLimit },
+    Attaching { to: SocketAddr, until_ms: f64, remaining: Vec<SocketAddr>, limit: FanOutLimit },
     Attached(Parent),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Parent {
     address: SocketAddr,
-    heard_at_ms: f64,
-    /// Was given more time once, as this process itself was paused.
-    extended: bool,
+    last_message_ms: f64,
+    /// Whether the timeout was already extended because of a pause of this process.
+    timeout_extended: bool,
 }
 
-/// A question for candidates.
+/// A request for candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FindRequest {
     pub(crate) origin: SocketAddr,
-    /// Another origin sent the listener there.
+    /// Whether another origin redirected the listener to this one.
     pub(crate) redirected: bool,
 }
 
-/// What the listener is to send next.
+/// The next action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ParentAction {
-    /// Ask an origin for candidates.
+    /// Request candidates from an origin.
     Find(FindRequest),
-    /// Ask a candidate to be its parent.
+    /// Request attachment to a candidate.
     Attach {
-        /// The candidate.
+        /// The address of the candidate.
         to: SocketAddr,
-        /// Which of its fan-outs applies.
+        /// Which of the candidate's fan-out limits applies.
         limit: FanOutLimit,
     },
-    /// No origin takes it as a relay: its children are to be detached, as it is a leaf from now on.
-    ReleaseChildren,
+    /// Become a leaf and detach all children, since no origin accepts this process as a relay.
+    DetachChildren,
 }
 
-/// How an attempt, or a parent, failed.
+/// Cause of the failure of an attachment attempt or of a parent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     Rejected,
-    /// No answer in time, or the connection was lost.
+    /// No answer before the timeout, or the connection was lost.
     Unreachable,
 }
 
-/// A listener's way to a parent. An origin has one without origins, which stays idle.
+/// Parent selection of a listener. On an origin it has an empty list of origins and stays idle.
 #[derive(Clone, Debug)]
 pub(crate) struct ParentSelector {
     state: State,
     kind: ListenerKind,
-    known: KnownParents,
+    known_parents: KnownParents,
     attempts: u32,
     rejections: u32,
-    /// Candidates in a row that did not answer.
+    /// Number of consecutive candidates that did not answer.
     unanswered: u32,
-    /// A parent that is silent for this long is lost.
+    /// Time without a message after which the parent counts as lost, in milliseconds.
     parent_timeout_ms: f64,
     attach_timeout_ms: f64,
     max_backoff_ms: f64,
@@ -110,13 +111,13 @@
     ) -> Self {
         let (min_ms, max_ms) = (config.min_parent_timeout_ms, config.max_parent_timeout_ms);
         let parent_timeout_ms = rng.random_range(min_ms..=max_ms.max(min_ms));
-        let mut known = KnownParents::new(origins);
-        known.origins_mut().shuffle(rng);
+        let mut known_parents = KnownParents::new(origins);
+        known_parents.origins_mut().shuffle(rng);
         let until_ms = now_ms + rng.random_range(0.0..config.start_jitter_ms.max(1.0));
         ParentSelector {
             state: State::BackingOff { until_ms },
             kind: ListenerKind::Leaf,
-            known,
+            known_parents,
             attempts: 0,
             rejections: 0,
             unanswered: 0,
@@ -149,7 +150,7 @@
         matches!(self.state, State::Attaching { to, .. } if to == address)
     }
 
-    /// The question that this origin was asked and has not answered yet.
+    /// Returns the pending request for candidates if it was sent to this origin.
     pub(crate) fn find_request(&self, address: SocketAddr) -> Option<FindRequest> {
         match self.state {
             State::Finding { request, .. } if request.origin == address => Some(request),
@@ -157,18 +158,19 @@
         }
     }
 
-    pub(crate) fn known(&self) -> &KnownParents {
-        &self.known
+    pub(crate) fn known_parents(&self) -> &KnownParents {
+        &self.known_parents
     }
 
-    /// Where it goes when its parent is lost.
+    /// Returns the address to which the listener attaches if it loses its parent.
     pub(crate) fn backup_parent(&self) -> Option<SocketAddr> {
-        self.known.backup(self.kind, self.parent())
+        self.known_parents.backup(self.kind, self.parent())
     }
 
-    /// Whom to probe when no origin was heard from through the parent for long; at each turn the next.
-    pub(crate) fn probe_target(&self, turn: usize) -> Option<SocketAddr> {
-        self.known.probe_target(self.kind, self.parent(), turn)
+    /// Returns the process to probe after a long time without origin contact; successive indexes select successive
+    /// targets.
+    pub(crate) fn probe_target(&self, index: usize) -> Option<SocketAddr> {
+        self.known_parents.probe_target(self.kind, self.parent(), index)
     }
 
     pub(crate) fn poll_timeout(&self) -> f64 {
@@ -176,16 +178,16 @@
             State::BackingOff { until_ms }
             | State::Finding { until_ms, .. }
             | State::Attaching { until_ms, .. } => *until_ms,
-            State::Attached(parent) => parent.heard_at_ms + self.parent_timeout_ms,
+            State::Attached(parent) => parent.last_message_ms + self.parent_timeout_ms,
         }
     }
 
-    /// The parent, if it is silent for too long.
-    pub(crate) fn silent_parent(&self, now_ms: f64) -> Option<SocketAddr> {
+    /// Returns the parent if its timeout has passed.
+    pub(crate) fn timed_out_parent(&self, now_ms: f64) -> Option<SocketAddr> {
         self.parent().filter(|_| now_ms >= self.poll_timeout())
     }
 
-    /// A backoff or an attempt that is over.
+    /// Handles the end of a backoff, or the timeout of an attempt or of the parent.
     pub(crate) fn handle_timeout(&mut self, now_ms: f64, rng: &mut Pcg32) -> Option<ParentAction> {
         if now_ms < self.poll_timeout() {
             return None;
@@ -193,66 +195,68 @@
         match &self.state {
             State::BackingOff { .. } if self.is_relay() => self.attach_to_next_origin(now_ms, rng),
             State::BackingOff { .. } => {
-                let action = self.find(now_ms);
+                let action = self.request_candidates(now_ms);
                 if action.is_none() {
                     self.back_off(now_ms, rng);
                 }
                 action
             }
-            State::Finding { request: FindRequest { origin: at, .. }, .. }
-            | State::Attaching { to: at, .. }
-            | State::Attached(Parent { address: at, .. }) => {
-                let at = *at;
-                self.handle_failure(now_ms, at, Failure::Unreachable, rng)
+            State::Finding { request: FindRequest { origin: address, .. }, .. }
+            | State::Attaching { to: address, .. }
+            | State::Attached(Parent { address, .. }) => {
+                let address = *address;
+                self.handle_failure(now_ms, address, Failure::Unreachable, rng)
             }
         }
     }
 
-    /// Something came from the parent.
-    pub(crate) fn handle_parent_heard(&mut self, now_ms: f64) {
+    /// Restarts the parent's timeout after a message from the parent.
+    pub(crate) fn handle_parent_message(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
-            (parent.heard_at_ms, parent.extended) = (now_ms, false);
+            (parent.last_message_ms, parent.timeout_extended) = (now_ms, false);
         }
     }
 
-    /// Something came from there, which may be the parent.
-    pub(crate) fn handle_heard_from(&mut self, now_ms: f64, from: SocketAddr) {
+    /// Restarts the parent's timeout if the sender of a message is the parent.
+    pub(crate) fn handle_message_from(&mut self, now_ms: f64, from: SocketAddr) {
         if self.is_parent(from) {
-            self.handle_parent_heard(now_ms);
+            self.handle_parent_message(now_ms);
         }
     }
 
-    /// This process was paused: what its parent sent meanwhile is still to be read.
+    /// Extends the parent's timeout after a pause of this process, since messages from the parent may still be waiting
+    /// in the receive queue.
     ///
-    /// The parent gets half its timeout once, not twice, so that a process that is paused over and over leaves a parent
-    /// that is gone.
+    /// The parent gets half of its timeout, and only once until its next message. Otherwise a process that is paused
+    /// repeatedly would never leave a parent that has failed.
     pub(crate) fn handle_pause(&mut self, now_ms: f64) {
         if let State::Attached(parent) = &mut self.state {
-            if !std::mem::replace(&mut parent.extended, true) {
-                parent.heard_at_ms = parent.heard_at_ms.max(now_ms - self.parent_timeout_ms / 2.0);
+            if !std::mem::replace(&mut parent.timeout_extended, true) {
+                parent.last_message_ms = parent.last_message_ms.max(now_ms - self.parent_timeout_ms / 2.0);
             }
         }
     }
 
-    /// The parent's list of alternates, and of origins as it knows them to be near.
+    /// Updates the alternate parents and the order of the origins from the parent's lists.
     pub(crate) fn handle_alternates(
         &mut self,
         relays: Vec<SocketAddr>,
         origins: &[SocketAddr],
         own: SocketAddr,
     ) {
-        self.known.update(relays, origins, own);
+        self.known_parents.update(relays, origins, own);
     }
 
     pub(crate) fn handle_attached(&mut self, now_ms: f64, parent: SocketAddr) {
-        self.state = State::Attached(Parent { address: parent, heard_at_ms: now_ms, extended: false });
+        self.state =
+            State::Attached(Parent { address: parent, last_message_ms: now_ms, timeout_extended: false });
         self.attempts = 0;
         self.rejections = 0;
         self.unanswered = 0;
-        self.known.handle_attached(parent);
+        self.known_parents.handle_attached(parent);
     }
 
-    /// The origin asks for more relays: attaches there as one.
+    /// Becomes a relay on an origin's request and attaches to that origin.
     pub(crate) fn become_relay(
         &mut self,
         now_ms: f64,
@@ -267,21 +271,22 @@
         self.kind = ListenerKind::Leaf;
     }
 
-    /// Another process holds what the parent lacks: a leaf goes there first. A relay asks origins in turn anyway.
+    /// Makes a leaf attach first to a process that has data which the parent lacks. A relay needs no preference, since
+    /// it asks the origins in rotation.
     pub(crate) fn prefer(&mut self, address: SocketAddr) {
         if !self.is_relay() {
-            self.known.prefer(address);
+            self.known_parents.prefer(address);
         }
     }
 
-    /// Asks the next origin for candidates.
-    pub(crate) fn find(&mut self, now_ms: f64) -> Option<ParentAction> {
-        let origin = self.known.next_origin()?;
+    /// Requests candidates from the next origin.
+    pub(crate) fn request_candidates(&mut self, now_ms: f64) -> Option<ParentAction> {
+        let origin = self.known_parents.next_origin()?;
         Some(self.ask_origin(now_ms, FindRequest { origin, redirected: false }))
     }
 
-    /// Asks the origin that another one pointed to.
-    pub(crate) fn find_at(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
+    /// Requests candidates from the origin to which another one redirected the listener.
+    pub(crate) fn request_candidates_from(&mut self, now_ms: f64, origin: SocketAddr) -> ParentAction {
         self.ask_origin(now_ms, FindRequest { origin, redirected: true })
     }
 
@@ -290,7 +295,7 @@
         ParentAction::Find(request)
     }
 
-    /// Tries these one after the other; backs off where there is none.
+    /// Tries the candidates in order. Backs off if the list is empty.
     pub(crate) fn attach(
         &mut self,
         now_ms: f64,
@@ -305,50 +310,56 @@
         candidates.truncate(MAX_ADDRESSES);
         let to = candidates.remove(0);
         let until_ms = now_ms + self.attach_timeout_ms;
-        self.state = State::Attaching { to, until_ms, next: candidates, limit };
+        self.state = State::Attaching { to, until_ms, remaining: candidates, limit };
         Some(ParentAction::Attach { to, limit })
     }
 
-    /// The parent does not know it any more, as after a restart of one of the two: attaches there again, or elsewhere.
+    /// Attaches again, first to the same parent, after the parent rejected a message because it does not have this
+    /// process as a child. This happens when either of the two restarts.
     pub(crate) fn reattach(
         &mut self,
         now_ms: f64,
         parent: SocketAddr,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        let others = self.known.of_kind(self.kind).iter().copied().filter(|at| *at != parent);
+        let others = self
+            .known_parents
+            .candidates_for(self.kind)
+            .iter()
+            .copied()
+            .filter(|candidate| *candidate != parent);
         let candidates = std::iter::once(parent).chain(others).collect();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// A relay whose origin sends it to another origin.
+    /// Moves a relay to another origin on the request of its present origin.
     pub(crate) fn move_to(
         &mut self,
         now_ms: f64,
         origin: SocketAddr,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        let others = self.known.origins().iter().copied().filter(|at| *at != origin);
+        let others = self.known_parents.origins().iter().copied().filter(|candidate| *candidate != origin);
         let candidates = std::iter::once(origin).chain(others).collect();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// The parent, or the one that an attempt is made at, rejects, does not answer or is lost; of others nothing follows.
+    /// Handles a failure of the parent or of the target of the pending attempt. Ignores failures of other addresses.
     pub(crate) fn handle_failure(
         &mut self,
         now_ms: f64,
-        at: SocketAddr,
+        address: SocketAddr,
         failure: Failure,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
         match self.state.clone() {
-            State::Attached(parent) if parent.address == at => self.replace_parent(now_ms, at, rng),
-            State::Attaching { to, next, limit, .. } if to == at => {
-                self.attach_to_next(now_ms, at, failure, next, limit, rng)
+            State::Attached(parent) if parent.address == address => self.replace_parent(now_ms, address, rng),
+            State::Attaching { to, remaining, limit, .. } if to == address => {
+                self.attach_to_next(now_ms, address, failure, remaining, limit, rng)
             }
-            State::Finding { request, .. } if request.origin == at => {
-                // So that no other origin sends it there again.
-                self.known.remember_failed(at);
+            State::Finding { request, .. } if request.origin == address => {
+                // Record the failure so that other origins do not redirect the listener there.
+                self.known_parents.record_failure(address);
                 self.back_off(now_ms, rng);
                 None
             }
@@ -357,13 +368,13 @@
     }
 
     fn replace_parent(&mut self, now_ms: f64, lost: SocketAddr, rng: &mut Pcg32) -> Option<ParentAction> {
-        self.known.remember_failed(lost);
-        let mut candidates = self.known.of_kind(self.kind).to_vec();
-        candidates.retain(|at| *at != lost);
+        self.known_parents.record_failure(lost);
+        let mut candidates = self.known_parents.candidates_for(self.kind).to_vec();
+        candidates.retain(|candidate| *candidate != lost);
         if self.is_relay() {
             candidates.push(lost);
         } else if candidates.is_empty() {
-            return self.find(now_ms);
+            return self.request_candidates(now_ms);
         }
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
@@ -371,13 +382,13 @@
     fn attach_to_next(
         &mut self,
         now_ms: f64,
-        at: SocketAddr,
+        failed: SocketAddr,
         failure: Failure,
-        mut next: Vec<SocketAddr>,
+        mut remaining: Vec<SocketAddr>,
         limit: FanOutLimit,
         rng: &mut Pcg32,
     ) -> Option<ParentAction> {
-        self.known.remember_failed(at);
+        self.known_parents.record_failure(failed);
         match failure {
             Failure::Rejected => {
                 self.rejections += 1;
@@ -387,33 +398,34 @@
         }
         if !self.is_relay() && self.unanswered >= MAX_UNANSWERED {
             self.unanswered = 0;
-            next.clear();
+            remaining.clear();
         }
-        if self.is_relay() && self.rejections as usize >= 2 * self.known.origins().len() {
+        if self.is_relay() && self.rejections as usize >= 2 * self.known_parents.origins().len() {
             self.rejections = 0;
             self.back_off(now_ms, rng);
-            return Some(ParentAction::ReleaseChildren);
+            return Some(ParentAction::DetachChildren);
         }
-        if next.is_empty() && !self.is_relay() && self.attempts == 0 {
+        if remaining.is_empty() && !self.is_relay() && self.attempts == 0 {
             self.attempts = 1;
-            return self.find(now_ms);
+            return self.request_candidates(now_ms);
         }
-        self.attach(now_ms, next, limit, rng)
+        self.attach(now_ms, remaining, limit, rng)
     }
 
-    /// A relay whose backoff is over.
+    /// Attaches a relay to the next origin after a backoff.
     fn attach_to_next_origin(&mut self, now_ms: f64, rng: &mut Pcg32) -> Option<ParentAction> {
-        let candidates = self.known.origins_in_turn();
+        let candidates = self.known_parents.origins_in_rotation();
         self.attach(now_ms, candidates, FanOutLimit::Failover, rng)
     }
 
-    /// Waits, longer each time. The span is drawn, so that many that lost the same parent do not come at once.
+    /// Starts a backoff, longer at each attempt. The random duration keeps processes that lost the same parent from
+    /// retrying at the same time.
     fn back_off(&mut self, now_ms: f64, rng: &mut Pcg32) {
         let doubled_ms = FIRST_BACKOFF_MS * f64::from(1 << self.attempts.min(MAX_BACKOFF_SHIFT));
-        let most_ms = doubled_ms.min(self.max_backoff_ms);
+        let max_ms = doubled_ms.min(self.max_backoff_ms);
         self.attempts += 1;
-        self.known.advance_turn();
-        self.state = State::BackingOff { until_ms: now_ms + rng.random_range(most_ms / 4.0..=most_ms) };
+        self.known_parents.advance_rotation();
+        self.state = State::BackingOff { until_ms: now_ms + rng.random_range(max_ms / 4.0..=max_ms) };
     }
 }
 
