--- a/crates/plovershelf-testkit/src/agent.rs
+++ b/crates/plovershelf-testkit/src/agent.rs
@@ -1,5 +1,5 @@
-//! A fake agent: the peer that executes a backend's requests on modelled cores and notifies it of outcomes, with
-//! the notices that a connection missed sent again on the next one.
+//! Fake agent: executes a backend's requests on modelled cores and notifies the backend of their outcomes. Notices
+//! that a broken connection missed are sent again on the next connection.
 
 mod notices;
 mod reads;
@@ -21,23 +21,23 @@
 use crate::{Clock, Executor};
 use state::{AgentState, Wakers};
 
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// How long after a task's likely completion the cores are looked at.
+/// Delay after the predicted completion of a task until the cores are advanced.
 const COMPLETION_SLACK_MS: f64 = 0.05;
 
-/// A running agent; clones are handles on the same one.
+/// Handle on a running agent; clones refer to the same agent.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where it listens.
+    /// Address on which the agent accepts the backend's connections.
     pub address: SocketAddr,
     state: Rc<RefCell<AgentState>>,
 }
 
 impl Agent {
-    /// Starts the agent of the backend with this index.
+    /// Starts the agent of the backend with index `backend_index`.
     ///
-    /// Errors: as of binding a listener.
+    /// Errors: binding the listener fails.
     pub fn start(
         executor: &Executor,
         clock: Clock,
@@ -57,34 +57,35 @@
         Ok(Agent { address, state })
     }
 
-    /// The backend gets its drain notice now: launches after the drain deadline are counted.
+    /// Records that the backend received its drain notice: launches later than `drain_ms` from now are counted in
+    /// `EffectLedger::launched_after_drain`.
     pub fn start_drain(&self, drain_ms: f64) {
         self.state.borrow_mut().start_drain(drain_ms);
     }
 
-    /// Spends so much work on the backend's cores, as reading a request does; returns when it is done.
+    /// Spends `cost_ms` of work on the backend's cores, as reading a request does; returns when the work is done.
     pub async fn read(&self, cost_ms: f64) {
         let (done, is_done) = async_channel::bounded(1);
         self.state.borrow_mut().queue_read(cost_ms, done);
         let _ = is_done.recv().await;
     }
 
-    /// Multiplies the cores' speed from now on.
+    /// Sets the factor by which the cores' speed is multiplied from now on.
     pub fn set_speed_factor(&self, factor: f64) {
         self.state.borrow_mut().set_speed_factor(factor);
     }
 
-    /// Executions on the cores now, and how many the cores sustain.
+    /// Returns the number of executions on the cores and the number that the cores sustain.
     pub fn concurrency(&self) -> (usize, f64) {
         self.state.borrow_mut().concurrency()
     }
 
-    /// Does this execution await a call?
+    /// Returns whether the execution awaits the answer to an outbound call.
     pub fn awaits_call(&self, id: &AttemptId) -> bool {
         self.state.borrow().awaits_call(id)
     }
 
-    /// Processes of the backend that have connected.
+    /// Returns the number of processes of the backend that have subscribed so far.
     pub fn processes(&self) -> u32 {
         self.state.borrow().processes
     }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Lets tasks on the cores complete in time, connected or not.
+/// Advances the cores whenever a task completes or is added, with or without a connection.
 async fn run_cores(state: Rc<RefCell<AgentState>>, cores_wake: Receiver<()>) {
     loop {
         let deadline = {
@@ -124,7 +125,7 @@
     }
 }
 
-/// Serves one connection until it ends or the next one replaces it.
+/// Serves one connection until it ends or a newer connection replaces it.
 async fn serve(
     stream: Async<TcpStream>,
     state: Rc<RefCell<AgentState>>,
@@ -154,11 +155,11 @@
         if state.borrow().connections != number {
             return;
         }
-        let mut used = 0;
-        while let Some((line, body, length)) = decode_command(&bytes[used..]) {
+        let mut consumed = 0;
+        while let Some((line, body, length)) = decode_command(&bytes[consumed..]) {
             state.borrow_mut().handle_command(&line, &body);
-            used += length;
+            consumed += length;
         }
-        bytes.drain(..used);
+        bytes.drain(..consumed);
     }
 }
--- a/crates/plovershelf-testkit/src/agent/notices.rs
+++ b/crates/plovershelf-testkit/src/agent/notices.rs
@@ -1,11 +1,12 @@
-//! Numbered notices of the agent: what is sent on the present connection, and what a new one may have missed.
+//! Log of the agent's numbered notices: output for the current connection, and notices retained for a connection that
+//! resumes.
 
 use std::collections::VecDeque;
 
-/// Notices retained for a connection that resumes.
+/// Number of notices retained for a connection that resumes.
 const MAX_RETAINED: usize = 4000;
 
-/// The agent's notices and the bytes that wait to be written.
+/// Retained notices and the output that is not written yet.
 #[derive(Debug, Default)]
 pub(super) struct NoticeLog {
     retained: VecDeque<(u64, Vec<u8>)>,
@@ -15,19 +16,19 @@
 }
 
 impl NoticeLog {
-    /// A new connection: it receives nothing before it has subscribed.
+    /// Registers a new connection, which receives nothing until it subscribes.
     pub(super) fn connect(&mut self) {
         self.subscribed = false;
         self.output.clear();
     }
 
-    /// A new process: the notices of the one before are gone.
+    /// Discards the notices of the previous process.
     pub(super) fn reset(&mut self) {
         self.retained.clear();
         self.last_number = 0;
     }
 
-    /// The connection subscribes: it gets a greeting and each notice after the last one that it knows.
+    /// Subscribes the connection: queues a greeting and each retained notice with a number above `last_known`.
     pub(super) fn subscribe(&mut self, last_known: u64) {
         let state = if last_known == 0 { "booting" } else { "steady" };
         self.output = format!("greeting {state} 0\r\n").into_bytes();
@@ -53,17 +54,17 @@
         }
     }
 
-    /// Sends a line that is no notice, on the present connection alone.
+    /// Queues a line that is not a notice; it is not repeated on a later connection.
     pub(super) fn reply(&mut self, line: &str) {
         self.output.extend_from_slice(line.as_bytes());
     }
 
-    /// Does anything wait to be written?
+    /// Returns whether output waits to be written.
     pub(super) fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
-    /// Takes what waits to be written.
+    /// Takes the output that waits to be written.
     pub(super) fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.output)
     }
--- a/crates/plovershelf-testkit/src/agent/reads.rs
+++ b/crates/plovershelf-testkit/src/agent/reads.rs
@@ -1,10 +1,10 @@
-//! Reads of incoming requests, which take the backend's cores as executions do.
+//! Reads of incoming requests, which occupy the backend's cores like executions.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use async_channel::Sender;
 
-/// Reads that wait for a core, and those in progress; each core reads one at a time.
+/// Queue of reads that wait for a core, and the reads in progress, at most one per core.
 #[derive(Default)]
 pub(super) struct ReadQueue {
     waiting: VecDeque<(f64, Sender<()>)>,
@@ -13,12 +13,12 @@
 }
 
 impl ReadQueue {
-    /// Queues a read of so much work; the sender is told when it is done.
+    /// Queues a read that costs `cost_ms` of work; `done` is signalled when it completes.
     pub(super) fn push(&mut self, cost_ms: f64, done: Sender<()>) {
         self.waiting.push_back((cost_ms, done));
     }
 
-    /// Starts the next read if a core is free for it; returns its number and its work.
+    /// Starts the next read if fewer than `cores` are in progress; returns its number and its work in milliseconds.
     pub(super) fn start_next(&mut self, cores: usize) -> Option<(u64, f64)> {
         if self.in_progress.len() >= cores {
             return None;
@@ -29,19 +29,19 @@
         Some((self.last_number, cost_ms))
     }
 
-    /// The read is done: tells whoever waits for it.
+    /// Completes a read and signals the task that waits for it.
     pub(super) fn complete(&mut self, number: u64) {
         if let Some(done) = self.in_progress.remove(&number) {
             let _ = done.try_send(());
         }
     }
 
-    /// Reads in progress.
+    /// Returns the number of reads in progress.
     pub(super) fn in_progress(&self) -> usize {
         self.in_progress.len()
     }
 
-    /// Forgets all reads, as the process that had them is gone.
+    /// Discards all reads when the backend's process is replaced.
     pub(super) fn clear(&mut self) {
         self.waiting.clear();
         self.in_progress.clear();
--- a/crates/plovershelf-testkit/src/agent/state.rs
+++ b/crates/plovershelf-testkit/src/agent/state.rs
@@ -1,4 +1,4 @@
-//! The agent's state: executions on the cores, and the commands of the backend that start and stop them.
+//! State of the agent: executions on the cores, and the backend's commands that start and stop them.
 //!
 //! | state of an execution | event | next |
 //! | --- | --- | --- |
@@ -21,37 +21,38 @@
 use crate::work::WorkSpec;
 use crate::Clock;
 
+/// Execution of one attempt.
 struct Execution {
     work: WorkSpec,
     calls_left: u32,
-    /// Work between two calls.
+    /// Work between two consecutive outbound calls, in milliseconds.
     segment_ms: f64,
     started_ms: f64,
     awaiting_call: bool,
 }
 
-/// What takes a core.
+/// Task that occupies a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CoreTask {
     Execution(AttemptId),
     Read(u64),
 }
 
-/// Wakes the tasks that drive the state.
+/// Channels that wake the tasks which drive the state.
 pub(super) struct Wakers {
-    /// Something has started on the cores.
+    /// Signals that tasks on the cores were added or removed.
     pub(super) cores_changed: Sender<()>,
-    /// Something waits to be written.
+    /// Signals that output is ready to be written.
     pub(super) output_ready: Sender<()>,
 }
 
-/// State of one backend's agent.
+/// State of the agent of one backend.
 pub(super) struct AgentState {
     pub(super) clock: Clock,
     pub(super) notices: NoticeLog,
-    /// Processes that have subscribed as new ones.
+    /// Number of processes that have subscribed as new ones.
     pub(super) processes: u32,
-    /// Connections so far; each replaces the one before.
+    /// Number of connections accepted so far; each replaces its predecessor.
     pub(super) connections: u64,
     config: CoresConfig,
     backend_index: usize,
@@ -60,7 +61,7 @@
     reads: ReadQueue,
     utilization: Utilization,
     executions: BTreeMap<AttemptId, Execution>,
-    /// Launches after it are counted.
+    /// Time after which launches are counted as late; infinite without a drain notice.
     drain_deadline_ms: f64,
     wakers: Wakers,
 }
@@ -90,14 +91,14 @@
         }
     }
 
-    /// A connection is accepted; returns its number.
+    /// Registers an accepted connection and returns its number.
     pub(super) fn connect(&mut self) -> u64 {
         self.notices.connect();
         self.connections += 1;
         self.connections
     }
 
-    /// Handles one command of the backend.
+    /// Handles one command from the backend.
     pub(super) fn handle_command(&mut self, line: &str, body: &[u8]) {
         self.advance();
         let now_ms = self.clock.now();
@@ -127,7 +128,7 @@
         let _ = self.wakers.cores_changed.try_send(());
     }
 
-    /// Lets executions and reads go on until now.
+    /// Advances executions and reads to the current time.
     pub(super) fn advance(&mut self) {
         let now_ms = self.clock.now();
         for task in self.cores.advance(now_ms) {
@@ -144,36 +145,36 @@
         }
     }
 
-    /// When a task on the cores is likely to complete.
+    /// Returns the predicted time of the next completion on the cores.
     pub(super) fn next_completion_ms(&self) -> Option<f64> {
         self.cores.next_completion_ms()
     }
 
-    /// Queues a read of so much work.
+    /// Queues a read that costs `cost_ms` of work; `done` is signalled when it completes.
     pub(super) fn queue_read(&mut self, cost_ms: f64, done: Sender<()>) {
         self.reads.push(cost_ms, done);
         self.advance();
         let _ = self.wakers.cores_changed.try_send(());
     }
 
-    /// Counts launches later than this span from now on.
+    /// Sets the drain deadline to `drain_ms` from now; later launches are counted.
     pub(super) fn start_drain(&mut self, drain_ms: f64) {
         self.drain_deadline_ms = self.clock.now() + drain_ms;
     }
 
-    /// Multiplies the cores' speed from now on.
+    /// Sets the factor by which the cores' speed is multiplied from now on.
     pub(super) fn set_speed_factor(&mut self, factor: f64) {
         self.advance();
         self.cores.speed_factor = factor;
     }
 
-    /// Executions on the cores, and how many the cores sustain.
+    /// Returns the number of executions on the cores and the number that the cores sustain.
     pub(super) fn concurrency(&mut self) -> (usize, f64) {
         self.advance();
         (self.executions_on_cores(), self.cores.sustained_concurrency(self.clock.now()))
     }
 
-    /// Does this execution await a call?
+    /// Returns whether the execution awaits the answer to an outbound call.
     pub(super) fn awaits_call(&self, id: &AttemptId) -> bool {
         self.executions.get(id).is_some_and(|execution| execution.awaiting_call)
     }
@@ -187,14 +188,14 @@
     }
 
     fn subscribe(&mut self, last_known: u64, now_ms: f64) {
-        // A process that knows no notice is a new one.
+        // Only a new process has received no notice yet.
         if last_known == 0 {
             self.start_process(now_ms);
         }
         self.notices.subscribe(last_known);
     }
 
-    /// What the process before had is gone.
+    /// Discards the state of the previous process.
     fn start_process(&mut self, now_ms: f64) {
         self.processes += 1;
         self.executions.clear();
@@ -207,7 +208,7 @@
         self.drain_deadline_ms = f64::INFINITY;
     }
 
-    /// Starts an execution; false where it is refused or known already.
+    /// Starts an execution; returns false if the launch is refused or the execution exists already.
     fn launch(&mut self, id: AttemptId, argument: &str, body: &[u8], now_ms: f64) -> bool {
         let Some(work) = WorkSpec::parse(body) else {
             self.effects.borrow_mut().unexpected_commands += 1;
@@ -232,7 +233,7 @@
         true
     }
 
-    /// A call's answer is delivered: the execution goes on.
+    /// Resumes an execution whose outbound call was answered.
     fn deliver(&mut self, id: AttemptId) {
         match self.executions.get_mut(&id).filter(|execution| execution.awaiting_call) {
             Some(execution) => {
@@ -243,7 +244,7 @@
         }
     }
 
-    /// The work up to the next call, or up to the end, is done.
+    /// Completes the work up to the next outbound call or, without one, the execution.
     fn finish_segment(&mut self, id: &AttemptId) {
         let Some(execution) = self.executions.get_mut(id) else { return };
         self.effects.borrow_mut().work_done_ms += execution.segment_ms;
@@ -261,7 +262,7 @@
         self.finish(id, "success", &work.result());
     }
 
-    /// Ends an execution and notifies the backend of its outcome.
+    /// Removes an execution and notifies the backend of its outcome.
     fn finish(&mut self, id: &AttemptId, outcome: &str, result: &[u8]) {
         let Some(execution) = self.executions.remove(id) else { return };
         let duration_ms = self.clock.now() - execution.started_ms;
--- a/crates/plovershelf-testkit/src/backend.rs
+++ b/crates/plovershelf-testkit/src/backend.rs
@@ -1,4 +1,4 @@
-//! A real backend as a server process, with its fake agent.
+//! Real backend that runs as a server process, with its fake agent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,81 +10,82 @@
 use crate::agent::Agent;
 use crate::path::NetworkPath;
 
-/// Why there is no server program to start.
+/// Error of locating the server program.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// The environment names a file that is not there.
+    /// The file that the environment variable names does not exist.
     #[error("PLOVERSHELF_SERVER: no file {}", .0.display())]
     NoSuchFile(PathBuf),
-    /// The path of this program is unknown.
+    /// The path of the running program could not be determined.
     #[error("the path of this program: {0}")]
     CurrentProgram(#[source] io::Error),
-    /// There is none beside this program.
+    /// No server program exists beside the running program.
     #[error("plovershelf-server is not built: `cargo build --release` builds it")]
     NotBuilt,
 }
 
-/// The server program: named by `PLOVERSHELF_SERVER`, or beside this program.
+/// Returns the path of the server program: the value of `PLOVERSHELF_SERVER`, or a file in the folder of the running
+/// program or in that folder's parent.
 pub fn server_program() -> Result<PathBuf, ProgramError> {
     if let Some(path) = std::env::var_os("PLOVERSHELF_SERVER") {
         let path = PathBuf::from(path);
         return if path.is_file() { Ok(path) } else { Err(ProgramError::NoSuchFile(path)) };
     }
-    let own = std::env::current_exe().map_err(ProgramError::CurrentProgram)?;
-    let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("plovershelf-server"));
-    beside.into_iter().find(|path| path.is_file()).ok_or(ProgramError::NotBuilt)
+    let current = std::env::current_exe().map_err(ProgramError::CurrentProgram)?;
+    let candidates = current.ancestors().skip(1).take(2).map(|folder| folder.join("plovershelf-server"));
+    candidates.into_iter().find(|path| path.is_file()).ok_or(ProgramError::NotBuilt)
 }
 
-/// The files of a backend that is a cluster's member.
+/// Files of a backend that is a member of a cluster.
 #[derive(Clone, Debug)]
 pub(crate) struct ClusterFiles {
-    /// The operator's file.
+    /// The operator's file of the consensus group.
     pub(crate) config: PathBuf,
-    /// While this file exists, the member's storage takes nothing.
+    /// Marker file; while it exists, writes to the member's storage fail.
     pub(crate) storage_full: PathBuf,
 }
 
-/// How a backend's process is started.
+/// Configuration of a backend's process.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessConfig {
     pub(crate) program: PathBuf,
-    /// The start-up configuration.
+    /// Path of the start-up configuration.
     pub(crate) config_file: PathBuf,
-    /// Where its log goes; nowhere without.
+    /// Path of the log; without it the log is discarded.
     pub(crate) log: Option<PathBuf>,
-    /// The operator's file of bulkheads.
+    /// Path of the operator's file of bulkheads.
     pub(crate) bulkheads: Option<PathBuf>,
     pub(crate) cluster: Option<ClusterFiles>,
-    /// The operator's file of configuration distribution.
+    /// Path of the operator's file of configuration distribution.
     pub(crate) config_distribution: Option<PathBuf>,
-    /// Offset of its wall clock.
+    /// Offset of the process's wall clock.
     pub(crate) clock_offset_ms: f64,
 }
 
-/// One backend, running or not.
+/// A backend, whose process may or may not run.
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// Where clients reach it.
+    /// Address on which the backend accepts clients.
     pub address: SocketAddr,
-    /// Its agent.
+    /// Agent of the backend.
     pub agent: Agent,
-    /// The path to its agent, where faults are played.
+    /// Network path from the backend to its agent, on which faults are injected.
     pub agent_path: Option<NetworkPath>,
-    /// Exits that nobody asked for, and failed ones.
+    /// Number of exits without a drain notice or with a status other than success.
     pub crashes: u32,
     config: ProcessConfig,
     child: Option<Child>,
-    /// It has got its drain notice.
+    /// Whether the current process has received its drain notice.
     draining: bool,
-    /// Faults in effect that hold it down.
+    /// Number of faults in effect that keep the process down.
     down_faults: u32,
-    /// A fault has paused it.
+    /// Whether a fault has paused the process.
     paused: bool,
 }
 
 impl Backend {
-    /// A backend that does not run yet.
+    /// Creates a backend without starting its process.
     pub(crate) fn new(
         name: String,
         address: SocketAddr,
@@ -108,7 +109,7 @@
 
     /// Starts the process.
     ///
-    /// Errors: as of opening its log and starting it.
+    /// Errors: opening the log or starting the process fails.
     pub fn start(&mut self) -> io::Result<()> {
         let config = &self.config;
         let mut command = Command::new(&config.program);
@@ -136,20 +137,22 @@
         Ok(())
     }
 
-    /// From its next start on it is a member by this operator's file; of no cluster without one.
+    /// Sets the operator's file of the consensus group that applies from the next start on; without one the backend belongs
+    /// to no cluster.
     pub fn set_cluster_file(&mut self, file: Option<PathBuf>) {
         let storage_full = self.config.config_file.with_extension("full");
         self.config.cluster = file.map(|config| ClusterFiles { config, storage_full });
     }
 
-    /// From its next start on it takes part in configuration distribution by this operator's file; not without one.
+    /// Sets the operator's file of configuration distribution that applies from the next start on; without one the backend
+    /// takes no part in it.
     pub fn set_config_distribution_file(&mut self, file: Option<PathBuf>) {
         self.config.config_distribution = file;
     }
 
-    /// Ends the process at once, without notice.
+    /// Kills the process without a drain notice and waits for its exit.
     ///
-    /// Errors: as of ending it.
+    /// Errors: killing the process or waiting for it fails.
     pub fn kill(&mut self) -> io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -158,21 +161,22 @@
         Ok(())
     }
 
-    /// Gives the drain notice.
+    /// Sends the drain notice (SIGTERM).
     pub fn start_drain(&mut self, drain_ms: f64) {
         self.draining = true;
         self.agent.start_drain(drain_ms);
         self.signal(Signal::TERM);
     }
 
-    /// Sends a signal, if it runs.
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Its exit status, once it has exited; an exit that nobody asked for counts as a crash.
+    /// Returns the exit status once the process has exited; an exit without a drain notice, or a failed one, counts as a
+    /// crash.
     pub fn poll_exit(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -180,12 +184,12 @@
         Some(status)
     }
 
-    /// The process's identifier, while it runs.
+    /// Returns the process identifier while the process runs.
     pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Its peak resident memory in kB, where the system tells.
+    /// Returns the peak resident memory in kB, if the system reports it.
     pub fn peak_memory_kb(&self) -> Option<u64> {
         let status = Path::new("/proc").join(self.process_id()?.to_string()).join("status");
         let status = std::fs::read_to_string(status).ok()?;
@@ -193,7 +197,7 @@
         line.trim().trim_end_matches(" kB").parse().ok()
     }
 
-    /// A fault kills it and holds it down; several may overlap.
+    /// Kills the process at the begin of a fault and keeps it down; such faults may overlap.
     pub(crate) fn hold_down(&mut self) {
         self.down_faults += 1;
         if std::mem::take(&mut self.paused) {
@@ -202,7 +206,8 @@
         let _ = self.kill();
     }
 
-    /// One fault that held it down is over; after the last one it starts again, with its clock off by so much.
+    /// Ends one fault that kept the process down; after the last such fault the process is restarted with the given offset
+    /// of its wall clock.
     pub(crate) fn release(&mut self, clock_offset_ms: f64) {
         self.down_faults = self.down_faults.saturating_sub(1);
         if self.down_faults == 0 {
@@ -211,7 +216,7 @@
         }
     }
 
-    /// A fault pauses it, unless another one holds it down.
+    /// Pauses the process at the begin of a fault, unless another fault keeps it down.
     pub(crate) fn pause(&mut self) {
         if self.down_faults == 0 {
             self.signal(Signal::STOP);
@@ -219,7 +224,7 @@
         }
     }
 
-    /// The fault that paused it is over.
+    /// Resumes the process at the end of the fault that paused it.
     pub(crate) fn resume(&mut self) {
         if self.down_faults == 0 {
             self.signal(Signal::CONT);
@@ -227,7 +232,7 @@
         }
     }
 
-    /// Starts again after a drain; a process that has not exited by now is killed and counts as a crash.
+    /// Restarts the process after a drain; a process that has not exited yet is killed and counts as a crash.
     pub(crate) fn restart_after_drain(&mut self) {
         if self.poll_exit().is_none() {
             self.crashes += 1;
--- a/crates/plovershelf-testkit/src/cluster.rs
+++ b/crates/plovershelf-testkit/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The network and the files of a cluster of backends: a path between each two members, and an operator's file and
-//! a storage folder for each.
+//! Network paths and files of a cluster of backends: a path between every two members, and an operator's file and a
+//! storage folder for each member.
 
 use std::collections::VecDeque;
 use std::io;
@@ -9,57 +9,58 @@
 use crate::path::NetworkPath;
 use crate::{free_address, Executor};
 
-/// Name of the log in a member's storage folder.
+/// Name of the log file in a member's storage folder.
 const LOG_FILE: &str = "group.log";
-/// Snapshots of a log that are kept, one a second: an outdated storage is the oldest of them.
+/// Number of snapshots retained of each log, taken once per second. A fault that sets the storage back restores the
+/// oldest one.
 const MAX_SNAPSHOTS: usize = 8;
 
-/// What a cluster is like.
+/// Configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Number of zones, which members belong to in turn.
+    /// Number of zones, assigned to the members in turn.
     pub zones: usize,
-    /// Number of the first voters.
+    /// Number of initial voters.
     pub founders: usize,
-    /// Do members store their state on disk?
+    /// Whether members store their state on disk.
     pub folders: bool,
-    /// Further lines of `[group]`, and further sections.
+    /// Additional lines of the section `[group]`, and additional sections.
     pub more: String,
 }
 
-/// One member's address and files.
+/// Address and files of one member.
 pub struct Member {
-    /// Where it listens for other members.
+    /// Address on which the member accepts other members.
     pub address: SocketAddr,
-    /// The operator's file.
+    /// Path of the operator's file.
     pub config_file: PathBuf,
-    /// Its storage folder.
+    /// Path of the storage folder, if the member stores its state on disk.
     pub storage: Option<PathBuf>,
-    /// While this file exists, the storage takes nothing.
+    /// Marker file; while it exists, writes to the storage fail.
     pub storage_full: PathBuf,
-    /// Offset of its wall clock from its next start on.
+    /// Offset of the member's wall clock that applies from the next start on.
     pub clock_offset_ms: f64,
-    /// Snapshots of its log, oldest first.
+    /// Snapshots of the log, oldest first; `None` where the log did not exist.
     snapshots: VecDeque<Option<Vec<u8>>>,
 }
 
-/// Members and the paths between them.
+/// Members of a cluster and the network paths between them.
 pub struct Cluster {
-    /// All members, in the backends' order.
+    /// All members, in the order of the backends.
     pub members: Vec<Member>,
-    /// `paths[a][b]` leads from a to b.
+    /// `paths[a][b]` leads from member a to member b.
     paths: Vec<Vec<Option<NetworkPath>>>,
 }
 
-/// The zone of a member.
+/// Returns the name of a member's zone.
 pub fn zone(member: usize, zones: usize) -> String {
     format!("z{}", member % zones.max(1) + 1)
 }
 
 impl Cluster {
-    /// Paths and files for so many members, none of which runs yet.
+    /// Creates the network paths and the files of the given number of members, without starting any of them.
     ///
-    /// Errors: as of binding listeners and writing files.
+    /// Errors: binding a listener or writing a file fails.
     pub fn start(
         executor: &Executor,
         folder: &Path,
@@ -84,29 +85,30 @@
         Ok(cluster)
     }
 
-    /// Takes a snapshot of each member's log; called each second.
+    /// Takes a snapshot of each member's log; called once per second.
     pub(crate) fn take_snapshots(&mut self) {
         self.members.iter_mut().for_each(Member::take_snapshot);
     }
 
-    /// The path from one member to another.
+    /// Returns the path from one member to another.
     pub(crate) fn path(&self, from: usize, to: usize) -> Option<&NetworkPath> {
         self.paths[from][to].as_ref()
     }
 
-    /// All paths, with the members that they lead from and to.
+    /// Returns all paths, each preceded by the indices of the members that it leads from and to.
     pub(crate) fn paths(&self) -> impl Iterator<Item = (usize, usize, &NetworkPath)> {
         self.paths.iter().enumerate().flat_map(|(from, row)| {
             row.iter().enumerate().filter_map(move |(to, path)| Some((from, to, path.as_ref()?)))
         })
     }
 
-    /// The text of a member's operator's file; it reaches the others by its own paths.
+    /// Returns the text of a member's operator's file, in which the other members have the addresses of the paths that
+    /// lead to them.
     fn member_config(&self, member: &Member, index: usize, config: &ClusterConfig) -> String {
-        let reached_at = |to: usize| self.path(index, to).map(|path| path.address);
+        let path_address = |to: usize| self.path(index, to).map(|path| path.address);
         let seeds: Vec<String> =
-            (0..config.founders).filter_map(reached_at).map(|address| address.to_string()).collect();
-        let voters: Vec<String> = (0..config.founders).map(|founder| format!("n{}", founder + 1)).collect();
+            (0..config.founders).filter_map(path_address).map(|address| address.to_string()).collect();
+        let voters: Vec<String> = (0..config.founders).map(|voter| format!("n{}", voter + 1)).collect();
         let mut text = format!(
             "[group]\nname = trial\nlisten = {}\nzone = {}\nregion = r{}\nseeds = {}\ncouncil = {}\n",
             member.address,
@@ -121,7 +123,7 @@
         text += &config.more;
         text += "\n[ways]\n";
         for to in 0..self.paths.len() {
-            if let Some(address) = reached_at(to) {
+            if let Some(address) = path_address(to) {
                 text += &format!("n{} = {address}\n", to + 1);
             }
         }
@@ -150,14 +152,14 @@
         }
     }
 
-    /// Removes its storage.
+    /// Removes the member's storage folder.
     pub(crate) fn wipe_storage(&self) {
         if let Some(storage) = &self.storage {
             let _ = std::fs::remove_dir_all(storage);
         }
     }
 
-    /// Sets its storage back to the oldest snapshot; without one it is removed.
+    /// Sets the member's storage back to the oldest snapshot; without one the storage folder is removed.
     pub(crate) fn restore_oldest_snapshot(&self) {
         let Some(storage) = &self.storage else { return };
         let _ = match self.snapshots.front().cloned().flatten() {
--- a/crates/plovershelf-testkit/src/cores/tests.rs
+++ b/crates/plovershelf-testkit/src/cores/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn overload_lowers_throughput_and_slow_start_lowers_speed() {
-    let done = |count: u32, config: CoresConfig| {
+    let completion_ms = |count: u32, config: CoresConfig| {
         let mut cores = Cores::new(config, 0.0);
         (0..count).for_each(|key| cores.start(key, 10.0));
         let mut now = 0.0;
@@ -15,11 +15,11 @@
         }
         now
     };
-    assert!((done(2, WARM) - 10.0).abs() < 1.0);
-    assert!((done(8, WARM) - 40.0).abs() < 1.0);
-    assert!((done(16, WARM) - 160.0).abs() < 1.0);
+    assert!((completion_ms(2, WARM) - 10.0).abs() < 1.0);
+    assert!((completion_ms(8, WARM) - 40.0).abs() < 1.0);
+    assert!((completion_ms(16, WARM) - 160.0).abs() < 1.0);
     let cold = CoresConfig { initial_speed: 0.5, slow_start_ms: 1e9, ..WARM };
-    assert!((done(2, cold) - 20.0).abs() < 1.0);
+    assert!((completion_ms(2, cold) - 20.0).abs() < 1.0);
 }
 
 #[test]
--- a/crates/plovershelf-testkit/src/framing.rs
+++ b/crates/plovershelf-testkit/src/framing.rs
@@ -1,11 +1,11 @@
-//! Framing of the line protocols that agent and dependency speak: a line, and a body where its command has one.
+//! Framing of the line protocols of the agent and the dependency: a line, followed by a body for some commands.
 
-/// The first complete command with its body, and the length of both in bytes.
+/// Decodes the first complete command; returns its line, its body and the encoded length of both in bytes.
 pub(crate) fn decode_command(bytes: &[u8]) -> Option<(String, Vec<u8>, usize)> {
     let end = bytes.windows(2).position(|pair| pair == b"\r\n")?;
     let line = String::from_utf8_lossy(&bytes[..end]).into_owned();
-    let with_body = ["launch ", "deliver ", "OP "].iter().any(|begin| line.starts_with(begin));
-    if !with_body {
+    let has_body = ["launch ", "deliver ", "OP "].iter().any(|prefix| line.starts_with(prefix));
+    if !has_body {
         return Some((line, Vec::new(), end + 2));
     }
     let length: usize = line.rsplit(' ').next()?.parse().ok()?;
