--- a/crates/plovershelf-testkit/src/basic_client.rs
+++ b/crates/plovershelf-testkit/src/basic_client.rs
@@ -1,5 +1,5 @@
-//! A client without the client library, to compare with: endpoints in turn, up to three attempts with a third of
-//! the time for each, no deadline sent, no backpressure signal heeded, and no backoff before it reconnects.
+//! Baseline client that does not use the client library: it takes endpoints in turn and makes up to three attempts with
+//! a third of the time each. It sends no deadline, ignores backpressure signals and reconnects without backoff.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,48 +15,48 @@
 
 use crate::Executor;
 
-/// Attempts of one call at most.
+/// Maximum number of attempts per call.
 const MAX_ATTEMPTS: u32 = 3;
-/// Longest frame that it reads.
+/// Longest frame that the client decodes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded with this result.
+    /// The request succeeded with this result.
     Succeeded(Vec<u8>),
-    /// The backend rejected it.
+    /// The backend rejected the request.
     Rejected,
-    /// The backend reports that it failed.
+    /// The backend reported that the request failed.
     Failed,
-    /// No usable response came.
+    /// No usable response arrived.
     NoResponse,
 }
 
-/// What a call asks for.
+/// Parameters of a call.
 pub struct Call<'a> {
-    /// The request class.
+    /// Request class.
     pub class: &'a str,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// Rank by which the backend sheds load, from 0 to 1.
+    /// Shedding rank of the request, from 0 to 1.
     pub rank: f64,
-    /// The idempotency key, where the class wants one.
+    /// Idempotency key, if the class requires one.
     pub idempotency_key: Option<&'a str>,
-    /// May it run more than once?
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The request's body.
+    /// Body of the request.
     pub body: &'a [u8],
-    /// Time for all attempts.
+    /// Timeout of all attempts together.
     pub timeout: Duration,
 }
 
-/// Responses that are waited for, by sequence number.
+/// Senders that await a response, by sequence number.
 type Pending = Rc<RefCell<HashMap<i32, Sender<Outcome>>>>;
 
-/// One connection: where frames go, and who waits for responses on it.
+/// Connection to one endpoint: the queue of frames to write and the pending responses.
 #[derive(Clone)]
 struct Connection {
     frames: Sender<Vec<u8>>,
@@ -64,7 +64,7 @@
     last_seqid: Rc<Cell<i32>>,
 }
 
-/// A client with its connections; clones share them.
+/// Baseline client with its connections, which clones share.
 #[derive(Clone)]
 pub struct BasicClient {
     executor: Executor,
@@ -76,7 +76,7 @@
 }
 
 impl BasicClient {
-    /// A client that begins at the endpoint of its number.
+    /// Creates a client whose first call goes to the endpoint with index `number` modulo the number of endpoints.
     pub fn new(executor: &Executor, endpoints: &[SocketAddr], number: u32) -> Self {
         BasicClient {
             executor: executor.clone(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Calls with retries; returns the last attempt's outcome.
+    /// Makes a call with retries and returns the outcome of the last attempt.
     pub async fn call(&self, call: &Call<'_>) -> Outcome {
         let attempt_timeout = call.timeout / MAX_ATTEMPTS;
         let mut last = Outcome::NoResponse;
@@ -101,7 +101,7 @@
                 Outcome::NoResponse
             };
             last = future::or(self.attempt(endpoint, call), timeout).await;
-            // What may run once only is retried where it was rejected before it ran.
+            // A request that may run only once is retried only if it was rejected before it ran.
             let retriable = call.idempotent || last == Outcome::Rejected;
             if matches!(last, Outcome::Succeeded(_)) || !retriable {
                 return last;
@@ -110,7 +110,7 @@
         last
     }
 
-    /// One attempt at one endpoint.
+    /// Makes one attempt at one endpoint.
     pub async fn attempt(&self, endpoint: SocketAddr, call: &Call<'_>) -> Outcome {
         let Some(connection) = self.connection(endpoint).await else { return Outcome::NoResponse };
         let seqid = connection.last_seqid.get() + 1;
@@ -125,12 +125,12 @@
         outcome.recv().await.unwrap_or(Outcome::NoResponse)
     }
 
-    /// The open connection to an endpoint, or a new one.
+    /// Returns the open connection to an endpoint, or a new one.
     async fn connection(&self, endpoint: SocketAddr) -> Option<Connection> {
         let open = |connection: &&Connection| !connection.frames.is_closed();
-        let known = self.connections.borrow().get(&endpoint).filter(open).cloned();
-        if known.is_some() {
-            return known;
+        let existing = self.connections.borrow().get(&endpoint).filter(open).cloned();
+        if existing.is_some() {
+            return existing;
         }
         let stream = Async::<TcpStream>::connect(endpoint).await.ok()?;
         let _ = stream.get_ref().set_nodelay(true);
@@ -164,7 +164,7 @@
     }
 }
 
-/// Drives a connection until its end; responses that are still waited for then never come.
+/// Drives a connection until it ends; pending responses are then dropped.
 async fn serve(stream: Async<TcpStream>, frames: Receiver<Vec<u8>>, pending: Pending) {
     let write = async {
         while let Ok(frame) = frames.recv().await {
@@ -186,14 +186,14 @@
             break;
         }
         bytes.extend_from_slice(&chunk[..count]);
-        let mut used = 0;
-        while let Ok(Some((frame, length))) = decode_first(&bytes[used..], MAX_FRAME_BYTES) {
+        let mut consumed = 0;
+        while let Ok(Some((frame, length))) = decode_first(&bytes[consumed..], MAX_FRAME_BYTES) {
             let (seqid, outcome) = match decode_response(frame) {
                 Ok(Response::Succeeded { seqid, result, .. }) => (seqid, Outcome::Succeeded(result.to_vec())),
                 Ok(Response::Rejected { seqid, .. }) => (seqid, Outcome::Rejected),
                 Ok(Response::Failed { seqid, .. }) => (seqid, Outcome::Failed),
                 Ok(Response::Exception { seqid, .. }) => (seqid, Outcome::NoResponse),
-                // No new request goes to a backend that closes.
+                // No new request is sent on a connection that the backend closes.
                 Ok(Response::Closing) => {
                     frames.close();
                     (0, Outcome::NoResponse)
@@ -202,9 +202,9 @@
             };
             let waiting = pending.borrow_mut().remove(&seqid);
             waiting.into_iter().for_each(|sender| drop(sender.try_send(outcome.clone())));
-            used += length;
+            consumed += length;
         }
-        bytes.drain(..used);
+        bytes.drain(..consumed);
         if frames.is_closed() && pending.borrow().is_empty() {
             break;
         }
--- a/crates/plovershelf-testkit/src/dependency.rs
+++ b/crates/plovershelf-testkit/src/dependency.rs
@@ -1,5 +1,5 @@
-//! The dependency that all backends share: a number of slots, slower the more calls it has in flight, and down
-//! for a while once they exceed what it sustains.
+//! Fake dependency that all backends share. Calls slow down once more of them are in flight than the dependency has
+//! slots, and an outage begins once they exceed a limit.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 use crate::framing::decode_command;
 use crate::{Clock, Executor};
 
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Capacity of the dependency.
@@ -23,25 +23,26 @@
 pub struct DependencyConfig {
     /// Duration of a call while no more calls than slots are in flight.
     pub call_ms: f64,
-    /// Calls that it serves without slowing down.
+    /// Number of concurrent calls that the dependency serves without slowing down.
     pub slots: usize,
-    /// Calls in flight beyond which it goes down.
+    /// Number of calls in flight beyond which an outage begins.
     pub max_in_flight: usize,
-    /// How long an outage lasts.
+    /// Duration of an outage.
     pub outage_ms: f64,
 }
 
+/// State shared by all connections of the dependency.
 struct State {
     in_flight: usize,
     down_until_ms: f64,
-    /// Multiplies the duration of calls.
+    /// Factor by which the duration of calls is multiplied.
     latency_factor: f64,
 }
 
-/// A running dependency; clones are handles on the same one.
+/// Handle on a running dependency; clones refer to the same dependency.
 #[derive(Clone)]
 pub struct Dependency {
-    /// Where it listens.
+    /// Address on which the dependency accepts connections.
     pub address: SocketAddr,
     state: Rc<RefCell<State>>,
 }
@@ -49,7 +50,7 @@
 impl Dependency {
     /// Starts a dependency.
     ///
-    /// Errors: as of binding a listener.
+    /// Errors: binding the listener fails.
     pub fn start(
         executor: &Executor,
         clock: Clock,
@@ -65,12 +66,12 @@
         Ok(Dependency { address, state })
     }
 
-    /// Calls in flight now.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.state.borrow().in_flight
     }
 
-    /// Multiplies the duration of calls that begin from now on.
+    /// Sets the factor by which the duration of calls that begin from now on is multiplied.
     pub fn set_latency_factor(&self, factor: f64) {
         self.state.borrow_mut().latency_factor = factor;
     }
@@ -78,7 +79,7 @@
 
 async fn accept(listener: Async<TcpListener>, connection: Connection) {
     while let Ok((stream, _)) = listener.accept().await {
-        // During an outage a connection is closed at once.
+        // During an outage, new connections are closed at once.
         if connection.clock.now() < connection.state.borrow().down_until_ms {
             continue;
         }
@@ -87,7 +88,7 @@
     }
 }
 
-/// What a connection's tasks share.
+/// State shared by the tasks of a connection.
 #[derive(Clone)]
 struct Connection {
     clock: Clock,
@@ -97,7 +98,7 @@
     executor: Executor,
 }
 
-/// A call's slot; dropping it frees the slot, also where the call is cancelled.
+/// Slot occupied by a call; dropping it frees the slot, also when the call is cancelled.
 struct Slot(Rc<RefCell<State>>);
 
 impl Drop for Slot {
@@ -127,9 +128,9 @@
                 break;
             }
             bytes.extend_from_slice(&chunk[..count]);
-            let mut used = 0;
-            while let Some((line, body, length)) = decode_command(&bytes[used..]) {
-                used += length;
+            let mut consumed = 0;
+            while let Some((line, body, length)) = decode_command(&bytes[consumed..]) {
+                consumed += length;
                 let words: Vec<&str> = line.split(' ').collect();
                 match words[..] {
                     ["OP", id, ..] => {
@@ -141,11 +142,11 @@
                 }
                 calls.retain(|_, call| !call.is_finished());
             }
-            bytes.drain(..used);
+            bytes.drain(..consumed);
         }
     }
 
-    /// Admits a call; returns how long it takes, or `None` during an outage.
+    /// Admits a call and returns its duration in milliseconds, or `None` during an outage.
     fn admit(&self, now_ms: f64) -> Option<f64> {
         let (mut state, mut effects) = (self.state.borrow_mut(), self.effects.borrow_mut());
         effects.calls += 1;
--- a/crates/plovershelf-testkit/src/effects.rs
+++ b/crates/plovershelf-testkit/src/effects.rs
@@ -1,4 +1,4 @@
-//! The ledger of effects: what the test peers observed, by which a trial judges.
+//! Ledger of effects: observations of the test peers, by which a trial evaluates backends.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,47 +8,47 @@
 
 use crate::work::{Idempotency, WorkSpec};
 
-/// One process: its backend's index, and how often that backend was started.
+/// Identifies a process by the index of its backend and the number of processes that the backend has had so far.
 pub type ProcessId = (usize, u32);
 
-/// Executions of one request in one process.
+/// Number of executions of one request in one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Executions {
     started: u32,
     succeeded: u32,
 }
 
-/// Observations of all peers of a trial.
+/// Observations of all test peers of a trial.
 #[derive(Debug, Default)]
 pub struct EffectLedger {
-    /// Executions of each request, by the process that had them.
+    /// Executions by request number and process.
     executions: BTreeMap<(u64, ProcessId), Executions>,
     idempotency: BTreeMap<u64, Idempotency>,
-    /// Times at which each attempt was launched, by the trial's clock.
+    /// Times of each attempt's launches, by the trial's clock.
     pub launched: BTreeMap<AttemptId, Vec<f64>>,
-    /// Launches after a backend's drain deadline.
+    /// Number of launches after a backend's drain deadline.
     pub launched_after_drain: u64,
-    /// Commands that no backend should send.
+    /// Number of commands that violate a protocol.
     pub unexpected_commands: u64,
-    /// Highest concurrency of a backend, as a fraction of the concurrency that it sustains.
+    /// Highest concurrency of any backend, as a fraction of the concurrency that its cores sustain.
     pub peak_overload: f64,
-    /// Processor time spent, in milliseconds.
+    /// Work done on the cores of all backends, in milliseconds of processor time.
     pub work_done_ms: f64,
-    /// Duration of each request's last execution by the agent's clock.
+    /// Duration of each request's last execution in milliseconds, by request number.
     pub execution_ms: BTreeMap<u64, f64>,
-    /// Times that the dependency went down.
+    /// Number of outages of the dependency.
     pub dependency_outages: u64,
-    /// Most calls in flight at the dependency.
+    /// Highest number of calls in flight at the dependency.
     pub peak_dependency_calls: usize,
-    /// Calls that reached the dependency.
+    /// Number of calls that reached the dependency.
     pub calls: u64,
 }
 
-/// The ledger as all peers hold it.
+/// Ledger shared by all test peers of a trial.
 pub type SharedLedger = Rc<RefCell<EffectLedger>>;
 
 impl EffectLedger {
-    /// An empty ledger to hand to the peers.
+    /// Creates an empty ledger to share among the test peers.
     pub fn shared() -> SharedLedger {
         Rc::default()
     }
@@ -64,8 +64,8 @@
         self.executions.entry((number, process)).or_default().succeeded += 1;
     }
 
-    /// Requests that may take effect once and were executed more often: keyed ones within one process,
-    /// non-idempotent ones anywhere.
+    /// Returns the requests that may take effect only once and were executed more often: keyed requests more than once
+    /// within one process, non-idempotent requests more than once in all processes together.
     pub fn repeated_executions(&self) -> Vec<u64> {
         let mut non_idempotent: BTreeMap<u64, u32> = BTreeMap::new();
         let mut repeated = Vec::new();
@@ -83,7 +83,7 @@
         repeated
     }
 
-    /// Keyed requests that were launched more than once, in whichever process.
+    /// Returns the keyed requests that were launched more than once in all processes together.
     pub fn repeated_keyed_launches(&self) -> Vec<u64> {
         let mut launches: BTreeMap<u64, u32> = BTreeMap::new();
         for ((number, _), executions) in &self.executions {
@@ -94,20 +94,20 @@
         launches.into_iter().filter(|(_, started)| *started > 1).map(|(number, _)| number).collect()
     }
 
-    /// All launches of keyed requests, with the process that had them.
+    /// Returns every launch of a keyed request as request number and process.
     pub fn keyed_launches(&self) -> impl Iterator<Item = (u64, ProcessId)> + '_ {
         let keyed = |number: &u64| self.idempotency.get(number) == Some(&Idempotency::Keyed);
         let executions = self.executions.iter().filter(move |((number, _), _)| keyed(number));
         executions.flat_map(|(key, executions)| std::iter::repeat_n(*key, executions.started as usize))
     }
 
-    /// Has any execution of the request succeeded?
+    /// Returns whether any execution of the request has succeeded.
     pub fn succeeded(&self, number: u64) -> bool {
         let processes = (number, (0, 0))..=(number, (usize::MAX, u32::MAX));
         self.executions.range(processes).any(|(_, executions)| executions.succeeded > 0)
     }
 
-    /// Executions started in all.
+    /// Returns the number of executions started, of all requests together.
     pub fn executions(&self) -> u64 {
         self.executions.values().map(|executions| u64::from(executions.started)).sum()
     }
--- a/crates/plovershelf-testkit/src/effects/tests.rs
+++ b/crates/plovershelf-testkit/src/effects/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn repeated_executions_are_judged_by_idempotency() {
+fn repeated_executions_are_reported_by_idempotency() {
     let mut effects = EffectLedger::default();
     let run = |effects: &mut EffectLedger, number, idempotency, process| {
         effects.record_start(&WorkSpec { number, work_ms: 1.0, outbound_calls: 0, idempotency }, process);
--- a/crates/plovershelf-testkit/src/fault_injection.rs
+++ b/crates/plovershelf-testkit/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Fault injection: plays a schedule of faults on a fleet of real backends.
+//! Fault injection: applies a schedule of faults to a fleet of real backends.
 
 use std::cell::RefCell;
 
@@ -10,28 +10,28 @@
 use crate::path::NetworkPath;
 use crate::Clock;
 
-/// Time between two snapshots of the members' storage.
+/// Interval between snapshots of the members' storage.
 const SNAPSHOT_INTERVAL_MS: f64 = 1000.0;
 
-/// A fault's begin or end as it was applied, for the history and for who counts as healthy.
+/// Begin or end of a fault as it was applied; trials use it for the history and to determine which members are healthy.
 #[derive(Clone, Debug)]
 pub struct AppliedFault {
-    /// When it was applied, by the trial's clock.
+    /// Time of application, by the trial's clock.
     pub at_ms: f64,
-    /// Whether the fault began or ended.
+    /// Whether the fault begins or ends.
     pub phase: FaultPhase,
-    /// Index of the schedule's step.
+    /// Index of the step in the schedule.
     pub step: usize,
 }
 
 impl AppliedFault {
-    /// Did the fault begin?
+    /// Returns whether the fault begins.
     pub fn begins(&self) -> bool {
         self.phase == FaultPhase::Begins
     }
 }
 
-/// Plays a schedule on a fleet; returns when the last fault is over.
+/// Applies a schedule to a fleet; returns when the last fault has ended.
 pub async fn play(
     fleet: &RefCell<Fleet>,
     clock: Clock,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Begins and ends of all faults, in the order of time.
+/// Returns the begins and ends of all faults in chronological order, as time, phase and index of the step.
 fn events(schedule: &Schedule, started_ms: f64) -> Vec<(f64, FaultPhase, usize)> {
     let mut events = Vec::new();
     for (index, step) in schedule.steps.iter().enumerate() {
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// A fault begins or ends. Without a cluster, what concerns only that does nothing.
+    /// Applies the begin or the end of a fault. Without a cluster, faults that affect only a cluster have no effect.
     pub fn apply_fault(&mut self, fault: &Fault, phase: FaultPhase, members: usize) {
         let begins = phase == FaultPhase::Begins;
         match fault {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Kills a backend and holds it down until the fault's end, with its storage kept, lost or set back.
+    /// Kills a backend at the begin of the fault, with its storage kept, removed or set back, and restarts it at the end.
     fn apply_kill(&mut self, index: usize, phase: FaultPhase, storage: Folder) {
         let backend = &mut self.backends[index];
         let member = self.cluster.as_ref().map(|cluster| &cluster.members[index]);
@@ -119,7 +119,7 @@
 }
 
 impl Cluster {
-    /// A fault of the network, a storage or a clock begins or ends.
+    /// Applies the begin or the end of a fault of the network, a storage or a clock.
     fn apply_fault(&mut self, fault: &Fault, begins: bool) {
         match fault {
             Fault::Cut { these, those, one_way } => {
@@ -157,6 +157,7 @@
     }
 }
 
+/// Adds a partition to the path if `begins`, and removes one otherwise.
 fn set_partition(path: Option<&NetworkPath>, begins: bool) {
     match path {
         Some(path) if begins => path.partition(),
--- a/crates/plovershelf-testkit/src/fleet.rs
+++ b/crates/plovershelf-testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A set of real backends, with an agent each, and a dependency and a registry for all of them.
+//! Fleet: a set of real backends with one agent each, and a dependency and a registry that all of them share.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,55 +18,55 @@
 use crate::registry::Registry;
 use crate::{free_address, Clock, Executor};
 
-/// Seed of the first backend; each next one's is one more.
+/// Seed of the first backend; the seed of backend `i` is greater by `i`.
 const FIRST_SEED: u64 = 0x8c1f_30d2_7a5b_e964;
-/// Seed of what the path to the dependency loses.
+/// Seed that decides which reads the path to the dependency loses.
 const DEPENDENCY_PATH_SEED: u64 = 0x0dec;
-/// How often [`Fleet::up`] looks.
+/// Interval at which [`Fleet::up`] checks the backends.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a fleet consists of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The server program.
+    /// Path of the server program.
     pub program: PathBuf,
     /// Number of backends.
     pub backends: usize,
-    /// Cores of each agent.
+    /// Capacity of the cores of each agent.
     pub cores: CoresConfig,
     /// Capacity of the dependency.
     pub dependency: DependencyConfig,
-    /// The object under `settings` of the start-up configuration.
+    /// Value of `settings` in the start-up configuration.
     pub settings: Value,
-    /// Memory limit of each backend.
+    /// Memory limit of each backend, in megabytes.
     pub memory_mb: f64,
-    /// Limit of sockets of each backend.
+    /// Maximum number of sockets of each backend.
     pub sockets: u32,
     /// Time from the drain notice to the end of the process.
     pub stop_ms: f64,
-    /// Folder of the logs, one a backend by its name; none without.
+    /// Folder of the logs, with one file per backend, named after it; without it the logs are discarded.
     pub logs: Option<PathBuf>,
-    /// The operator's file of bulkheads.
+    /// Path of the operator's file of bulkheads.
     pub pools: Option<PathBuf>,
-    /// A cluster of all backends, with a path between each two and one before each agent.
+    /// Configuration of a cluster of all backends, with a network path between every two of them and one to each agent.
     pub cluster: Option<ClusterConfig>,
-    /// A path before each agent and one before the dependency, where faults are played.
+    /// Whether the fleet has a network path to each agent and one to the dependency, on which faults are injected.
     pub peer_paths: bool,
 }
 
-/// A running fleet; its processes and files go with it.
+/// Running fleet; dropping it kills its processes and removes its files.
 pub struct Fleet {
     /// All backends.
     pub backends: Vec<Backend>,
-    /// The dependency of all.
+    /// Dependency that all backends share.
     pub dependency: Dependency,
-    /// What agents and dependency observed.
+    /// Effects observed by the agents and the dependency.
     pub effects: SharedLedger,
-    /// The registry of all.
+    /// Registry that all backends share.
     pub registry: Registry,
-    /// The path to the dependency, where faults are played.
+    /// Network path to the dependency, on which faults are injected.
     pub dependency_path: Option<NetworkPath>,
-    /// The cluster's paths and files, where there is one.
+    /// Network paths and files of the cluster, if the backends form one.
     pub cluster: Option<Cluster>,
     pub(crate) stop_ms: f64,
     folder: PathBuf,
@@ -75,7 +75,7 @@
 impl Fleet {
     /// Starts the peers and all backends.
     ///
-    /// Errors: as of binding listeners, writing files and starting processes.
+    /// Errors: binding a listener, writing a file or starting a process fails.
     pub fn start(executor: &Executor, clock: Clock, config: &FleetConfig) -> io::Result<Self> {
         let effects = EffectLedger::shared();
         let dependency = Dependency::start(executor, clock, config.dependency, effects.clone())?;
@@ -98,17 +98,17 @@
         Ok(fleet)
     }
 
-    /// Where clients reach the backends.
+    /// Returns the addresses on which the backends accept clients.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.backends.iter().map(|backend| backend.address).collect()
     }
 
-    /// Waits until all backends accept connections and have subscribed at their agents; false on a timeout.
+    /// Waits until all backends accept connections and have subscribed to their agents; returns false on a timeout.
     pub async fn up(&self, clock: Clock, timeout_ms: f64) -> bool {
         let deadline_ms = clock.now() + timeout_ms;
         while clock.now() < deadline_ms {
-            let listens = |backend: &Backend| std::net::TcpStream::connect(backend.address).is_ok();
-            if self.backends.iter().all(|backend| backend.agent.processes() > 0 && listens(backend)) {
+            let accepts = |backend: &Backend| std::net::TcpStream::connect(backend.address).is_ok();
+            if self.backends.iter().all(|backend| backend.agent.processes() > 0 && accepts(backend)) {
                 return true;
             }
             Timer::after(POLL_INTERVAL).await;
@@ -165,7 +165,7 @@
     }
 }
 
-/// A folder of this fleet's own.
+/// Creates a temporary folder for one fleet.
 fn create_folder() -> io::Result<PathBuf> {
     let nanos = std::time::SystemTime::UNIX_EPOCH.elapsed().map_or(0, |since| since.as_nanos());
     let name = format!("plovershelf-trial-{}-{nanos}", std::process::id());
--- a/crates/plovershelf-testkit/src/lib.rs
+++ b/crates/plovershelf-testkit/src/lib.rs
@@ -1,13 +1,14 @@
-//! Test peers on loopback for everything that a backend talks to, written from the protocols, with fault injection and
-//! a ledger of effects by which trials judge: never by what the backend reports of itself. All run on one thread's
-//! executor.
+//! Test peers on loopback for everything that a backend communicates with, implemented from the protocols, with fault
+//! injection and a ledger of observed effects. Trials evaluate a backend by this ledger and never by what the backend
+//! reports of itself. All peers run on the executor of one thread.
 //!
-//! - Peers: [`agent`] (executes requests on modelled [`cores`]), [`dependency`], [`registry`], [`basic_client`], [`recording_client`],
-//!   [`scripted`] (played message by message by a test), [`origin_servers`] of configuration distribution.
-//! - Judging: [`work`] (what a request asks for), [`effects`] (what was done), [`tap`] (what passed on the wire).
-//! - Real processes: [`backend`] (one), [`fleet`] (several with their peers), [`cluster`] (paths and files of a cluster
-//!   of them).
-//! - Faults: [`path`] (a network path with faults), [`fault_injection`] (a schedule of faults on a fleet).
+//! - Peers: [`agent`] (executes requests on modelled [`cores`]), [`dependency`], [`registry`], [`basic_client`],
+//!   [`recording_client`], [`scripted`] (driven message by message by a test), [`origin_servers`] of configuration
+//!   distribution.
+//! - Evaluation: [`work`] (work that a request asks for), [`effects`] (ledger of effects), [`tap`] (traffic counters).
+//! - Real processes: [`backend`] (one backend), [`fleet`] (several backends with their peers), [`cluster`] (network paths
+//!   and files of a cluster of backends).
+//! - Faults: [`path`] (network path with faults), [`fault_injection`] (schedule of faults on a fleet).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -34,16 +35,16 @@
 
 /// First port that [`free_address`] returns.
 const FIRST_PORT: u16 = 10_000;
-/// Number of ports that it returns before it begins again.
+/// Number of ports that [`free_address`] returns before it starts again at [`FIRST_PORT`].
 const PORTS: u16 = 50_000;
 
-/// An address on loopback to listen on later.
+/// Returns an address on loopback to listen on later.
 ///
-/// Its host number is this process's own, from which no connection is ever made, and no port is returned twice, so that
-/// no other socket takes it. It is not bound to try it out: a process that is being started in that moment would inherit
-/// the socket and hold it for a while.
+/// The host part is derived from this process's identifier, no outgoing connection uses that host, and no port is
+/// returned twice before all [`PORTS`] have been, so that no other socket takes the address. The function does not
+/// bind the address to test it: a process started at that moment would inherit the socket and occupy the port.
 ///
-/// Errors: none here; callers bind it.
+/// Errors: none; the result type suits callers, which bind the address.
 pub fn free_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let process = std::process::id();
@@ -52,25 +53,25 @@
     Ok((host, port).into())
 }
 
-/// The executor that all peers of a trial run on.
+/// Executor that all peers of a trial run on.
 pub type Executor = Rc<async_executor::LocalExecutor<'static>>;
 
-/// One clock for all of a trial, in milliseconds since it began.
+/// Clock shared by all parts of a trial, in milliseconds since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// Milliseconds since it began.
+    /// Returns the milliseconds since the start of the clock.
     pub fn now(&self) -> f64 {
         self.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time of this clock.
+    /// Converts a time of this clock to an instant.
     pub fn at(&self, ms: f64) -> Instant {
         self.0 + Duration::from_secs_f64(ms.max(0.0) / 1000.0)
     }
--- a/crates/plovershelf-testkit/src/origin_servers.rs
+++ b/crates/plovershelf-testkit/src/origin_servers.rs
@@ -1,5 +1,5 @@
-//! Files and addresses of configuration distribution's origin servers, for those that start them as processes, and
-//! an exchange of bytes with any process that takes part. The messages are the caller's.
+//! Files and addresses of the origin servers of configuration distribution, for tests that start them as processes, and
+//! a request-response exchange of bytes with any participating process. The caller encodes and decodes the messages.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,27 +8,27 @@
 use crate::free_address;
 use crate::scripted::READ_TIMEOUT;
 
-/// Origin servers: members of one consensus group that serve the configuration.
+/// Origin servers: the members of one consensus group, which serve the configuration.
 #[derive(Clone, Debug)]
 pub struct OriginServers {
-    /// Their operator's files; the file's stem is the name.
+    /// Operator's files of the servers; the stem of a file name is the name of the server.
     pub files: Vec<PathBuf>,
-    /// Where they serve the configuration.
+    /// Addresses on which the servers serve the configuration.
     pub addresses: Vec<SocketAddr>,
 }
 
 /// Number of origin servers.
 pub const ORIGIN_SERVERS: usize = 3;
 
-/// Addresses as an INI file lists them.
+/// Formats addresses as a list in an INI file.
 pub fn address_list(addresses: &[SocketAddr]) -> String {
     addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>().join(", ")
 }
 
 impl OriginServers {
-    /// Writes their files, and the tenants that the first version of the configuration has.
+    /// Writes the operator's files and the file of the tenants in the first version of the configuration.
     ///
-    /// Errors: as of writing files.
+    /// Errors: creating the folder or writing a file fails.
     pub fn write(folder: &Path, group: &str, tenants: &str) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let free_addresses = || (0..ORIGIN_SERVERS).map(|_| free_address()).collect::<io::Result<Vec<_>>>();
@@ -56,8 +56,8 @@
     }
 }
 
-/// Sends bytes on a connection of its own and reads until `decode` finds a response; `None` where the connection ends or
-/// nothing comes within [`READ_TIMEOUT`].
+/// Sends a request on a new connection and reads until `decode` returns a response; returns `None` if the connection
+/// fails or ends, or if a read takes longer than [`READ_TIMEOUT`].
 pub fn exchange<T>(address: SocketAddr, request: &[u8], decode: impl Fn(&[u8]) -> Option<T>) -> Option<T> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
--- a/crates/plovershelf-testkit/src/path.rs
+++ b/crates/plovershelf-testkit/src/path.rs
@@ -1,5 +1,5 @@
-//! A network path between two processes: a relay on loopback that can be partitioned, slowed, made lossy, or made
-//! to reset connections in the middle of a message.
+//! Network path between two processes: a relay on loopback on which partitions, latency, loss and connection resets in
+//! the middle of a message can be injected.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,43 +14,43 @@
 
 use crate::{free_address, Executor};
 
-/// How long a TCP stream takes to retransmit what was lost.
+/// Time that a TCP stream takes to retransmit lost data.
 const RETRANSMIT_MS: f64 = 200.0;
-/// How often a partitioned or refusing path looks whether that has changed.
+/// Interval at which a path checks whether a partition has healed or refusal has begun.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Faults in effect on a path.
+/// Faults in effect on a network path.
 #[derive(Clone, Debug, Default)]
 pub struct PathFaults {
-    /// Partitions in effect, as several faults may overlap; nothing passes while there is one.
+    /// Number of partitions in effect, as several faults may overlap; nothing is forwarded while there is any.
     pub partitions: u32,
-    /// Connections are refused and open ones end, as if the other process were gone.
+    /// Whether new connections are closed and open ones ended, as if the other process had exited.
     pub refuses: bool,
-    /// Added latency.
+    /// Latency added to each read.
     pub delay_ms: f64,
-    /// Fraction of reads that are lost and arrive after the retransmission time.
+    /// Fraction of reads that are lost and therefore forwarded after the retransmission time.
     pub loss: f64,
-    /// Bytes a millisecond; 0 for no bound.
+    /// Bandwidth in bytes per millisecond; 0 for no limit.
     pub throttle: f64,
-    /// Each change of this number resets open connections in the middle of what passes next.
+    /// Number of resets injected; each change ends every open connection in the middle of the next forwarded bytes.
     pub resets: u64,
 }
 
-/// A path to one listener.
+/// Network path to one listener.
 pub struct NetworkPath {
-    /// Where the path listens.
+    /// Address on which the path accepts connections.
     pub address: SocketAddr,
-    /// Faults in effect; a change applies to what passes next.
+    /// Faults in effect; a change applies to the bytes forwarded next.
     pub faults: Rc<RefCell<PathFaults>>,
     _accepting: Task<()>,
 }
 
 impl NetworkPath {
-    /// A path to a listener, also to one that is not there yet. The seed decides which reads are lost.
+    /// Starts a path to a listener, which need not exist yet. The seed decides which reads are lost.
     ///
-    /// Errors: as of binding a listener.
+    /// Errors: binding the path's own listener fails.
     pub fn start(executor: &Executor, to: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let address = free_address()?;
         let listener = Async::<TcpListener>::bind(address)?;
@@ -65,7 +65,7 @@
         self.faults.borrow_mut().partitions += 1;
     }
 
-    /// Takes one partition away.
+    /// Removes one partition.
     pub fn heal(&self) {
         let mut faults = self.faults.borrow_mut();
         faults.partitions = faults.partitions.saturating_sub(1);
@@ -91,15 +91,15 @@
     }
 }
 
-async fn relay(near: Async<TcpStream>, to: SocketAddr, faults: Rc<RefCell<PathFaults>>, seed: u64) {
-    // A partition also hides the attempt to connect from the other side.
+async fn relay(downstream: Async<TcpStream>, to: SocketAddr, faults: Rc<RefCell<PathFaults>>, seed: u64) {
+    // A partition also hides the connection attempt from the listener.
     until_healed(&faults).await;
-    let Ok(far) = Async::<TcpStream>::connect(to).await else { return };
-    let _ = near.get_ref().set_nodelay(true);
-    let _ = far.get_ref().set_nodelay(true);
-    let there = forward(&near, &far, &faults, seed);
-    let back = forward(&far, &near, &faults, !seed);
-    future::or(there, back).await;
+    let Ok(upstream) = Async::<TcpStream>::connect(to).await else { return };
+    let _ = downstream.get_ref().set_nodelay(true);
+    let _ = upstream.get_ref().set_nodelay(true);
+    let to_upstream = forward(&downstream, &upstream, &faults, seed);
+    let to_downstream = forward(&upstream, &downstream, &faults, !seed);
+    future::or(to_upstream, to_downstream).await;
 }
 
 async fn until_healed(faults: &RefCell<PathFaults>) {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads what comes next; 0 at the stream's end or once the path refuses connections.
+/// Reads the next bytes; returns 0 at the end of the stream or once the path refuses connections.
 async fn read_unless_refused(
     from: &Async<TcpStream>,
     bytes: &mut [u8],
@@ -123,6 +123,7 @@
     future::or((&mut &*from).read(bytes), refused).await
 }
 
+/// Forwards bytes in one direction with the faults in effect, until either side or a fault ends the connection.
 async fn forward(from: &Async<TcpStream>, to: &Async<TcpStream>, faults: &RefCell<PathFaults>, seed: u64) {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut bytes = vec![0; READ_BUFFER_BYTES];
@@ -143,8 +144,8 @@
         if delay_ms > 0.0 {
             Timer::after(Duration::from_secs_f64(delay_ms / 1000.0)).await;
         }
-        let passed = if reset { count.div_ceil(2) } else { count };
-        if (&mut &*to).write_all(&bytes[..passed]).await.is_err() || reset {
+        let forwarded = if reset { count.div_ceil(2) } else { count };
+        if (&mut &*to).write_all(&bytes[..forwarded]).await.is_err() || reset {
             return;
         }
     }
--- a/crates/plovershelf-testkit/src/path/tests.rs
+++ b/crates/plovershelf-testkit/src/path/tests.rs
@@ -4,26 +4,27 @@
 #[test]
 fn partitioned_path_delivers_after_healing_and_a_reset_truncates_the_message() {
     let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
-    let there = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let path = NetworkPath::start(&executor, there.local_addr().expect("an address"), 1).expect("a path");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind the listener");
+    let listener_address = listener.local_addr().expect("address of the listener");
+    let path = NetworkPath::start(&executor, listener_address, 1).expect("start the path");
     path.partition();
-    let mut near = TcpStream::connect(path.address).expect("a path that listens");
-    near.write_all(b"hello").expect("room");
+    let mut client = TcpStream::connect(path.address).expect("connect to the path");
+    client.write_all(b"hello").expect("write to the path");
     let wait = |ms: u64| async_io::block_on(executor.run(Timer::after(Duration::from_millis(ms))));
     wait(50);
-    there.set_nonblocking(true).expect("it takes that");
-    assert!(there.accept().is_err(), "a partitioned path connects nobody");
+    listener.set_nonblocking(true).expect("set the listener nonblocking");
+    assert!(listener.accept().is_err(), "a partitioned path must not connect to the listener");
     path.heal();
     wait(50);
-    let (mut far, _) = there.accept().expect("healed");
-    far.set_nonblocking(false).expect("it takes that");
+    let (mut server, _) = listener.accept().expect("a healed path connects to the listener");
+    server.set_nonblocking(false).expect("set the stream blocking");
     let mut bytes = [0; 5];
-    far.read_exact(&mut bytes).expect("what was sent");
+    server.read_exact(&mut bytes).expect("read the bytes sent before healing");
     assert_eq!(&bytes, b"hello");
     path.faults.borrow_mut().resets += 1;
-    near.write_all(b"0123456789").expect("room");
+    client.write_all(b"0123456789").expect("write to the path");
     wait(50);
     let mut rest = Vec::new();
-    far.read_to_end(&mut rest).expect("an end");
+    server.read_to_end(&mut rest).expect("read to the end of the stream");
     assert_eq!(rest, b"01234");
 }
--- a/crates/plovershelf-testkit/src/recording_client.rs
+++ b/crates/plovershelf-testkit/src/recording_client.rs
@@ -1,8 +1,9 @@
-//! A client that writes down all that passes on its connections: when each request was written whole, each answer, and how
-//! each connection ended. By this history a trial judges, and by what the agents saw.
+//! Client that records what passes on its connections: when each request was fully written, each answer, and how each
+//! connection ended. A trial evaluates this history together with the effects that the agents observed.
 //!
-//! It has one connection to a backend at a time and pipelines on it. Told that the connection closes, it sends no new
-//! request on it after a while that the trial sets, as what is on its way then crosses the close.
+//! The client has one connection to a backend at a time and pipelines requests on it. After the backend announces the
+//! close of the connection, the client continues to send requests on it for a period that the trial sets, so that some
+//! requests cross the announcement.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
@@ -18,70 +19,70 @@
 use crate::work::WorkSpec;
 use crate::{Clock, Executor};
 
-/// Open requests on one connection, at most.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN: usize = 32;
-/// Longest frame that it reads.
+/// Longest frame that the client decodes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// An attempt to connect is given up after this.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a backend answered to an attempt.
+/// Answer of a backend to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It succeeded with this result.
+    /// The request succeeded with this result.
     Succeeded(Vec<u8>),
-    /// It never ran.
+    /// The request was rejected without having run.
     Rejected,
-    /// It failed and may have taken effect.
+    /// The request failed and may have taken effect.
     Failed,
 }
 
-/// How a connection ended.
+/// End of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// In order.
+    /// The backend closed the connection.
     Closed,
-    /// With a reset.
+    /// Reading failed, as after a reset.
     Reset,
-    /// This side ended it.
-    Own,
+    /// The client closed the connection.
+    ClosedByClient,
 }
 
-/// One connection's history. Times are the trial's.
+/// History of one connection, with times of the trial's clock.
 #[derive(Clone, Debug)]
 pub struct ConnectionRecord {
     /// Index of the backend.
     pub backend: usize,
-    /// When it was open.
+    /// Time at which the connection was established.
     pub opened_ms: f64,
-    /// When the announcement of the close was read.
+    /// Time at which the client read the backend's announcement of the close.
     pub closing_ms: Option<f64>,
-    /// When and how it ended.
+    /// Time and kind of the connection's end.
     pub end: Option<(f64, ConnectionEnd)>,
 }
 
-/// One attempt's history.
+/// History of one attempt, with times of the trial's clock.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// Its identifier.
+    /// Identifier of the attempt.
     pub id: AttemptId,
-    /// What it asks for.
+    /// Work that the request asks for.
     pub work: WorkSpec,
-    /// Index of its connection in the history; none where there was no connection.
+    /// Index of the attempt's connection in the history; `None` if the attempt was not sent.
     pub connection: Option<usize>,
-    /// When it was handed over.
+    /// Time at which the trial started the attempt.
     pub sent_ms: f64,
-    /// When its last byte was written.
+    /// Time at which the last byte of the request was written.
     pub written_ms: Option<f64>,
-    /// How long its client waits, from `sent_ms` on.
+    /// Timeout of the attempt, counted from `sent_ms`.
     pub timeout_ms: f64,
-    /// All answers with their times.
+    /// All answers with the times at which they were read.
     pub answers: Vec<(f64, Answer)>,
 }
 
-/// All that a trial's clients wrote down.
+/// Records of all clients of a trial.
 #[derive(Debug, Default)]
 pub struct History {
     /// All connections.
@@ -90,27 +91,27 @@
     pub attempts: Vec<AttemptRecord>,
 }
 
-/// The history as all clients hold it.
+/// History shared by all clients of a trial.
 pub type SharedHistory = Rc<RefCell<History>>;
 
-/// One request as it is handed over.
+/// Parameters of one request.
 #[derive(Clone, Debug)]
 pub struct RecordedCall {
-    /// The request class.
+    /// Request class.
     pub class: String,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The idempotency key, where the class wants one.
+    /// Idempotency key, if the class requires one.
     pub key: Option<String>,
-    /// Rank by which the backend sheds load.
+    /// Shedding rank of the request, from 0 to 1.
     pub rank: f64,
-    /// What it asks for.
+    /// Work that the request asks for.
     pub work: WorkSpec,
-    /// How long its client waits.
+    /// Timeout of an attempt.
     pub timeout_ms: f64,
 }
 
-/// An attempt on a connection. It stays there when it is answered, as a second answer would be wrong.
+/// Attempt sent on a connection. An answered attempt is retained, so that a second answer to it is recorded too.
 struct SentAttempt {
     seqid: i32,
     attempt: usize,
@@ -122,43 +123,45 @@
     sent.iter().filter(|attempt| !attempt.is_answered).count()
 }
 
+/// The client's end of its current connection.
 struct Link {
     record: usize,
     frames: Sender<(usize, Vec<u8>)>,
     sent: Rc<RefCell<Vec<SentAttempt>>>,
     last_seqid: i32,
-    /// From this time on no new request is sent on it.
+    /// Time from which on no new request is sent on the connection; infinite until the backend announces the close.
     closes_at_ms: Rc<RefCell<f64>>,
 }
 
-/// A client of one backend.
+/// Recording client of one backend.
 pub struct RecordingClient {
     executor: Executor,
     clock: Clock,
     address: SocketAddr,
     backend: usize,
     number: u32,
-    /// How long it goes on sending after it has read that the connection closes.
-    cross_close_ms: f64,
+    /// Time for which the client continues to send requests after the backend announced the close of the connection.
+    send_after_closing_ms: f64,
     history: SharedHistory,
     link: RefCell<Option<Link>>,
 }
 
 impl RecordingClient {
-    /// A client that connects with its first call.
+    /// Creates a client, which connects at its first attempt.
     pub fn new(
         executor: &Executor,
         clock: Clock,
         (backend, address): (usize, SocketAddr),
         number: u32,
-        cross_close_ms: f64,
+        send_after_closing_ms: f64,
         history: SharedHistory,
     ) -> Self {
         let (executor, link) = (executor.clone(), RefCell::default());
-        RecordingClient { executor, clock, address, backend, number, cross_close_ms, history, link }
+        RecordingClient { executor, clock, address, backend, number, send_after_closing_ms, history, link }
     }
 
-    /// One attempt; returns its answer, or nothing once its connection has ended or its time is over.
+    /// Makes one attempt; returns its answer, or `None` if the attempt could not be sent, its connection ended or its
+    /// timeout elapsed.
     pub async fn attempt(&self, call: &RecordedCall) -> Option<Answer> {
         let attempt = self.record(call);
         if !self.has_link() && !self.connect().await {
@@ -205,7 +208,7 @@
         history.attempts.len() - 1
     }
 
-    /// Is there a connection that takes requests?
+    /// Returns whether the client has a connection on which new requests may be sent.
     fn has_link(&self) -> bool {
         let now_ms = self.clock.now();
         self.link
@@ -237,7 +240,7 @@
             record,
             sent: sent.clone(),
             closes_at_ms: closes_at_ms.clone(),
-            cross_close_ms: self.cross_close_ms,
+            send_after_closing_ms: self.send_after_closing_ms,
         };
         self.executor.spawn(connection.serve(stream, to_write)).detach();
         *self.link.borrow_mut() = Some(Link { record, frames, sent, last_seqid: 0, closes_at_ms });
@@ -266,14 +269,14 @@
     }
 }
 
-/// What a connection's task knows.
+/// State of the task that drives a connection.
 struct Connection {
     clock: Clock,
     history: SharedHistory,
     record: usize,
     sent: Rc<RefCell<Vec<SentAttempt>>>,
     closes_at_ms: Rc<RefCell<f64>>,
-    cross_close_ms: f64,
+    send_after_closing_ms: f64,
 }
 
 impl Connection {
@@ -281,7 +284,7 @@
         let write = async {
             while let Ok((attempt, frame)) = to_write.recv().await {
                 if (&stream).write_all(&frame).await.is_err() {
-                    // Reading tells how it ended.
+                    // The reading side determines how the connection ended.
                     break;
                 }
                 self.history.borrow_mut().attempts[attempt].written_ms = Some(self.clock.now());
@@ -303,15 +306,15 @@
                 Err(_) => return ConnectionEnd::Reset,
             };
             bytes.extend_from_slice(&chunk[..count]);
-            let mut used = 0;
-            while let Ok(Some((frame, length))) = decode_first(&bytes[used..], MAX_FRAME_BYTES) {
+            let mut consumed = 0;
+            while let Ok(Some((frame, length))) = decode_first(&bytes[consumed..], MAX_FRAME_BYTES) {
                 self.handle_frame(frame);
-                used += length;
+                consumed += length;
             }
-            bytes.drain(..used);
-            let closes = *self.closes_at_ms.borrow() <= self.clock.now();
-            if closes && open_count(&self.sent.borrow()) == 0 {
-                return ConnectionEnd::Own;
+            bytes.drain(..consumed);
+            let may_close = *self.closes_at_ms.borrow() <= self.clock.now();
+            if may_close && open_count(&self.sent.borrow()) == 0 {
+                return ConnectionEnd::ClosedByClient;
             }
         }
     }
@@ -324,7 +327,7 @@
             Ok(Response::Closing) => {
                 let now_ms = self.clock.now();
                 self.history.borrow_mut().connections[self.record].closing_ms = Some(now_ms);
-                *self.closes_at_ms.borrow_mut() = now_ms + self.cross_close_ms;
+                *self.closes_at_ms.borrow_mut() = now_ms + self.send_after_closing_ms;
                 return;
             }
             _ => return,
--- a/crates/plovershelf-testkit/src/registry.rs
+++ b/crates/plovershelf-testkit/src/registry.rs
@@ -1,4 +1,4 @@
-//! A fake service registry: the address that backends send heartbeats to.
+//! Fake service registry, to which backends send heartbeats.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,23 +10,23 @@
 
 use crate::{free_address, Executor};
 
-/// Longest heartbeat that is read.
+/// Size of the receive buffer; longer heartbeats are truncated.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// How often a registry that is down looks whether it is up again.
+/// Interval at which the registry checks whether it has been set down or up.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running registry.
+/// Handle on a running registry.
 pub struct Registry {
-    /// Where it receives heartbeats.
+    /// Address on which the registry receives heartbeats.
     pub address: SocketAddr,
     down: Rc<Cell<bool>>,
 }
 
 impl Registry {
-    /// Starts a registry, which receives heartbeats and keeps none.
+    /// Starts a registry, which receives heartbeats and discards them.
     ///
-    /// Errors: as of binding a socket.
+    /// Errors: binding the socket fails.
     pub fn start(executor: &Executor) -> std::io::Result<Self> {
         let address = free_address()?;
         let down: Rc<Cell<bool>> = Rc::default();
@@ -34,7 +34,7 @@
         Ok(Registry { address, down })
     }
 
-    /// Down, its address refuses what is sent to it.
+    /// Sets whether the registry is down; while it is down, its address refuses datagrams.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
     }
--- a/crates/plovershelf-testkit/src/scripted.rs
+++ b/crates/plovershelf-testkit/src/scripted.rs
@@ -1,7 +1,7 @@
-//! Scripted peers that a test plays message by message: clients, the agent's connection and the dependency's, each
-//! on a socket of its own. Frames are put together byte by byte, so that a backend is held against the protocol and
-//! not against the product's codec. The peers panic as a test does: on what should not come, and on nothing within
-//! [`READ_TIMEOUT`].
+//! Scripted peers that a test drives message by message: clients, and the agent's and the dependency's end of a
+//! connection. Frames are encoded byte by byte, so that a backend is tested against the protocol and not against the
+//! product's codec. The peers panic like a test on an unexpected message, and on a required message that does not
+//! arrive within [`READ_TIMEOUT`].
 
 mod client;
 mod frames;
@@ -13,11 +13,11 @@
 pub use frames::{alive, cancel, decode_response, dispatch, Response};
 pub use line_link::LineLink;
 
-/// How long a peer waits for a message.
+/// Timeout for reading a message.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with four request classes, two of them idempotent with different values, one keyed and one
-/// non-idempotent, and two gauges.
+/// Settings with four request classes (two idempotent ones of different value, one keyed and one non-idempotent) and
+/// two gauges.
 pub const SETTINGS: &str = r#"{
     "classes": [
         {"name": "plain", "aim_ms": 20000.0, "deadline_ms": 30000.0, "effect": "repeatable", "gain": 1.0},
--- a/crates/plovershelf-testkit/src/scripted/client.rs
+++ b/crates/plovershelf-testkit/src/scripted/client.rs
@@ -1,35 +1,35 @@
-//! A client that a test plays frame by frame.
+//! Scripted client that a test drives frame by frame.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
 use super::{decode_response, Response, READ_TIMEOUT};
 
-/// A client's connection.
+/// Connection of a scripted client.
 pub struct ScriptedClient(
-    /// The connection.
+    /// Stream to the backend.
     pub TcpStream,
 );
 
 impl ScriptedClient {
     /// Connects to a backend.
     pub fn connect(address: &str) -> Self {
-        Self::over(TcpStream::connect(address).expect("a backend that listens"))
+        Self::over(TcpStream::connect(address).expect("connect to the backend"))
     }
 
-    /// Uses an open connection.
+    /// Creates a client on an open connection.
     pub fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
         ScriptedClient(stream)
     }
 
-    /// Sends a frame with its length before it.
+    /// Sends a frame, preceded by its length.
     pub fn send(&mut self, frame: &[u8]) {
-        let whole = [&(frame.len() as u32).to_be_bytes()[..], frame].concat();
-        self.0.write_all(&whole).expect("a connection that takes frames");
+        let encoded = [&(frame.len() as u32).to_be_bytes()[..], frame].concat();
+        self.0.write_all(&encoded).expect("write a frame to the backend");
     }
 
-    /// The next frame, or `None` at the end of the connection.
+    /// Reads the next frame; returns `None` at the end of the connection or after the read timeout.
     pub fn read_response(&mut self) -> Option<Response> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
--- a/crates/plovershelf-testkit/src/scripted/frames.rs
+++ b/crates/plovershelf-testkit/src/scripted/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between a client and a backend, put together and read byte by byte.
+//! Frames between a client and a backend, encoded and decoded byte by byte.
 
 use std::time::SystemTime;
 
@@ -16,13 +16,13 @@
     out
 }
 
-/// A request's frame without its length; `overrides` replaces or adds fields, and an empty value leaves one out.
+/// Encodes a request's frame without its length. `overrides` replaces or adds fields; an empty value omits the field.
 pub fn dispatch(seqid: i32, id: u64, class: &str, overrides: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let sent = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("a clock");
+    let sent = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("a clock after 1970");
     let (id, sent_ms) = (format!("{id:016x}"), sent.as_millis().to_string());
     let mut fields = vec![("c", class), ("i", &id), ("s", &sent_ms), ("f", "0"), ("t", "acme")];
     fields.extend([("d", "20000"), ("m", "10"), ("p", "0.5")]);
-    fields.retain(|(name, _)| !overrides.iter().any(|(other, _)| other == name));
+    fields.retain(|(name, _)| !overrides.iter().any(|(overridden, _)| overridden == name));
     fields.extend(overrides.iter().filter(|(_, value)| !value.is_empty()));
     let mut out = vec![13, 0, 1, 11, 11];
     out.extend((fields.len() as u32).to_be_bytes());
@@ -35,34 +35,35 @@
     frame(1, "dispatch", seqid, &out)
 }
 
-/// A health check's frame without its length.
+/// Encodes a health check's frame without its length.
 pub fn alive(seqid: i32) -> Vec<u8> {
     frame(1, "alive", seqid, &[2, 0, 1, 1])
 }
 
-/// A cancellation's frame without its length.
+/// Encodes the frame that cancels the request with the given sequence number, without its length.
 pub fn cancel(seqid: i32) -> Vec<u8> {
     frame(4, "cancelRequest", 99, &[&[8, 0, 1][..], &seqid.to_be_bytes()].concat())
 }
 
-/// What a backend sent, as far as tests look into it, with the sequence number that it responds to.
+/// Message from a backend, reduced to the parts that tests check. The first field is the sequence number of the request
+/// that it responds to.
 #[derive(Debug, PartialEq)]
 pub enum Response {
     /// The request succeeded with this result.
     Succeeded(i32, Vec<u8>),
-    /// The answer to a health check: is the backend ready?
+    /// Response to a health check, with whether the backend is ready.
     Ready(i32, bool),
     /// The request was rejected.
     Rejected(i32),
     /// The request failed.
     Failed(i32),
-    /// The message was malformed.
+    /// The client's message was malformed.
     Exception(i32),
-    /// The backend takes no new request on this connection.
+    /// The backend accepts no new request on this connection.
     Closing,
 }
 
-/// Decodes a frame without its length, by the offsets that a backend's responses are known to have.
+/// Decodes a frame without its length, by the fixed offsets of a backend's responses; panics on any other frame.
 pub fn decode_response(frame: &[u8]) -> Response {
     let method_length = u32::from_be_bytes(frame[4..8].try_into().unwrap()) as usize;
     let (method, rest) = frame[8..].split_at(method_length);
@@ -77,6 +78,6 @@
         (2, b"alive", result) => Response::Ready(seqid, result[result.len() - 3] == 1),
         (2, b"dispatch", [12, 0, 1, ..]) => Response::Rejected(seqid),
         (2, b"dispatch", [12, 0, 2, ..]) => Response::Failed(seqid),
-        other => panic!("not an answer: {other:?}"),
+        other => panic!("not a backend's response: {other:?}"),
     }
 }
--- a/crates/plovershelf-testkit/src/scripted/line_link.rs
+++ b/crates/plovershelf-testkit/src/scripted/line_link.rs
@@ -1,4 +1,4 @@
-//! A peer that a test plays line by line.
+//! Scripted peer of a line protocol that a test drives line by line.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,12 +6,12 @@
 
 use super::READ_TIMEOUT;
 
-/// Time between two looks for a connection.
+/// Interval between attempts to accept a connection.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
-/// Looks for a connection before the test fails.
+/// Number of attempts to accept a connection before the test fails.
 const MAX_ACCEPTS: usize = 10_000;
 
-/// The peer's end of a backend's connection that carries lines: the agent's or the dependency's.
+/// Peer's end of a backend's connection with a line protocol: the agent's or the dependency's end.
 pub struct LineLink {
     reader: BufReader<TcpStream>,
 }
@@ -19,18 +19,20 @@
 impl LineLink {
     /// Waits until a backend connects.
     pub fn accept(listener: &TcpListener) -> Self {
-        listener.set_nonblocking(true).expect("it takes that");
+        listener.set_nonblocking(true).expect("set the listener nonblocking");
         let attempts = std::iter::repeat_with(|| {
             std::thread::sleep(ACCEPT_INTERVAL);
             listener.accept()
         });
-        let (stream, _) = attempts.take(MAX_ACCEPTS).find_map(Result::ok).expect("a backend that connects");
-        stream.set_nonblocking(false).expect("it takes that");
-        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
+        let (stream, _) =
+            attempts.take(MAX_ACCEPTS).find_map(Result::ok).expect("a connection from the backend");
+        stream.set_nonblocking(false).expect("set the stream blocking");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
         LineLink { reader: BufReader::new(stream) }
     }
 
-    /// The next line with the body that belongs to it; requests for a sample are answered on the way.
+    /// Reads the next line and its body, and answers any requests for a sample that precede it; returns `None` at the end
+    /// of the connection or after the read timeout.
     pub fn next_line(&mut self) -> Option<(String, Vec<u8>)> {
         loop {
             let mut line = String::new();
@@ -54,31 +56,31 @@
         }
     }
 
-    /// Does anything come within this time?
+    /// Returns whether the backend sends data or ends the connection within the timeout.
     pub fn has_more(&mut self, timeout: Duration) -> bool {
-        let usual = self.reader.get_ref().read_timeout().expect("a timeout");
-        self.reader.get_ref().set_read_timeout(Some(timeout)).expect("a timeout");
-        let came = self.reader.fill_buf().is_ok();
-        self.reader.get_ref().set_read_timeout(usual).expect("a timeout");
-        came
+        let previous_timeout = self.reader.get_ref().read_timeout().expect("get the read timeout");
+        self.reader.get_ref().set_read_timeout(Some(timeout)).expect("set the read timeout");
+        let has_more = self.reader.fill_buf().is_ok();
+        self.reader.get_ref().set_read_timeout(previous_timeout).expect("restore the read timeout");
+        has_more
     }
 
-    /// Answers the next line, which asks for a sample.
+    /// Reads the next line, which must request a sample, and answers it.
     pub fn answer_sample(&mut self) {
         let mut line = String::new();
-        self.reader.read_line(&mut line).expect("a line");
-        let tag = line.trim_end().strip_prefix("sample ").expect("a sample");
+        self.reader.read_line(&mut line).expect("read a line from the backend");
+        let tag = line.trim_end().strip_prefix("sample ").expect("a request for a sample");
         self.send(&format!("sampled {tag} 0.5 1"), None);
     }
 
-    /// The next line, which has to begin like this, with its body.
+    /// Returns the next line and its body; panics unless the line begins with `prefix`.
     pub fn expect(&mut self, prefix: &str) -> (String, Vec<u8>) {
-        let (line, body) = self.next_line().expect("a line");
-        assert!(line.starts_with(prefix), "{line:?} instead of {prefix:?}");
+        let (line, body) = self.next_line().expect("a line from the backend");
+        assert!(line.starts_with(prefix), "expected a line that begins with {prefix:?}, got {line:?}");
         (line, body)
     }
 
-    /// Sends a line, and a body with its length where there is one.
+    /// Sends a line; a body, if given, follows it, with its length appended to the line.
     pub fn send(&mut self, line: &str, body: Option<&[u8]>) {
         let mut bytes = line.as_bytes().to_vec();
         if let Some(body) = body {
@@ -86,6 +88,6 @@
             bytes.extend(body);
         }
         bytes.extend(b"\r\n");
-        self.reader.get_mut().write_all(&bytes).expect("a link that takes lines");
+        self.reader.get_mut().write_all(&bytes).expect("write a line to the backend");
     }
 }
--- a/crates/plovershelf-testkit/src/tap.rs
+++ b/crates/plovershelf-testkit/src/tap.rs
@@ -1,5 +1,5 @@
-//! A tap between clients and one backend: passes every byte on, and counts requests, retries, responses and
-//! connections, so that neither side is judged by its own word.
+//! Tap between clients and one backend: forwards every byte and counts requests, retries, responses and connections, so
+//! that a trial relies on the report of neither side.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,54 +15,55 @@
 use crate::agent::Agent;
 use crate::{free_address, Clock, Executor};
 
-/// Longest frame that it looks into.
+/// Longest frame that the tap decodes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Frames up to this length are no requests, and reading them costs nothing.
+/// Length up to which a frame is not a request, so that reading it has no cost.
 const MAX_FREE_FRAME_BYTES: usize = 60;
-/// How much later than the client's deadline a response counts as late.
+/// Delay after the client's deadline from which on a response counts as late.
 const LATE_TOLERANCE_MS: f64 = 50.0;
-/// Width of the intervals that requests are counted by.
+/// Width of the intervals in which requests are counted.
 const INTERVAL_MS: f64 = 100.0;
 
-/// What passed.
+/// Counts of the messages and connections that passed through a tap.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// First attempts, by tenth of a second.
+    /// Attempts without a retry mark, by tenth of a second.
     pub first_attempts: BTreeMap<u64, u64>,
-    /// Attempts that are marked as retries, by tenth of a second.
+    /// Attempts marked as retries, by tenth of a second.
     pub marked_retries: BTreeMap<u64, u64>,
-    /// When each connection was made, and the number of the client that used it.
+    /// Start time of each connection and the number of the client that used it, if a request carried one.
     pub connections: Vec<(f64, Option<u32>)>,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: u64,
-    /// Responses in all.
+    /// Total number of responses.
     pub responses: u64,
-    /// Responses that reject.
+    /// Number of responses that reject a request.
     pub rejected: u64,
-    /// Responses beyond the first, or to nothing.
+    /// Number of responses beyond the first to a request, or without a request.
     pub duplicate_responses: u64,
-    /// Responses after the client's deadline.
+    /// Number of responses later than the client's deadline plus the tolerance.
     pub late_responses: u64,
-    /// Requests open when the backend ended a connection, not having sent `closing` before they were written.
+    /// Number of requests, sent before the backend announced `closing`, that were open when the backend ended their
+    /// connection.
     pub unanswered: u64,
 }
 
-/// What reading a request costs the cores that a backend shares with its executions.
+/// Cost of reading a request, spent on the cores that a backend shares with its executions.
 #[derive(Clone)]
 pub struct ReadCost {
-    /// The agent that has the cores.
+    /// Agent that models the cores.
     pub agent: Agent,
-    /// Work a request, in milliseconds.
+    /// Work per request, in milliseconds.
     pub cost_ms: f64,
 }
 
-/// A tap before one backend.
+/// Tap in front of one backend.
 pub struct Tap {
-    /// Where it listens.
+    /// Address on which the tap accepts clients.
     pub address: SocketAddr,
-    /// What passed so far.
+    /// Traffic counted so far.
     pub traffic: Rc<RefCell<Traffic>>,
     backend: SocketAddr,
     read_cost: Option<ReadCost>,
@@ -72,9 +73,9 @@
 }
 
 impl Tap {
-    /// Starts a tap before a backend. Where reading has a cost, a request is passed on when that work is done.
+    /// Starts a tap in front of a backend. With a read cost, each request is forwarded once that work is done.
     ///
-    /// Errors: as of binding a listener.
+    /// Errors: binding the listener fails.
     pub fn start(
         executor: &Executor,
         clock: Clock,
@@ -88,14 +89,14 @@
         Ok(tap)
     }
 
-    /// Refuses connections from now on and ends the open ones.
+    /// Ends all connections and refuses new ones.
     pub fn down(&mut self) {
         self.accepting = None;
     }
 
     /// Accepts connections again.
     ///
-    /// Errors: as of binding a listener.
+    /// Errors: binding the listener fails.
     pub fn up(&mut self) -> std::io::Result<()> {
         let listener = Async::<TcpListener>::bind(self.address)?;
         let (traffic, backend, clock) = (self.traffic.clone(), self.backend, self.clock);
@@ -114,18 +115,18 @@
     }
 }
 
-/// A request that has no response yet.
+/// Request without a response so far.
 struct OpenRequest {
     deadline_ms: f64,
-    /// Cancelled, or sent after the backend's `closing`: no response is owed.
+    /// Whether the request was cancelled or sent after the backend's `closing`, so that no response is required.
     abandoned: bool,
 }
 
-/// Counts what passes on one connection.
+/// Counts the traffic of one connection.
 struct Monitor {
     clock: Clock,
     traffic: Rc<RefCell<Traffic>>,
-    /// Index of this connection in the traffic.
+    /// Index of the connection in [`Traffic::connections`].
     index: usize,
     open: BTreeMap<i32, OpenRequest>,
     closing: bool,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The backend has ended the connection.
+    /// Counts the unanswered requests when the backend has ended the connection.
     fn handle_backend_close(&mut self) {
         let unanswered = self.open.values().filter(|request| !request.abandoned).count();
         self.traffic.borrow_mut().unanswered += unanswered as u64;
@@ -203,72 +204,72 @@
 }
 
 async fn relay(
-    near: Async<TcpStream>,
-    backend: SocketAddr,
+    client: Async<TcpStream>,
+    backend_address: SocketAddr,
     mut monitor: Monitor,
     read_cost: Option<ReadCost>,
 ) {
     monitor.handle_connect();
-    let Ok(far) = Async::<TcpStream>::connect(backend).await else { return };
-    let _ = near.get_ref().set_nodelay(true);
-    let _ = far.get_ref().set_nodelay(true);
+    let Ok(backend) = Async::<TcpStream>::connect(backend_address).await else { return };
+    let _ = client.get_ref().set_nodelay(true);
+    let _ = backend.get_ref().set_nodelay(true);
     let monitor = RefCell::new(monitor);
     let on_request = |frame: &[u8]| monitor.borrow_mut().handle_request(frame);
     let on_response = |frame: &[u8]| monitor.borrow_mut().handle_response(frame);
-    let there = async { forward(&near, &far, on_request, read_cost).await == End::Writer };
-    let back = async { forward(&far, &near, on_response, None).await == End::Reader };
-    let ended_by_backend = future::or(there, back).await;
+    let requests = async { forward(&client, &backend, on_request, read_cost).await == EndedBy::Destination };
+    let responses = async { forward(&backend, &client, on_response, None).await == EndedBy::Source };
+    let ended_by_backend = future::or(requests, responses).await;
     if ended_by_backend {
         monitor.borrow_mut().handle_backend_close();
     }
 }
 
-/// Which side ended a direction of a connection.
+/// Side that ended one direction of a connection.
 #[derive(PartialEq, Eq)]
-enum End {
-    /// The side that is read from.
-    Reader,
-    /// The side that is written to.
-    Writer,
+enum EndedBy {
+    /// Side that frames are read from.
+    Source,
+    /// Side that frames are written to.
+    Destination,
 }
 
-/// Passes frames on and shows each; returns which side has ended.
+/// Forwards frames and passes each to `inspect`; returns the side that ended the connection.
 async fn forward(
     from: &Async<TcpStream>,
     to: &Async<TcpStream>,
-    mut show: impl FnMut(&[u8]),
+    mut inspect: impl FnMut(&[u8]),
     read_cost: Option<ReadCost>,
-) -> End {
+) -> EndedBy {
     let (mut bytes, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     while let Ok(count) = (&mut &*from).read(&mut chunk).await {
         if count == 0 {
             break;
         }
         bytes.extend_from_slice(&chunk[..count]);
-        let mut used = 0;
-        while let Ok(Some((frame, length))) = decode_first(&bytes[used..], MAX_FRAME_BYTES) {
-            show(frame);
+        let mut consumed = 0;
+        while let Ok(Some((frame, length))) = decode_first(&bytes[consumed..], MAX_FRAME_BYTES) {
+            inspect(frame);
             if let Some(read_cost) = read_cost.as_ref().filter(|_| frame.len() > MAX_FREE_FRAME_BYTES) {
                 read_cost.agent.read(read_cost.cost_ms).await;
             }
-            if (&mut &*to).write_all(&bytes[used..used + length]).await.is_err() {
-                return End::Writer;
+            if (&mut &*to).write_all(&bytes[consumed..consumed + length]).await.is_err() {
+                return EndedBy::Destination;
             }
-            used += length;
+            consumed += length;
         }
-        bytes.drain(..used);
-        // Bytes that are no frame are passed on as they are.
+        bytes.drain(..consumed);
+        // Bytes that do not form a frame are forwarded unchanged.
         if bytes.len() > MAX_FRAME_BYTES || decode_first(&bytes, MAX_FRAME_BYTES).is_err() {
             let rest = std::mem::take(&mut bytes);
             if (&mut &*to).write_all(&rest).await.is_err() {
-                return End::Writer;
+                return EndedBy::Destination;
             }
         }
     }
-    End::Reader
+    EndedBy::Source
 }
 
-/// The client's number in a request's frame: field `f`, which backends have no use for.
+/// Extracts the client's number from a request's frame: the field `f`, which backends ignore.
 fn client_number(frame: &[u8]) -> Option<u32> {
     let start = frame.windows(5).position(|bytes| bytes == b"\0\0\0\x01f")? + 5;
     let length = u32::from_be_bytes(frame.get(start..start + 4)?.try_into().ok()?) as usize;
--- a/crates/plovershelf-testkit/src/work.rs
+++ b/crates/plovershelf-testkit/src/work.rs
@@ -1,31 +1,31 @@
-//! The work that a request asks of the test peers, as its body carries it.
+//! Work that a request asks the test peers to perform, encoded in the request's body.
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Takes effect once per idempotency key and process.
+    /// The request may take effect once per idempotency key and process.
     Keyed,
-    /// Takes effect once at most.
+    /// The request may take effect at most once.
     NonIdempotent,
 }
 
-/// What one request asks for.
+/// Work that one request asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkSpec {
-    /// Identifies the request; the same for all its attempts.
+    /// Number of the request, shared by all its attempts.
     pub number: u64,
-    /// Processor time in all, in milliseconds.
+    /// Total processor time, in milliseconds.
     pub work_ms: f64,
-    /// Outbound calls, spread evenly over the work.
+    /// Number of outbound calls, spread evenly over the work.
     pub outbound_calls: u32,
-    /// Whether it may take effect more than once.
+    /// Whether the request may take effect more than once.
     pub idempotency: Idempotency,
 }
 
 impl WorkSpec {
-    /// The request's body.
+    /// Encodes the request's body.
     pub fn body(&self) -> Vec<u8> {
         let idempotency = match self.idempotency {
             Idempotency::Idempotent => 'r',
@@ -35,7 +35,7 @@
         format!("{} {:.3} {} {idempotency}", self.number, self.work_ms, self.outbound_calls).into_bytes()
     }
 
-    /// Reads a request's body; `None` for one that [`WorkSpec::body`] did not make.
+    /// Decodes a request's body; returns `None` for a body that [`WorkSpec::body`] cannot have encoded.
     pub fn parse(body: &[u8]) -> Option<Self> {
         let mut words = std::str::from_utf8(body).ok()?.split(' ');
         let number = words.next()?.parse().ok()?;
@@ -50,7 +50,8 @@
         Some(WorkSpec { number, work_ms, outbound_calls, idempotency })
     }
 
-    /// The result that an execution of this work yields, and no other.
+    /// Returns the result of an execution of this work, which contains the request's number and so differs from that of any
+    /// other request.
     pub fn result(&self) -> Vec<u8> {
         format!("made {} of {:.3}", self.number, self.work_ms).into_bytes()
     }
