--- a/crates/plovershelf-cli/src/trial/soak.rs
+++ b/crates/plovershelf-cli/src/trial/soak.rs
@@ -1,15 +1,17 @@
-//! Backends under overlapping faults of all kinds, drawn from a seed, and judged by the histories of callers and peers.
+//! Soak trial: runs backends under overlapping faults of all kinds, drawn from a seed, and checks their promises against
+//! the histories of clients and test peers.
 //!
-//! - `plan`: what a seed draws.
-//! - `callers`, `probes`: who talks to the backends, well and badly.
-//! - `faults`: what is done to backends and their peers.
-//! - `disturbance`: how much the machine itself held up the run.
-//! - `judge`: the promises, and what breaks them.
+//! - `plan`: the random draw of a run from its seed.
+//! - `callers`: clients that send requests.
+//! - `probes`: health checks, misbehaving clients and monitoring of the backends' resource usage.
+//! - `faults`: fault injection on backends and their peers.
+//! - `machine_delay`: delays caused by a busy machine.
+//! - `evaluation`: the promises and the detection of violations.
 
 mod callers;
-mod disturbance;
+mod evaluation;
 mod faults;
-mod judge;
+mod machine_delay;
 mod plan;
 mod probes;
 #[cfg(test)]
@@ -28,95 +30,102 @@
 use plovershelf_testkit::{Clock, Executor};
 use serde_json::json;
 
-use self::callers::Counts;
-use self::disturbance::Disturbance;
-use self::faults::{Player, SharedLog};
-use self::judge::{Caused, Evidence, Promise, Violation};
+use self::callers::CallerCounts;
+use self::evaluation::{Evaluation, Promise, Totals, Violation};
+use self::faults::{FaultInjector, SharedEventLog};
+use self::machine_delay::MachineDelay;
 use self::plan::{Plan, CORES, DEPENDENCY_SHARE, OVERLOAD_FACTOR};
-use self::probes::SharedSeen;
+use self::probes::SharedProbeResults;
 use super::{Aim, Figures, Ground};
 
+/// Default duration of the load of one seed.
 const DEFAULT_SPAN_MS: f64 = 12_000.0;
+/// Minimum duration of the load of one seed.
 const MIN_SPAN_MS: f64 = 8000.0;
-/// After the span all that is open comes to its end.
-const LAST_ANSWERS_MS: f64 = 3000.0;
-/// After the backends' end all connections end.
-const LAST_ENDS_MS: f64 = 300.0;
+/// Time after the span for open requests to be answered.
+const ANSWER_DRAIN_MS: f64 = 3000.0;
+/// Time after the kill of all backends for their connections to end.
+const CONNECTION_END_MS: f64 = 300.0;
+/// Timeout for all backends to be up at the start of a seed.
 const READY_TIMEOUT_MS: f64 = 15_000.0;
-/// Violations that are printed of a seed.
-const MAX_PRINTED: usize = 5;
-const MIN_READY_FRACTION: f64 = 0.9;
+/// Maximum number of violations printed per seed.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
+/// Minimum fraction of restarts that must be ready in time.
+const MIN_READY_RESTART_FRACTION: f64 = 0.9;
 
-/// What one seed came to.
-struct Outcome {
-    caused: Caused,
+/// Result of the run of one seed.
+struct SeedResult {
+    totals: Totals,
     retries: u64,
     violations: Vec<Violation>,
     worst_late_ms: f64,
 }
 
+/// Runs the given number of seeds, one after the other, and returns the figures of the trial.
 pub fn run(ground: &Ground) -> Result<Figures, String> {
     let span_ms = ground.seconds.map_or(DEFAULT_SPAN_MS, |seconds| seconds * 1000.0).max(MIN_SPAN_MS);
-    let mut by_promise: BTreeMap<Promise, u64> = BTreeMap::new();
-    let (mut broken_seeds, mut void_seeds) = (Vec::new(), Vec::new());
-    let (mut sum, mut retries, mut worst_late_ms) = (Caused::default(), 0, 0.0f64);
+    let mut violations_by_promise: BTreeMap<Promise, u64> = BTreeMap::new();
+    let (mut failed_seeds, mut seeds_without_data) = (Vec::new(), Vec::new());
+    let (mut totals, mut retries, mut worst_late_ms) = (Totals::default(), 0, 0.0f64);
     let seeds = ground.seeds.unwrap_or(1);
     for seed in ground.seed..ground.seed + seeds {
         let plan = Plan::draw(seed, span_ms);
         let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
-        let outcome = play(&executor, ground, &plan)?;
-        if !outcome.violations.is_empty() {
-            broken_seeds.push(seed);
-            print_violations(ground, &plan, &outcome.violations);
+        let result = run_seed(&executor, ground, &plan)?;
+        if !result.violations.is_empty() {
+            failed_seeds.push(seed);
+            print_violations(ground, &plan, &result.violations);
         }
-        let caused = outcome.caused;
-        if caused.restarts == 0 || caused.rejected == 0 || outcome.retries == 0 {
-            void_seeds.push(seed);
+        let seed_totals = result.totals;
+        if seed_totals.restarts == 0 || seed_totals.rejected == 0 || result.retries == 0 {
+            seeds_without_data.push(seed);
         }
-        outcome
+        result
             .violations
             .iter()
-            .for_each(|violation| *by_promise.entry(violation.promise).or_default() += 1);
-        sum.restarts += caused.restarts;
-        sum.restarts_ready += caused.restarts_ready;
-        sum.requests += caused.requests;
-        sum.succeeded += caused.succeeded;
-        sum.rejected += caused.rejected;
-        sum.keyed_launches += caused.keyed_launches;
-        sum.bad_clients += caused.bad_clients;
-        retries += outcome.retries;
-        worst_late_ms = worst_late_ms.max(outcome.worst_late_ms);
+            .for_each(|violation| *violations_by_promise.entry(violation.promise).or_default() += 1);
+        totals.restarts += seed_totals.restarts;
+        totals.restarts_ready += seed_totals.restarts_ready;
+        totals.requests += seed_totals.requests;
+        totals.succeeded += seed_totals.succeeded;
+        totals.rejected += seed_totals.rejected;
+        totals.keyed_launches += seed_totals.keyed_launches;
+        totals.bad_clients += seed_totals.bad_clients;
+        retries += result.retries;
+        worst_late_ms = worst_late_ms.max(result.worst_late_ms);
     }
     let mut figures = Figures::default();
     figures.told("seeds", seeds as f64);
-    figures.put("broken_promises", by_promise.values().sum::<u64>() as f64, Aim::AtMost(0.0));
-    figures.put("seeds_without_data", void_seeds.len() as f64, Aim::AtMost(0.0));
-    let ready = (sum.restarts > 0).then(|| sum.restarts_ready as f64 / sum.restarts as f64);
-    figures.put("restarts_ready_in_10_s", ready, Aim::AtLeast(MIN_READY_FRACTION));
-    figures.told("requests", sum.requests as f64);
-    figures.told("succeeded", sum.succeeded as f64);
-    figures.told("rejected", sum.rejected as f64);
+    figures.put("broken_promises", violations_by_promise.values().sum::<u64>() as f64, Aim::AtMost(0.0));
+    figures.put("seeds_without_data", seeds_without_data.len() as f64, Aim::AtMost(0.0));
+    let ready = (totals.restarts > 0).then(|| totals.restarts_ready as f64 / totals.restarts as f64);
+    figures.put("restarts_ready_in_10_s", ready, Aim::AtLeast(MIN_READY_RESTART_FRACTION));
+    figures.told("requests", totals.requests as f64);
+    figures.told("succeeded", totals.succeeded as f64);
+    figures.told("rejected", totals.rejected as f64);
     figures.told("retries", retries as f64);
-    figures.told("keyed_launches", sum.keyed_launches as f64);
-    figures.told("bad_clients", sum.bad_clients as f64);
-    figures.told("restarts", sum.restarts as f64);
+    figures.told("keyed_launches", totals.keyed_launches as f64);
+    figures.told("bad_clients", totals.bad_clients as f64);
+    figures.told("restarts", totals.restarts as f64);
     figures.told("worst_timer_late_ms", worst_late_ms);
-    let by_promise = by_promise.iter().map(|(promise, count)| (promise.name().to_string(), json!(count)));
-    figures.note("broken", by_promise.collect::<serde_json::Map<_, _>>().into());
-    figures.note("broken_seeds", json!(broken_seeds));
-    figures.note("seeds_void", json!(void_seeds));
+    let violation_counts =
+        violations_by_promise.iter().map(|(promise, count)| (promise.name().to_string(), json!(count)));
+    figures.note("broken", violation_counts.collect::<serde_json::Map<_, _>>().into());
+    figures.note("broken_seeds", json!(failed_seeds));
+    figures.note("seeds_void", json!(seeds_without_data));
     Ok(figures)
 }
 
+/// Prints the plan, the command that repeats the run, and the first violations of a seed.
 fn print_violations(ground: &Ground, plan: &Plan, violations: &[Violation]) {
     let seconds = plan.span_ms / 1000.0;
     eprintln!(
-        "seed {}: {} broken; plovershelf trial soak --seed {0} --seconds {seconds}",
+        "seed {}: {} promises broken; to repeat: plovershelf trial soak --seed {0} --seconds {seconds}",
         plan.seed,
         violations.len()
     );
     eprintln!("  {plan:?}");
-    for Violation { promise, history } in violations.iter().take(MAX_PRINTED) {
+    for Violation { promise, history } in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         eprintln!("  {}: {history}", promise.name());
     }
     if let Some(logs) = &ground.logs {
@@ -124,7 +133,7 @@
     }
 }
 
-fn fleet_config(ground: &Ground, plan: &Plan, pools: Option<PathBuf>) -> FleetConfig {
+fn fleet_config(ground: &Ground, plan: &Plan, bulkheads_file: Option<PathBuf>) -> FleetConfig {
     FleetConfig {
         program: ground.program.clone(),
         backends: plan.backends,
@@ -145,26 +154,28 @@
         sockets: plan.sockets,
         stop_ms: plan.stop_ms,
         logs: ground.logs.clone(),
-        pools,
+        pools: bulkheads_file,
         cluster: None,
         peer_paths: true,
     }
 }
 
-fn write_pools(plan: &Plan) -> Result<Option<PathBuf>, String> {
-    if !plan.has_pools {
+/// Writes the operator's file of bulkheads to the temporary folder, if the plan has bulkheads.
+fn write_bulkheads_file(plan: &Plan) -> Result<Option<PathBuf>, String> {
+    if !plan.has_bulkheads {
         return Ok(None);
     }
     let name = format!("plovershelf-soak-{}-{}.ini", std::process::id(), plan.seed);
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, plan.pools()).map_err(|error| format!("{}: {error}", path.display()))?;
+    std::fs::write(&path, plan.bulkheads_config()).map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(Some(path))
 }
 
-fn play(executor: &Executor, ground: &Ground, plan: &Plan) -> Result<Outcome, String> {
+/// Runs one plan on a new fleet and evaluates the run.
+fn run_seed(executor: &Executor, ground: &Ground, plan: &Plan) -> Result<SeedResult, String> {
     let clock = Clock::start();
-    let pools = write_pools(plan)?;
-    let fleet = Fleet::start(executor, clock, &fleet_config(ground, plan, pools.clone()))
+    let bulkheads_file = write_bulkheads_file(plan)?;
+    let fleet = Fleet::start(executor, clock, &fleet_config(ground, plan, bulkheads_file.clone()))
         .map_err(|error| format!("starting backends: {error}"))?;
     if !async_io::block_on(executor.run(fleet.up(clock, READY_TIMEOUT_MS))) {
         return Err("the backends did not come up within 15 s".to_string());
@@ -172,58 +183,59 @@
     let addresses = fleet.addresses();
     let effects = fleet.effects.clone();
     let fleet = Rc::new(RefCell::new(fleet));
-    let (log, seen): (SharedLog, SharedSeen) = Default::default();
-    let (history, counts) = (Rc::default(), Rc::<Counts>::default());
-    let disturbance = Disturbance::default();
-    let player = Player {
+    let (log, probe_results): (SharedEventLog, SharedProbeResults) = Default::default();
+    let (history, counts) = (Rc::default(), Rc::<CallerCounts>::default());
+    let machine_delay = MachineDelay::default();
+    let injector = FaultInjector {
         clock,
         fleet: fleet.clone(),
         log: log.clone(),
         down: Rc::new(RefCell::new(vec![false; plan.backends])),
         stop_ms: plan.stop_ms,
         grace_ms: plan.grace_ms,
-        pools: pools.clone(),
+        bulkheads_file: bulkheads_file.clone(),
     };
     let run = async {
-        let watches = [
-            executor.spawn(disturbance.clone().watch(clock, fleet.clone())),
-            executor.spawn(player.clone().watch_for_crashes()),
-            executor.spawn(probes::watch_usage(clock, fleet.clone(), seen.clone())),
+        let monitors = [
+            executor.spawn(machine_delay.clone().monitor(clock, fleet.clone())),
+            executor.spawn(injector.clone().restart_crashed()),
+            executor.spawn(probes::monitor_usage(clock, fleet.clone(), probe_results.clone())),
         ];
         let main = async {
-            let asking = callers::run(executor, clock, plan, &addresses, &history, &counts);
-            future::zip(asking, player.clone().play(executor, plan)).await;
-            Timer::at(clock.at(clock.now() + LAST_ANSWERS_MS)).await;
+            let requests = callers::run(executor, clock, plan, &addresses, &history, &counts);
+            future::zip(requests, injector.clone().run(executor, plan)).await;
+            Timer::at(clock.at(clock.now() + ANSWER_DRAIN_MS)).await;
         };
-        let health = probes::check_health(executor, clock, &addresses, &seen);
-        let bad = probes::misbehave(executor, clock, plan, &addresses, &seen);
-        let rush = callers::rush(executor, clock, plan, &addresses, &history, &log);
-        future::or(main, future::or(health, future::or(bad, rush))).await;
+        let health = probes::check_health(executor, clock, &addresses, &probe_results);
+        let bad_clients = probes::run_bad_clients(executor, clock, plan, &addresses, &probe_results);
+        let bursts = callers::connect_around_refusal(executor, clock, plan, &addresses, &history, &log);
+        future::or(main, future::or(health, future::or(bad_clients, bursts))).await;
         let ended_ms = clock.now();
-        for watch in watches {
-            watch.cancel().await;
+        for monitor in monitors {
+            monitor.cancel().await;
         }
-        // All connections end with their backends, and so do the tasks that hold them.
+        // Killing the backends ends all connections and with them the tasks that own them.
         fleet.borrow_mut().backends.iter_mut().for_each(|backend| drop(backend.kill()));
-        Timer::at(clock.at(ended_ms + LAST_ENDS_MS)).await;
+        Timer::at(clock.at(ended_ms + CONNECTION_END_MS)).await;
         ended_ms
     };
     let ended_ms = async_io::block_on(executor.run(run));
-    let _ = pools.map(std::fs::remove_file);
-    let (history, effects, log, seen) = (history.borrow(), effects.borrow(), log.borrow(), seen.borrow());
-    let evidence = Evidence {
+    let _ = bulkheads_file.map(std::fs::remove_file);
+    let (history, effects, log, probe_results) =
+        (history.borrow(), effects.borrow(), log.borrow(), probe_results.borrow());
+    let evaluation = Evaluation {
         plan,
         history: &history,
         effects: &effects,
         log: &log,
-        seen: &seen,
-        disturbance: &disturbance,
+        probe_results: &probe_results,
+        machine_delay: &machine_delay,
         ended_ms,
     };
-    Ok(Outcome {
-        caused: evidence.caused(),
+    Ok(SeedResult {
+        totals: evaluation.totals(),
         retries: counts.retries.get(),
-        violations: evidence.violations(),
-        worst_late_ms: disturbance.worst_late_ms(),
+        violations: evaluation.violations(),
+        worst_late_ms: machine_delay.worst_late_ms(),
     })
 }
--- a/crates/plovershelf-cli/src/trial/soak/callers.rs
+++ b/crates/plovershelf-cli/src/trial/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers of a soak: they pipeline on connections that they use until the backend ends them, retry as the page allows, and ask for
-//! one key twice at once now and then.
+//! Clients of a soak trial: they pipeline requests on connections until the backend ends them, retry as the protocol
+//! page allows, and sometimes send two concurrent requests with the same idempotency key.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,59 +11,65 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::faults::{Deed, Logged, SharedLog};
+use super::faults::{BackendEvent, LogEntry, SharedEventLog};
 use super::plan::{ClassPlan, Plan, TENANT};
 
-/// Retries of one request, at most.
+/// Maximum number of retries per request.
 const MAX_RETRIES: u32 = 2;
-/// The part of a window in which a retry of its key is sent.
-const WINDOW_FRACTION: f64 = 0.7;
-/// Longest that a caller goes on sending on a connection that it was told closes.
-const MAX_CROSS_CLOSE_MS: f64 = 30.0;
-/// How often one key is asked for twice at once.
-const TWIN_FRACTION: f64 = 0.1;
+/// Fraction of the deduplication window within which a keyed request is retried.
+const RETRY_WINDOW_FRACTION: f64 = 0.7;
+/// Maximum time for which a client continues to send on a connection whose close was announced.
+const MAX_SEND_AFTER_CLOSING_MS: f64 = 30.0;
+/// Fraction of keyed requests that are sent twice concurrently.
+const DUPLICATE_FRACTION: f64 = 0.1;
 
-/// Connections of a rush, the time between two of them, and numbers of their requests.
-const RUSH_CONNECTIONS: usize = 40;
-const RUSH_STEP_MS: f64 = 1.0;
-const FIRST_RUSH_NUMBER: u64 = 1 << 32;
-/// A backend refuses connections at the end of its grace, or this long before its kill.
+/// Number of connections in a burst.
+const BURST_CONNECTIONS: usize = 40;
+/// Time between two connections of a burst.
+const BURST_INTERVAL_MS: f64 = 1.0;
+/// Request numbers of bursts start here, above those of ordinary requests.
+const FIRST_BURST_NUMBER: u64 = 1 << 32;
+/// A draining backend refuses connections at the end of its grace, but at the latest this long before its kill.
 const REFUSE_MARGIN_MS: f64 = 200.0;
-const RUSH_POLL_MS: f64 = 5.0;
+/// Interval at which the event log is checked for drain notices.
+const EVENT_POLL_MS: f64 = 5.0;
 
-/// What callers did that the history alone does not show.
+/// Counts that the history alone does not show.
 #[derive(Default)]
-pub struct Counts {
+pub struct CallerCounts {
+    /// Number of retries.
     pub retries: Cell<u64>,
-    pub twins: Cell<u64>,
+    /// Number of requests that were sent a second time concurrently.
+    pub duplicates: Cell<u64>,
 }
 
-/// Asks as the plan says until its span is over.
+/// Sends requests at the plan's rate until the end of its span.
 pub async fn run(
     executor: &Executor,
     clock: Clock,
     plan: &Plan,
     addresses: &[std::net::SocketAddr],
     history: &SharedHistory,
-    counts: &Rc<Counts>,
+    counts: &Rc<CallerCounts>,
 ) {
     let mut random = Pcg64::seed_from_u64(plan.seed ^ 0xca11);
     let clients: Vec<Vec<Rc<RecordingClient>>> = (0..plan.clients)
         .map(|number| {
-            let cross_ms = random.random_range(0.0..MAX_CROSS_CLOSE_MS);
+            let send_after_closing_ms = random.random_range(0.0..MAX_SEND_AFTER_CLOSING_MS);
             let client = |(backend, address): (usize, &std::net::SocketAddr)| {
                 let number = number as u32 + 1;
-                let at = (backend, *address);
-                Rc::new(RecordingClient::new(executor, clock, at, number, cross_ms, history.clone()))
+                let target = (backend, *address);
+                let history = history.clone();
+                Rc::new(RecordingClient::new(executor, clock, target, number, send_after_closing_ms, history))
             };
             addresses.iter().enumerate().map(client).collect()
         })
         .collect();
-    let began_ms = clock.now();
-    let (mut at_ms, mut number) = (began_ms, 0u64);
+    let started_ms = clock.now();
+    let (mut at_ms, mut number) = (started_ms, 0u64);
     loop {
         at_ms += -random.random_range(f64::EPSILON..1.0f64).ln() * 1000.0 / plan.requests_per_s;
-        if at_ms > began_ms + plan.span_ms {
+        if at_ms > started_ms + plan.span_ms {
             return;
         }
         Timer::at(clock.at(at_ms)).await;
@@ -72,11 +78,11 @@
         let (client, backend) =
             (random.random_range(0..clients.len()), random.random_range(0..addresses.len()));
         let call = recorded_call(&class, number, random.random_range(0.0..0.999));
-        if class.idempotency == Idempotency::Keyed && random.random_bool(TWIN_FRACTION) {
-            let twin = clients[(client + 1) % clients.len()][backend].clone();
-            counts.twins.set(counts.twins.get() + 1);
+        if class.idempotency == Idempotency::Keyed && random.random_bool(DUPLICATE_FRACTION) {
+            let duplicate = clients[(client + 1) % clients.len()][backend].clone();
+            counts.duplicates.set(counts.duplicates.get() + 1);
             let call = call.clone();
-            executor.spawn(async move { drop(twin.attempt(&call).await) }).detach();
+            executor.spawn(async move { drop(duplicate.attempt(&call).await) }).detach();
         }
         let request =
             Request { clock, class, call, clients: clients[client].clone(), backend, counts: counts.clone() };
@@ -84,36 +90,37 @@
     }
 }
 
-/// Connects anew, with a request at once, in the moments around that in which a backend that was told to leave refuses
-/// connections: what stands in its listen queue then must be answered too.
-pub async fn rush(
+/// Opens new connections, each with an immediate request, around the time at which a draining backend starts to refuse
+/// connections: requests on connections in its listen queue at that time must be answered too.
+pub async fn connect_around_refusal(
     executor: &Executor,
     clock: Clock,
     plan: &Plan,
     addresses: &[std::net::SocketAddr],
     history: &SharedHistory,
-    log: &SharedLog,
+    log: &SharedEventLog,
 ) {
-    let mut seen = 0;
-    let mut number = FIRST_RUSH_NUMBER;
+    let mut processed = 0;
+    let mut number = FIRST_BURST_NUMBER;
     loop {
-        Timer::at(clock.at(clock.now() + RUSH_POLL_MS)).await;
-        let new: Vec<Logged> = log.borrow()[seen..].to_vec();
-        seen += new.len();
-        for notice in new.into_iter().filter(|line| line.deed == Deed::Noticed) {
+        Timer::at(clock.at(clock.now() + EVENT_POLL_MS)).await;
+        let new_entries: Vec<LogEntry> = log.borrow()[processed..].to_vec();
+        processed += new_entries.len();
+        for notice in new_entries.into_iter().filter(|entry| entry.event == BackendEvent::DrainNoticeSent) {
             let refuses_ms = notice.at_ms + plan.grace_ms.min(plan.stop_ms - REFUSE_MARGIN_MS);
-            for place in 0..RUSH_CONNECTIONS {
+            for index in 0..BURST_CONNECTIONS {
                 number += 1;
                 let call = recorded_call(&plan.classes[0], number, 0.9);
-                let at = (notice.backend, addresses[notice.backend]);
+                let target = (notice.backend, addresses[notice.backend]);
+                let client_number = plan.clients as u32 + 1;
                 let client =
-                    RecordingClient::new(executor, clock, at, plan.clients as u32 + 1, 0.0, history.clone());
-                let at_ms = refuses_ms + RUSH_STEP_MS * (place as f64 - RUSH_CONNECTIONS as f64 / 2.0);
-                let ask = async move {
+                    RecordingClient::new(executor, clock, target, client_number, 0.0, history.clone());
+                let at_ms = refuses_ms + BURST_INTERVAL_MS * (index as f64 - BURST_CONNECTIONS as f64 / 2.0);
+                let request = async move {
                     Timer::at(clock.at(at_ms)).await;
                     drop(client.attempt(&call).await);
                 };
-                executor.spawn(ask).detach();
+                executor.spawn(request).detach();
             }
         }
     }
@@ -128,21 +135,21 @@
         work: WorkSpec {
             number,
             work_ms: class.work_ms,
-            outbound_calls: class.calls,
+            outbound_calls: class.outbound_calls,
             idempotency: class.idempotency,
         },
         timeout_ms: class.timeout_ms,
     }
 }
 
-/// One request with its retries.
+/// A request with its retries.
 struct Request {
     clock: Clock,
     class: ClassPlan,
     call: RecordedCall,
     clients: Vec<Rc<RecordingClient>>,
     backend: usize,
-    counts: Rc<Counts>,
+    counts: Rc<CallerCounts>,
 }
 
 impl Request {
@@ -153,9 +160,10 @@
             let may_retry = match (self.class.idempotency, answer) {
                 (_, Some(Answer::Succeeded(_))) => false,
                 (_, Some(Answer::Rejected)) | (Idempotency::Idempotent, _) => true,
-                // It may have run: only the backend that knows its key may be asked, within its window.
+                // The request may have run: retry only at the backend that recorded the key, within the
+                // deduplication window.
                 (Idempotency::Keyed, _) => {
-                    self.clock.now() < first_ms + WINDOW_FRACTION * self.class.window_ms
+                    self.clock.now() < first_ms + RETRY_WINDOW_FRACTION * self.class.dedup_window_ms
                 }
                 (Idempotency::NonIdempotent, _) => false,
             };
--- a/crates/plovershelf-cli/src/trial/soak/faults.rs
+++ b/crates/plovershelf-cli/src/trial/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Plays a plan's faults on the fleet, and writes down what was done to which backend when.
+//! Injects a plan's faults into the fleet and logs the resulting events of each backend.
 
 use std::cell::RefCell;
 use std::fs;
@@ -15,72 +15,85 @@
 
 use super::plan::{FaultKind, LinkFault, Plan, PlannedFault};
 
-/// What was done to a backend.
+/// Event in the history of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Deed {
+pub enum BackendEvent {
+    /// The process was started again.
     Started,
-    /// The drain notice.
-    Noticed,
-    /// Killed `stop_ms` after the notice.
+    /// The drain notice was sent.
+    DrainNoticeSent,
+    /// The process was killed `stop_ms` after the drain notice.
     KilledAtStop,
-    /// Killed without a notice.
+    /// The process was killed without a drain notice.
     Killed,
+    /// The process was paused (SIGSTOP).
     Paused,
+    /// The process was resumed (SIGCONT).
     Resumed,
-    /// Its agent's link is out of order, and is in order again.
-    AgentLost,
-    AgentBack,
-    /// It ended by itself without being told to, or with a status that says that it failed.
+    /// A fault on the link to the agent began.
+    AgentLinkFaulty,
+    /// A fault on the link to the agent ended.
+    AgentLinkRestored,
+    /// The process exited without a drain notice or with a status other than success.
     Crashed,
-    /// Told to leave, it had not ended by the time at which it is killed.
-    StillRunning,
+    /// The process had not exited `stop_ms` after the drain notice.
+    NotExitedInTime,
 }
 
-/// One line of the log of deeds.
+/// Entry of the event log.
 #[derive(Clone, Copy, Debug)]
-pub struct Logged {
+pub struct LogEntry {
+    /// Time of the event, by the trial's clock.
     pub at_ms: f64,
+    /// Index of the backend.
     pub backend: usize,
-    pub deed: Deed,
+    /// Event that occurred.
+    pub event: BackendEvent,
 }
 
+/// Fleet shared by the tasks of a run.
 pub type SharedFleet = Rc<RefCell<Fleet>>;
-pub type SharedLog = Rc<RefCell<Vec<Logged>>>;
+/// Event log shared by the tasks of a run, in chronological order.
+pub type SharedEventLog = Rc<RefCell<Vec<LogEntry>>>;
 
-/// Whoever plays faults.
+/// Injects faults into a fleet; clones share the fleet and the log.
 #[derive(Clone)]
-pub struct Player {
+pub struct FaultInjector {
     pub clock: Clock,
     pub fleet: SharedFleet,
-    pub log: SharedLog,
-    /// Backends that are down or about to be: two faults never bring one down together.
+    pub log: SharedEventLog,
+    /// Whether each backend is claimed by a fault that takes it down or pauses it; at most one such fault at a time
+    /// affects a backend.
     pub down: Rc<RefCell<Vec<bool>>>,
+    /// Time from the drain notice to the kill.
     pub stop_ms: f64,
+    /// Grace after the drain notice, after which no launch may happen.
     pub grace_ms: f64,
-    pub pools: Option<PathBuf>,
+    /// Path of the operator's file of bulkheads.
+    pub bulkheads_file: Option<PathBuf>,
 }
 
-impl Player {
-    /// Plays all faults; returns when the last is over.
-    pub async fn play(self, executor: &Executor, plan: &Plan) {
-        let began_ms = self.clock.now();
+impl FaultInjector {
+    /// Injects all faults of a plan; returns when the last one has ended.
+    pub async fn run(self, executor: &Executor, plan: &Plan) {
+        let started_ms = self.clock.now();
         let mut tasks = Vec::new();
         for fault in &plan.faults {
-            Timer::at(self.clock.at(began_ms + fault.at_ms)).await;
+            Timer::at(self.clock.at(started_ms + fault.at_ms)).await;
             match fault.kind {
                 FaultKind::DrainAll | FaultKind::KillAll => {
-                    let one = if fault.kind == FaultKind::KillAll {
+                    let kind = if fault.kind == FaultKind::KillAll {
                         FaultKind::Kill
                     } else {
                         FaultKind::Drain { notices: 1, reloads: 0 }
                     };
                     for backend in 0..plan.backends {
-                        let fault = PlannedFault { kind: one, backend, ..*fault };
+                        let fault = PlannedFault { kind, backend, ..*fault };
                         let wait_ms = 900.0 * backend as f64 / plan.backends as f64;
-                        tasks.push(executor.spawn(self.clone().play_one(fault, wait_ms)));
+                        tasks.push(executor.spawn(self.clone().run_fault(fault, wait_ms)));
                     }
                 }
-                _ => tasks.push(executor.spawn(self.clone().play_one(*fault, 0.0))),
+                _ => tasks.push(executor.spawn(self.clone().run_fault(*fault, 0.0))),
             }
         }
         for task in tasks {
@@ -88,8 +101,8 @@
         }
     }
 
-    /// Restarts whoever ended by itself.
-    pub async fn watch_for_crashes(self) {
+    /// Restarts each backend that exits while no fault has it down, until the task is cancelled.
+    pub async fn restart_crashed(self) {
         loop {
             self.wait(20.0).await;
             let backends = self.down.borrow().len();
@@ -99,7 +112,7 @@
                 }
                 let exit = self.fleet.borrow_mut().backends[backend].poll_exit();
                 if exit.is_some() {
-                    self.note(backend, Deed::Crashed);
+                    self.record(backend, BackendEvent::Crashed);
                     self.start(backend);
                 }
             }
@@ -110,36 +123,36 @@
         Timer::at(self.clock.at(self.clock.now() + for_ms)).await;
     }
 
-    fn note(&self, backend: usize, deed: Deed) {
-        self.log.borrow_mut().push(Logged { at_ms: self.clock.now(), backend, deed });
+    fn record(&self, backend: usize, event: BackendEvent) {
+        self.log.borrow_mut().push(LogEntry { at_ms: self.clock.now(), backend, event });
     }
 
     fn start(&self, backend: usize) {
         let _ = self.fleet.borrow_mut().backends[backend].start();
-        self.note(backend, Deed::Started);
+        self.record(backend, BackendEvent::Started);
     }
 
     fn signal(&self, backend: usize, signal: Signal) {
         self.fleet.borrow().backends[backend].signal(signal);
     }
 
-    /// Takes the backend, unless another fault has it down.
-    fn take_down(&self, backend: usize) -> bool {
+    /// Claims the backend for a fault; returns false if another fault has claimed it.
+    fn claim(&self, backend: usize) -> bool {
         !std::mem::replace(&mut self.down.borrow_mut()[backend], true)
     }
 
-    async fn play_one(self, fault: PlannedFault, wait_ms: f64) {
+    async fn run_fault(self, fault: PlannedFault, wait_ms: f64) {
         self.wait(wait_ms).await;
         let PlannedFault { kind, backend, for_ms, .. } = fault;
         match kind {
-            FaultKind::Agent(link) => {
-                self.note(backend, Deed::AgentLost);
+            FaultKind::AgentLink(link) => {
+                self.record(backend, BackendEvent::AgentLinkFaulty);
                 self.begin_link_fault(Some(backend), link);
                 self.wait(for_ms).await;
                 self.end_link_fault(Some(backend), link);
-                self.note(backend, Deed::AgentBack);
+                self.record(backend, BackendEvent::AgentLinkRestored);
             }
-            FaultKind::Dependency(link) => {
+            FaultKind::DependencyLink(link) => {
                 self.begin_link_fault(None, link);
                 self.wait(for_ms).await;
                 self.end_link_fault(None, link);
@@ -154,8 +167,8 @@
             FaultKind::Pause
             | FaultKind::Kill
             | FaultKind::Drain { .. }
-            | FaultKind::NoticeBeforeReady { .. } => {
-                if self.take_down(backend) {
+            | FaultKind::DrainBeforeReady { .. } => {
+                if self.claim(backend) {
                     self.bring_down(backend, kind, for_ms).await;
                     self.down.borrow_mut()[backend] = false;
                 }
@@ -166,16 +179,16 @@
     async fn bring_down(&self, backend: usize, kind: FaultKind, for_ms: f64) {
         match kind {
             FaultKind::Pause => {
-                self.note(backend, Deed::Paused);
+                self.record(backend, BackendEvent::Paused);
                 self.signal(backend, Signal::STOP);
                 self.wait(for_ms).await;
                 self.signal(backend, Signal::CONT);
-                self.note(backend, Deed::Resumed);
+                self.record(backend, BackendEvent::Resumed);
                 return;
             }
-            FaultKind::Kill => self.kill(backend, Deed::Killed),
-            FaultKind::NoticeBeforeReady { after_ms } => {
-                self.kill(backend, Deed::Killed);
+            FaultKind::Kill => self.kill(backend, BackendEvent::Killed),
+            FaultKind::DrainBeforeReady { after_ms } => {
+                self.kill(backend, BackendEvent::Killed);
                 let processes = self.fleet.borrow().backends[backend].agent.processes();
                 self.start(backend);
                 self.wait(after_ms).await;
@@ -188,19 +201,21 @@
         self.start(backend);
     }
 
-    fn kill(&self, backend: usize, deed: Deed) {
-        self.note(backend, deed);
+    fn kill(&self, backend: usize, event: BackendEvent) {
+        self.record(backend, event);
         let _ = self.fleet.borrow_mut().backends[backend].kill();
     }
 
-    /// The notice, more of them and reloads in series, and the kill to the millisecond. A process that was just started, when its agent
-    /// had heard of so many, may be ended by the signal itself, as long as the agent has not heard of it: it had not begun.
+    /// Sends reloads (SIGHUP), the drain notice (SIGTERM) and further notices and reloads, and kills the process exactly
+    /// `stop_ms` after the first notice. `just_started` is the number of processes that the agent had seen before the
+    /// process was started: until the agent has seen the new process, the process may also be terminated by the signal
+    /// itself, because it has not installed its handler yet.
     async fn drain(&self, backend: usize, notices: u32, reloads: u32, just_started: Option<u32>) {
         for _ in 0..reloads {
             self.signal(backend, Signal::HUP);
         }
         let noticed_ms = self.clock.now();
-        self.note(backend, Deed::Noticed);
+        self.record(backend, BackendEvent::DrainNoticeSent);
         self.fleet.borrow_mut().backends[backend].start_drain(self.grace_ms);
         for _ in 1..notices {
             self.wait(3.0).await;
@@ -212,31 +227,32 @@
             let backend = &mut self.fleet.borrow_mut().backends[backend];
             (backend.poll_exit(), backend.agent.processes())
         };
-        let had_not_begun = just_started == Some(processes);
-        let by_notice = |status: ExitStatus| status.signal() == Some(Signal::TERM.as_raw());
+        let had_not_subscribed = just_started == Some(processes);
+        let killed_by_notice = |status: ExitStatus| status.signal() == Some(Signal::TERM.as_raw());
         match exit {
-            Some(status) if status.success() || had_not_begun && by_notice(status) => {}
-            Some(_) => self.note(backend, Deed::Crashed),
-            None => self.note(backend, Deed::StillRunning),
+            Some(status) if status.success() || had_not_subscribed && killed_by_notice(status) => {}
+            Some(_) => self.record(backend, BackendEvent::Crashed),
+            None => self.record(backend, BackendEvent::NotExitedInTime),
         }
-        self.kill(backend, Deed::KilledAtStop);
+        self.kill(backend, BackendEvent::KilledAtStop);
     }
 
     async fn reload(&self, backend: usize, count: u32) {
         for number in 0..count {
-            if let Some(pools) = self.pools.as_ref().filter(|_| number == 1) {
-                // Torn for the moment of one reload, as by an editor that does not replace the file at once.
-                let whole = fs::read_to_string(pools).unwrap_or_default();
-                let _ = fs::write(pools, &whole[..whole.len() / 2]);
+            if let Some(bulkheads_file) = self.bulkheads_file.as_ref().filter(|_| number == 1) {
+                // Truncate the file during one reload, like an editor that does not replace the file atomically.
+                let content = fs::read_to_string(bulkheads_file).unwrap_or_default();
+                let _ = fs::write(bulkheads_file, &content[..content.len() / 2]);
                 self.signal(backend, Signal::HUP);
                 self.wait(1.0).await;
-                let _ = fs::write(pools, whole);
+                let _ = fs::write(bulkheads_file, content);
             }
             self.signal(backend, Signal::HUP);
             self.wait(5.0 / f64::from(count)).await;
         }
     }
 
+    /// Applies `change` to the path to the agent of the given backend or, without a backend, to the dependency.
     fn with_path(&self, agent_of: Option<usize>, change: impl FnOnce(&NetworkPath)) {
         let fleet = self.fleet.borrow();
         let path = match agent_of {
@@ -250,19 +266,19 @@
 
     fn begin_link_fault(&self, agent_of: Option<usize>, link: LinkFault) {
         self.with_path(agent_of, |path| match link {
-            LinkFault::Silent => path.partition(),
-            LinkFault::Refuses => path.faults.borrow_mut().refuses = true,
-            LinkFault::Slow => path.faults.borrow_mut().delay_ms = 60.0,
-            LinkFault::Cut => path.faults.borrow_mut().resets += 1,
+            LinkFault::Partition => path.partition(),
+            LinkFault::Refusal => path.faults.borrow_mut().refuses = true,
+            LinkFault::Delay => path.faults.borrow_mut().delay_ms = 60.0,
+            LinkFault::Reset => path.faults.borrow_mut().resets += 1,
         });
     }
 
     fn end_link_fault(&self, agent_of: Option<usize>, link: LinkFault) {
         self.with_path(agent_of, |path| match link {
-            LinkFault::Silent => path.heal(),
-            LinkFault::Refuses => path.faults.borrow_mut().refuses = false,
-            LinkFault::Slow => path.faults.borrow_mut().delay_ms = 0.0,
-            LinkFault::Cut => {}
+            LinkFault::Partition => path.heal(),
+            LinkFault::Refusal => path.faults.borrow_mut().refuses = false,
+            LinkFault::Delay => path.faults.borrow_mut().delay_ms = 0.0,
+            LinkFault::Reset => {}
         });
     }
 }
--- a/crates/plovershelf-cli/src/trial/soak/plan.rs
+++ b/crates/plovershelf-cli/src/trial/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed draws: backends, their settings and limits, who asks, and the faults.
+//! Plan of a soak run, drawn from a seed: the backends with their settings and limits, the load and the faults.
 
 use plovershelf_testkit::work::Idempotency;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -6,101 +6,129 @@
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
 
-/// Cores of each backend's agent, and runs on each that it sustains.
+/// Number of cores of each backend's agent.
 pub const CORES: f64 = 2.0;
+/// Number of executions per core beyond which an agent's throughput falls.
 pub const OVERLOAD_FACTOR: f64 = 8.0;
-/// Calls that the dependency has room for, for each backend.
+/// Number of calls in flight that the dependency sustains, per backend.
 pub const DEPENDENCY_SHARE: f64 = 30.0;
+/// Name of the only tenant.
 pub const TENANT: &str = "north";
-/// Nothing happens for this long at the beginning, and no fault begins this long before the end.
-const CALM_MS: f64 = 1500.0;
-const LAST_FAULT_MS: f64 = 3500.0;
-/// Share of the long runs among all requests.
-const LONG_SHARE: f64 = 0.02;
+/// Time at the start of a run in which no fault begins.
+const WARM_UP_MS: f64 = 1500.0;
+/// Time at the end of a run in which no fault begins.
+const FAULT_FREE_TAIL_MS: f64 = 3500.0;
+/// Share of the class with long executions among all requests.
+const LONG_CLASS_SHARE: f64 = 0.02;
+/// Minimum number of faults in a run.
 const MIN_FAULTS: usize = 8;
+/// Maximum number of faults in a run.
 const MAX_FAULTS: usize = 14;
 
-/// One request class.
+/// Request class of a plan.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
+    /// Name of the class.
     pub name: &'static str,
+    /// Whether requests of the class may take effect more than once.
     pub idempotency: Idempotency,
+    /// Timeout of an attempt.
     pub timeout_ms: f64,
-    pub window_ms: f64,
+    /// Deduplication window of the class.
+    pub dedup_window_ms: f64,
+    /// Processor time of a request.
     pub work_ms: f64,
-    pub calls: u32,
-    /// Of all that is asked for.
+    /// Number of outbound calls of a request.
+    pub outbound_calls: u32,
+    /// Share of the class among all requests, from 0 to 1.
     pub share: f64,
 }
 
-/// What happens to one backend, or to all.
+/// Fault that affects one backend, all backends or a peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// SIGTERM so often, SIGHUP among them; killed `stop_ms` after the first, and started again.
-    Drain {
-        notices: u32,
-        reloads: u32,
-    },
-    /// Killed with work in flight, and started again.
+    /// Drains the backend with `notices` times SIGTERM and at least `reloads` times SIGHUP, kills it `stop_ms` after the
+    /// first SIGTERM, and restarts it.
+    Drain { notices: u32, reloads: u32 },
+    /// Kills the backend with work in flight, and restarts it.
     Kill,
-    /// Started, told to leave after so long, and started again.
-    NoticeBeforeReady {
-        after_ms: f64,
-    },
-    /// SIGHUP so often within 5 ms.
-    Reloads {
-        count: u32,
-    },
-    /// SIGSTOP, and SIGCONT at the end.
+    /// Kills the backend, starts it, drains it `after_ms` later, and restarts it.
+    DrainBeforeReady { after_ms: f64 },
+    /// Sends `count` times SIGHUP within about 5 ms.
+    Reloads { count: u32 },
+    /// Pauses the backend with SIGSTOP, and resumes it with SIGCONT at the end.
     Pause,
-    /// All backends within a second.
+    /// Drains all backends, with starts spread over less than one second.
     DrainAll,
+    /// Kills all backends, spread over less than one second.
     KillAll,
-    /// The agent's or the dependency's link.
-    Agent(LinkFault),
-    Dependency(LinkFault),
-    /// The registry's address refuses heartbeats.
+    /// Disturbs the link between the backend and its agent.
+    AgentLink(LinkFault),
+    /// Disturbs the link between all backends and the dependency.
+    DependencyLink(LinkFault),
+    /// Makes the registry's address refuse heartbeats.
     RegistryDown,
 }
 
-/// What happens on a link.
+/// Fault on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    Silent,
-    Refuses,
-    Slow,
-    /// Reset in the middle of what passes.
-    Cut,
+    /// Nothing is forwarded.
+    Partition,
+    /// Connections are refused and open ones end.
+    Refusal,
+    /// Latency is added.
+    Delay,
+    /// Open connections are reset in the middle of a message.
+    Reset,
 }
 
-/// A fault with its time.
+/// Fault with its time and its target.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
+    /// Start of the fault, counted from the start of the run.
     pub at_ms: f64,
+    /// Duration of the fault.
     pub for_ms: f64,
+    /// Kind of the fault.
     pub kind: FaultKind,
+    /// Index of the affected backend, for faults of one backend.
     pub backend: usize,
 }
 
-/// All that a run consists of.
+/// Plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Seed that the plan is drawn from.
     pub seed: u64,
+    /// Duration of the load.
     pub span_ms: f64,
+    /// Number of backends.
     pub backends: usize,
+    /// Time from the drain notice to the kill.
     pub stop_ms: f64,
+    /// Grace after the drain notice.
     pub grace_ms: f64,
+    /// Maximum number of sockets of each backend.
     pub sockets: u32,
+    /// Memory limit of each backend, in megabytes.
     pub memory_mb: f64,
-    pub has_pools: bool,
-    pub is_crowded: bool,
+    /// Whether the backends have bulkheads.
+    pub has_bulkheads: bool,
+    /// Whether idle connections exhaust the backends' descriptors.
+    pub floods_connections: bool,
+    /// Request classes; their shares add up to 1.
     pub classes: Vec<ClassPlan>,
+    /// Number of clients.
     pub clients: usize,
+    /// Mean rate of new requests at all backends together.
     pub requests_per_s: f64,
+    /// Faults in chronological order.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, span_ms: f64) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         let backends = random.random_range(2..=6);
@@ -116,8 +144,8 @@
             grace_ms: (stop_ms * random.random_range(0.2..0.8)).floor(),
             sockets: *[96, 160, 256].choose(&mut random).unwrap_or(&160),
             memory_mb: *[48.0, 64.0, 128.0].choose(&mut random).unwrap_or(&64.0),
-            has_pools: random.random_bool(0.4),
-            is_crowded: seed.is_multiple_of(3),
+            has_bulkheads: random.random_bool(0.4),
+            floods_connections: seed.is_multiple_of(3),
             clients: random.random_range(4..=10),
             requests_per_s: capacity_per_s * random.random_range(0.7..1.6),
             faults: draw_faults(&mut random, backends, span_ms),
@@ -125,7 +153,7 @@
         }
     }
 
-    /// The settings that its backends are started with.
+    /// Returns the settings that the backends are started with.
     pub fn settings(&self) -> Value {
         let class = |class: &ClassPlan| {
             let effect = match class.idempotency {
@@ -134,7 +162,7 @@
                 Idempotency::NonIdempotent => "once",
             };
             json!({"name": class.name, "aim_ms": class.timeout_ms * 0.5, "deadline_ms": class.timeout_ms,
-                   "effect": effect, "dedup_window_ms": class.window_ms, "gain": 1.0, "late_worth": 0.2})
+                   "effect": effect, "dedup_window_ms": class.dedup_window_ms, "gain": 1.0, "late_worth": 0.2})
         };
         let classes: Vec<Value> = self.classes.iter().map(class).collect();
         json!({
@@ -150,20 +178,21 @@
         })
     }
 
-    /// The class at a place from 0 to 1 among the shares.
-    pub fn class_at(&self, place: f64) -> &ClassPlan {
+    /// Returns the class at a position from 0 to 1 in the cumulative shares.
+    pub fn class_at(&self, position: f64) -> &ClassPlan {
         let mut end = 0.0;
         let found = self.classes.iter().find(|class| {
             end += class.share;
-            place < end
+            position < end
         });
         found.unwrap_or(&self.classes[0])
     }
 
-    /// The operator's file of bulkheads.
-    pub fn pools(&self) -> String {
-        let pool = |class: &ClassPlan| format!("[pool {0}]\nofferings = {0}\nleast_runs = 1\n", class.name);
-        self.classes.iter().map(pool).collect()
+    /// Returns the content of the operator's file of bulkheads.
+    pub fn bulkheads_config(&self) -> String {
+        let bulkhead =
+            |class: &ClassPlan| format!("[pool {0}]\nofferings = {0}\nleast_runs = 1\n", class.name);
+        self.classes.iter().map(bulkhead).collect()
     }
 }
 
@@ -177,39 +206,39 @@
         name,
         idempotency,
         timeout_ms: f64::from(random.random_range(250..1800u32)),
-        // Some windows are shorter than a run takes under load.
-        window_ms: *[60.0, 400.0, 5000.0].choose(random).unwrap_or(&400.0),
+        // Some windows are shorter than an execution takes under load.
+        dedup_window_ms: *[60.0, 400.0, 5000.0].choose(random).unwrap_or(&400.0),
         work_ms: random.random_range(8.0..40.0),
-        calls: random.random_range(0..3),
-        share: (1.0 - LONG_SHARE) / kinds.len() as f64,
+        outbound_calls: random.random_range(0..3),
+        share: (1.0 - LONG_CLASS_SHARE) / kinds.len() as f64,
     };
     let mut classes: Vec<ClassPlan> = kinds.into_iter().map(class).collect();
-    // Runs that are still under way when their backend has to stop.
+    // Executions of this class are still running when their backend has to stop.
     classes.push(ClassPlan {
         name: "report",
         idempotency: Idempotency::NonIdempotent,
         timeout_ms: f64::from(random.random_range(2500..6000u32)),
-        window_ms: 0.0,
+        dedup_window_ms: 0.0,
         work_ms: random.random_range(300.0..1500.0),
-        calls: random.random_range(0..3),
-        share: LONG_SHARE,
+        outbound_calls: random.random_range(0..3),
+        share: LONG_CLASS_SHARE,
     });
     classes
 }
 
 fn draw_faults(random: &mut Pcg64, backends: usize, span_ms: f64) -> Vec<PlannedFault> {
-    let links = [LinkFault::Silent, LinkFault::Refuses, LinkFault::Slow, LinkFault::Cut];
+    let links = [LinkFault::Partition, LinkFault::Refusal, LinkFault::Delay, LinkFault::Reset];
     let mut kinds = vec![FaultKind::Kill];
     kinds.push(FaultKind::Drain { notices: random.random_range(1..4), reloads: random.random_range(0..4) });
     kinds.push(FaultKind::Reloads { count: random.random_range(2..6) });
-    kinds.push(FaultKind::NoticeBeforeReady { after_ms: random.random_range(0.0..40.0) });
+    kinds.push(FaultKind::DrainBeforeReady { after_ms: random.random_range(0.0..40.0) });
     kinds.push(FaultKind::Pause);
     let count = random.random_range(MIN_FAULTS..=MAX_FAULTS);
     while kinds.len() < count {
-        let link = *links.choose(random).unwrap_or(&LinkFault::Cut);
+        let link = *links.choose(random).unwrap_or(&LinkFault::Reset);
         kinds.push(match random.random_range(0..9) {
-            0 | 1 => FaultKind::Agent(link),
-            2 | 3 => FaultKind::Dependency(link),
+            0 | 1 => FaultKind::AgentLink(link),
+            2 | 3 => FaultKind::DependencyLink(link),
             4 => FaultKind::RegistryDown,
             5 => FaultKind::DrainAll,
             6 => FaultKind::KillAll,
@@ -218,14 +247,14 @@
         });
     }
     kinds.shuffle(random);
-    let last_ms = (span_ms - LAST_FAULT_MS).max(CALM_MS + 1.0);
+    let last_ms = (span_ms - FAULT_FREE_TAIL_MS).max(WARM_UP_MS + 1.0);
     let mut fault = |kind| PlannedFault {
-        at_ms: random.random_range(CALM_MS..last_ms),
+        at_ms: random.random_range(WARM_UP_MS..last_ms),
         for_ms: random.random_range(100.0..1500.0),
         kind,
         backend: random.random_range(0..backends),
     };
     let mut faults: Vec<PlannedFault> = kinds.into_iter().map(&mut fault).collect();
-    faults.sort_by(|one, other| one.at_ms.total_cmp(&other.at_ms));
+    faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     faults
 }
