--- a/crates/plovershelf-cli/src/trial/soak.rs
+++ b/crates/plovershelf-cli/src/trial/soak.rs
@@ -190,7 +190,7 @@
         clock,
         fleet: fleet.clone(),
         log: log.clone(),
-        down: Rc::new(RefCell::new(vec![false; plan.backends])),
+        claimed: Rc::new(RefCell::new(vec![false; plan.backends])),
         stop_ms: plan.stop_ms,
         grace_ms: plan.grace_ms,
         bulkheads_file: bulkheads_file.clone(),
--- a/crates/plovershelf-cli/src/trial/soak/evaluation.rs
+++ b/crates/plovershelf-cli/src/trial/soak/evaluation.rs
@@ -361,8 +361,8 @@
         let is_ready = |(_, answer): (f64, Option<(f64, bool)>)| {
             answer.is_some_and(|(at_ms, ready)| ready && at_ms > start.at_ms && at_ms <= until_ms)
         };
-        let brought_down = !self.was_healthy(start.backend, start.at_ms + 1.0, until_ms);
-        self.probes(start.backend).any(is_ready) || brought_down
+        let was_disturbed = !self.was_healthy(start.backend, start.at_ms + 1.0, until_ms);
+        self.probes(start.backend).any(is_ready) || was_disturbed
     }
 
     /// Formats the history of all attempts of a request.
--- a/crates/plovershelf-cli/src/trial/soak/faults.rs
+++ b/crates/plovershelf-cli/src/trial/soak/faults.rs
@@ -62,9 +62,9 @@
     pub clock: Clock,
     pub fleet: SharedFleet,
     pub log: SharedEventLog,
-    /// Whether each backend is claimed by a fault that takes it down or pauses it; at most one such fault at a time
-    /// affects a backend.
-    pub down: Rc<RefCell<Vec<bool>>>,
+    /// Whether each backend is claimed by a fault that kills, drains or pauses it; at most one such fault at a time affects
+    /// a backend.
+    pub claimed: Rc<RefCell<Vec<bool>>>,
     /// Time from the drain notice to the kill.
     pub stop_ms: f64,
     /// Grace after the drain notice, after which no launch may happen.
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Restarts each backend that exits while no fault has it down, until the task is cancelled.
+    /// Restarts each backend that exits while no fault has claimed it, until the task is cancelled.
     pub async fn restart_crashed(self) {
         loop {
             self.wait(20.0).await;
-            let backends = self.down.borrow().len();
+            let backends = self.claimed.borrow().len();
             for backend in 0..backends {
-                if self.down.borrow()[backend] {
+                if self.claimed.borrow()[backend] {
                     continue;
                 }
                 let exit = self.fleet.borrow_mut().backends[backend].poll_exit();
@@ -138,9 +138,10 @@
 
     /// Claims the backend for a fault; returns false if another fault has claimed it.
     fn claim(&self, backend: usize) -> bool {
-        !std::mem::replace(&mut self.down.borrow_mut()[backend], true)
+        !std::mem::replace(&mut self.claimed.borrow_mut()[backend], true)
     }
 
+    /// Injects one fault after a delay of `wait_ms`; returns when the fault has ended.
     async fn run_fault(self, fault: PlannedFault, wait_ms: f64) {
         self.wait(wait_ms).await;
         let PlannedFault { kind, backend, for_ms, .. } = fault;
@@ -169,14 +170,15 @@
             | FaultKind::Drain { .. }
             | FaultKind::DrainBeforeReady { .. } => {
                 if self.claim(backend) {
-                    self.bring_down(backend, kind, for_ms).await;
-                    self.down.borrow_mut()[backend] = false;
+                    self.run_backend_fault(backend, kind, for_ms).await;
+                    self.claimed.borrow_mut()[backend] = false;
                 }
             }
         }
     }
 
-    async fn bring_down(&self, backend: usize, kind: FaultKind, for_ms: f64) {
+    /// Pauses, kills or drains a backend and brings it up again.
+    async fn run_backend_fault(&self, backend: usize, kind: FaultKind, for_ms: f64) {
         match kind {
             FaultKind::Pause => {
                 self.record(backend, BackendEvent::Paused);
@@ -237,6 +239,7 @@
         self.kill(backend, BackendEvent::KilledAtStop);
     }
 
+    /// Sends SIGHUP `count` times; the second time it also sends one while the operator's file of bulkheads is truncated.
     async fn reload(&self, backend: usize, count: u32) {
         for number in 0..count {
             if let Some(bulkheads_file) = self.bulkheads_file.as_ref().filter(|_| number == 1) {
@@ -252,7 +255,8 @@
         }
     }
 
-    /// Applies `change` to the path to the agent of the given backend or, without a backend, to the dependency.
+    /// Applies `change` to the path to the agent of the given backend or, without a backend, to the path to the
+    /// dependency.
     fn with_path(&self, agent_of: Option<usize>, change: impl FnOnce(&NetworkPath)) {
         let fleet = self.fleet.borrow();
         let path = match agent_of {
@@ -267,7 +271,7 @@
     fn begin_link_fault(&self, agent_of: Option<usize>, link: LinkFault) {
         self.with_path(agent_of, |path| match link {
             LinkFault::Partition => path.partition(),
-            LinkFault::Refusal => path.faults.borrow_mut().refuses = true,
+            LinkFault::Refusal => path.faults.borrow_mut().refuse_connections = true,
             LinkFault::Delay => path.faults.borrow_mut().delay_ms = 60.0,
             LinkFault::Reset => path.faults.borrow_mut().resets += 1,
         });
@@ -276,7 +280,7 @@
     fn end_link_fault(&self, agent_of: Option<usize>, link: LinkFault) {
         self.with_path(agent_of, |path| match link {
             LinkFault::Partition => path.heal(),
-            LinkFault::Refusal => path.faults.borrow_mut().refuses = false,
+            LinkFault::Refusal => path.faults.borrow_mut().refuse_connections = false,
             LinkFault::Delay => path.faults.borrow_mut().delay_ms = 0.0,
             LinkFault::Reset => {}
         });
--- a/crates/plovershelf-testkit/src/agent/state.rs
+++ b/crates/plovershelf-testkit/src/agent/state.rs
@@ -38,7 +38,7 @@
     Read(u64),
 }
 
-/// Channels that wake the tasks which drive the state.
+/// Channels that wake the tasks driving the state.
 pub(super) struct Wakers {
     /// Signals that tasks on the cores were added or removed.
     pub(super) cores_changed: Sender<()>,
--- a/crates/plovershelf-testkit/src/backend.rs
+++ b/crates/plovershelf-testkit/src/backend.rs
@@ -42,7 +42,7 @@
     /// The operator's file of the consensus group.
     pub(crate) config: PathBuf,
     /// Marker file; while it exists, writes to the member's storage fail.
-    pub(crate) storage_full: PathBuf,
+    pub(crate) storage_full_marker: PathBuf,
 }
 
 /// Configuration of a backend's process.
@@ -119,7 +119,7 @@
         }
         if let Some(cluster) = &config.cluster {
             command.env("PLOVERSHELF_GROUP", &cluster.config);
-            command.env("PLOVERSHELF_TEST_FOLDER_FULL", &cluster.storage_full);
+            command.env("PLOVERSHELF_TEST_FOLDER_FULL", &cluster.storage_full_marker);
             command.env("PLOVERSHELF_TEST_CLOCK_OFF_MS", config.clock_offset_ms.to_string());
         }
         if let Some(file) = &config.config_distribution {
@@ -140,8 +140,8 @@
     /// Sets the operator's file of the consensus group that applies from the next start on; without one the backend belongs
     /// to no cluster.
     pub fn set_cluster_file(&mut self, file: Option<PathBuf>) {
-        let storage_full = self.config.config_file.with_extension("full");
-        self.config.cluster = file.map(|config| ClusterFiles { config, storage_full });
+        let storage_full_marker = self.config.config_file.with_extension("full");
+        self.config.cluster = file.map(|config| ClusterFiles { config, storage_full_marker });
     }
 
     /// Sets the operator's file of configuration distribution that applies from the next start on; without one the backend
@@ -198,7 +198,7 @@
     }
 
     /// Kills the process at the begin of a fault and keeps it down; such faults may overlap.
-    pub(crate) fn hold_down(&mut self) {
+    pub(crate) fn take_down(&mut self) {
         self.down_faults += 1;
         if std::mem::take(&mut self.paused) {
             self.signal(Signal::CONT);
@@ -208,7 +208,7 @@
 
     /// Ends one fault that kept the process down; after the last such fault the process is restarted with the given offset
     /// of its wall clock.
-    pub(crate) fn release(&mut self, clock_offset_ms: f64) {
+    pub(crate) fn bring_up(&mut self, clock_offset_ms: f64) {
         self.down_faults = self.down_faults.saturating_sub(1);
         if self.down_faults == 0 {
             self.config.clock_offset_ms = clock_offset_ms;
--- a/crates/plovershelf-testkit/src/cluster.rs
+++ b/crates/plovershelf-testkit/src/cluster.rs
@@ -37,7 +37,7 @@
     /// Path of the storage folder, if the member stores its state on disk.
     pub storage: Option<PathBuf>,
     /// Marker file; while it exists, writes to the storage fail.
-    pub storage_full: PathBuf,
+    pub storage_full_marker: PathBuf,
     /// Offset of the member's wall clock that applies from the next start on.
     pub clock_offset_ms: f64,
     /// Snapshots of the log, oldest first; `None` where the log did not exist.
@@ -138,7 +138,7 @@
             address,
             config_file: folder.join(format!("group-{name}.ini")),
             storage: config.folders.then(|| folder.join(format!("group-{name}"))),
-            storage_full: folder.join(format!("full-{name}")),
+            storage_full_marker: folder.join(format!("full-{name}")),
             clock_offset_ms: 0.0,
             snapshots: VecDeque::new(),
         }
--- a/crates/plovershelf-testkit/src/cores.rs
+++ b/crates/plovershelf-testkit/src/cores.rs
@@ -57,9 +57,12 @@
         let mut completed = Vec::new();
         while self.now_ms < now_ms {
             let rate = self.rate(self.now_ms);
-            let least_ms = self.least_remaining_ms();
-            let step_ms =
-                if rate > 0.0 { (least_ms / rate).clamp(MIN_STEP_MS, MAX_STEP_MS) } else { MAX_STEP_MS };
+            let min_remaining_ms = self.min_remaining_ms();
+            let step_ms = if rate > 0.0 {
+                (min_remaining_ms / rate).clamp(MIN_STEP_MS, MAX_STEP_MS)
+            } else {
+                MAX_STEP_MS
+            };
             let step_ms = step_ms.min(now_ms - self.now_ms);
             self.busy_ms += (self.remaining_ms.len() as f64 / self.config.cores).min(1.0) * step_ms;
             self.remaining_ms.values_mut().for_each(|remaining| *remaining -= rate * step_ms);
@@ -73,9 +76,9 @@
 
     /// Returns the time at which to advance the model next: the predicted next completion, at most one step ahead.
     pub fn next_completion_ms(&self) -> Option<f64> {
-        let least_ms = self.least_remaining_ms();
+        let min_remaining_ms = self.min_remaining_ms();
         let rate = self.rate(self.now_ms);
-        (rate > 0.0).then(|| self.now_ms + (least_ms / rate).min(MAX_STEP_MS))
+        (rate > 0.0).then(|| self.now_ms + (min_remaining_ms / rate).min(MAX_STEP_MS))
     }
 
     /// Returns the number of running tasks.
@@ -93,7 +96,7 @@
         self.busy_ms
     }
 
-    fn least_remaining_ms(&self) -> f64 {
+    fn min_remaining_ms(&self) -> f64 {
         self.remaining_ms.values().copied().fold(f64::INFINITY, f64::min)
     }
 
--- a/crates/plovershelf-testkit/src/fault_injection.rs
+++ b/crates/plovershelf-testkit/src/fault_injection.rs
@@ -90,7 +90,7 @@
             },
             Fault::Unfit { member } => {
                 if let Some(path) = &self.backends[*member].agent_path {
-                    path.faults.borrow_mut().refuses = begins;
+                    path.faults.borrow_mut().refuse_connections = begins;
                 }
             }
             _ => {
@@ -106,9 +106,9 @@
         let backend = &mut self.backends[index];
         let member = self.cluster.as_ref().map(|cluster| &cluster.members[index]);
         if phase == FaultPhase::Ends {
-            return backend.release(member.map_or(0.0, |member| member.clock_offset_ms));
+            return backend.bring_up(member.map_or(0.0, |member| member.clock_offset_ms));
         }
-        backend.hold_down();
+        backend.take_down();
         let Some(member) = member else { return };
         match storage {
             Folder::Kept => {}
@@ -142,7 +142,7 @@
                 }
             }
             Fault::Full { member } => {
-                let marker = &self.members[*member].storage_full;
+                let marker = &self.members[*member].storage_full_marker;
                 let _ = if begins { std::fs::write(marker, "") } else { std::fs::remove_file(marker) };
             }
             Fault::Clock { member, by_ms } => {
--- a/crates/plovershelf-testkit/src/fleet.rs
+++ b/crates/plovershelf-testkit/src/fleet.rs
@@ -56,7 +56,7 @@
 
 /// Running fleet; dropping it kills its processes and removes its files.
 pub struct Fleet {
-    /// All backends.
+    /// Backends, in the order of their indices.
     pub backends: Vec<Backend>,
     /// Dependency that all backends share.
     pub dependency: Dependency,
@@ -131,7 +131,10 @@
         let agent_address = agent_path.as_ref().map_or(agent.address, |path| path.address);
         let cluster = self.cluster.as_ref().map(|cluster| {
             let member = &cluster.members[index];
-            ClusterFiles { config: member.config_file.clone(), storage_full: member.storage_full.clone() }
+            ClusterFiles {
+                config: member.config_file.clone(),
+                storage_full_marker: member.storage_full_marker.clone(),
+            }
         });
         let config_file = self.folder.join(format!("{name}.json"));
         let text = self.startup_config(config, index, address, agent_address);
--- a/crates/plovershelf-testkit/src/path.rs
+++ b/crates/plovershelf-testkit/src/path.rs
@@ -27,7 +27,7 @@
     /// Number of partitions in effect, as several faults may overlap; nothing is forwarded while there is any.
     pub partitions: u32,
     /// Whether new connections are closed and open ones ended, as if the other process had exited.
-    pub refuses: bool,
+    pub refuse_connections: bool,
     /// Latency added to each read.
     pub delay_ms: f64,
     /// Fraction of reads that are lost and therefore forwarded after the retransmission time.
@@ -83,7 +83,7 @@
     let mut connection_seed = seed;
     while let Ok((stream, _)) = listener.accept().await {
         connections.retain(|connection| !connection.is_finished());
-        if faults.borrow().refuses {
+        if faults.borrow().refuse_connections {
             continue;
         }
         connection_seed = connection_seed.wrapping_add(1);
@@ -115,7 +115,7 @@
     faults: &RefCell<PathFaults>,
 ) -> std::io::Result<usize> {
     let refused = async {
-        while !faults.borrow().refuses {
+        while !faults.borrow().refuse_connections {
             Timer::after(POLL_INTERVAL).await;
         }
         Ok(0)
--- a/crates/plovershelf-testkit/src/recording_client.rs
+++ b/crates/plovershelf-testkit/src/recording_client.rs
@@ -42,7 +42,7 @@
 /// End of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The backend closed the connection.
+    /// The backend closed the connection without a reset.
     Closed,
     /// Reading failed, as after a reset.
     Reset,
@@ -85,9 +85,9 @@
 /// Records of all clients of a trial.
 #[derive(Debug, Default)]
 pub struct History {
-    /// All connections.
+    /// Connections, in the order in which they were established.
     pub connections: Vec<ConnectionRecord>,
-    /// All attempts.
+    /// Attempts, in the order in which they were started.
     pub attempts: Vec<AttemptRecord>,
 }
 
--- a/crates/plovershelf-testkit/src/tap.rs
+++ b/crates/plovershelf-testkit/src/tap.rs
@@ -33,7 +33,7 @@
     pub first_attempts: BTreeMap<u64, u64>,
     /// Attempts marked as retries, by tenth of a second.
     pub marked_retries: BTreeMap<u64, u64>,
-    /// Start time of each connection and the number of the client that used it, if a request carried one.
+    /// Start time of each connection, with the client number in its first request that carries one.
     pub connections: Vec<(f64, Option<u32>)>,
     /// Total number of requests.
     pub requests: u64,
