--- a/crates/plovershelf-testkit/src/lib.rs
+++ b/crates/plovershelf-testkit/src/lib.rs
@@ -41,7 +41,7 @@
 /// Returns an address on loopback to listen on later.
 ///
 /// The host part is derived from this process's identifier, no outgoing connection uses that host, and no port is
-/// returned twice before all [`PORTS`] have been, so that no other socket takes the address. The function does not
+/// returned twice before all 50,000 have been, so that no other socket takes the address. The function does not
 /// bind the address to test it: a process started at that moment would inherit the socket and occupy the port.
 ///
 /// Errors: none; the result type suits callers, which bind the address.
