--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -1,5 +1,6 @@
-//! Numbered changes on simulated time: each shape of trouble carried by the mechanism, by the leader to all and by gossip with
-//! exchange, on the same seeds and changes; then how the mechanism's costs grow.
+//! Trial `changes-model`: configuration distribution in simulated time. Each fault scenario runs with the distribution tree, with
+//! direct distribution by the leader, and with gossip at two intervals, on the same seeds and changes. Afterwards the costs
+//! of the tree are measured at growing sizes.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -18,15 +19,15 @@
 
 use super::{Aim, Figures, Ground};
 
-/// What a backend may spend a second.
-const BYTES: f64 = 4096.0;
-/// Worlds at once; each holds the content of all its members.
-const AT_ONCE: usize = 2;
+/// Largest traffic of a backend, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 4096.0;
+/// Simulations that run at the same time. The number is limited because each one stores the contents of all its members.
+const CONCURRENT_RUNS: usize = 2;
 const SIZES: [(usize, &str); 4] =
     [(30, "members_30"), (100, "members_100"), (300, "members_300"), (900, "members_900")];
 
-/// A shape's name, and that with each other way.
-macro_rules! names {
+/// Expands each scenario's name to the names of its four phases, one for each distribution method.
+macro_rules! phase_names {
     ($($name:literal),*) => { [$([
         $name,
         concat!($name, "/leader-to-all"),
@@ -35,7 +36,7 @@
     ]),*] };
 }
 
-const NAMES: [[&str; 4]; SHAPES.len()] = names!(
+const NAMES: [[&str; 4]; SHAPES.len()] = phase_names!(
     "calm",
     "day",
     "burst",
@@ -58,120 +59,121 @@
     "mangled"
 );
 
-/// All work, a few at a time, in its order.
-fn all<T: Sync, R: Send>(work: &[T], play: impl Fn(&T) -> R + Sync) -> Vec<R> {
+/// Runs all items, `CONCURRENT_RUNS` at a time; returns the results in the order of the items.
+fn run_all<T: Sync, R: Send>(work: &[T], run: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
-    let came = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     let worker = || loop {
-        let place = next.fetch_add(1, Ordering::Relaxed);
-        let Some(one) = work.get(place) else { return };
-        let one = play(one);
-        if let Ok(mut came) = came.lock() {
-            came.push((place, one));
+        let index = next.fetch_add(1, Ordering::Relaxed);
+        let Some(item) = work.get(index) else { return };
+        let result = run(item);
+        if let Ok(mut results) = results.lock() {
+            results.push((index, result));
         }
     };
-    std::thread::scope(|scope| (0..AT_ONCE).for_each(|_| drop(scope.spawn(worker))));
-    let mut came = came.into_inner().unwrap_or_default();
-    came.sort_by_key(|(place, _)| *place);
-    came.into_iter().map(|(_, one)| one).collect()
+    std::thread::scope(|scope| (0..CONCURRENT_RUNS).for_each(|_| drop(scope.spawn(worker))));
+    let mut results = results.into_inner().unwrap_or_default();
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// The mechanism first; the others are struck where it was.
-fn four(shape: &Shape) -> [Came; 4] {
+/// Runs a scenario with each method. The tree runs first; the faults of the other methods hit the same members.
+fn run_methods(shape: &Shape) -> [Came; 4] {
     let tree = changes::run::<Tree>(shape, None);
-    let struck = Some(&tree.struck[..]);
-    let direct = changes::run::<Direct>(shape, struck);
-    let gossip = changes::run::<Gossip<300>>(shape, struck);
-    let slower = changes::run::<Gossip<1000>>(shape, struck);
-    [tree, direct, gossip, slower]
+    let fault_targets = Some(&tree.struck[..]);
+    let direct = changes::run::<Direct>(shape, fault_targets);
+    let gossip = changes::run::<Gossip<300>>(shape, fault_targets);
+    let slow_gossip = changes::run::<Gossip<1000>>(shape, fault_targets);
+    [tree, direct, gossip, slow_gossip]
 }
 
-fn most(of: impl Iterator<Item = Option<f64>>) -> Option<f64> {
-    of.flatten().reduce(f64::max)
+fn max(values: impl Iterator<Item = Option<f64>>) -> Option<f64> {
+    values.flatten().reduce(f64::max)
 }
 
-fn mean(of: impl Iterator<Item = Option<f64>>) -> Option<f64> {
-    let all: Vec<f64> = of.flatten().collect();
+fn mean(values: impl Iterator<Item = Option<f64>>) -> Option<f64> {
+    let all: Vec<f64> = values.flatten().collect();
     (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64)
 }
 
-/// One way's figures of a shape over all seeds. `judged`: the mechanism.
-fn figures(name: &str, came: &[&Came], judged: bool) -> Figures {
+/// Returns the figures of one method in one scenario over all seeds. Only the tree is `judged` against bounds.
+fn figures(name: &str, runs: &[&Came], judged: bool) -> Figures {
     let mut figures = Figures::default();
     let aim = |aim: Aim| if judged { aim } else { Aim::Told };
-    let none = aim(Aim::AtMost(0.0));
-    let sum = |of: &dyn Fn(&Came) -> u64| came.iter().map(|one| of(one)).sum::<u64>() as f64;
-    let rate = |of: &dyn Fn(&Came) -> Rates| -> [Option<f64>; 3] {
-        let of: Vec<Rates> = came.iter().map(|one| of(one)).collect();
+    let zero = aim(Aim::AtMost(0.0));
+    let sum = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).sum::<u64>() as f64;
+    let rate = |rates: &dyn Fn(&Came) -> Rates| -> [Option<f64>; 3] {
+        let rates: Vec<Rates> = runs.iter().map(|run| rates(run)).collect();
         [
-            mean(of.iter().map(|rates| rates.mean)),
-            most(of.iter().map(|rates| rates.most)),
-            most(of.iter().map(|rates| rates.second)),
+            mean(rates.iter().map(|rates| rates.mean)),
+            max(rates.iter().map(|rates| rates.most)),
+            max(rates.iter().map(|rates| rates.second)),
         ]
     };
-    let bounded = if matches!(name, "calm" | "day") { aim(Aim::AtMost(BYTES)) } else { Aim::Told };
-    let [listener, listener_most, listener_second] = rate(&|one| one.spent.listeners);
+    let bounded =
+        if matches!(name, "calm" | "day") { aim(Aim::AtMost(MAX_BYTES_PER_SECOND)) } else { Aim::Told };
+    let [listener, listener_most, listener_second] = rate(&|run| run.spent.listeners);
     figures.put("bytes_a_listener_a_second", listener, bounded);
     figures.told("bytes_worst_listener_a_second", listener_most);
     figures.told("bytes_worst_listener_worst_second", listener_second);
     if judged {
-        let [relay, relay_most, _] = rate(&|one| one.spent.relays);
+        let [relay, relay_most, _] = rate(&|run| run.spent.relays);
         figures.told("bytes_a_relay_a_second", relay);
-        // A relay is a backend as well: in calm its budget is the same.
-        let calm = if name == "calm" { Aim::AtMost(BYTES) } else { Aim::Told };
+        // A relay is also a backend and has the same budget while no changes are made.
+        let calm = if name == "calm" { Aim::AtMost(MAX_BYTES_PER_SECOND) } else { Aim::Told };
         figures.put("bytes_worst_relay_a_second", relay_most, calm);
     }
-    let [source, source_most, source_second] = rate(&|one| one.spent.sources);
+    let [source, source_most, source_second] = rate(&|run| run.spent.sources);
     figures.told("bytes_a_source_a_second", source);
     figures.told("bytes_worst_source_a_second", source_most);
     figures.told("bytes_worst_source_worst_second", source_second);
-    let highest = |of: &dyn Fn(&Came) -> u64| came.iter().map(|one| of(one)).max().map(|n| n as f64);
-    figures.told("messages_worst_second", highest(&|one| one.spent.messages_second));
-    figures.told("peers_worst_second", highest(&|one| one.spent.peers_second));
+    let highest = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).max().map(|n| n as f64);
+    figures.told("messages_worst_second", highest(&|run| run.spent.messages_second));
+    figures.told("peers_worst_second", highest(&|run| run.spent.peers_second));
     let config = DistributionConfig::default();
     if judged {
         figures.put(
             "fed_by_a_source_most",
-            highest(&|one| one.spent.children_of_source),
+            highest(&|run| run.spent.children_of_source),
             Aim::AtMost(config.origin_failover_fan_out as f64),
         );
         figures.put(
             "fed_by_a_relay_most",
-            highest(&|one| one.spent.children_of_listener),
+            highest(&|run| run.spent.children_of_listener),
             Aim::AtMost(config.failover_fan_out as f64),
         );
-        figures.put("depth_most", highest(&|one| one.spent.depth), Aim::AtMost(2.0));
+        figures.put("depth_most", highest(&|run| run.spent.depth), Aim::AtMost(2.0));
     } else {
-        figures.told("fed_by_a_source_most", highest(&|one| one.spent.children_of_source));
+        figures.told("fed_by_a_source_most", highest(&|run| run.spent.children_of_source));
     }
     if name != "calm" {
         let mut in_force = Spread::default();
-        came.iter().for_each(|one| in_force.join(&one.in_force_ms));
+        runs.iter().for_each(|run| in_force.join(&run.in_force_ms));
         let seconds = |ms: Option<f64>| ms.map(|ms| ms / 1000.0);
-        figures.put("changes", sum(&|one| one.agreed), aim(Aim::AtLeast(came.len() as f64 * 10.0)));
-        figures.told("changes_without_a_council", sum(&|one| one.not_agreed));
+        figures.put("changes", sum(&|run| run.agreed), aim(Aim::AtLeast(runs.len() as f64 * 10.0)));
+        figures.told("changes_without_a_council", sum(&|run| run.not_agreed));
         figures.told("in_force_s_median", seconds(in_force.at(0.5)));
         figures.put("in_force_s_99", seconds(in_force.at(0.99)), aim(Aim::AtMost(IN_FORCE_MS / 1000.0)));
         figures.told("in_force_s_worst", seconds(in_force.most()));
-        figures.told("listeners_not_in_time", sum(&|one| one.late));
+        figures.told("listeners_not_in_time", sum(&|run| run.late));
     }
-    figures.put("reachable_at_end", sum(&|one| one.reachable), aim(Aim::AtLeast(1.0)));
-    figures.put("missed", sum(&|one| one.missed), none);
-    figures.put("went_back", sum(&|one| one.count(NEVER_BACKWARDS)), none);
+    figures.put("reachable_at_end", sum(&|run| run.reachable), aim(Aim::AtLeast(1.0)));
+    figures.put("missed", sum(&|run| run.missed), zero);
+    figures.put("went_back", sum(&|run| run.count(NEVER_BACKWARDS)), zero);
     if judged {
-        // The other ways carry numbers alone, and so have no content that could differ.
-        figures.put("two_at_one_number", sum(&|one| one.count(ONE_CONTENT_A_NUMBER)), none);
-        figures.put("cut_off_did_not_serve_on", sum(&|one| one.count(CUT_OFF_SERVES_ON)), none);
-        figures.put("bad_changed_something", sum(&|one| one.count(BAD_CHANGES_NOTHING)), none);
+        // The other methods are simulated with version numbers only and have no contents that could differ.
+        figures.put("two_at_one_number", sum(&|run| run.count(ONE_CONTENT_A_NUMBER)), zero);
+        figures.put("cut_off_did_not_serve_on", sum(&|run| run.count(CUT_OFF_SERVES_ON)), zero);
+        figures.put("bad_changed_something", sum(&|run| run.count(BAD_CHANGES_NOTHING)), zero);
         let miscounted =
-            |one: &Came| one.counted.abs_diff(one.reachable) + one.counted_in_force.abs_diff(one.reachable);
-        figures.put("counted_wrong_at_sources", sum(&miscounted), none);
+            |run: &Came| run.counted.abs_diff(run.reachable) + run.counted_in_force.abs_diff(run.reachable);
+        figures.put("counted_wrong_at_sources", sum(&miscounted), zero);
     }
     figures
 }
 
-/// What grows with members: the mechanism in calm and on the ordinary day.
-fn grown(ground: &Ground, members: usize, told: &mut Figures) -> Result<(), String> {
+/// Adds the figures of the tree at growing sizes, without changes and on an ordinary day.
+fn add_growth_figures(ground: &Ground, members: usize, all_figures: &mut Figures) -> Result<(), String> {
     let sizes: Vec<(usize, &'static str)> = SIZES.into_iter().filter(|(size, _)| *size <= members).collect();
     let seeds = ground.seeds.unwrap_or(1);
     let work: Vec<(usize, &'static str, u64)> = sizes
@@ -179,34 +181,35 @@
         .flat_map(|(size, _)| ["calm", "day"].map(|name| (*size, name)))
         .flat_map(|(size, name)| (ground.seed..ground.seed + seeds).map(move |seed| (size, name, seed)))
         .collect();
-    let came = all(&work, |(size, name, seed)| changes::run::<Tree>(&Shape::of(name, *size, *seed), None));
+    let runs =
+        run_all(&work, |(size, name, seed)| changes::run::<Tree>(&Shape::of(name, *size, *seed), None));
     type Figure = (&'static str, &'static str, fn(&Came) -> Option<f64>);
-    let of: [Figure; 7] = [
-        ("calm_bytes_a_listener_a_second", "calm", |one| one.spent.listeners.mean),
-        ("calm_bytes_worst_relay_a_second", "calm", |one| one.spent.relays.most),
-        ("calm_bytes_a_source_a_second", "calm", |one| one.spent.sources.mean),
-        ("day_bytes_a_listener_a_second", "day", |one| one.spent.listeners.mean),
-        ("day_bytes_a_relay_a_second", "day", |one| one.spent.relays.mean),
-        ("day_bytes_a_source_a_second", "day", |one| one.spent.sources.mean),
-        ("day_in_force_s_99", "day", |one| one.in_force_at(0.99).map(|ms| ms / 1000.0)),
+    let growing: [Figure; 7] = [
+        ("calm_bytes_a_listener_a_second", "calm", |run| run.spent.listeners.mean),
+        ("calm_bytes_worst_relay_a_second", "calm", |run| run.spent.relays.most),
+        ("calm_bytes_a_source_a_second", "calm", |run| run.spent.sources.mean),
+        ("day_bytes_a_listener_a_second", "day", |run| run.spent.listeners.mean),
+        ("day_bytes_a_relay_a_second", "day", |run| run.spent.relays.mean),
+        ("day_bytes_a_source_a_second", "day", |run| run.spent.sources.mean),
+        ("day_in_force_s_99", "day", |run| run.in_force_at(0.99).map(|ms| ms / 1000.0)),
     ];
     let value = |size: usize, name: &str, figure: fn(&Came) -> Option<f64>| {
-        let same = work.iter().zip(&came).filter(|((s, n, _), _)| *s == size && *n == name);
-        mean(same.map(|(_, one)| figure(one)))
+        let same = work.iter().zip(&runs).filter(|((s, n, _), _)| *s == size && *n == name);
+        mean(same.map(|(_, run)| figure(run)))
     };
     for (size, phase) in &sizes {
         let mut figures = Figures::default();
-        of.iter().for_each(|(key, name, figure)| figures.told(key, value(*size, name, *figure)));
-        told.phase(phase, figures);
+        growing.iter().for_each(|(key, name, figure)| figures.told(key, value(*size, name, *figure)));
+        all_figures.phase(phase, figures);
     }
-    let mut drawn = Vec::new();
-    // A line through fewer than three sizes says nothing.
-    for (key, name, figure) in of.into_iter().filter(|_| sizes.len() > 2) {
+    let mut curves = Vec::new();
+    // A linear fit needs at least three sizes.
+    for (key, name, figure) in growing.into_iter().filter(|_| sizes.len() > 2) {
         let points: Vec<(f64, f64)> = work
             .iter()
-            .zip(&came)
-            .filter(|((_, of, _), _)| *of == name)
-            .filter_map(|((size, ..), one)| figure(one).map(|value| (*size as f64, value)))
+            .zip(&runs)
+            .filter(|((_, scenario, _), _)| *scenario == name)
+            .filter_map(|((size, ..), run)| figure(run).map(|value| (*size as f64, value)))
             .collect();
         let fit = Fit::of(&points);
         let mut figures = Figures::default();
@@ -215,13 +218,13 @@
         figures.told("intercept", fit.map(|fit| fit.intercept));
         figures.told("r_squared", fit.map(|fit| fit.r_squared));
         figures.told("at_920", fit.map(|fit| fit.at(920.0)));
-        told.phase(key, figures);
-        drawn.push(Line { name: key.into(), points });
+        all_figures.phase(key, figures);
+        curves.push(Line { name: key.into(), points });
     }
     if let Some(folder) = &ground.logs {
         let path = folder.join("changes-model.svg");
         let text =
-            lines("Numbered changes as the fleet grows", "members", "bytes a second, seconds", &drawn)?;
+            lines("Numbered changes as the fleet grows", "members", "bytes a second, seconds", &curves)?;
         std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     Ok(())
@@ -233,30 +236,31 @@
         return Err(format!("--members {members}: from 30 to 2000"));
     }
     if seeds == 0 {
-        return Err("--seeds 0: one at least".into());
+        return Err("--seeds 0: at least 1".into());
     }
-    let mut told = Figures::default();
-    told.told("members", members as f64);
-    told.told("seeds", seeds as f64);
-    told.told("tenants", changes::shapes::TENANTS as f64);
-    told.told("days_faster", FASTER);
+    let mut all_figures = Figures::default();
+    all_figures.told("members", members as f64);
+    all_figures.told("seeds", seeds as f64);
+    all_figures.told("tenants", changes::shapes::TENANTS as f64);
+    all_figures.told("days_faster", FASTER);
     let work: Vec<(usize, u64)> = (0..SHAPES.len())
         .flat_map(|shape| (ground.seed..ground.seed + seeds).map(move |seed| (shape, seed)))
         .collect();
-    let came = all(&work, |(shape, seed)| four(&Shape::of(SHAPES[*shape], members, *seed)));
+    let runs = run_all(&work, |(shape, seed)| run_methods(&Shape::of(SHAPES[*shape], members, *seed)));
     for (number, names) in NAMES.iter().enumerate() {
-        for (way, name) in names.iter().enumerate() {
-            let of_shape = work.iter().zip(&came).filter(|((shape, _), _)| *shape == number);
-            let of: Vec<&Came> = of_shape.map(|(_, came)| &came[way]).collect();
-            if way == 0 {
-                let seen = of.iter().flat_map(|one| one.broken.iter().take(3));
-                seen.for_each(|broken| tracing::warn!(event = "broken", shape = name, told = ?broken));
+        for (method, name) in names.iter().enumerate() {
+            let of_scenario = work.iter().zip(&runs).filter(|((shape, _), _)| *shape == number);
+            let runs: Vec<&Came> = of_scenario.map(|(_, runs)| &runs[method]).collect();
+            if method == 0 {
+                let violations = runs.iter().flat_map(|run| run.broken.iter().take(3));
+                violations
+                    .for_each(|violation| tracing::warn!(event = "broken", shape = name, told = ?violation));
             }
-            told.phase(name, figures(names[0], &of, way == 0));
+            all_figures.phase(name, figures(names[0], &runs, method == 0));
         }
     }
-    grown(ground, members, &mut told)?;
-    Ok(told)
+    add_growth_figures(ground, members, &mut all_figures)?;
+    Ok(all_figures)
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-cli/src/trial/changes_model/tests.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn phases_have_the_shapes_names_in_their_order() {
+fn phases_are_named_after_the_scenarios_in_order() {
     assert_eq!(NAMES.map(|names| names[0]), SHAPES);
 }
 
 #[test]
-fn a_shape_in_which_nothing_was_in_force_falls_short() {
+fn a_scenario_without_data_fails() {
     assert!(!figures("loss", &[&Came::default()], true).hold());
     assert!(!figures("calm", &[&Came::default()], true).hold());
     assert!(!figures("loss", &[], true).hold());
 }
 
 #[test]
-fn work_is_done_once_each_and_told_in_its_order() {
+fn each_item_runs_once_and_results_keep_the_order() {
     let work: Vec<u64> = (0..50).collect();
-    assert_eq!(all(&work, |n| n * n), work.iter().map(|n| n * n).collect::<Vec<_>>());
+    assert_eq!(run_all(&work, |n| n * n), work.iter().map(|n| n * n).collect::<Vec<_>>());
 }
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -1,5 +1,6 @@
-//! Nine backends in three zones whose tickets have copies: machines are killed with their disks throughout, two at once among
-//! them, ways are cut, processes stopped; callers' repeats go to other backends. The same schedule without copies.
+//! Trial `copies`: nine backends in three zones replicate the outcomes of requests with idempotency keys. Machines are killed
+//! with their disks throughout, some of them two at once, links are cut and processes are paused, while callers retry at other
+//! backends. The same schedule runs without replication for comparison.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,7 +19,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::client_overload::plan;
+use super::client_overload::fleet_config;
 use super::{Aim, Figures, Ground};
 use crate::load;
 
@@ -28,14 +29,15 @@
 const LOSSES: usize = 20;
 const CORES: f64 = 1.0;
 const WORK_MS: f64 = 60.0;
-/// Of what the cores do: once below, once above.
+/// Demand as a fraction of the capacity of the cores.
 const DEMAND: f64 = 0.8;
-const DEMAND_OVER: f64 = 1.5;
-const LOSSES_OVER: usize = 6;
+/// Demand of the overloaded phase.
+const OVERLOAD_DEMAND: f64 = 1.5;
+const OVERLOAD_LOSSES: usize = 6;
 const MEMORY_MB: f64 = 64.0;
-const TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
-/// The model's schedule, its pairs lost at once as two machines each.
+/// Returns the schedule of the simulation, with each `KillThird` step, which loses two machines at once, as two kills.
 fn schedule(seed: u64, losses: usize) -> Schedule {
     let mut schedule = drawn(seed, MEMBERS, ZONES, losses);
     let pairs = std::mem::take(&mut schedule.steps).into_iter().flat_map(|step| match step.fault {
@@ -48,30 +50,40 @@
     schedule
 }
 
-/// What became of one ticket, by its callers' accounts.
+/// What the callers of one idempotency key observed.
 #[derive(Default)]
-struct Story {
+struct KeyOutcome {
     succeeded: bool,
-    /// A try was dismissed after another had a verdict.
-    dismissed_after: bool,
-    scrapped: u32,
-    after_success: u32,
+    /// True if an attempt was rejected after another had a final outcome.
+    rejected_after_outcome: bool,
+    /// Number of attempts that failed.
+    failed: u32,
+    /// Number of attempts that failed after another had succeeded.
+    failed_after_success: u32,
 }
 
+/// Counts overloaded all callers of a run.
 #[derive(Default)]
-struct Told {
-    tickets: Cell<u64>,
-    elsewhere: Cell<u64>,
+struct CallerCounts {
+    keys: Cell<u64>,
+    /// Retries, each at a newly drawn backend.
+    retries: Cell<u64>,
+    /// Keys that succeeded.
     succeeded: Cell<u64>,
-    dismissed: Cell<u64>,
-    wrong: Cell<u64>,
+    /// Rejected attempts.
+    rejected: Cell<u64>,
+    /// Attempts with a wrong result.
+    wrong_result: Cell<u64>,
+    /// Callers that have not finished.
     open: Cell<u64>,
-    took: RefCell<Spread>,
+    /// Latency of first attempts that succeeded, in milliseconds.
+    latency_ms: RefCell<Spread>,
     history: RefCell<Vec<Event>>,
 }
 
-impl Told {
-    fn answered(&self, at: f64, ticket: u64, result: Option<&[u8]>) {
+impl CallerCounts {
+    /// Records a final outcome in the history; `result` is `None` for a failure.
+    fn record_outcome(&self, at: f64, ticket: u64, result: Option<&[u8]>) {
         let result = result.map(|bytes| u64::from(crc32fast::hash(bytes)));
         self.history.borrow_mut().push(Event { at, seen: Seen::Answered { ticket, result } });
     }
@@ -81,86 +93,93 @@
     cell.set(cell.get() + 1);
 }
 
-pub(super) struct Came {
-    low_s_worst: f64,
+/// Measurements of one run.
+pub(super) struct RunResult {
+    /// Longest time for which a member reported under-replicated records, in seconds.
+    max_under_replicated_s: f64,
+    /// Median time of a status query, in milliseconds.
     round_trip_ms: Option<f64>,
-    told: Rc<Told>,
-    effects_twice: u64,
-    other_after: u64,
-    verdicts_that_differ: u64,
-    /// Tickets of which a try was dismissed after another had heard how they ended.
-    dismissed_after_verdict: u64,
-    doubt: u64,
+    counts: Rc<CallerCounts>,
+    /// Keys that were executed more than once.
+    executed_twice: u64,
+    /// Keys that failed after they had succeeded.
+    failed_after_success: u64,
+    /// Keys that both succeeded and failed.
+    conflicting_outcomes: u64,
+    /// Keys with an attempt that was rejected after another had a final outcome.
+    rejected_after_outcome: u64,
+    /// Keys with a failed attempt.
+    failed: u64,
     rules_broken: u64,
     peak_kb: Option<u64>,
     history: Vec<Event>,
 }
 
-/// One caller's tries of a ticket.
+/// One caller of an idempotency key.
 struct Caller {
-    plain: BasicClient,
+    client: BasicClient,
     members: Vec<std::net::SocketAddr>,
     seed: u64,
-    tries: u32,
-    told: Rc<Told>,
-    story: Rc<RefCell<Story>>,
+    max_attempts: u32,
+    counts: Rc<CallerCounts>,
+    key_outcome: Rc<RefCell<KeyOutcome>>,
     clock: Clock,
 }
 
-/// One after the other, at members drawn anew.
-async fn tries(caller: Caller, work: WorkSpec) {
-    let Caller { plain, members, seed, tries, told, story, clock } = caller;
-    let mut chance = Pcg64::seed_from_u64(seed);
-    let ticket = format!("ticket-{}", work.number);
+/// Makes a caller's attempts one after another, each at a newly drawn member, until one has a final outcome.
+async fn run_attempts(caller: Caller, work: WorkSpec) {
+    let Caller { client, members, seed, max_attempts, counts, key_outcome, clock } = caller;
+    let mut rng = Pcg64::seed_from_u64(seed);
+    let key = format!("ticket-{}", work.number);
     let body = work.body();
-    let asked = Call {
+    let call = Call {
         class: "book",
         tenant: load::TENANTS[0],
         rank: 0.5,
-        idempotency_key: Some(&ticket),
+        idempotency_key: Some(&key),
         idempotent: false,
         body: &body,
         timeout: Duration::from_millis(1500),
     };
-    for place in 0..tries {
-        if place > 0 {
-            count(&told.elsewhere);
+    for attempt in 0..max_attempts {
+        if attempt > 0 {
+            count(&counts.retries);
         }
-        let member = members[chance.random_range(0..members.len())];
-        let began = clock.now();
-        let patience = Duration::from_millis(1200 + chance.random_range(0..600));
-        let late = async {
-            Timer::after(patience).await;
+        let member = members[rng.random_range(0..members.len())];
+        let started_ms = clock.now();
+        let timeout = Duration::from_millis(1200 + rng.random_range(0..600));
+        let timed_out = async {
+            Timer::after(timeout).await;
             Outcome::NoResponse
         };
-        match futures_lite::future::or(plain.attempt(member, &asked), late).await {
+        match futures_lite::future::or(client.attempt(member, &call), timed_out).await {
             Outcome::Succeeded(result) => {
-                told.answered(clock.now(), work.number, Some(&result));
+                counts.record_outcome(clock.now(), work.number, Some(&result));
                 if result != work.result() {
-                    count(&told.wrong);
+                    count(&counts.wrong_result);
                 }
-                let mut story = story.borrow_mut();
-                if !story.succeeded {
-                    count(&told.succeeded);
-                    if place == 0 {
-                        told.took.borrow_mut().put(clock.now() - began);
+                let mut key_outcome = key_outcome.borrow_mut();
+                if !key_outcome.succeeded {
+                    count(&counts.succeeded);
+                    if attempt == 0 {
+                        counts.latency_ms.borrow_mut().put(clock.now() - started_ms);
                     }
                 }
-                story.succeeded = true;
+                key_outcome.succeeded = true;
                 return;
             }
             Outcome::Failed => {
-                told.answered(clock.now(), work.number, None);
-                let mut story = story.borrow_mut();
-                story.scrapped += 1;
-                story.after_success += u32::from(story.succeeded);
+                counts.record_outcome(clock.now(), work.number, None);
+                let mut key_outcome = key_outcome.borrow_mut();
+                key_outcome.failed += 1;
+                key_outcome.failed_after_success += u32::from(key_outcome.succeeded);
                 return;
             }
             Outcome::Rejected => {
-                count(&told.dismissed);
+                count(&counts.rejected);
                 {
-                    let mut story = story.borrow_mut();
-                    story.dismissed_after |= story.succeeded || story.scrapped > 0;
+                    let mut key_outcome = key_outcome.borrow_mut();
+                    key_outcome.rejected_after_outcome |= key_outcome.succeeded || key_outcome.failed > 0;
                 }
                 Timer::after(Duration::from_millis(300)).await;
             }
@@ -171,35 +190,38 @@
     }
 }
 
-/// What a member says of its copies: this one figure hangs on its own word.
-async fn low(at: std::net::SocketAddr) -> Option<(u64, f64)> {
-    let began = std::time::Instant::now();
-    let answer = crate::group::ask(at, "trial", Question::Copies, Duration::from_millis(300)).await.ok()?;
+/// Queries a member for its number of under-replicated records; also returns the duration of the query in milliseconds. This
+/// is the only figure that relies on what a member reports about itself.
+async fn query_under_replicated(address: std::net::SocketAddr) -> Option<(u64, f64)> {
+    let started = std::time::Instant::now();
+    let timeout = Duration::from_millis(300);
+    let answer = crate::group::ask(address, "trial", Question::Copies, timeout).await.ok()?;
     let Answer::Copies(status) = answer else { return None };
-    Some((status.under_replicated_records, began.elapsed().as_secs_f64() * 1000.0))
+    Some((status.under_replicated_records, started.elapsed().as_secs_f64() * 1000.0))
 }
 
+/// Runs a schedule of faults under load, with or without replication.
 pub(super) fn play(
     ground: &Ground,
     schedule: &Schedule,
-    with_copies: bool,
+    replicated: bool,
     demand: f64,
-) -> Result<Came, String> {
+) -> Result<RunResult, String> {
     let executor = &ground.executor;
     let clock = Clock::start();
-    let mut plan = plan(ground, MEMBERS, 20);
-    plan.cores = cores::CoresConfig { cores: CORES, ..plan.cores };
-    plan.memory_mb = MEMORY_MB;
-    plan.settings = load::settings(CORES, MEMBERS, 20, 40.0, 8.0);
-    let more = if with_copies {
+    let mut config = fleet_config(ground, MEMBERS, 20);
+    config.cores = cores::CoresConfig { cores: CORES, ..config.cores };
+    config.memory_mb = MEMORY_MB;
+    config.settings = load::settings(CORES, MEMBERS, 20, 40.0, 8.0);
+    let more = if replicated {
         "replace_ms = 1500\n\n[copies]\ncopies = 3\nleast = 2\nmemory_mb = 16\n"
     } else {
         "replace_ms = 1500\n"
     };
-    plan.cluster =
+    config.cluster =
         Some(cluster::ClusterConfig { zones: ZONES, founders: VOTERS, folders: true, more: more.into() });
     let fleet =
-        Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
+        Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
         if !fleet.up(clock, 15_000.0).await {
             return Err("the backends did not come up within 15 s".to_string());
@@ -207,182 +229,187 @@
         Timer::after(Duration::from_millis(2500)).await;
         let members = fleet.addresses();
         let fleet = RefCell::new(fleet);
-        let done = RefCell::new(Vec::new());
-        let told: Rc<Told> = Rc::default();
-        let stories: Rc<RefCell<Vec<Rc<RefCell<Story>>>>> = Rc::default();
-        let plains: Vec<BasicClient> =
+        let applied = RefCell::new(Vec::new());
+        let counts: Rc<CallerCounts> = Rc::default();
+        let key_outcomes: Rc<RefCell<Vec<Rc<RefCell<KeyOutcome>>>>> = Rc::default();
+        let clients: Vec<BasicClient> =
             (0..8).map(|number| BasicClient::new(executor, &members, number)).collect();
-        let mut chance = Pcg64::seed_from_u64(ground.seed);
-        let ends = clock.now() + schedule.ends_ms();
-        let ask = async {
+        let mut rng = Pcg64::seed_from_u64(ground.seed);
+        let ends_ms = clock.now() + schedule.ends_ms();
+        let generate_load = async {
             let mut number = 0u64;
-            while clock.now() < ends {
+            while clock.now() < ends_ms {
                 number += 1;
-                count(&told.tickets);
+                count(&counts.keys);
                 let work = WorkSpec {
                     number,
-                    work_ms: WORK_MS * (0.4 + 1.2 * chance.random::<f64>()),
+                    work_ms: WORK_MS * (0.4 + 1.2 * rng.random::<f64>()),
                     outbound_calls: 1,
                     idempotency: Idempotency::Keyed,
                 };
-                let story: Rc<RefCell<Story>> = Rc::default();
-                stories.borrow_mut().push(story.clone());
-                // Some ask two backends in the same instant, some ask again for what they have.
-                let mut asks = vec![(0u64, TRIES)];
-                if chance.random::<f64>() < 0.15 {
-                    asks.push((0, 3));
+                let key_outcome: Rc<RefCell<KeyOutcome>> = Rc::default();
+                key_outcomes.borrow_mut().push(key_outcome.clone());
+                // Some keys are sent to two backends at the same time; some are sent again later, possibly after they
+                // have succeeded.
+                let mut callers = vec![(0u64, MAX_ATTEMPTS)];
+                if rng.random::<f64>() < 0.15 {
+                    callers.push((0, 3));
                 }
-                if chance.random::<f64>() < 0.2 {
-                    asks.push((chance.random_range(200..2500), 1));
+                if rng.random::<f64>() < 0.2 {
+                    callers.push((rng.random_range(200..2500), 1));
                 }
-                for (after_ms, left) in asks {
-                    let plain = plains[number as usize % 8].clone();
+                for (delay_ms, max_attempts) in callers {
+                    let client = clients[number as usize % 8].clone();
                     let caller = Caller {
-                        plain,
+                        client,
                         members: members.clone(),
-                        seed: chance.random(),
-                        tries: left,
-                        told: told.clone(),
-                        story: story.clone(),
+                        seed: rng.random(),
+                        max_attempts,
+                        counts: counts.clone(),
+                        key_outcome: key_outcome.clone(),
                         clock,
                     };
-                    let told = told.clone();
-                    let one = async move {
-                        Timer::after(Duration::from_millis(after_ms)).await;
-                        told.open.set(told.open.get() + 1);
-                        tries(caller, work).await;
-                        told.open.set(told.open.get() - 1);
+                    let counts = counts.clone();
+                    let run_caller = async move {
+                        Timer::after(Duration::from_millis(delay_ms)).await;
+                        counts.open.set(counts.open.get() + 1);
+                        run_attempts(caller, work).await;
+                        counts.open.set(counts.open.get() - 1);
                     };
-                    executor.spawn(one).detach();
+                    executor.spawn(run_caller).detach();
                 }
-                let a_second = demand * MEMBERS as f64 * CORES * 1000.0 / WORK_MS;
-                let gap = -chance.random::<f64>().max(1e-9).ln() * 1000.0 / a_second;
-                Timer::after(Duration::from_secs_f64(gap / 1000.0)).await;
+                let per_second = demand * MEMBERS as f64 * CORES * 1000.0 / WORK_MS;
+                let gap_ms = -rng.random::<f64>().max(1e-9).ln() * 1000.0 / per_second;
+                Timer::after(Duration::from_secs_f64(gap_ms / 1000.0)).await;
             }
         };
-        let faults = fault_injection::play(&fleet, clock, schedule, &done);
-        // How long any member had tickets with too few copies, asked of all a few times a second.
-        let (low_most, trips) = (Cell::new(0.0f64), RefCell::new(Spread::default()));
-        let watch = async {
+        let faults = fault_injection::play(&fleet, clock, schedule, &applied);
+        // Polls all members several times a second for the time for which a member has under-replicated records.
+        let (max_under_replicated_ms, round_trips_ms) = (Cell::new(0.0f64), RefCell::new(Spread::default()));
+        let poll_members = async {
             let mut since: Vec<Option<f64>> = vec![None; MEMBERS];
-            let at: Vec<_> = fleet
+            let addresses: Vec<_> = fleet
                 .borrow()
                 .cluster
                 .iter()
                 .flat_map(|cluster| cluster.members.iter().map(|m| m.address))
                 .collect();
-            while with_copies && clock.now() < ends {
-                for (member, at) in at.iter().enumerate() {
-                    match low(*at).await {
-                        Some((low, took)) => {
-                            trips.borrow_mut().put(took);
-                            since[member] = if low > 0 { since[member].or(Some(clock.now())) } else { None };
+            while replicated && clock.now() < ends_ms {
+                for (member, address) in addresses.iter().enumerate() {
+                    match query_under_replicated(*address).await {
+                        Some((records, took_ms)) => {
+                            round_trips_ms.borrow_mut().put(took_ms);
+                            since[member] =
+                                if records > 0 { since[member].or(Some(clock.now())) } else { None };
                         }
                         None => since[member] = None,
                     }
                     if let Some(since) = since[member] {
-                        low_most.set(low_most.get().max(clock.now() - since));
+                        let longest = max_under_replicated_ms.get().max(clock.now() - since);
+                        max_under_replicated_ms.set(longest);
                     }
                 }
                 Timer::after(Duration::from_millis(150)).await;
             }
         };
-        futures_lite::future::zip(futures_lite::future::zip(faults, ask), watch).await;
-        let until = clock.now() + 15_000.0;
-        while told.open.get() > 0 && clock.now() < until {
+        futures_lite::future::zip(futures_lite::future::zip(faults, generate_load), poll_members).await;
+        let deadline_ms = clock.now() + 15_000.0;
+        while counts.open.get() > 0 && clock.now() < deadline_ms {
             Timer::after(Duration::from_millis(50)).await;
         }
-        let round_trip_ms = trips.borrow().at(0.5);
+        let round_trip_ms = round_trips_ms.borrow().at(0.5);
         let mut fleet = fleet.into_inner();
         let peak_kb = fleet.backends.iter().filter_map(|backend| backend.peak_memory_kb()).max();
-        let mut rules_broken = told.wrong.get() + fleet.effects.borrow().dependency_outages;
+        let mut rules_broken = counts.wrong_result.get() + fleet.effects.borrow().dependency_outages;
         for backend in &mut fleet.backends {
             backend.poll_exit();
             rules_broken += u64::from(backend.crashes);
         }
-        let effects_twice = fleet.effects.borrow().repeated_keyed_launches().len() as u64;
-        let mut history = told.history.take();
-        let steps = done.borrow();
-        history.extend(steps.iter().map(|done| Event {
-            at: done.at_ms,
+        let executed_twice = fleet.effects.borrow().repeated_keyed_launches().len() as u64;
+        let mut history = counts.history.take();
+        let applied = applied.borrow();
+        history.extend(applied.iter().map(|fault| Event {
+            at: fault.at_ms,
             seen: Seen::Fault {
                 text: format!(
                     "{} {}",
-                    if done.begins() { "begins" } else { "ends" },
-                    schedule.steps[done.step]
+                    if fault.begins() { "begins" } else { "ends" },
+                    schedule.steps[fault.step]
                 ),
             },
         }));
         history.sort_by(|a, b| a.at.total_cmp(&b.at));
-        // Agents keep no times of launches: these stand at the end.
+        // Agents don't record the times of launches, so all launches are dated at the end of the run.
         let at = clock.now();
-        let launched = |(ticket, (place, life)): (u64, (usize, u32))| Event {
+        let launched = |(ticket, (backend, start)): (u64, (usize, u32))| Event {
             at,
-            seen: Seen::Launched { ticket, process: format!("n{}, start {life}", place + 1) },
+            seen: Seen::Launched { ticket, process: format!("n{}, start {start}", backend + 1) },
         };
         history.extend(fleet.effects.borrow().keyed_launches().map(launched));
-        let stories = stories.borrow();
-        let all = || stories.iter().map(|story| story.borrow());
-        Ok(Came {
-            effects_twice,
-            other_after: all().filter(|story| story.after_success > 0).count() as u64,
-            dismissed_after_verdict: all().filter(|story| story.dismissed_after).count() as u64,
-            verdicts_that_differ: all().filter(|story| story.succeeded && story.scrapped > 0).count() as u64,
-            doubt: all().filter(|story| story.scrapped > 0).count() as u64,
-            low_s_worst: low_most.get() / 1000.0,
+        let key_outcomes = key_outcomes.borrow();
+        let all = || key_outcomes.iter().map(|key| key.borrow());
+        Ok(RunResult {
+            executed_twice,
+            failed_after_success: all().filter(|key| key.failed_after_success > 0).count() as u64,
+            rejected_after_outcome: all().filter(|key| key.rejected_after_outcome).count() as u64,
+            conflicting_outcomes: all().filter(|key| key.succeeded && key.failed > 0).count() as u64,
+            failed: all().filter(|key| key.failed > 0).count() as u64,
+            max_under_replicated_s: max_under_replicated_ms.get() / 1000.0,
             round_trip_ms,
             history,
             rules_broken,
             peak_kb,
-            told,
+            counts,
         })
     };
     async_io::block_on(executor.run(run))
 }
 
-fn goodput(came: &Came) -> f64 {
-    came.told.succeeded.get() as f64 / came.told.tickets.get().max(1) as f64
+/// Returns the fraction of keys that succeeded.
+fn goodput(run: &RunResult) -> f64 {
+    run.counts.succeeded.get() as f64 / run.counts.keys.get().max(1) as f64
 }
 
-/// The figures of one load, with copies and without.
-pub(super) fn told(figures: &mut Figures, with: &Came, without: &Came, goodput_least: Aim) {
-    let none = Aim::AtMost(0.0);
-    let tickets = with.told.tickets.get() as f64;
+/// Adds the figures of one load, with and without replication.
+pub(super) fn add_figures(figures: &mut Figures, with: &RunResult, without: &RunResult, min_goodput: Aim) {
+    let zero = Aim::AtMost(0.0);
+    let tickets = with.counts.keys.get() as f64;
     figures.told("tickets", tickets);
-    figures.told("repeats_elsewhere", with.told.elsewhere.get() as f64);
-    figures.put("effects_twice", with.effects_twice as f64, none);
-    figures.put("succeeded_then_other", with.other_after as f64, none);
-    // Where nobody who knows can be reached in time a repeat is told to come back: not a verdict, and nothing runs on it.
-    figures.put("promises_broken", audit::judge(&with.history).broken.len() as f64, none);
-    figures.told("dismissed_after_verdict", with.dismissed_after_verdict as f64);
-    figures.put("verdicts_that_differ", with.verdicts_that_differ as f64, none);
-    figures.told("told_failed_share", with.doubt as f64 / tickets.max(1.0));
-    figures.told("dismissed", with.told.dismissed.get() as f64);
-    figures.told("copies_low_s_worst", with.low_s_worst);
+    figures.told("repeats_elsewhere", with.counts.retries.get() as f64);
+    figures.put("effects_twice", with.executed_twice as f64, zero);
+    figures.put("succeeded_then_other", with.failed_after_success as f64, zero);
+    // A retry is rejected if no member that knows the outcome can be reached in time. A rejection is no outcome, and
+    // nothing is executed for it.
+    figures.put("promises_broken", audit::judge(&with.history).broken.len() as f64, zero);
+    figures.told("dismissed_after_verdict", with.rejected_after_outcome as f64);
+    figures.put("verdicts_that_differ", with.conflicting_outcomes as f64, zero);
+    figures.told("told_failed_share", with.failed as f64 / tickets.max(1.0));
+    figures.told("dismissed", with.counts.rejected.get() as f64);
+    figures.told("copies_low_s_worst", with.max_under_replicated_s);
     figures.told("round_trip_ms_median", with.round_trip_ms);
-    figures.told("took_ms_median", with.told.took.borrow().at(0.5));
-    figures.told("without_took_ms_median", without.told.took.borrow().at(0.5));
-    let took = |side: &Came| side.told.took.borrow().at(0.5);
-    let added = took(with).zip(took(without)).map(|(with, without)| with - without);
+    figures.told("took_ms_median", with.counts.latency_ms.borrow().at(0.5));
+    figures.told("without_took_ms_median", without.counts.latency_ms.borrow().at(0.5));
+    let median_ms = |run: &RunResult| run.counts.latency_ms.borrow().at(0.5);
+    let added = median_ms(with).zip(median_ms(without)).map(|(with, without)| with - without);
     figures.told("wait_added_ms_median", added);
     figures.told("served", goodput(with));
     figures.told("without_served", goodput(without));
-    figures.put("goodput_ratio", goodput(with) / goodput(without).max(1e-9), goodput_least);
+    figures.put("goodput_ratio", goodput(with) / goodput(without).max(1e-9), min_goodput);
     let peak_share = with.peak_kb.map(|kb| kb as f64 / 1024.0 / MEMORY_MB);
     figures.put("memory_peak_share", peak_share, Aim::AtMost(1.0));
-    figures.put("rules_broken", with.rules_broken as f64, none);
-    figures.put("without_effects_twice", without.effects_twice as f64, Aim::AtLeast(1.0));
-    figures.told("without_succeeded_then_other", without.other_after as f64);
+    figures.put("rules_broken", with.rules_broken as f64, zero);
+    figures.put("without_effects_twice", without.executed_twice as f64, Aim::AtLeast(1.0));
+    figures.told("without_succeeded_then_other", without.failed_after_success as f64);
 }
 
 pub fn run(ground: &Ground) -> Result<Figures, String> {
-    // A loss takes about four seconds with the pauses beside it.
+    // Each loss takes about four seconds, pauses included.
     let losses = ground.seconds.map_or(LOSSES, |seconds| ((seconds / 4.0) as usize).max(2));
     let schedule = match &ground.schedule {
         Some(file) => {
             let text =
                 std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-            text.parse().map_err(|wrong| format!("{}: {wrong}", file.display()))?
+            text.parse().map_err(|error| format!("{}: {error}", file.display()))?
         }
         None => schedule(ground.seed, losses),
     };
@@ -404,13 +431,13 @@
     let mut figures = Figures::default();
     figures.put("machines_lost_with_disk", kills.len() as f64, Aim::AtLeast(losses as f64));
     figures.put("most_lost_at_once", kills.iter().map(at_once).max().unwrap_or(0) as f64, Aim::AtLeast(2.0));
-    told(&mut figures, &with, &without, Aim::AtLeast(0.9));
-    // Above what the cores do, with fewer losses.
-    let fewer = self::schedule(ground.seed ^ 0x0f, losses.min(LOSSES_OVER));
+    add_figures(&mut figures, &with, &without, Aim::AtLeast(0.9));
+    // Demand beyond the capacity of the cores, with fewer losses.
+    let fewer = self::schedule(ground.seed ^ 0x0f, losses.min(OVERLOAD_LOSSES));
     let (with, without) =
-        (play(ground, &fewer, true, DEMAND_OVER)?, play(ground, &fewer, false, DEMAND_OVER)?);
-    let mut over = Figures::default();
-    told(&mut over, &with, &without, Aim::AtLeast(0.9));
-    figures.phase("over", over);
+        (play(ground, &fewer, true, OVERLOAD_DEMAND)?, play(ground, &fewer, false, OVERLOAD_DEMAND)?);
+    let mut overloaded = Figures::default();
+    add_figures(&mut overloaded, &with, &without, Aim::AtLeast(0.9));
+    figures.phase("over", overloaded);
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/copies_rolling.rs
+++ b/crates/plovershelf-cli/src/trial/copies_rolling.rs
@@ -1,5 +1,6 @@
-//! All nine backends whose tickets have copies leave in turn and are started again, under load: what each holds is handed on,
-//! nothing is lost, run twice or told otherwise. The same without copies.
+//! Trial `copies-rolling`: a rolling restart under load of nine backends that replicate the outcomes of requests with
+//! idempotency keys. Each backend hands its records on before it leaves; no outcome is lost or changed, and no request is
+//! executed twice. The same schedule runs without replication for comparison.
 
 use plovershelf_simulation::schedule::{Fault, Schedule, Step};
 
@@ -8,14 +9,15 @@
 const MEMBERS: usize = 9;
 const ZONES: usize = 3;
 const DEMAND: f64 = 0.7;
-/// From one notice to the next, and until it is started again. The notice leaves two and a half seconds.
-const EVERY_MS: f64 = 5000.0;
-const AWAY_MS: f64 = 2800.0;
+/// Interval between two drain notices.
+const NOTICE_INTERVAL_MS: f64 = 5000.0;
+/// Time from a drain notice to the restart. The notice grants two and a half seconds.
+const RESTART_AFTER_MS: f64 = 2800.0;
 
 pub fn run(ground: &Ground) -> Result<Figures, String> {
     let step = |turn: usize| Step {
-        at_ms: 2000.0 + EVERY_MS * turn as f64,
-        for_ms: AWAY_MS,
+        at_ms: 2000.0 + NOTICE_INTERVAL_MS * turn as f64,
+        for_ms: RESTART_AFTER_MS,
         fault: Fault::Leave { member: (turn + ground.seed as usize) % MEMBERS },
     };
     let schedule = Schedule { members: MEMBERS, zones: ZONES, steps: (0..MEMBERS).map(step).collect() };
@@ -23,6 +25,6 @@
     let without = copies::play(ground, &schedule, false, DEMAND)?;
     let mut figures = Figures::default();
     figures.put("restarted", schedule.steps.len() as f64, Aim::AtLeast(MEMBERS as f64));
-    copies::told(&mut figures, &with, &without, Aim::AtLeast(0.9));
+    copies::add_figures(&mut figures, &with, &without, Aim::AtLeast(0.9));
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/group_model.rs
+++ b/crates/plovershelf-cli/src/trial/group_model.rs
@@ -1,4 +1,4 @@
-//! Groups on simulated time: thousands of drawn schedules, and how the group behaves as it grows.
+//! Trial `group-model`: groups in simulated time, under thousands of drawn fault schedules and at growing sizes.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,20 +15,27 @@
 const STEPS: usize = 14;
 const SPAN_MS: f64 = 30_000.0;
 
-/// What all seeds came to.
+/// Totals over all seeds.
 #[derive(Default)]
-struct Sum {
+struct Totals {
+    /// Seeds with a broken guarantee, and the guarantee's name.
     broken: Vec<(u64, String)>,
-    never: Vec<u64>,
+    /// Seeds in which the members never agreed again after the last fault.
+    never_agreed: Vec<u64>,
+    /// Members that lagged behind or were outside the view at the end.
     lagging: u64,
-    healthy: u64,
-    agreed: Spread,
-    put_out: Spread,
+    /// Healthy members that were removed from a view.
+    healthy_removed: u64,
+    /// Time from the end of the faults to agreement.
+    agreement_ms: Spread,
+    /// Time from a kill to a view without the member.
+    removal_ms: Spread,
 }
 
-fn many(seeds: std::ops::Range<u64>, members: usize) -> Sum {
+/// Simulates all seeds on all cores.
+fn run_seeds(seeds: std::ops::Range<u64>, members: usize) -> Totals {
     let next = AtomicU64::new(seeds.start);
-    let sum = Mutex::new(Sum::default());
+    let totals = Mutex::new(Totals::default());
     let work = || loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= seeds.end {
@@ -36,53 +43,55 @@
         }
         let schedule = Schedule::draw(seed, members, ZONES, STEPS, SPAN_MS);
         let report = World::run(Plan::of(schedule, seed));
-        let Ok(mut sum) = sum.lock() else { return };
-        sum.broken.extend(report.audit.broken.iter().map(|b| (seed, b.promise.to_string())));
+        let Ok(mut totals) = totals.lock() else { return };
+        totals.broken.extend(report.audit.broken.iter().map(|b| (seed, b.promise.to_string())));
         match report.committed_after_ms {
-            Some(ms) => sum.agreed.put(ms),
-            None => sum.never.push(seed),
+            Some(ms) => totals.agreement_ms.put(ms),
+            None => totals.never_agreed.push(seed),
         }
-        sum.lagging += (report.lagging + report.outside_view) as u64;
-        sum.healthy += report.healthy_removed.len() as u64;
-        sum.put_out.join(&report.removal_ms);
+        totals.lagging += (report.lagging + report.outside_view) as u64;
+        totals.healthy_removed += report.healthy_removed.len() as u64;
+        totals.removal_ms.join(&report.removal_ms);
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(work))));
-    sum.into_inner().unwrap_or_default()
+    totals.into_inner().unwrap_or_default()
 }
 
-/// What a change may take until all know of it, and what a member may spend a second.
-const KNOWN_S: f64 = 4.0;
-const BYTES_A_SECOND: f64 = 4096.0;
-const DEATHS: usize = 3;
+/// Longest time until all members have detected a failure, in seconds.
+const MAX_DETECTION_S: f64 = 4.0;
+/// Largest traffic of a member without faults, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 4096.0;
+/// Members that are killed in the growth scenario.
+const KILLS: usize = 3;
 
 fn seconds(ms: Option<f64>) -> Option<f64> {
     ms.map(|ms| ms / 1000.0)
 }
 
-/// How it grows: the start, then nothing, then deaths of single members, far apart, and nothing else wrong.
-fn growth(seed: u64, size: usize) -> (Report, Figures) {
-    let report = World::run(Plan::growing(size, ZONES, seed, DEATHS));
+/// Simulates one size: the start, an interval without faults, then kills of single members, far apart.
+fn simulate_growth(seed: u64, size: usize) -> (Report, Figures) {
+    let report = World::run(Plan::growing(size, ZONES, seed, KILLS));
     let mut figures = Figures::default();
-    let grown = &report.growth;
-    figures.told("all_know_all_s", seconds(grown.all_known_ms));
-    figures.told("view_whole_s", seconds(grown.view_complete_ms));
-    figures.told("start_bytes_a_member", grown.start_bytes);
-    figures.put("bytes_a_member_a_second", grown.rest_bytes, Aim::AtMost(BYTES_A_SECOND));
-    figures.told("bytes_a_second_busiest", grown.rest_bytes_busiest);
-    figures.told("news_under_way_in_calm", grown.rest_pending_updates);
-    figures.told("death_bytes_a_member", grown.death_bytes);
+    let growth = &report.growth;
+    figures.told("all_know_all_s", seconds(growth.all_known_ms));
+    figures.told("view_whole_s", seconds(growth.view_complete_ms));
+    figures.told("start_bytes_a_member", growth.start_bytes);
+    figures.put("bytes_a_member_a_second", growth.rest_bytes, Aim::AtMost(MAX_BYTES_PER_SECOND));
+    figures.told("bytes_a_second_busiest", growth.rest_bytes_busiest);
+    figures.told("news_under_way_in_calm", growth.rest_pending_updates);
+    figures.told("death_bytes_a_member", growth.death_bytes);
     figures.put("deaths_not_known", report.deaths_not_known as f64, Aim::AtMost(0.0));
     figures.told("until_all_know_s_median", seconds(report.known_ms.at(0.5)));
-    figures.put("until_all_know_s_worst", seconds(report.known_ms.most()), Aim::AtMost(KNOWN_S));
+    figures.put("until_all_know_s_worst", seconds(report.known_ms.most()), Aim::AtMost(MAX_DETECTION_S));
     figures.told("put_out_s_worst", seconds(report.removal_ms.most()));
     figures.put("healthy_put_out", report.healthy_removed.len() as f64, Aim::AtMost(0.0));
     figures.put("promises_broken", report.audit.broken.len() as f64, Aim::AtMost(0.0));
     (report, figures)
 }
 
-/// A line through what each size came to. Sizes that a figure is missing for are missing here too, and fail by themselves.
-fn slope(points: &[(f64, f64)]) -> Figures {
+/// Fits a line through the values by size. Sizes without a value are left out; they fail the trial by their own figure.
+fn linear_fit(points: &[(f64, f64)]) -> Figures {
     let fit = Fit::of(points);
     let mut figures = Figures::default();
     figures.told("slope", fit.map(|fit| fit.slope));
@@ -99,52 +108,56 @@
     }
     let mut figures = Figures::default();
     let from = ground.seed * 100_000;
-    let sum = if members <= 30 { many(from..from + seeds, members) } else { Sum::default() };
+    let totals = if members <= 30 { run_seeds(from..from + seeds, members) } else { Totals::default() };
     if members <= 30 {
         figures.told("members", members as f64);
         figures.told("seeds", seeds as f64);
-        figures.put("promises_broken", sum.broken.len() as f64, Aim::AtMost(0.0));
-        figures.put("never_agreed_again", sum.never.len() as f64, Aim::AtMost(seeds as f64 / 200.0));
-        figures.told("lagging_or_left_out", sum.lagging as f64);
-        figures.told("healthy_put_out", sum.healthy as f64);
-        figures.told("agreed_after_heal_s_median", seconds(sum.agreed.at(0.5)));
-        figures.told("agreed_after_heal_s_99", seconds(sum.agreed.at(0.99)));
-        figures.told("agreed_after_heal_s_worst", seconds(sum.agreed.most()));
-        figures.told("put_out_s_median", seconds(sum.put_out.at(0.5)));
-        for (seed, promise) in sum.broken.iter().take(5) {
+        figures.put("promises_broken", totals.broken.len() as f64, Aim::AtMost(0.0));
+        figures.put(
+            "never_agreed_again",
+            totals.never_agreed.len() as f64,
+            Aim::AtMost(seeds as f64 / 200.0),
+        );
+        figures.told("lagging_or_left_out", totals.lagging as f64);
+        figures.told("healthy_put_out", totals.healthy_removed as f64);
+        figures.told("agreed_after_heal_s_median", seconds(totals.agreement_ms.at(0.5)));
+        figures.told("agreed_after_heal_s_99", seconds(totals.agreement_ms.at(0.99)));
+        figures.told("agreed_after_heal_s_worst", seconds(totals.agreement_ms.most()));
+        figures.told("put_out_s_median", seconds(totals.removal_ms.at(0.5)));
+        for (seed, promise) in totals.broken.iter().take(5) {
             tracing::warn!(event = "broken", seed, promise, "replay: --members {members} --seeds 1");
         }
-        sum.never.iter().take(5).for_each(|seed| tracing::warn!(event = "never_agreed", seed));
+        totals.never_agreed.iter().take(5).for_each(|seed| tracing::warn!(event = "never_agreed", seed));
     }
-    // Up to the size asked for, so that the plot shows what grows and what does not.
+    // Simulates sizes up to the requested one, and at least up to 90, so that the plot shows the growth.
     let sizes: Vec<usize> =
         [9, 30, 90, 300, 900].into_iter().filter(|size| *size <= members.max(90)).collect();
-    let mut seen: [Vec<(f64, f64)>; 4] = Default::default();
+    let mut by_size: [Vec<(f64, f64)>; 4] = Default::default();
     for size in sizes {
-        let (report, of_size) = growth(ground.seed, size);
-        figures.phase(name_of(size), of_size);
-        let grown = &report.growth;
+        let (report, size_figures) = simulate_growth(ground.seed, size);
+        figures.phase(phase_name(size), size_figures);
+        let growth = &report.growth;
         let values =
-            [seconds(report.known_ms.most()), grown.rest_bytes, grown.start_bytes, grown.death_bytes];
-        for (points, value) in seen.iter_mut().zip(values) {
+            [seconds(report.known_ms.most()), growth.rest_bytes, growth.start_bytes, growth.death_bytes];
+        for (points, value) in by_size.iter_mut().zip(values) {
             points.extend(value.map(|value| (size as f64, value)));
         }
     }
-    let [known, calm, start, death] = seen;
-    figures.phase("fit_bytes_a_member_a_second", slope(&calm));
-    figures.phase("fit_start_bytes_a_member", slope(&start));
-    figures.phase("fit_death_bytes_a_member", slope(&death));
-    // The time grows with the logarithm of the members.
-    let by_log: Vec<(f64, f64)> = known.iter().map(|(size, value)| (size.log2(), *value)).collect();
-    figures.phase("fit_until_all_know_s_by_log2", slope(&by_log));
-    let bytes = calm.iter().map(|(size, value)| (*size, value / 1000.0)).collect();
+    let [detection, steady, start, kill] = by_size;
+    figures.phase("fit_bytes_a_member_a_second", linear_fit(&steady));
+    figures.phase("fit_start_bytes_a_member", linear_fit(&start));
+    figures.phase("fit_death_bytes_a_member", linear_fit(&kill));
+    // The detection time grows with the logarithm of the number of members.
+    let by_log: Vec<(f64, f64)> = detection.iter().map(|(size, value)| (size.log2(), *value)).collect();
+    figures.phase("fit_until_all_know_s_by_log2", linear_fit(&by_log));
+    let bytes = steady.iter().map(|(size, value)| (*size, value / 1000.0)).collect();
     if let Some(folder) = &ground.logs {
-        plot(folder, known, bytes)?;
+        plot(folder, detection, bytes)?;
     }
     Ok(figures)
 }
 
-fn name_of(size: usize) -> &'static str {
+fn phase_name(size: usize) -> &'static str {
     match size {
         9 => "members_9",
         30 => "members_30",
@@ -154,12 +167,12 @@
     }
 }
 
-fn plot(folder: &Path, known: Vec<(f64, f64)>, bytes: Vec<(f64, f64)>) -> Result<(), String> {
-    let drawn = [
-        Line { name: "seconds until all know of a death, worst".into(), points: known },
+fn plot(folder: &Path, detection: Vec<(f64, f64)>, bytes: Vec<(f64, f64)>) -> Result<(), String> {
+    let curves = [
+        Line { name: "seconds until all know of a death, worst".into(), points: detection },
         Line { name: "kB a member a second".into(), points: bytes },
     ];
     let path = folder.join("group-model.svg");
-    let text = lines("A group as it grows", "members", "seconds, kB a second", &drawn)?;
+    let text = lines("A group as it grows", "members", "seconds, kB a second", &curves)?;
     std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -16,7 +16,7 @@
 mod zones;
 mod zones_model;
 
-pub use client_overload::taps;
+pub use client_overload::start_taps;
 
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -1,5 +1,6 @@
-//! Cold backends and what all processes send them, as a sum: a flood from callers that heed what one advises and from such
-//! that heed nothing, and two dozen cold backends on one ledger. The control is told that all is warm, and shares as large.
+//! Trial `ramp`: cold backends under the total demand of all processes. A single cold backend is flooded, once by callers
+//! that follow its backpressure signal and once by basic callers; then two dozen cold backends share figures_of_kind dependency. The
+//! control backends are configured as warm, with a dependency share that never limits them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,74 +12,82 @@
 use plovershelf_testkit::{cores, dependency, Clock};
 use serde_json::json;
 
-use super::client_overload::taps;
+use super::client_overload::start_taps;
 use super::{Aim, Figures, Ground};
-use crate::load::{self, Asker};
+use crate::load::{self, Caller};
 
 const CALLERS: usize = 24;
 const CORES: f64 = 4.0;
-const CROWD: f64 = 8.0;
-const COLD: f64 = 0.2;
-/// What each of the backends that share the ledger may have there.
+const OVERLOAD_FACTOR: f64 = 8.0;
+/// Speed of a cold backend, as a fraction of its speed when warm.
+const COLD_SPEED: f64 = 0.2;
+/// Calls that each backend may have in flight to the shared dependency.
 const SHARE: f64 = 1.3;
 const CALL_MS: f64 = 40.0;
-/// The time over which the settings want the crowd, and what lies below, held in the mean.
-const SPAN_MS: f64 = 2000.0;
-const LOOK_MS: u64 = 5;
-/// Demand, as a part of what the cores do once they are warm.
+/// Window over which the mean concurrency has to stay within the limits of the settings.
+const WINDOW_MS: f64 = 2000.0;
+const SAMPLE_INTERVAL_MS: u64 = 5;
+/// Demand as a fraction of the capacity of the warm cores.
 const DEMAND: f64 = 2.0;
 
-/// Who sends, to how many backends.
+/// Kind of callers.
 #[derive(Clone, Copy)]
-enum Senders {
-    /// Callers of the library, that share out what they are told.
-    Heed,
-    /// Basic ones, that know of nothing.
-    Untold,
+enum CallerKind {
+    /// Callers with the client library, which share out the concurrency that a backend advertises.
+    Library,
+    /// Basic callers, which ignore backpressure.
+    Basic,
 }
 
 #[derive(Default)]
-struct Came {
-    /// The most on the cores of one backend at once, and in the mean over the span, by what they survive then; at once
-    /// with the chance that a sum has.
+struct RunResult {
+    /// Largest concurrency on figures_of_kind backend's cores, as a fraction of the concurrency that they survive at the time plus an
+    /// allowance for random variation.
     peak: f64,
+    /// Largest mean concurrency over a window, as a fraction of the concurrency that the cores survive.
     mean: f64,
-    /// The same of the calls that the ledger holds, by the sum of the shares.
-    ledger_peak: f64,
-    ledger_mean: f64,
-    runs: u64,
+    /// Largest number of calls in flight to the dependency, as a fraction of the sum of the shares plus an allowance for
+    /// random variation.
+    dependency_peak: f64,
+    /// Largest mean number of calls in flight over a window, as a fraction of the sum of the shares.
+    dependency_mean: f64,
+    executions: u64,
     rules_broken: u64,
 }
 
-fn with_chance(budget: f64) -> f64 {
+/// Adds two standard deviations of a Poisson distribution, plus two, to a limit on a mean.
+fn with_variation_allowance(budget: f64) -> f64 {
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
-fn mean_over(looks: &[f64]) -> f64 {
-    let span = (SPAN_MS / LOOK_MS as f64) as usize;
+/// Returns the largest mean of the samples over a window.
+fn max_window_mean(samples: &[f64]) -> f64 {
+    let length = (WINDOW_MS / SAMPLE_INTERVAL_MS as f64) as usize;
     let mean = |window: &[f64]| window.iter().sum::<f64>() / window.len() as f64;
-    looks.windows(span.min(looks.len().max(1))).map(mean).fold(0.0, f64::max)
+    samples.windows(length.min(samples.len().max(1))).map(mean).fold(0.0, f64::max)
 }
 
-fn play(ground: &Ground, backends: usize, senders: Senders, told: bool) -> Result<Came, String> {
+/// Runs figures_of_kind load. With `limited`, the backends know their cold speed and their share of the dependency; otherwise they are
+/// the control.
+fn play(ground: &Ground, backends: usize, kind: CallerKind, limited: bool) -> Result<RunResult, String> {
     let executor = &ground.executor;
     let clock = Clock::start();
     let span_ms = ground.seconds.map_or(5000.0, |seconds| seconds * 1000.0);
     let budget = SHARE * backends as f64;
-    let share = if told { SHARE } else { 50.0 * SHARE };
-    let mut settings = load::settings(CORES, backends, CALLERS, share, CROWD);
+    let share = if limited { SHARE } else { 50.0 * SHARE };
+    let mut settings = load::settings(CORES, backends, CALLERS, share, OVERLOAD_FACTOR);
     settings["family_info"]["signal"] = "window".into();
-    if told {
-        settings["rules"]["cold_from"] = json!(COLD);
+    if limited {
+        settings["rules"]["cold_from"] = json!(COLD_SPEED);
         settings["rules"]["warm_within_ms"] = json!(span_ms);
     }
-    let plan = FleetConfig {
+    let config = FleetConfig {
         program: ground.program.clone(),
         backends,
         cores: cores::CoresConfig {
             cores: CORES,
-            overload_factor: CROWD,
-            initial_speed: COLD,
+            overload_factor: OVERLOAD_FACTOR,
+            initial_speed: COLD_SPEED,
             slow_start_ms: span_ms,
         },
         dependency: dependency::DependencyConfig {
@@ -99,13 +108,13 @@
     let rate = DEMAND * backends as f64 * CORES * 1000.0 / load::mean_work_ms();
     let planned = Rc::new(load::schedule(ground.seed, CALLERS, span_ms, |_| rate));
     let mut fleet =
-        Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
+        Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
-        let (taps, members) = taps(executor, clock, &fleet).await?;
-        let mut askers = Vec::new();
+        let (taps, members) = start_taps(executor, clock, &fleet).await?;
+        let mut callers = Vec::new();
         for number in 0..CALLERS {
-            let Senders::Heed = senders else {
-                askers.push(Asker::Basic(BasicClient::new(executor, &members, number as u32)));
+            let CallerKind::Library = kind else {
+                callers.push(Caller::Basic(BasicClient::new(executor, &members, number as u32)));
                 continue;
             };
             let seed = ground.seed * 1000 + number as u64 + 1;
@@ -117,39 +126,39 @@
                 ..ClientConfig::default()
             };
             let client = load::library_client(executor, &members, number, config)?;
-            askers.push(Asker::Library(client));
+            callers.push(Caller::Library(client));
         }
         let results = load::Results::default();
-        let mut came = Came::default();
-        let mut crowds = vec![Vec::new(); backends];
-        let mut held = Vec::new();
-        let look = async {
+        let mut result = RunResult::default();
+        let mut overload_samples = vec![Vec::new(); backends];
+        let mut dependency_samples = Vec::new();
+        let sample = async {
             loop {
-                for (backend, looks) in fleet.backends.iter().zip(&mut crowds) {
-                    let (runs, survives) = backend.agent.concurrency();
-                    looks.push(runs as f64 / survives);
-                    came.peak = came.peak.max(runs as f64 / with_chance(survives));
+                for (backend, samples) in fleet.backends.iter().zip(&mut overload_samples) {
+                    let (running, limit) = backend.agent.concurrency();
+                    samples.push(running as f64 / limit);
+                    result.peak = result.peak.max(running as f64 / with_variation_allowance(limit));
                 }
-                held.push(fleet.dependency.in_flight() as f64 / budget);
-                Timer::after(Duration::from_millis(LOOK_MS)).await;
+                dependency_samples.push(fleet.dependency.in_flight() as f64 / budget);
+                Timer::after(Duration::from_millis(SAMPLE_INTERVAL_MS)).await;
             }
         };
-        let play = load::play(executor, clock, &planned, &askers, &results, 1500.0);
-        futures_lite::future::or(play, look).await;
-        came.mean = crowds.iter().map(|looks| mean_over(looks)).fold(0.0, f64::max);
-        came.ledger_mean = mean_over(&held);
+        let play = load::play(executor, clock, &planned, &callers, &results, 1500.0);
+        futures_lite::future::or(play, sample).await;
+        result.mean = overload_samples.iter().map(|samples| max_window_mean(samples)).fold(0.0, f64::max);
+        result.dependency_mean = max_window_mean(&dependency_samples);
         let effects = fleet.effects.borrow();
-        came.ledger_peak = effects.peak_dependency_calls as f64 / with_chance(budget);
-        came.runs = effects.executions();
-        came.rules_broken = effects.repeated_executions().len() as u64 + effects.launched_after_drain;
+        result.dependency_peak = effects.peak_dependency_calls as f64 / with_variation_allowance(budget);
+        result.executions = effects.executions();
+        result.rules_broken = effects.repeated_executions().len() as u64 + effects.launched_after_drain;
         drop(effects);
-        came.rules_broken +=
+        result.rules_broken +=
             fleet.backends.iter_mut().filter_map(|backend| backend.poll_exit()).count() as u64;
         for tap in &taps {
-            let seen = tap.traffic.borrow();
-            came.rules_broken += seen.duplicate_responses + seen.late_responses;
+            let traffic = tap.traffic.borrow();
+            result.rules_broken += traffic.duplicate_responses + traffic.late_responses;
         }
-        Ok(came)
+        Ok(result)
     };
     async_io::block_on(executor.run(run))
 }
@@ -157,27 +166,27 @@
 pub fn run(ground: &Ground) -> Result<Figures, String> {
     let mut figures = Figures::default();
     let mut broken = 0;
-    for (name, senders) in [("heed", Senders::Heed), ("untold", Senders::Untold)] {
-        let came = play(ground, 1, senders, true)?;
-        let control = play(ground, 1, senders, false)?;
-        let mut one = Figures::default();
-        one.told("runs", came.runs as f64);
-        one.put("crowd_mean", came.mean, Aim::AtMost(1.0));
-        one.put("crowd_peak", came.peak, Aim::AtMost(1.0));
-        one.told("control_crowd_mean", control.mean);
-        one.told("control_crowd_peak", control.peak);
-        broken += came.rules_broken;
-        figures.phase(name, one);
+    for (name, kind) in [("heed", CallerKind::Library), ("untold", CallerKind::Basic)] {
+        let result = play(ground, 1, kind, true)?;
+        let control = play(ground, 1, kind, false)?;
+        let mut figures_of_kind = Figures::default();
+        figures_of_kind.told("runs", result.executions as f64);
+        figures_of_kind.put("crowd_mean", result.mean, Aim::AtMost(1.0));
+        figures_of_kind.put("crowd_peak", result.peak, Aim::AtMost(1.0));
+        figures_of_kind.told("control_crowd_mean", control.mean);
+        figures_of_kind.told("control_crowd_peak", control.peak);
+        broken += result.rules_broken;
+        figures.phase(name, figures_of_kind);
     }
-    let came = play(ground, CALLERS, Senders::Untold, true)?;
-    let control = play(ground, CALLERS, Senders::Untold, false)?;
+    let result = play(ground, CALLERS, CallerKind::Basic, true)?;
+    let control = play(ground, CALLERS, CallerKind::Basic, false)?;
     let mut shared = Figures::default();
-    shared.told("runs", came.runs as f64);
-    shared.put("ledger_mean", came.ledger_mean, Aim::AtMost(1.0));
-    shared.put("ledger_peak", came.ledger_peak, Aim::AtMost(1.0));
-    shared.put("crowd_mean", came.mean, Aim::AtMost(1.0));
-    shared.put("control_ledger_peak", control.ledger_peak, Aim::AtLeast(1.0));
-    broken += came.rules_broken;
+    shared.told("runs", result.executions as f64);
+    shared.put("ledger_mean", result.dependency_mean, Aim::AtMost(1.0));
+    shared.put("ledger_peak", result.dependency_peak, Aim::AtMost(1.0));
+    shared.put("crowd_mean", result.mean, Aim::AtMost(1.0));
+    shared.put("control_ledger_peak", control.dependency_peak, Aim::AtLeast(1.0));
+    broken += result.rules_broken;
     figures.phase("shared", shared);
     figures.put("rules_broken", broken as f64, Aim::AtMost(0.0));
     Ok(figures)
--- a/crates/plovershelf-cli/src/trial/scale.rs
+++ b/crates/plovershelf-cli/src/trial/scale.rs
@@ -1,13 +1,15 @@
-//! A group at the size that is coming: many hollow members, each with the true state machine on true links, beside four
-//! real backends under light load. Costs come from the system's own accounts, as the difference to the same processes
-//! before any of them belongs to a group; what is known by when, from questions to the members.
+//! Trial `scale`: a group of up to 920 members. Most members are hollow, that is, they run the real protocol state
+//! machine on real connections but serve no requests; four real backends run beside them under light load.
+//!
+//! Costs are read from the operating system's counters and reported as the difference to the same processes before they
+//! join the group. Propagation times are measured by polling the members.
 
-mod accounts;
-mod calls;
-mod judging;
+mod poller;
 mod processes;
-mod troubles;
-mod watch;
+mod real_backends;
+mod resource_usage;
+mod results;
+mod scenario;
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -17,51 +19,54 @@
 use plovershelf_testkit::Clock;
 
 use super::{Figures, Ground};
-use accounts::{Process, Tally};
-use calls::Real;
-use judging::Came;
-use processes::{Fleet, Kind, Mode, Shape, CHANGES_PORT, PORT};
-use watch::{Look, Seen, Watch, OWN};
+use poller::{MemberStatus, Observations, Poller, POLLER_ADDRESS};
+use processes::{Fleet, Mode, ProcessKind, Topology, CLUSTER_PORT, CONFIG_DISTRIBUTION_PORT};
+use real_backends::RealBackends;
+use resource_usage::{ProcessUsage, TrafficCounter};
+use results::SizeResult;
 
-/// What is asked for on the command line.
+/// Size of the trial, as requested on the command line.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct ScaleOptions {
     pub members: usize,
     pub callers: usize,
     pub tenants: usize,
 }
 
-const SIZES: [usize; 3] = [30, 100, 300];
-const MEMBERS: usize = 920;
-const CALLERS: usize = 400;
-const TENANTS: usize = 1000;
-const OFF_MS: f64 = 2500.0;
-const CALM_MS: f64 = 7000.0;
-const SETTLE_MS: f64 = 12_000.0;
-/// After the last trouble, until what is not known counts as never known.
-const PATIENCE_MS: f64 = 8000.0;
-/// Of the machine's memory.
-const MEMORY_MOST: f64 = 0.5;
-pub const PROCESSES_MOST: usize = 200;
-const LOOK: Duration = Duration::from_millis(1000);
+/// Group sizes that are measured before the requested one, where they are smaller.
+const SMALLER_SIZES: [usize; 3] = [30, 100, 300];
+const DEFAULT_MEMBERS: usize = 920;
+const DEFAULT_CALLERS: usize = 400;
+const DEFAULT_TENANTS: usize = 1000;
+/// Length of the baseline measurement, before any process joins the group.
+const BASELINE_MS: f64 = 2500.0;
+/// Length of the measurement of the settled group, without faults or changes.
+const STEADY_STATE_MS: f64 = 7000.0;
+const SETTLE_TIMEOUT_MS: f64 = 12_000.0;
+/// Time after the last scenario event at which an undetected failure or a missing change counts as missed.
+const PROPAGATION_TIMEOUT_MS: f64 = 8000.0;
+/// Largest fraction of the machine's memory that the trial may use.
+const MAX_MEMORY_FRACTION: f64 = 0.5;
+pub const MAX_PROCESSES: usize = 200;
+const TRAFFIC_SAMPLE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Processor time and memory of processes at one moment, by their ids.
-fn processes_now(ids: &[u32]) -> BTreeMap<u32, Process> {
-    ids.iter().filter_map(|id| Some((*id, accounts::process(*id)?))).collect()
+/// Returns the current processor time and memory of processes by process id; processes that can't be read are missing.
+fn process_usage(ids: &[u32]) -> BTreeMap<u32, ProcessUsage> {
+    ids.iter().filter_map(|id| Some((*id, resource_usage::process(*id)?))).collect()
 }
 
-/// What some processes cost over a span.
+/// Processor and memory use of a set of processes over a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     pub core_percent: f64,
     pub memory_mb: f64,
 }
 
-/// Of all of them together; none where one of them can't be told at either end.
+/// Returns the total cost of the processes over the span; `None` if the usage of one of them is missing at either end.
 fn cost(
     ids: &[u32],
-    before: &BTreeMap<u32, Process>,
-    after: &BTreeMap<u32, Process>,
+    before: &BTreeMap<u32, ProcessUsage>,
+    after: &BTreeMap<u32, ProcessUsage>,
     span_ms: f64,
 ) -> Option<Cost> {
     let mut sum = Cost::default();
@@ -73,185 +78,217 @@
     (!ids.is_empty() && span_ms > 0.0).then_some(sum)
 }
 
-/// The resident memory of all of a run's processes and of the trial itself, of the machine's.
-fn memory_share(fleet: &Fleet, real: &Real) -> Option<f64> {
+/// Returns the resident memory of all processes of the run, this one included, as a fraction of the machine's memory.
+fn memory_fraction(fleet: &Fleet, real: &RealBackends) -> Option<f64> {
     let ids = fleet.processes.iter().filter(|p| !p.killed).map(|p| p.id()).chain(real.ids());
     let ids: Vec<u32> = ids.chain([std::process::id()]).collect();
-    let kb: f64 = processes_now(&ids).values().map(|process| process.resident_kb).sum();
-    (kb > 0.0).then_some(kb / accounts::memory_kb()?)
+    let kb: f64 = process_usage(&ids).values().map(|process| process.resident_kb).sum();
+    (kb > 0.0).then_some(kb / resource_usage::memory_kb()?)
 }
 
-/// The larger of two; none where one of them is missing.
-fn larger(one: Option<f64>, other: Option<f64>) -> Option<f64> {
-    Some(one?.max(other?))
+/// Returns the larger of two measurements; `None` if either is missing.
+fn larger(a: Option<f64>, b: Option<f64>) -> Option<f64> {
+    Some(a?.max(b?))
 }
 
-/// Looks at all links of members once a second from now on, for so long, on a thread of its own.
-fn tally(alone: BTreeMap<u32, IpAddr>, span: Duration) -> std::thread::JoinHandle<Result<Tally, String>> {
+/// Starts a thread that samples the traffic on all connections among members once a second for `span`.
+fn count_traffic(
+    single_member_processes: BTreeMap<u32, IpAddr>,
+    span: Duration,
+) -> std::thread::JoinHandle<Result<TrafficCounter, String>> {
     std::thread::spawn(move || {
-        let mut tally = Tally::new(&[PORT, CHANGES_PORT], OWN.into(), alone);
-        tally.look()?;
-        let began = std::time::Instant::now();
-        // Where a look takes long, the last one ends later; what counts is the time between the first and the last.
+        let ports = &[CLUSTER_PORT, CONFIG_DISTRIBUTION_PORT];
+        let mut traffic = TrafficCounter::new(ports, POLLER_ADDRESS.into(), single_member_processes);
+        traffic.sample()?;
+        let started = std::time::Instant::now();
+        // Sampling may be slow, so the span is measured between the first and the last sample.
         loop {
-            let left = span.saturating_sub(began.elapsed());
-            if left.is_zero() {
-                return Ok(tally);
+            let remaining = span.saturating_sub(started.elapsed());
+            if remaining.is_zero() {
+                return Ok(traffic);
             }
-            std::thread::sleep(left.min(LOOK));
-            tally.look()?;
-            tally.span_ms = began.elapsed().as_secs_f64() * 1000.0;
+            std::thread::sleep(remaining.min(TRAFFIC_SAMPLE_INTERVAL));
+            traffic.sample()?;
+            traffic.span_ms = started.elapsed().as_secs_f64() * 1000.0;
         }
     })
 }
 
-/// One size: started, measured without a group, settled, measured, and troubled.
-fn play(ground: &Ground, wanted: Wanted, mode: Mode, number: u8, short: bool) -> Result<Came, String> {
+/// Runs one group size: measures the processes before they join, waits until the group has settled, measures its steady
+/// state and plays the scenario of faults and changes.
+fn run_size(
+    ground: &Ground,
+    options: ScaleOptions,
+    mode: Mode,
+    number: u8,
+    short: bool,
+) -> Result<SizeResult, String> {
     let (executor, clock) = (&ground.executor, Clock::start());
-    let shape = Shape::of(wanted.members)?;
-    let mut came = Came { members: wanted.members, mode: Some(mode), shape: Some(shape), ..Came::default() };
+    let topology = Topology::of(options.members)?;
+    let mut result = SizeResult {
+        members: options.members,
+        mode: Some(mode),
+        topology: Some(topology),
+        ..SizeResult::default()
+    };
     let run = async {
-        let mut fleet = Fleet::start(shape, mode, wanted.tenants, number, ground.logs.clone())?;
-        let mut real = Real::start(ground, clock, wanted.callers, wanted.tenants).await?;
-        let (racks, alone) = (fleet.running(Kind::Rack), fleet.running(Kind::Alone));
-        let ids = |places: &[usize], fleet: &Fleet| places.iter().map(|p| fleet.processes[*p].id()).collect();
-        let (racks, alone): (Vec<u32>, Vec<u32>) = (ids(&racks, &fleet), ids(&alone, &fleet));
-        let kinds = |real: &Real| [alone.clone(), racks.clone(), real.ids()];
-        let everyone = |real: &Real| kinds(real).concat();
+        let mut fleet = Fleet::start(topology, mode, options.tenants, number, ground.logs.clone())?;
+        let mut real = RealBackends::start(ground, clock, options.callers, options.tenants).await?;
+        let (racks, single) = (fleet.running(ProcessKind::Rack), fleet.running(ProcessKind::Single));
+        let ids =
+            |indices: &[usize], fleet: &Fleet| indices.iter().map(|p| fleet.processes[*p].id()).collect();
+        let (racks, single): (Vec<u32>, Vec<u32>) = (ids(&racks, &fleet), ids(&single, &fleet));
+        let ids_by_kind = |real: &RealBackends| [single.clone(), racks.clone(), real.ids()];
+        let all_ids = |real: &RealBackends| ids_by_kind(real).concat();
 
-        // Without a group.
-        let (before, at) = (processes_now(&everyone(&real)), clock.now());
-        let off = real.light(executor, clock, ground.seed, OFF_MS).await;
-        let (after, span) = (processes_now(&everyone(&real)), clock.now() - at);
-        came.off = kinds(&real).map(|ids| cost(&ids, &before, &after, span));
-        came.added_off_ms = off.at_99();
+        // Baseline without a group.
+        let (before, at) = (process_usage(&all_ids(&real)), clock.now());
+        let baseline = real.run_light_load(executor, clock, ground.seed, BASELINE_MS).await;
+        let (after, span) = (process_usage(&all_ids(&real)), clock.now() - at);
+        result.baseline_cost = ids_by_kind(&real).map(|ids| cost(&ids, &before, &after, span));
+        result.baseline_added_ms = baseline.p99_ms();
 
-        // The founders first, then all others, racks one after the other.
-        for place in 0..fleet.processes.len() {
-            fleet.begin(place)?;
+        // Voters start first, then the other members; racks start one after another.
+        for index in 0..fleet.processes.len() {
+            fleet.start_members(index)?;
             Timer::after(Duration::from_millis(40)).await;
         }
-        let files = (0..processes::REAL).map(|place| fleet.real_file(place)).collect::<Result<_, _>>()?;
+        let files = (0..processes::REAL_BACKENDS)
+            .map(|index| fleet.write_real_backend_config(index))
+            .collect::<Result<_, _>>()?;
         real.join(executor, clock, mode, files).await?;
-        (0..processes::REAL).for_each(|place| fleet.members[place].live = true);
-        let watch = Watch::new(executor, clock, mode);
-        let founder =
-            |fleet: &Fleet, place: usize| fleet.founders().any(|f| f.name == fleet.members[place].name);
-        for place in 0..fleet.members.len() {
-            watch.follow(place, fleet.members[place].address, founder(&fleet, place));
+        (0..processes::REAL_BACKENDS).for_each(|index| fleet.members[index].running = true);
+        let poller = Poller::new(executor, clock, mode);
+        let is_voter =
+            |fleet: &Fleet, index: usize| fleet.voters().any(|voter| voter.name == fleet.members[index].name);
+        for index in 0..fleet.members.len() {
+            poller.poll_member(index, fleet.members[index].address, is_voter(&fleet, index));
         }
-        let all = wanted.members;
-        came.settled_ms = watch.until(SETTLE_MS, |seen| judging::settled(seen, &fleet, all)).await;
-        let whole = |seen: &Seen| seen.latest.values().filter(|(_, look)| judging::whole(look, all)).count();
-        came.settled_share = whole(&watch.seen.borrow()) as f64 / all as f64;
-        if came.settled_ms.is_none() {
-            let (seen, share) = (watch.seen.borrow(), came.settled_share);
+        let all = options.members;
+        let settled = |observed: &Observations| results::group_has_settled(observed, &fleet, all);
+        result.settled_ms = poller.wait_until(SETTLE_TIMEOUT_MS, settled).await;
+        let settled_members = |observed: &Observations| {
+            observed.latest.values().filter(|(_, status)| results::member_has_settled(status, all)).count()
+        };
+        result.settled_fraction = settled_members(&poller.observations.borrow()) as f64 / all as f64;
+        if result.settled_ms.is_none() {
+            let (observed, share) = (poller.observations.borrow(), result.settled_fraction);
             tracing::warn!(
                 event = "not_settled",
                 members = all,
-                answered = seen.latest.len(),
+                answered = observed.latest.len(),
                 share,
-                summed = seen.summed()
+                summed = observed.listeners_counted_by_origins()
             );
         }
-        watch.seen.borrow_mut().oldest.clear();
-        came.memory_share = memory_share(&fleet, &real);
+        poller.observations.borrow_mut().max_age_ms.clear();
+        result.memory_fraction = memory_fraction(&fleet, &real);
 
-        // Calm: the trial asks nothing.
-        watch.rest(true);
+        // Steady state: polling pauses, so that only the members' own traffic is measured.
+        poller.set_paused(true);
         Timer::after(Duration::from_millis(500)).await;
-        let (before, at) = (processes_now(&everyone(&real)), clock.now());
-        let busy = accounts::busy();
-        let counting = tally(fleet.alone(), Duration::from_secs_f64(CALM_MS / 1000.0));
-        let on = real.light(executor, clock, ground.seed + 1, CALM_MS).await;
-        let (after, span) = (processes_now(&everyone(&real)), clock.now() - at);
-        came.on = kinds(&real).map(|ids| cost(&ids, &before, &after, span));
-        came.busy_share = accounts::busy_since(busy);
-        came.added_ms = on.at_99();
-        let tally = counting.join().map_err(|_| "the thread that counts bytes ended".to_string())??;
-        let leads = |(place, (_, look)): (&usize, &(f64, Look))| match look {
-            Look::Group(brief) => brief.leads.then_some(*place),
-            Look::Changes(report) => {
-                let named = report.consensus.as_ref()?.leader.as_deref()?;
-                fleet.members.iter().position(|member| member.name == named)
+        let (before, at) = (process_usage(&all_ids(&real)), clock.now());
+        let cpu_ticks = resource_usage::cpu_ticks();
+        let span = Duration::from_secs_f64(STEADY_STATE_MS / 1000.0);
+        let counting = count_traffic(fleet.single_member_processes(), span);
+        let loaded = real.run_light_load(executor, clock, ground.seed + 1, STEADY_STATE_MS).await;
+        let (after, span) = (process_usage(&all_ids(&real)), clock.now() - at);
+        result.group_cost = ids_by_kind(&real).map(|ids| cost(&ids, &before, &after, span));
+        result.busy_fraction = resource_usage::busy_fraction_since(cpu_ticks);
+        result.added_ms = loaded.p99_ms();
+        let traffic = counting.join().map_err(|_| "the traffic counting thread panicked".to_string())??;
+        let leader_index = |(index, (_, status)): (&usize, &(f64, MemberStatus))| match status {
+            MemberStatus::Group(brief) => brief.leads.then_some(*index),
+            MemberStatus::ConfigDistribution(report) => {
+                let leader = report.consensus.as_ref()?.leader.as_deref()?;
+                fleet.members.iter().position(|member| member.name == leader)
             }
         };
-        let leads = watch.seen.borrow().latest.iter().find_map(leads);
-        let leader = leads.map(|place| fleet.members[place].address.ip());
-        let leader = leader.filter(|address| fleet.alone().values().any(|one| one == address));
-        came.count_bytes(&tally, leader, &fleet);
-        came.memory_share = larger(came.memory_share, memory_share(&fleet, &real));
+        let leader_index = poller.observations.borrow().latest.iter().find_map(leader_index);
+        let leader = leader_index.map(|index| fleet.members[index].address.ip());
+        let leader = leader
+            .filter(|address| fleet.single_member_processes().values().any(|candidate| candidate == address));
+        result.record_traffic(&traffic, leader, &fleet);
+        result.memory_fraction = larger(result.memory_fraction, memory_fraction(&fleet, &real));
 
-        watch.rest(false);
-        let schedule = troubles::schedule(ground.seed, short);
-        came.done = troubles::play(&mut fleet, &watch, &schedule).await?;
-        let over = |seen: &Seen| judging::all_known(seen, &fleet);
-        watch.until(PATIENCE_MS, over).await;
-        came.judge(&watch.seen.borrow(), &fleet);
-        came.memory_share = larger(came.memory_share, memory_share(&fleet, &real));
-        let fell = fleet.processes.iter_mut().filter_map(|process| process.fell().then_some(())).count();
-        came.rules_broken = off.rules_broken + on.rules_broken + real.rules_broken() + fell as u64;
-        Ok(came)
+        poller.set_paused(false);
+        let schedule = scenario::schedule(ground.seed, short);
+        result.event_counts = scenario::play(&mut fleet, &poller, &schedule).await?;
+        let all_propagated = |observed: &Observations| results::all_propagated(observed, &fleet);
+        poller.wait_until(PROPAGATION_TIMEOUT_MS, all_propagated).await;
+        result.record_propagation(&poller.observations.borrow(), &fleet);
+        result.memory_fraction = larger(result.memory_fraction, memory_fraction(&fleet, &real));
+        let crashed =
+            fleet.processes.iter_mut().filter_map(|process| process.has_crashed().then_some(())).count();
+        result.rules_broken =
+            baseline.rules_broken + loaded.rules_broken + real.rules_broken() + crashed as u64;
+        Ok(result)
     };
     async_io::block_on(executor.run(run))
 }
 
-/// The largest size that memory and the number of processes allow, and what it ends by.
-fn largest(wanted: usize, at: &[Came]) -> (usize, &'static str) {
-    let mut most = (wanted, "requested");
-    while Shape::of(most.0).is_ok_and(|shape| shape.processes() > PROCESSES_MOST) {
-        most = (most.0 - 1, "processes");
+/// Returns the largest size up to `requested` that memory and the number of processes allow, and the name of the limit
+/// that bounds it.
+fn largest_size(requested: usize, smaller: &[SizeResult]) -> (usize, &'static str) {
+    let mut largest = (requested, "requested");
+    while Topology::of(largest.0).is_ok_and(|topology| topology.processes() > MAX_PROCESSES) {
+        largest = (largest.0 - 1, "processes");
     }
-    // A member's share of memory at the largest size so far, and half as much again.
-    let told = at.last().and_then(|came| Some((came.memory_share?, came.members)));
-    if let Some((share, members)) = told {
-        let fits = (MEMORY_MOST / (1.5 * share / members as f64)) as usize;
-        if fits < most.0 {
-            most = (fits, "memory");
+    // Extrapolates the memory per member from the largest size measured so far, with a margin of one half.
+    let measured = smaller.last().and_then(|result| Some((result.memory_fraction?, result.members)));
+    if let Some((fraction, members)) = measured {
+        let fitting = (MAX_MEMORY_FRACTION / (1.5 * fraction / members as f64)) as usize;
+        if fitting < largest.0 {
+            largest = (fitting, "memory");
         }
     }
-    most
+    largest
 }
 
-/// Sizes that lead up to one: at least two, so that slopes have three points.
-fn below(members: usize) -> Vec<usize> {
-    let least = Shape::LEAST;
-    let usual: Vec<usize> = SIZES.into_iter().filter(|size| *size < members).collect();
-    match usual.len() {
-        0 | 1 => vec![(members / 2).max(least), (members * 3 / 4).max(least)],
-        _ => usual,
+/// Returns the sizes to measure before `members`: at least two, so that a slope is fitted to three points.
+fn smaller_sizes(members: usize) -> Vec<usize> {
+    let min = Topology::MIN_MEMBERS;
+    let defaults: Vec<usize> = SMALLER_SIZES.into_iter().filter(|size| *size < members).collect();
+    match defaults.len() {
+        0 | 1 => vec![(members / 2).max(min), (members * 3 / 4).max(min)],
+        _ => defaults,
     }
 }
 
-fn sizes(
+/// Runs all sizes of one mode; returns their results and the limit that bounds the largest size. `first_run` numbers the
+/// first of the runs.
+fn run_sizes(
     ground: &Ground,
-    wanted: Wanted,
+    options: ScaleOptions,
     mode: Mode,
-    first: u8,
-) -> Result<(Vec<Came>, &'static str), String> {
-    let mut all: Vec<Came> = Vec::new();
-    for members in below(wanted.members) {
-        all.push(play(ground, Wanted { members, ..wanted }, mode, first + all.len() as u8, true)?);
+    first_run: u8,
+) -> Result<(Vec<SizeResult>, &'static str), String> {
+    let mut all: Vec<SizeResult> = Vec::new();
+    for members in smaller_sizes(options.members) {
+        let options = ScaleOptions { members, ..options };
+        all.push(run_size(ground, options, mode, first_run + all.len() as u8, true)?);
     }
-    let (members, ended_by) = largest(wanted.members, &all);
-    all.push(play(ground, Wanted { members, ..wanted }, mode, first + all.len() as u8, false)?);
-    Ok((all, ended_by))
+    let (members, limit) = largest_size(options.members, &all);
+    let options = ScaleOptions { members, ..options };
+    all.push(run_size(ground, options, mode, first_run + all.len() as u8, false)?);
+    Ok((all, limit))
 }
 
+/// Runs the trial with configuration distribution and, for comparison, with all members in one group.
 pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let wanted = Wanted {
-        members: ground.members.unwrap_or(MEMBERS),
-        callers: ground.callers.unwrap_or(CALLERS),
-        tenants: ground.tenants.unwrap_or(TENANTS),
+    let options = ScaleOptions {
+        members: ground.members.unwrap_or(DEFAULT_MEMBERS),
+        callers: ground.callers.unwrap_or(DEFAULT_CALLERS),
+        tenants: ground.tenants.unwrap_or(DEFAULT_TENANTS),
     };
-    Shape::of(wanted.members)?;
-    let (with, ended_by) = sizes(ground, wanted, Mode::Changes, 0)?;
-    let (without, without_ended_by) = sizes(ground, wanted, Mode::Group, with.len() as u8)?;
+    Topology::of(options.members)?;
+    let (with, limit) = run_sizes(ground, options, Mode::ConfigDistribution, 0)?;
+    let (without, without_limit) = run_sizes(ground, options, Mode::Group, with.len() as u8)?;
     if let Some(folder) = &ground.logs {
-        judging::plot(&with, &folder.join("scale.svg"))?;
-        judging::plot(&without, &folder.join("scale-without-mechanism.svg"))?;
+        results::plot(&with, &folder.join("scale.svg"))?;
+        results::plot(&without, &folder.join("scale-without-mechanism.svg"))?;
     }
-    let mut figures = judging::figures(&with, wanted, ended_by, true);
-    figures.phase("without_mechanism", judging::figures(&without, wanted, without_ended_by, false));
+    let mut figures = results::figures(&with, options, limit, true);
+    figures.phase("without_mechanism", results::figures(&without, options, without_limit, false));
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/zones_model.rs
+++ b/crates/plovershelf-cli/src/trial/zones_model.rs
@@ -1,5 +1,6 @@
-//! Zones on simulated time: each shape of trouble played with the plan, with callers that judge alone, with fixed weights, and as well
-//! as could be with all known; compared by pairs of one seed.
+//! Trial `zones-model`: zones in simulated time. Each fault scenario runs with the failover plan, with callers that choose
+//! zones by their own observations, with fixed weights, and with the best possible routing under full knowledge. Results of
+//! the same seed are compared in pairs.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -10,28 +11,30 @@
 
 use super::{Aim, Figures, Ground};
 
-const LEADS: [Led; 4] = [Led::Plan, Led::Alone, Led::Fixed, Led::Best];
+/// Routing policies, in the order of the results.
+const POLICIES: [Led; 4] = [Led::Plan, Led::Alone, Led::Fixed, Led::Best];
 
-/// What each way of leading came to, a line a seed.
+/// Simulates a scenario on all cores; returns the results of the four policies by seed.
 fn play(name: &'static str, members: usize, seeds: std::ops::Range<u64>) -> Vec<[Came; 4]> {
     let all: Vec<u64> = seeds.collect();
     let next = AtomicUsize::new(0);
-    let came = Mutex::new(vec![Default::default(); all.len()]);
+    let results = Mutex::new(vec![Default::default(); all.len()]);
     let work = || loop {
-        let place = next.fetch_add(1, Ordering::Relaxed);
-        let Some(seed) = all.get(place).copied() else { return };
-        let one = LEADS.map(|led| World::run(Shape::of(name, members, seed), led, seed));
-        if let Ok(mut came) = came.lock() {
-            came[place] = one;
+        let index = next.fetch_add(1, Ordering::Relaxed);
+        let Some(seed) = all.get(index).copied() else { return };
+        let by_policy = POLICIES.map(|policy| World::run(Shape::of(name, members, seed), policy, seed));
+        if let Ok(mut results) = results.lock() {
+            results[index] = by_policy;
         }
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(work))));
-    came.into_inner().unwrap_or_default()
+    results.into_inner().unwrap_or_default()
 }
 
-fn share(came: &Came) -> f64 {
-    came.worth / came.worth_asked.max(1e-9)
+/// Returns the fraction of the requested revenue that was earned.
+fn revenue_share(result: &Came) -> f64 {
+    result.worth / result.worth_asked.max(1e-9)
 }
 
 pub fn run(ground: &Ground) -> Result<Figures, String> {
@@ -44,65 +47,77 @@
     }
     let from = ground.seed * 100_000;
     let mut figures = Figures::default();
-    let none = Aim::AtMost(0.0);
-    let (mut near, mut needless, mut past) = ([0.0; 2], 0, 0);
+    let zero = Aim::AtMost(0.0);
+    let (mut local_calm, mut needless, mut past_bound) = ([0.0; 2], 0, 0);
     for name in SHAPES {
-        let came = play(name, members, from..from + seeds);
-        let mean = |of: &dyn Fn(&[Came; 4]) -> f64| came.iter().map(of).sum::<f64>() / came.len() as f64;
-        let worst = |of: &dyn Fn(&Came) -> f64| came.iter().map(|one| of(&one[0])).fold(0.0, f64::max);
-        let ratio = |part: &dyn Fn(&Came) -> [f64; 2]| {
-            let sum = came.iter().map(|one| part(&one[0])).fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
+        let results = play(name, members, from..from + seeds);
+        let mean =
+            |value: &dyn Fn(&[Came; 4]) -> f64| results.iter().map(value).sum::<f64>() / results.len() as f64;
+        let worst =
+            |value: &dyn Fn(&Came) -> f64| results.iter().map(|run| value(&run[0])).fold(0.0, f64::max);
+        let ratio = |counts: &dyn Fn(&Came) -> [f64; 2]| {
+            let sum =
+                results.iter().map(|run| counts(&run[0])).fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
             (sum[1] > 0.0).then(|| sum[0] / sum[1])
         };
-        let calm = came.iter().map(|one| one[0].near_calm).fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
-        near = [near[0] + calm[0], near[1] + calm[1]];
-        needless += came.iter().map(|one| one[0].needless).sum::<u64>();
-        past += came.iter().map(|one| one[0].two_plans_past_bound).sum::<u64>();
-        let mut of_shape = Figures::default();
-        let best = mean(&|one| share(&one[3]));
-        let own = mean(&|one| share(&one[0]));
-        of_shape.told("revenue_share", own);
-        of_shape.told("revenue_share_best", best);
-        of_shape.told("revenue_share_each_alone", mean(&|one| share(&one[1])));
-        of_shape.told("revenue_share_fixed", mean(&|one| share(&one[2])));
-        of_shape.put("revenue_to_best", own / best.max(1e-9), Aim::AtLeast(0.93));
-        // Where the difference can't be told from chance the bar is larger than it.
-        let against = |other: usize| -> Vec<f64> {
-            came.iter().map(|one| share(&one[0]) - share(&one[other])).collect()
+        let calm =
+            results.iter().map(|run| run[0].near_calm).fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
+        local_calm = [local_calm[0] + calm[0], local_calm[1] + calm[1]];
+        needless += results.iter().map(|run| run[0].needless).sum::<u64>();
+        past_bound += results.iter().map(|run| run[0].two_plans_past_bound).sum::<u64>();
+        let mut scenario_figures = Figures::default();
+        let best = mean(&|run| revenue_share(&run[3]));
+        let planned = mean(&|run| revenue_share(&run[0]));
+        scenario_figures.told("revenue_share", planned);
+        scenario_figures.told("revenue_share_best", best);
+        scenario_figures.told("revenue_share_each_alone", mean(&|run| revenue_share(&run[1])));
+        scenario_figures.told("revenue_share_fixed", mean(&|run| revenue_share(&run[2])));
+        scenario_figures.put("revenue_to_best", planned / best.max(1e-9), Aim::AtLeast(0.93));
+        // A difference that is not statistically significant is smaller than its error bar.
+        let gain_over = |other: usize| -> Vec<f64> {
+            results.iter().map(|run| revenue_share(&run[0]) - revenue_share(&run[other])).collect()
         };
-        let (alone, fixed) = (compared(&against(1)), compared(&against(2)));
-        of_shape.put("over_each_alone", alone.mean, Aim::AtLeast(if alone.told { 0.0 } else { -1.0 }));
-        of_shape.told("over_each_alone_bar", alone.bar.min(9.0));
-        of_shape.told("over_each_alone_told", f64::from(u8::from(alone.told)));
-        of_shape.told("over_fixed", fixed.mean);
-        of_shape.told("over_fixed_bar", fixed.bar.min(9.0));
-        of_shape.put("near_share_healthy_zones", ratio(&|c| c.near_healthy), Aim::AtLeast(0.9));
-        of_shape.put(
+        let (alone, fixed) = (compared(&gain_over(1)), compared(&gain_over(2)));
+        scenario_figures.put(
+            "over_each_alone",
+            alone.mean,
+            Aim::AtLeast(if alone.told { 0.0 } else { -1.0 }),
+        );
+        scenario_figures.told("over_each_alone_bar", alone.bar.min(9.0));
+        scenario_figures.told("over_each_alone_told", f64::from(u8::from(alone.told)));
+        scenario_figures.told("over_fixed", fixed.mean);
+        scenario_figures.told("over_fixed_bar", fixed.bar.min(9.0));
+        scenario_figures.put("near_share_healthy_zones", ratio(&|c| c.near_healthy), Aim::AtLeast(0.9));
+        scenario_figures.put(
             "shift_s_worst",
             worst(&|c| c.shift_ms_worst) / 1000.0,
             Aim::AtMost(if name == "late-news" { 9.0 } else { 3.0 }),
         );
-        of_shape.told("two_plans_past_bound", worst(&|c| c.two_plans_past_bound as f64));
-        of_shape.told("return_s_worst", worst(&|c| c.return_ms_worst) / 1000.0);
-        of_shape.put("survivors_overrun_s", worst(&|c| c.overrun_s), Aim::AtMost(0.5));
-        of_shape.put("moves_a_minute_worst", worst(&|c| c.turns_a_minute as f64), Aim::AtMost(2.0));
-        figures.phase(name, of_shape);
+        scenario_figures.told("two_plans_past_bound", worst(&|c| c.two_plans_past_bound as f64));
+        scenario_figures.told("return_s_worst", worst(&|c| c.return_ms_worst) / 1000.0);
+        scenario_figures.put("survivors_overrun_s", worst(&|c| c.overrun_s), Aim::AtMost(0.5));
+        scenario_figures.put("moves_a_minute_worst", worst(&|c| c.turns_a_minute as f64), Aim::AtMost(2.0));
+        figures.phase(name, scenario_figures);
         if let Some(folder) = &ground.logs {
-            let line = |led: usize, called: &str| Line {
-                name: called.to_string(),
-                points: came.iter().enumerate().map(|(n, one)| (n as f64, share(&one[led]))).collect(),
+            let line = |policy: usize, label: &str| Line {
+                name: label.to_string(),
+                points: results
+                    .iter()
+                    .enumerate()
+                    .map(|(n, run)| (n as f64, revenue_share(&run[policy])))
+                    .collect(),
             };
-            let drawn =
+            let curves =
                 [line(0, "by the plan"), line(1, "each alone"), line(2, "fixed"), line(3, "best possible")];
-            let text = lines(&format!("Zones: {name}"), "seed", "share of the worth asked for", &drawn)?;
+            let text = lines(&format!("Zones: {name}"), "seed", "share of the worth asked for", &curves)?;
             let path = folder.join(format!("zones-{name}.svg"));
             std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
         }
     }
     figures.told("members", members as f64);
     figures.told("seeds", seeds as f64);
-    figures.put("near_share_calm", near[0] / near[1].max(1e-9), Aim::AtLeast(0.98));
-    figures.put("needless_shifts", needless as f64, none);
-    figures.put("two_plans_past_bound", past as f64, none);
+    figures.put("near_share_calm", local_calm[0] / local_calm[1].max(1e-9), Aim::AtLeast(0.98));
+    figures.put("needless_shifts", needless as f64, zero);
+    figures.put("two_plans_past_bound", past_bound as f64, zero);
     Ok(figures)
 }
