--- a/crates/plovershelf-cli/src/audit.rs
+++ b/crates/plovershelf-cli/src/audit.rs
@@ -1,4 +1,4 @@
-//! `plovershelf audit`: judges a history that a trial left, by the promises of the group.
+//! `plovershelf audit`: checks a history that a trial recorded against the guarantees of the group.
 
 use std::path::PathBuf;
 
@@ -14,30 +14,32 @@
     json: bool,
 }
 
-/// Exit statuses: 0 all promises kept, 1 one broken.
+/// Returns exit status 0 if no guarantee was broken, 1 otherwise.
+///
+/// Errors: the history can't be read.
 pub fn run(options: &Options) -> Result<u8, String> {
-    let shown = options.history.display();
-    let text = std::fs::read_to_string(&options.history).map_err(|error| format!("{shown}: {error}"))?;
-    let events = audit::read(&text).map_err(|error| format!("{shown}: {error}"))?;
-    let judged = audit::judge(&events);
+    let path = options.history.display();
+    let text = std::fs::read_to_string(&options.history).map_err(|error| format!("{path}: {error}"))?;
+    let events = audit::read(&text).map_err(|error| format!("{path}: {error}"))?;
+    let report = audit::judge(&events);
     if options.json {
-        let broken: Vec<serde_json::Value> = judged
+        let broken: Vec<serde_json::Value> = report
             .broken
             .iter()
             .map(|b| serde_json::json!({"promise": b.promise, "at": b.at, "event": b.event, "told": b.told, "led_by": b.led_by}))
             .collect();
         println!(
             "{}",
-            serde_json::json!({"events": events.len(), "views": judged.views(), "broken": broken})
+            serde_json::json!({"events": events.len(), "views": report.views(), "broken": broken})
         );
     } else {
         println!(
             "{} events, {} views, {} promises broken",
             events.len(),
-            judged.views(),
-            judged.broken.len()
+            report.views(),
+            report.broken.len()
         );
-        for broken in &judged.broken {
+        for broken in &report.broken {
             println!(
                 "\n{} at {:.0} ms, event {}: {}",
                 broken.promise,
@@ -52,5 +54,5 @@
             }
         }
     }
-    Ok(u8::from(!judged.broken.is_empty()))
+    Ok(u8::from(!report.broken.is_empty()))
 }
--- a/crates/plovershelf-cli/src/call.rs
+++ b/crates/plovershelf-cli/src/call.rs
@@ -1,4 +1,4 @@
-//! `plovershelf call`: one invocation to running backends, with what they say of it.
+//! `plovershelf call`: sends one request to running backends and prints its outcome.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -41,7 +41,9 @@
     json: bool,
 }
 
-/// Exit statuses: 0 succeeded, 1 any other end.
+/// Returns exit status 0 if the request succeeded, 1 for any other outcome.
+///
+/// Errors: an option is invalid, or standard input or output fails.
 pub fn run(options: &Options) -> Result<u8, String> {
     if !(0.0..1.0).contains(&options.rank) {
         return Err(format!("--rank {}: a number from 0 to under 1", options.rank));
@@ -49,16 +51,16 @@
     let body = match options.body.as_str() {
         "-" => {
             let mut bytes = Vec::new();
-            let most = MAX_BODY_BYTES as u64 + 1;
-            let read = std::io::stdin().take(most).read_to_end(&mut bytes);
+            let max_bytes = MAX_BODY_BYTES as u64 + 1;
+            let read = std::io::stdin().take(max_bytes).read_to_end(&mut bytes);
             read.map_err(|error| format!("standard input: {error}"))?;
             bytes
         }
         text => text.as_bytes().to_vec(),
     };
-    let within = Duration::from_millis(options.within_ms);
+    let timeout = Duration::from_millis(options.within_ms);
     let mut request =
-        Request::new(&*options.offering, body, within).tenant(&*options.tenant).priority(options.rank);
+        Request::new(&*options.offering, body, timeout).tenant(&*options.tenant).priority(options.rank);
     if let Some(ticket) = &options.ticket {
         request = request.idempotency_key(&**ticket);
     }
@@ -70,23 +72,23 @@
         None => ClientBuilder::new().endpoints(&options.to),
     };
     let client = builder.start().map_err(|error| error.to_string())?;
-    let began = Instant::now();
+    let started = Instant::now();
     let response = client.call_blocking(request);
-    let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-    let well = matches!(response, Response::Succeeded(_));
+    let took_ms = started.elapsed().as_secs_f64() * 1000.0;
+    let succeeded = matches!(response, Response::Succeeded(_));
     if options.json {
-        println!("{}", told(&response, took_ms));
+        println!("{}", response_json(&response, took_ms));
     } else if let Response::Succeeded(result) = &response {
         std::io::stdout().write_all(result).map_err(|error| format!("standard output: {error}"))?;
         println!();
     } else {
-        eprintln!("plovershelf: {}", told(&response, took_ms));
+        eprintln!("plovershelf: {}", response_json(&response, took_ms));
     }
-    Ok(u8::from(!well))
+    Ok(u8::from(!succeeded))
 }
 
-/// The word of the JSON output.
-fn why(reason: NotSentReason) -> &'static str {
+/// Returns the value of `why` in the JSON output.
+fn reason_text(reason: NotSentReason) -> &'static str {
     match reason {
         NotSentReason::LimitReached => "full",
         NotSentReason::Throttled => "throttled",
@@ -96,7 +98,8 @@
     }
 }
 
-fn told(response: &Response, took_ms: f64) -> serde_json::Value {
+/// Returns the JSON output for a response.
+fn response_json(response: &Response, took_ms: f64) -> serde_json::Value {
     let took_ms = (took_ms * 10.0).round() / 10.0;
     let ms = |span: &Option<Duration>| span.map(|span| span.as_millis() as u64);
     match response {
@@ -113,8 +116,8 @@
             json!({"end": "out of time", "took_ms": took_ms, "may_have_run": may_have_run})
         }
         Response::NotSent { reason, retry_after } => {
-            json!({"end": "given up", "took_ms": took_ms, "why": why(*reason), "come_back_ms": ms(retry_after)})
+            json!({"end": "given up", "took_ms": took_ms, "why": reason_text(*reason), "come_back_ms": ms(retry_after)})
         }
-        Response::Invalid(what) => json!({"end": "invalid", "why": what}),
+        Response::Invalid(reason) => json!({"end": "invalid", "why": reason}),
     }
 }
--- a/crates/plovershelf-cli/src/config/tests.rs
+++ b/crates/plovershelf-cli/src/config/tests.rs
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn what_is_in_force_under_a_source_that_lags_does_not_count_and_it_is_named() {
-    let mut late = report("c2", true, 6, 300, 300);
-    late.node.missing = vec!["n9".into()];
-    let all = summed(&[report("c1", true, 7, 310, 310), late.clone(), report("n1", false, 7, 1, 1)]);
-    assert_eq!((all.newest.number, all.in_force, all.of), (7, 310, 610));
-    assert_eq!((all.missing, all.two_contents), (vec!["c2".to_string(), "n9".into()], false));
-    let alone = summed(&[report("n1", false, 7, 1, 1)]);
-    assert_eq!((alone.in_force, alone.of), (1, 1));
-    let mut other = report("c3", true, 7, 1, 1);
-    other.node.digest = 1;
-    assert!(summed(&[report("c1", true, 7, 1, 1), other]).two_contents);
-    assert!(told(&[late.clone()], &summed(&[late])).contains("MISSING: n9"));
+fn listeners_of_a_lagging_origin_do_not_count_and_the_origin_is_listed_as_missing() {
+    let mut lagging = report("c2", true, 6, 300, 300);
+    lagging.node.missing = vec!["n9".into()];
+    let all = sum_reports(&[report("c1", true, 7, 310, 310), lagging.clone(), report("n1", false, 7, 1, 1)]);
+    assert_eq!((all.newest.number, all.in_force, all.listeners), (7, 310, 610));
+    assert_eq!((all.missing, all.has_conflict), (vec!["c2".to_string(), "n9".into()], false));
+    let without_origin = sum_reports(&[report("n1", false, 7, 1, 1)]);
+    assert_eq!((without_origin.in_force, without_origin.listeners), (1, 1));
+    let mut conflicting = report("c3", true, 7, 1, 1);
+    conflicting.node.digest = 1;
+    assert!(sum_reports(&[report("c1", true, 7, 1, 1), conflicting]).has_conflict);
+    assert!(status_text(&[lagging.clone()], &sum_reports(&[lagging])).contains("MISSING: n9"));
 }
--- a/crates/plovershelf-cli/src/control.rs
+++ b/crates/plovershelf-cli/src/control.rs
@@ -1,4 +1,4 @@
-//! `plovershelf control`: a member of a group that has no front and does no work, on the machines set aside for control.
+//! `plovershelf control`: runs a member of a group that serves no requests, on a machine dedicated to control.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -20,32 +20,32 @@
     name: String,
 }
 
-/// It says that it goes round this often; members look after two seconds.
-const BEAT: Duration = Duration::from_millis(500);
-/// So that the word that it leaves is on its way before it ends.
-const LEAVES_MS: f64 = 300.0;
+/// Interval at which the main loop records its heartbeat; members treat a heartbeat older than two seconds as missing.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between the drain notice and the exit, so that the notice reaches the other members.
+const DRAIN_MS: f64 = 300.0;
 
-/// Serves until it is told to end.
+/// Runs the member until SIGTERM or SIGINT, then sends a drain notice and exits.
 ///
-/// Errors: the file is wrong, or an address or folder of it can't be had.
+/// Errors: the file is invalid, or an address or folder that it names can't be used.
 pub fn run(options: &Options) -> Result<u8, String> {
     let mut signals =
         Signals::new([Signal::Term, Signal::Int]).map_err(|error| format!("signals: {error}"))?;
-    let shown = options.file.to_string_lossy();
-    let text = std::fs::read_to_string(&options.file).map_err(|error| format!("{shown}: {error}"))?;
-    let setup = plovershelf_config::group::read(&shown, &text).map_err(|wrong| wrong.to_string())?;
-    let pulse = Arc::<DriverHeartbeat>::default();
-    pulse.record(true);
-    let member = cluster::start(setup, options.name.clone(), pulse.clone(), None)?;
-    let beats = async {
+    let path = options.file.to_string_lossy();
+    let text = std::fs::read_to_string(&options.file).map_err(|error| format!("{path}: {error}"))?;
+    let setup = plovershelf_config::group::read(&path, &text).map_err(|error| error.to_string())?;
+    let heartbeat = Arc::<DriverHeartbeat>::default();
+    heartbeat.record(true);
+    let member = cluster::start(setup, options.name.clone(), heartbeat.clone(), None)?;
+    let record_heartbeat = async {
         loop {
-            Timer::after(BEAT).await;
-            pulse.record(true);
+            Timer::after(HEARTBEAT_INTERVAL).await;
+            heartbeat.record(true);
         }
     };
-    let told = async { drop(signals.next().await) };
-    async_io::block_on(future::or(told, beats));
-    let _ = member.try_send(Incoming::DrainNotice { within_ms: LEAVES_MS });
-    async_io::block_on(Timer::after(Duration::from_secs_f64(LEAVES_MS / 1000.0)));
+    let terminated = async { drop(signals.next().await) };
+    async_io::block_on(future::or(terminated, record_heartbeat));
+    let _ = member.try_send(Incoming::DrainNotice { within_ms: DRAIN_MS });
+    async_io::block_on(Timer::after(Duration::from_secs_f64(DRAIN_MS / 1000.0)));
     Ok(0)
 }
--- a/crates/plovershelf-cli/src/copies.rs
+++ b/crates/plovershelf-cli/src/copies.rs
@@ -1,4 +1,4 @@
-//! `plovershelf copies`: what a member holds for others, and what it knows of one ticket.
+//! `plovershelf copies`: shows the records that a member stores for idempotency keys, and the record of one key.
 
 use std::time::Duration;
 
@@ -25,7 +25,9 @@
     Show { offering: String, ticket: String },
 }
 
-/// Exit statuses: 0 told, 1 refused, or a ticket that is not held there; an error is a member that could not be asked.
+/// Returns exit status 0 on success, 1 if the member refused or has no record of the key.
+///
+/// Errors: the member could not be queried.
 pub fn run(options: &Options) -> Result<u8, String> {
     let Member { address: at, cluster: name } = options.member.member()?;
     let question = match &options.command {
@@ -39,28 +41,32 @@
         Answer::Copies(status) => {
             println!(
                 "{}",
-                if options.member.json { json(serde_json::to_string(&status))? } else { told(&status) }
+                if options.member.json {
+                    json(serde_json::to_string(&status))?
+                } else {
+                    status_text(&status)
+                }
             );
             Ok(0)
         }
-        Answer::Ticket(ticket) => {
+        Answer::Ticket(key) => {
             println!(
                 "{}",
-                if options.member.json { json(serde_json::to_string(&ticket))? } else { shown(&ticket) }
+                if options.member.json { json(serde_json::to_string(&key))? } else { key_text(&key) }
             );
-            Ok(u8::from(ticket.record.is_none()))
+            Ok(u8::from(key.record.is_none()))
         }
-        Answer::Refused(why) => {
-            eprintln!("plovershelf: refused: {why}");
+        Answer::Refused(reason) => {
+            eprintln!("plovershelf: refused: {reason}");
             Ok(1)
         }
         Answer::Status(_) | Answer::Done(_) | Answer::Part(_) | Answer::Brief(_) => {
-            Err(format!("{at}: answered something else"))
+            Err(format!("{at}: unexpected answer"))
         }
     }
 }
 
-fn told(status: &ReplicationStatus) -> String {
+fn status_text(status: &ReplicationStatus) -> String {
     let mut lines = vec![
         format!(
             "member {}, view {}, {} copies of each ticket, claims from {} on{}",
@@ -101,7 +107,7 @@
     lines.join("\n")
 }
 
-fn shown(key: &KeyStatus) -> String {
+fn key_text(key: &KeyStatus) -> String {
     let mut lines = vec![format!(
         "ticket {}, as {} sees it by view {}: copies lie at {}",
         key.hash,
--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -1,4 +1,5 @@
-//! `plovershelf group`: who is in a cluster, what its consensus group committed, and the two commands that change it by hand.
+//! `plovershelf group`: shows the members of a cluster and the decisions of its consensus group, and has the two commands by
+//! which an operator changes the group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,16 +40,16 @@
     },
 }
 
-/// Asks one member.
+/// Sends a question to one member and returns its answer.
 ///
-/// Errors: it can't be reached, or talks of something else, in one line.
+/// Errors: the member can't be reached, doesn't answer within the time, or sends an unexpected message. The text is one line.
 pub async fn ask(
     at: SocketAddr,
     group: &str,
     question: Question,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Answer, String> {
-    let failed = |what: &str| format!("{at}: {what}");
+    let failed = |cause: &str| format!("{at}: {cause}");
     let exchange = async {
         let stream =
             Async::<std::net::TcpStream>::connect(at).await.map_err(|error| failed(&error.to_string()))?;
@@ -59,7 +60,7 @@
             if let Some((payload, _)) = read_frame(&bytes).map_err(|error| failed(&error.to_string()))? {
                 return match decode::<Wire>(payload) {
                     Ok(Wire::Answer(answer)) => Ok(*answer),
-                    _ => Err(failed("answered something else")),
+                    _ => Err(failed("unexpected answer")),
                 };
             }
             match (&stream).read(&mut chunk).await {
@@ -69,14 +70,16 @@
             }
         }
     };
-    let timeout = async {
-        Timer::after(within).await;
+    let timed_out = async {
+        Timer::after(timeout).await;
         Err(failed("no answer came in time"))
     };
-    future::or(exchange, timeout).await
+    future::or(exchange, timed_out).await
 }
 
-/// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
+/// Returns exit status 0 on success, 1 if the member refused.
+///
+/// Errors: the member could not be queried.
 pub fn run(options: &Options) -> Result<u8, String> {
     let Member { address: at, cluster: name } = options.member.member()?;
     let question = match &options.command {
@@ -90,28 +93,28 @@
                 println!("{}", serde_json::to_string(&*status).map_err(|error| error.to_string())?);
             } else {
                 match options.command {
-                    Command::Members => println!("{}", members(&status)),
-                    Command::History => println!("{}", history(&status)),
-                    _ => println!("{}", summary(&status)),
+                    Command::Members => println!("{}", members_table(&status)),
+                    Command::History => println!("{}", history_table(&status)),
+                    _ => println!("{}", status_text(&status)),
                 }
             }
             Ok(0)
         }
         Answer::Copies(_) | Answer::Ticket(_) | Answer::Part(_) | Answer::Brief(_) => {
-            Err(format!("{at}: answered something else"))
+            Err(format!("{at}: unexpected answer"))
         }
-        Answer::Done(what) => {
-            println!("{what}");
+        Answer::Done(message) => {
+            println!("{message}");
             Ok(0)
         }
-        Answer::Refused(why) => {
-            eprintln!("plovershelf: refused: {why}");
+        Answer::Refused(reason) => {
+            eprintln!("plovershelf: refused: {reason}");
             Ok(1)
         }
     }
 }
 
-fn summary(status: &Status) -> String {
+fn status_text(status: &Status) -> String {
     let mut lines = vec![
         format!("group {}, member {} ({:016x})", status.group, status.name, status.node_id),
         match &status.leader {
@@ -149,13 +152,13 @@
     lines.join("\n")
 }
 
-fn members(status: &Status) -> Table {
+fn members_table(status: &Status) -> Table {
     let mut table = Table::new();
-    let head =
+    let columns =
         ["member", "zone", "region", "memory", "condition", "for s", "works", "in view", "voter", "lag"];
-    table.load_preset(presets::NOTHING).set_header(head);
+    table.load_preset(presets::NOTHING).set_header(columns);
     for member in &status.members {
-        let yes = |yes: bool| if yes { "yes" } else { "no" }.to_string();
+        let yes_no = |value: bool| if value { "yes" } else { "no" }.to_string();
         table.add_row([
             member.name.clone(),
             member.zone.clone(),
@@ -163,20 +166,21 @@
             format!("{:016x}", member.node_id),
             member.state.clone(),
             format!("{:.0}", member.since_ms / 1000.0),
-            if member.is_draining { "leaves".into() } else { yes(member.is_ready) },
-            yes(member.in_view),
-            yes(member.voter),
+            if member.is_draining { "leaves".into() } else { yes_no(member.is_ready) },
+            yes_no(member.in_view),
+            yes_no(member.voter),
             member.lag.map_or(String::new(), |lag| lag.to_string()),
         ]);
     }
     table
 }
 
-fn history(status: &Status) -> Table {
+fn history_table(status: &Status) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["view", "joined", "left"]);
-    let names = |of: &[(plovershelf_cluster::NodeId, String)]| {
-        of.iter().map(|(id, name)| format!("{name} ({:08x})", id.0 >> 32)).collect::<Vec<_>>().join(", ")
+    let names = |members: &[(plovershelf_cluster::NodeId, String)]| {
+        let names = members.iter().map(|(id, name)| format!("{name} ({:08x})", id.0 >> 32));
+        names.collect::<Vec<_>>().join(", ")
     };
     for change in &status.history {
         table.add_row([change.number.to_string(), names(&change.joined), names(&change.left)]);
--- a/crates/plovershelf-cli/src/main.rs
+++ b/crates/plovershelf-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `plovershelf` command. One file a sub-command; none asks a question.
+//! The `plovershelf` command, with one module per sub-command. No sub-command is interactive.
 
 mod audit;
 mod call;
@@ -60,20 +60,22 @@
     Trial(trial::Options),
 }
 
-fn log(format: LogFormat, usual: &str) {
-    let filter = EnvFilter::try_from_env("PLOVERSHELF_LOG").unwrap_or_else(|_| EnvFilter::new(usual));
-    let lines =
+/// Starts logging to standard error with the filter of `PLOVERSHELF_LOG`, or `default_filter` if it is not set.
+fn init_logging(format: LogFormat, default_filter: &str) {
+    let filter =
+        EnvFilter::try_from_env("PLOVERSHELF_LOG").unwrap_or_else(|_| EnvFilter::new(default_filter));
+    let subscriber =
         tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_env_filter(filter);
     match format {
-        LogFormat::Text => lines.init(),
-        LogFormat::Json => lines.json().init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
 
-/// What is wrong, without the usage that follows it.
-fn one_line(told: &str) -> String {
-    let what = told.split("\n\nUsage").next().unwrap_or(told);
-    let words: Vec<&str> = what.trim_start_matches("error: ").split_whitespace().collect();
+/// Returns clap's error message in one line, without the usage that follows it.
+fn one_line(message: &str) -> String {
+    let cause = message.split("\n\nUsage").next().unwrap_or(message);
+    let words: Vec<&str> = cause.trim_start_matches("error: ").split_whitespace().collect();
     format!(
         "{}; `plovershelf --help` has the arguments",
         words.join(" ").trim_end_matches("For more information, try '--help'.")
@@ -83,20 +85,20 @@
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
-        // What is asked for goes to standard output, what is wrong to standard error in one line.
-        Err(told) if !told.use_stderr() => {
-            print!("{told}");
+        // Requested help and the version go to standard output; errors go to standard error in one line.
+        Err(help) if !help.use_stderr() => {
+            print!("{help}");
             return ExitCode::SUCCESS;
         }
-        Err(wrong) => {
-            eprintln!("plovershelf: {}", one_line(&wrong.to_string()));
+        Err(error) => {
+            eprintln!("plovershelf: {}", one_line(&error.to_string()));
             return ExitCode::from(2);
         }
     };
-    // What serves tells what it does; what is asked once only what is wrong.
-    let serves = matches!(arguments.command, Command::Control(_));
-    log(arguments.log_format, if serves { "info" } else { "warn" });
-    let done = match arguments.command {
+    // A long-running service logs its actions; the other commands log warnings and errors only.
+    let is_service = matches!(arguments.command, Command::Control(_));
+    init_logging(arguments.log_format, if is_service { "info" } else { "warn" });
+    let result = match arguments.command {
         Command::Demo(options) => demo::run(&options),
         Command::Call(options) => call::run(&options),
         Command::Group(options) => group::run(&options),
@@ -108,7 +110,7 @@
         Command::Hollow(options) => hollow::run(&options),
         Command::Trial(options) => trial::run(&options),
     };
-    match done {
+    match result {
         Ok(status) => ExitCode::from(status),
         Err(message) => {
             eprintln!("plovershelf: {message}");
--- a/crates/plovershelf-cli/src/member_options.rs
+++ b/crates/plovershelf-cli/src/member_options.rs
@@ -1,11 +1,11 @@
-//! Options that the commands about a cluster share: which member is asked, and the form of its answer.
+//! Options that the commands about a cluster share: the member to query, and the output format.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::Args;
 
-/// Which member is asked, and the form of its answer.
+/// Options that select a member and the output format.
 #[derive(Args)]
 pub struct MemberOptions {
     /// A member's address, as `listen` in its group.ini.
@@ -22,18 +22,18 @@
     pub json: bool,
 }
 
-/// A member as it is reached.
+/// Address of a member and the name of its cluster.
 pub struct Member {
-    /// Where it listens for other members.
+    /// Address at which the member listens for other members.
     pub address: SocketAddr,
     /// The cluster's name.
     pub cluster: String,
 }
 
 impl MemberOptions {
-    /// The member that the options name.
+    /// Returns the member that the options name.
     ///
-    /// Errors: neither file nor address was given, or the file is wrong.
+    /// Errors: neither a file nor an address was given, or the file can't be read or is invalid.
     pub fn member(&self) -> Result<Member, String> {
         match (&self.file, self.at) {
             (Some(file), _) => {
--- a/crates/plovershelf-cli/src/tests.rs
+++ b/crates/plovershelf-cli/src/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn the_commands_arguments_agree_with_each_other() {
+fn the_command_line_definition_is_consistent_and_errors_fit_in_one_line() {
     use clap::CommandFactory;
     Arguments::command().debug_assert();
-    let wrong = Arguments::try_parse_from(["plovershelf", "trial", "x", "--seconds", "many"]).err();
-    let told = one_line(&wrong.expect("no number").to_string());
-    assert!(told.starts_with("invalid value 'many' for '--seconds <SECONDS>'"), "{told}");
-    assert_eq!(told.lines().count(), 1);
+    let invalid = Arguments::try_parse_from(["plovershelf", "trial", "x", "--seconds", "many"]).err();
+    let message = one_line(&invalid.expect("the value is invalid").to_string());
+    assert!(message.starts_with("invalid value 'many' for '--seconds <SECONDS>'"), "{message}");
+    assert_eq!(message.lines().count(), 1);
 }
--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -99,7 +99,7 @@
 /// Returns the figures of one method in one scenario over all seeds. Only the tree is `judged` against bounds.
 fn figures(name: &str, runs: &[&Came], judged: bool) -> Figures {
     let mut figures = Figures::default();
-    let aim = |aim: Aim| if judged { aim } else { Aim::Told };
+    let aim = |aim: Aim| if judged { aim } else { Aim::Informational };
     let zero = aim(Aim::AtMost(0.0));
     let sum = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).sum::<u64>() as f64;
     let rate = |rates: &dyn Fn(&Came) -> Rates| -> [Option<f64>; 3] {
@@ -110,8 +110,11 @@
             max(rates.iter().map(|rates| rates.second)),
         ]
     };
-    let bounded =
-        if matches!(name, "calm" | "day") { aim(Aim::AtMost(MAX_BYTES_PER_SECOND)) } else { Aim::Told };
+    let bounded = if matches!(name, "calm" | "day") {
+        aim(Aim::AtMost(MAX_BYTES_PER_SECOND))
+    } else {
+        Aim::Informational
+    };
     let [listener, listener_most, listener_second] = rate(&|run| run.spent.listeners);
     figures.put("bytes_a_listener_a_second", listener, bounded);
     figures.told("bytes_worst_listener_a_second", listener_most);
@@ -120,7 +123,7 @@
         let [relay, relay_most, _] = rate(&|run| run.spent.relays);
         figures.told("bytes_a_relay_a_second", relay);
         // A relay is also a backend and has the same budget while no changes are made.
-        let calm = if name == "calm" { Aim::AtMost(MAX_BYTES_PER_SECOND) } else { Aim::Told };
+        let calm = if name == "calm" { Aim::AtMost(MAX_BYTES_PER_SECOND) } else { Aim::Informational };
         figures.put("bytes_worst_relay_a_second", relay_most, calm);
     }
     let [source, source_most, source_second] = rate(&|run| run.spent.sources);
--- a/crates/plovershelf-cli/src/trial/changes_model/tests.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model/tests.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn a_scenario_without_data_fails() {
-    assert!(!figures("loss", &[&Came::default()], true).hold());
-    assert!(!figures("calm", &[&Came::default()], true).hold());
-    assert!(!figures("loss", &[], true).hold());
+    assert!(!figures("loss", &[&Came::default()], true).all_met());
+    assert!(!figures("calm", &[&Came::default()], true).all_met());
+    assert!(!figures("loss", &[], true).all_met());
 }
 
 #[test]
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -1,5 +1,5 @@
-//! `plovershelf trial`: starts real backends with stand-ins on loopback, causes the trouble, and judges from what the
-//! stand-ins and callers saw.
+//! `plovershelf trial`: measures claims about the system. Most trials start real backends with simulated agents and
+//! dependencies on loopback, inject faults, and evaluate what the agents and the callers observed; others run a simulation.
 
 mod changes_model;
 mod client_overload;
@@ -63,23 +63,23 @@
     schedule: Option<PathBuf>,
 }
 
-/// What a figure has to be.
+/// Bound that a figure has to meet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Aim {
     Under(f64),
     AtMost(f64),
     AtLeast(f64),
-    /// Told for the reader; judged by nobody.
-    Told,
+    /// The figure is only reported.
+    Informational,
 }
 
 impl Aim {
-    fn holds(self, value: f64) -> bool {
+    fn is_met_by(self, value: f64) -> bool {
         match self {
             Aim::Under(bound) => value < bound,
             Aim::AtMost(bound) => value <= bound,
             Aim::AtLeast(bound) => value >= bound,
-            Aim::Told => true,
+            Aim::Informational => true,
         }
     }
 
@@ -88,74 +88,79 @@
             Aim::Under(bound) => format!("under {bound}"),
             Aim::AtMost(bound) => format!("at most {bound}"),
             Aim::AtLeast(bound) => format!("at least {bound}"),
-            Aim::Told => String::new(),
+            Aim::Informational => String::new(),
         }
     }
 }
 
-/// To four places; what is judged is the figure itself.
-fn shown(value: f64) -> f64 {
+/// Rounds a figure to four decimal places for output; bounds are checked against the exact value.
+fn rounded(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
 
-/// The figures of a trial, in the order of its table.
+/// The figures of a trial, in the order of output.
 #[derive(Debug, Default)]
 pub struct Figures {
     own: Vec<(&'static str, Option<f64>, Aim)>,
-    /// What is no figure: words and tables.
+    /// Other results: texts and tables.
     notes: Vec<(&'static str, Value)>,
-    /// The same by phase.
+    /// Figures of single phases, by name.
     phases: Vec<(&'static str, Figures)>,
 }
 
 impl Figures {
-    /// A figure that nothing was measured for (none, or no number) fails the trial, whatever its aim, also where it is only
-    /// told: guards against a zero that stands for no data.
+    /// Adds a figure. A missing value (`None`, or not a finite number) fails the trial whatever the aim, also if the figure is
+    /// only reported. This prevents a zero from standing for missing data.
     pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, aim: Aim) {
         self.own.push((key, value.into().filter(|value| value.is_finite()), aim));
     }
 
+    /// Adds a figure that is only reported.
     pub fn told(&mut self, key: &'static str, value: impl Into<Option<f64>>) {
-        self.put(key, value, Aim::Told);
+        self.put(key, value, Aim::Informational);
     }
 
+    /// Adds a text or a table.
     pub fn note(&mut self, key: &'static str, value: Value) {
         self.notes.push((key, value));
     }
 
-    fn hold(&self) -> bool {
-        let own = self.own.iter().all(|(_, value, aim)| value.is_some_and(|value| aim.holds(value)));
-        own && self.phases.iter().all(|(_, figures)| figures.hold())
+    /// Returns true if every figure has a value and meets its bound, in all phases.
+    fn all_met(&self) -> bool {
+        let own_met = self.own.iter().all(|(_, value, aim)| value.is_some_and(|value| aim.is_met_by(value)));
+        own_met && self.phases.iter().all(|(_, figures)| figures.all_met())
     }
 
+    /// Adds the figures of a phase.
     pub fn phase(&mut self, name: &'static str, figures: Figures) {
         self.phases.push((name, figures));
     }
 
+    /// Returns all figures as one JSON object; a missing value is null.
     fn json(&self, name: &str, seed: u64) -> Value {
         let mut object = Map::new();
         object.insert("trial".into(), name.into());
         object.insert("seed".into(), seed.into());
-        self.put_into(&mut object);
-        object.insert("held".into(), self.hold().into());
+        self.add_to_json(&mut object);
+        object.insert("held".into(), self.all_met().into());
         object.into()
     }
 
-    fn put_into(&self, object: &mut Map<String, Value>) {
+    fn add_to_json(&self, object: &mut Map<String, Value>) {
         for (key, value, _) in &self.own {
-            let Some(value) = value.map(shown) else {
+            let Some(value) = value.map(rounded) else {
                 object.insert((*key).into(), Value::Null);
                 continue;
             };
-            let whole = value.fract() == 0.0 && value.abs() < 1e15;
-            let value: Value = if whole { (value as i64).into() } else { value.into() };
+            let is_integer = value.fract() == 0.0 && value.abs() < 1e15;
+            let value: Value = if is_integer { (value as i64).into() } else { value.into() };
             object.insert((*key).into(), value);
         }
         object.extend(self.notes.iter().map(|(key, value)| (key.to_string(), value.clone())));
         let phase = |(name, figures): &(&'static str, Figures)| {
-            let mut told = Map::new();
-            figures.put_into(&mut told);
-            (name.to_string(), Value::from(told))
+            let mut object = Map::new();
+            figures.add_to_json(&mut object);
+            (name.to_string(), Value::from(object))
         };
         if !self.phases.is_empty() {
             object.insert("phases".into(), Value::from(self.phases.iter().map(phase).collect::<Map<_, _>>()));
@@ -172,11 +177,11 @@
         for (key, value, aim) in own.chain(phases) {
             let verdict = match (value, aim) {
                 (None, _) => "FELL SHORT",
-                (Some(_), Aim::Told) => "",
-                (Some(value), _) if aim.holds(value) => "held",
+                (Some(_), Aim::Informational) => "",
+                (Some(value), _) if aim.is_met_by(value) => "held",
                 _ => "FELL SHORT",
             };
-            let measured = value.map_or("no data".into(), |value| shown(value).to_string());
+            let measured = value.map_or("no data".into(), |value| rounded(value).to_string());
             table.add_row([key, measured, aim.text(), verdict.into()]);
         }
         let phases = self.phases.iter().flat_map(|(name, figures)| {
@@ -185,10 +190,10 @@
         let own = self.notes.iter().map(|(key, value)| (key.to_string(), value));
         for (key, value) in own.chain(phases) {
             match value {
-                Value::Object(rows) => rows.iter().for_each(|(row, told)| {
-                    table.add_row([format!("{key}: {row}"), told.to_string(), String::new(), String::new()]);
+                Value::Object(rows) => rows.iter().for_each(|(row, value)| {
+                    table.add_row([format!("{key}: {row}"), value.to_string(), String::new(), String::new()]);
                 }),
-                Value::String(word) => drop(table.add_row([&*key, word, "", ""])),
+                Value::String(text) => drop(table.add_row([&*key, text, "", ""])),
                 other => drop(table.add_row([key, other.to_string(), String::new(), String::new()])),
             }
         }
@@ -196,12 +201,15 @@
     }
 }
 
-/// What a trial needs to run.
+/// Options and resources that a trial runs with.
 pub struct Ground {
     pub executor: Executor,
+    /// Path of the server program.
     pub program: PathBuf,
     pub seed: u64,
+    /// Length of the load; `None` for the trial's default.
     pub seconds: Option<f64>,
+    /// Folder for logs, plots, schedules and histories.
     pub logs: Option<PathBuf>,
     pub members: Option<usize>,
     pub seeds: Option<u64>,
@@ -210,9 +218,10 @@
     pub schedule: Option<PathBuf>,
 }
 
-type Run = fn(&Ground) -> Result<Figures, String>;
+type RunTrial = fn(&Ground) -> Result<Figures, String>;
 
-const TRIALS: [(&str, &str, Run); 14] = [
+/// Name, description and function of each trial.
+const TRIALS: [(&str, &str, RunTrial); 14] = [
     (
         "client-overload",
         "three backends, forty callers, 160 % of what the cores do; against a plain caller",
@@ -285,16 +294,18 @@
     ),
 ];
 
-/// Exit statuses: 0 every claim held, 1 one fell short; an error is a trial that could not run.
+/// Returns exit status 0 if every figure meets its bound, 1 otherwise.
+///
+/// Errors: the trial could not run.
 pub fn run(options: &Options) -> Result<u8, String> {
     if options.list {
         TRIALS.iter().for_each(|(name, about, _)| println!("{name:18} {about}"));
         return Ok(0);
     }
-    let wanted = options.name.as_deref().unwrap_or_default();
-    let known = TRIALS.iter().find(|(name, ..)| *name == wanted);
+    let requested = options.name.as_deref().unwrap_or_default();
+    let trial = TRIALS.iter().find(|(name, ..)| *name == requested);
     let (name, _, run) =
-        known.ok_or_else(|| format!("no trial {wanted:?}; `plovershelf trial --list` names all"))?;
+        trial.ok_or_else(|| format!("no trial {requested:?}; `plovershelf trial --list` names all"))?;
     if let Some(logs) = &options.logs {
         std::fs::create_dir_all(logs).map_err(|error| format!("{}: {error}", logs.display()))?;
     }
@@ -316,7 +327,7 @@
     } else {
         println!("trial {name}, seed {}\n{}", options.seed, figures.table());
     }
-    Ok(u8::from(!figures.hold()))
+    Ok(u8::from(!figures.all_met()))
 }
 
 #[cfg(test)]
--- a/crates/plovershelf-cli/src/trial/scale/results.rs
+++ b/crates/plovershelf-cli/src/trial/scale/results.rs
@@ -311,7 +311,7 @@
 pub fn figures(all: &[SizeResult], options: ScaleOptions, limit: &str, judged: bool) -> Figures {
     let mut figures = Figures::default();
     let Some(result) = all.last() else { return figures };
-    let aim = |max: f64| if judged { Aim::AtMost(max) } else { Aim::Told };
+    let aim = |max: f64| if judged { Aim::AtMost(max) } else { Aim::Informational };
     let zero = aim(0.0);
     figures.told("members", result.members as f64);
     figures.told("hollow", result.topology.map_or(0, |topology| topology.hollow()) as f64);
@@ -322,28 +322,28 @@
     figures.note("ended_by", limit.into());
     let share = all.iter().map(|size| size.memory_fraction).reduce(super::larger).flatten();
     figures.put("peak_memory_share", share, Aim::AtMost(super::MAX_MEMORY_FRACTION));
-    figures.put("machine_busy_share", result.busy_fraction, Aim::Told);
+    figures.put("machine_busy_share", result.busy_fraction, Aim::Informational);
     figures.note("slopes", slopes(all));
     let [single, racked, real] = [0, 1, 2].map(|kind| result.cost(kind));
     figures.put("control_core_percent", single.map(|cost| cost.core_percent), aim(1.4));
     figures.put("control_memory_mb", single.map(|cost| cost.memory_mb), aim(32.0));
-    figures.put("racked_core_percent", racked.map(|cost| cost.core_percent), Aim::Told);
-    figures.put("racked_memory_mb", racked.map(|cost| cost.memory_mb), Aim::Told);
-    figures.put("real_core_percent", real.map(|cost| cost.core_percent), Aim::Told);
-    figures.put("real_memory_mb", real.map(|cost| cost.memory_mb), Aim::Told);
+    figures.put("racked_core_percent", racked.map(|cost| cost.core_percent), Aim::Informational);
+    figures.put("racked_memory_mb", racked.map(|cost| cost.memory_mb), Aim::Informational);
+    figures.put("real_core_percent", real.map(|cost| cost.core_percent), Aim::Informational);
+    figures.put("real_memory_mb", real.map(|cost| cost.memory_mb), Aim::Informational);
     figures.put("control_bytes_a_second", result.bytes_per_second, aim(4096.0));
-    figures.put("leader_bytes_a_second", result.leader_bytes_per_second, Aim::Told);
-    figures.put("links_a_member", result.links, Aim::Told);
-    figures.put("alone_bytes_a_second_worst", result.max_single_bytes_per_second, Aim::Told);
+    figures.put("leader_bytes_a_second", result.leader_bytes_per_second, Aim::Informational);
+    figures.put("links_a_member", result.links, Aim::Informational);
+    figures.put("alone_bytes_a_second_worst", result.max_single_bytes_per_second, Aim::Informational);
     if result.mode == Some(Mode::ConfigDistribution) {
         figures.told("relays_killed", result.event_counts.relays as f64);
         figures.told("proposals_refused", result.refused as f64);
-        figures.put("oldest_word_s", result.max_age_s, Aim::Told);
-        figures.put("sum_off_at_the_end", result.listener_count_error, Aim::Told);
+        figures.put("oldest_word_s", result.max_age_s, Aim::Informational);
+        figures.put("sum_off_at_the_end", result.listener_count_error, Aim::Informational);
     }
     figures.told("settled_share", result.settled_fraction);
     figures.told("deaths", result.killed as f64);
-    figures.put("death_known_s_worst", result.max_detection_s(), Aim::Told);
+    figures.put("death_known_s_worst", result.max_detection_s(), Aim::Informational);
     figures.told("deaths_not_known", result.undetected as f64);
     figures.told("changes", result.changes as f64);
     figures.put("change_in_force_s_99", result.p99_in_force_s(), aim(4.0));
@@ -352,7 +352,7 @@
     figures.put("two_at_one_number", result.conflicting_versions as f64, zero);
     figures.put("healthy_put_out", result.healthy_members_removed as f64, zero);
     figures.put("added_ms_99", result.added_ms, aim(1.1));
-    figures.put("added_ms_99_off", result.baseline_added_ms, Aim::Told);
+    figures.put("added_ms_99_off", result.baseline_added_ms, Aim::Informational);
     figures.told("questions", result.polls as f64);
     figures.told("unanswered", result.unanswered as f64);
     figures.put("rules_broken", all.iter().map(|size| size.rules_broken).sum::<u64>() as f64, zero);
--- a/crates/plovershelf-cli/src/trial/tests.rs
+++ b/crates/plovershelf-cli/src/trial/tests.rs
@@ -1,35 +1,35 @@
 use super::*;
 
 #[test]
-fn one_figure_that_falls_short_fails_the_trial_and_keys_keep_their_names() {
+fn a_figure_that_misses_its_bound_fails_the_trial_and_keys_keep_their_names() {
     let mut figures = Figures::default();
     figures.put("retry_share", 0.099_99, Aim::Under(0.1));
     figures.told("calls", 12.0);
-    assert!(figures.hold());
+    assert!(figures.all_met());
     figures.put("results_late", 1.0, Aim::AtMost(0.0));
-    assert!(!figures.hold());
-    let told = figures.json("t", 3).to_string();
-    assert_eq!(told, r#"{"trial":"t","seed":3,"retry_share":0.1,"calls":12,"results_late":1,"held":false}"#);
+    assert!(!figures.all_met());
+    let json = figures.json("t", 3).to_string();
+    assert_eq!(json, r#"{"trial":"t","seed":3,"retry_share":0.1,"calls":12,"results_late":1,"held":false}"#);
 }
 
 #[test]
-fn a_figure_without_data_is_a_failed_claim_and_no_zero() {
+fn a_figure_without_data_fails_the_trial_instead_of_being_zero() {
     let empty = plovershelf_simulation::statistics::Spread::default();
     for (aim, value) in [
         (Aim::AtMost(4.0), empty.most()),
         (Aim::AtLeast(0.0), empty.at(0.5)),
-        (Aim::Told, empty.mean()),
+        (Aim::Informational, empty.mean()),
         (Aim::AtLeast(0.0), Some(f64::NAN)),
         (Aim::AtLeast(0.0), Some(f64::INFINITY)),
     ] {
         let mut figures = Figures::default();
         figures.put("known_s", value, aim);
-        assert!(!figures.hold(), "{aim:?} {value:?}");
-        let told = figures.json("t", 1).to_string();
-        assert_eq!(told, r#"{"trial":"t","seed":1,"known_s":null,"held":false}"#);
+        assert!(!figures.all_met(), "{aim:?} {value:?}");
+        let json = figures.json("t", 1).to_string();
+        assert_eq!(json, r#"{"trial":"t","seed":1,"known_s":null,"held":false}"#);
         assert!(figures.table().to_string().contains("FELL SHORT"));
-        let mut whole = Figures::default();
-        whole.phase("members_900", figures);
-        assert!(!whole.hold(), "in a phase too");
+        let mut trial = Figures::default();
+        trial.phase("members_900", figures);
+        assert!(!trial.all_met(), "a phase without data fails the trial as well");
     }
 }
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -1,4 +1,4 @@
-//! `plovershelf zones`: the plan as members act by it, and an operator's word on it.
+//! `plovershelf zones`: shows the failover plan that members act by, and has the commands by which an operator overrides it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use comfy_table::{presets, Table};
 use plovershelf_cluster::status::{Answer, Question};
-use plovershelf_cluster::wire::{decode, encode_payload as plain};
+use plovershelf_cluster::wire::{decode, encode_payload};
 use plovershelf_failover::{
     Forecast, Request, Response, ShiftRequest, Status, TrafficPlan, Zone, ZoneForecast, PRIORITY_BANDS,
 };
@@ -53,9 +53,9 @@
     },
 }
 
-const LONGEST_MS: f64 = 7.0 * 86_400_000.0;
+const MAX_SPAN_MS: f64 = 7.0 * 86_400_000.0;
 
-/// 90s, 30m, 2h: milliseconds.
+/// Parses a span with its unit, such as 90s, 30m or 2h, to milliseconds.
 fn span_ms(text: &str) -> Result<f64, String> {
     let unit = |unit: &str| match unit {
         "s" => Some(1000.0),
@@ -63,31 +63,34 @@
         "h" => Some(3_600_000.0),
         _ => None,
     };
-    let at = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
-    let told = text[..at].parse::<f64>().ok().zip(unit(&text[at..]));
-    told.map(|(number, unit)| number * unit)
-        .filter(|ms| *ms >= 1000.0 && *ms <= LONGEST_MS)
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
+    let number_and_unit = text[..unit_start].parse::<f64>().ok().zip(unit(&text[unit_start..]));
+    number_and_unit
+        .map(|(number, unit)| number * unit)
+        .filter(|ms| *ms >= 1000.0 && *ms <= MAX_SPAN_MS)
         .ok_or_else(|| "a span from 1s to 168h, as 90s, 30m or 2h".into())
 }
 
-/// Asks one member something of its zones.
+/// Sends a failover request to one member.
 ///
-/// Errors: it can't be asked, or it knows of no zones, in one line.
+/// Errors: the member can't be queried, or has no zones configured. The text is one line.
 pub async fn ask_zones(
     at: SocketAddr,
     group: &str,
     request: &Request,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Response, String> {
-    let question = Question::Part { part: "zones".into(), bytes: plain(request) };
-    match ask(at, group, question, within).await? {
-        Answer::Part(bytes) => decode(&bytes).map_err(|spoilt| format!("{at}: {spoilt}")),
-        Answer::Refused(why) => Ok(Response::Refused(why)),
-        _ => Err(format!("{at}: answered something else")),
+    let question = Question::Part { part: "zones".into(), bytes: encode_payload(request) };
+    match ask(at, group, question, timeout).await? {
+        Answer::Part(bytes) => decode(&bytes).map_err(|error| format!("{at}: {error}")),
+        Answer::Refused(reason) => Ok(Response::Refused(reason)),
+        _ => Err(format!("{at}: unexpected answer")),
     }
 }
 
-/// Exit statuses: 0 done, 1 refused; an error is a member that could not be asked.
+/// Returns exit status 0 on success, 1 if the member refused.
+///
+/// Errors: the member could not be queried.
 pub fn run(options: &Options) -> Result<u8, String> {
     let Member { address: at, cluster: name } = options.member.member()?;
     let operator = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
@@ -104,39 +107,43 @@
         Command::Return { zone } => Request::EndShift { zone: zone.clone() },
         Command::Hold { for_ms } => Request::Hold { duration_ms: *for_ms },
     };
-    let within = Duration::from_secs(10);
-    let response = async_io::block_on(ask_zones(at, &name, &request, within))?;
+    let timeout = Duration::from_secs(10);
+    let response = async_io::block_on(ask_zones(at, &name, &request, timeout))?;
     if options.member.json {
         println!("{}", serde_json::to_string(&response).map_err(|error| error.to_string())?);
         return Ok(u8::from(matches!(response, Response::Refused(_))));
     }
     match response {
-        Response::Status(status) => println!("{}", shown(&status)),
+        Response::Status(status) => println!("{}", status_text(&status)),
         Response::Forecast(forecast) => {
             let Response::Status(status) =
-                async_io::block_on(ask_zones(at, &name, &Request::Status, within))?
+                async_io::block_on(ask_zones(at, &name, &Request::Status, timeout))?
             else {
-                return Err(format!("{at}: answered something else"));
+                return Err(format!("{at}: unexpected answer"));
             };
-            println!("{}\n{}", table(&status.zones, &forecast.plan), full(&status.zones, &forecast));
+            println!(
+                "{}\n{}",
+                plan_table(&status.zones, &forecast.plan),
+                forecast_text(&status.zones, &forecast)
+            );
         }
-        Response::Done(what) => println!("{what}"),
-        Response::Refused(why) => {
-            eprintln!("plovershelf: refused: {why}");
+        Response::Done(message) => println!("{message}"),
+        Response::Refused(reason) => {
+            eprintln!("plovershelf: refused: {reason}");
             return Ok(1);
         }
     }
     Ok(0)
 }
 
-/// A row a zone and band: what goes where.
-fn table(zones: &[Zone], plan: &TrafficPlan) -> Table {
+/// Returns a table with one row per zone and priority band: the shares of its demand that go to each zone or are rejected.
+fn plan_table(zones: &[Zone], plan: &TrafficPlan) -> Table {
     let mut table = Table::new();
     let bands = ["low", "ordinary", "high"];
-    let head = ["of", "rank"].map(str::to_string).into_iter();
+    let first_columns = ["of", "rank"].map(str::to_string).into_iter();
     table.load_preset(presets::NOTHING);
     table.set_header(
-        head.chain(zones.iter().map(|zone| format!("to {}", zone.name))).chain(["cut".to_string()]),
+        first_columns.chain(zones.iter().map(|zone| format!("to {}", zone.name))).chain(["cut".to_string()]),
     );
     for (from, zone) in zones.iter().enumerate() {
         for band in (0..PRIORITY_BANDS).rev() {
@@ -144,14 +151,14 @@
                 share if share < 0.0005 => String::new(),
                 share => format!("{:.1} %", share * 100.0),
             };
-            let told = [zone.name.clone(), bands[band].to_string()].into_iter();
-            table.add_row(told.chain((0..=zones.len()).map(share)));
+            let labels = [zone.name.clone(), bands[band].to_string()].into_iter();
+            table.add_row(labels.chain((0..=zones.len()).map(share)));
         }
     }
     table
 }
 
-fn full(zones: &[Zone], forecast: &Forecast) -> String {
+fn forecast_text(zones: &[Zone], forecast: &Forecast) -> String {
     let line = |(zone, forecast): (&Zone, &ZoneForecast)| {
         let ZoneForecast { demand, carried, capacity } = forecast;
         format!(
@@ -164,7 +171,7 @@
     lines.join("\n")
 }
 
-fn shown(status: &Status) -> String {
+fn status_text(status: &Status) -> String {
     let mut lines = vec![
         format!(
             "member {} in zone {}, led by {}",
@@ -182,7 +189,7 @@
         } else {
             "ACTS BY NO PLAN: all near, what is too much is cut".into()
         },
-        table(&status.zones, &status.plan).to_string(),
+        plan_table(&status.zones, &status.plan).to_string(),
     ];
     for shift in &status.plan.shifts {
         let zone = status.zones.get(shift.zone).map_or("?", |zone| zone.name.as_str());
@@ -196,9 +203,14 @@
     if status.plan.hold_remaining_ms > 0.0 {
         lines.push(format!("held as it is for {:.0} s more", status.plan.hold_remaining_ms / 1000.0));
     }
-    lines.extend(status.forecast.iter().map(|forecast| full(&status.zones, forecast)));
+    lines.extend(status.forecast.iter().map(|forecast| forecast_text(&status.zones, forecast)));
     lines.extend(
-        status.history.iter().rev().take(8).map(|(ago, what)| format!("{:.0} s ago: {what}", ago / 1000.0)),
+        status
+            .history
+            .iter()
+            .rev()
+            .take(8)
+            .map(|(ago_ms, event)| format!("{:.0} s ago: {event}", ago_ms / 1000.0)),
     );
     lines.join("\n")
 }
--- a/crates/plovershelf-cli/tests/config.rs
+++ b/crates/plovershelf-cli/tests/config.rs
@@ -1,4 +1,4 @@
-//! The command itself: three control processes, a listener, and what `plovershelf config` prints and ends with.
+//! Runs `plovershelf config` against three control processes and a listener, and checks its output and exit statuses.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,57 +9,60 @@
 use plovershelf_testkit::free_address;
 use plovershelf_testkit::origin_servers::OriginServers;
 
-struct Controls {
+/// Three control processes, which are origins of configuration; dropping it kills them.
+struct ControlProcesses {
     folder: PathBuf,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     children: Vec<Child>,
 }
 
-impl Controls {
+impl ControlProcesses {
     fn start() -> Self {
         let folder = std::env::temp_dir().join(format!("plovershelf-config-{}", std::process::id()));
-        let OriginServers { files, addresses: at } =
-            OriginServers::write(&folder, "fleet", "acme = 1000\n").expect("files");
+        let OriginServers { files, addresses } =
+            OriginServers::write(&folder, "fleet", "acme = 1000\n").expect("write the configuration files");
         let start = |file: &PathBuf| {
-            let name = file.file_stem().and_then(|name| name.to_str()).expect("a name");
+            let name = file.file_stem().and_then(|name| name.to_str()).expect("a UTF-8 file name");
             let mut command = command(&["control", "--name", name, "--file", path(file)]);
-            command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("a process")
+            command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("start a control process")
         };
         let children = files.iter().map(start).collect();
-        Controls { folder, at, children }
+        ControlProcesses { folder, addresses, children }
     }
 
-    /// `plovershelf config` with these words, asked of the first source.
-    fn config(&self, words: &[&str]) -> Output {
-        let at = self.at[0].to_string();
-        command(&["config"]).args(words).args(["--at", &at]).output().expect("it runs")
+    /// Runs `plovershelf config` with these arguments against the first origin.
+    fn config(&self, arguments: &[&str]) -> Output {
+        let address = self.addresses[0].to_string();
+        let mut command = command(&["config"]);
+        command.args(arguments).args(["--at", &address]).output().expect("run plovershelf config")
     }
 
-    fn file(&self, text: &str) -> PathBuf {
+    fn write_change(&self, text: &str) -> PathBuf {
         let file = self.folder.join("change.ini");
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("write the change");
         file
     }
 
-    fn propose(&self, text: &str, more: &[&str]) -> (i32, String) {
-        let file = self.file(text);
-        told(&self.config(&[&["propose", "--file", path(&file)], more].concat()))
+    fn propose(&self, text: &str, options: &[&str]) -> (i32, String) {
+        let file = self.write_change(text);
+        code_and_output(&self.config(&[&["propose", "--file", path(&file)], options].concat()))
     }
 
-    fn until(&self, words: &[&str], holds: impl Fn(i32, &str) -> bool) {
-        let began = Instant::now();
+    /// Repeats a command until its exit status and output match; fails after 60 s.
+    fn wait_for(&self, arguments: &[&str], matches: impl Fn(i32, &str) -> bool) {
+        let started = Instant::now();
         loop {
-            let (code, said) = told(&self.config(words));
-            if holds(code, &said) {
+            let (code, printed) = code_and_output(&self.config(arguments));
+            if matches(code, &printed) {
                 return;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{words:?}: {code}, {said}");
+            assert!(started.elapsed() < Duration::from_secs(60), "{arguments:?}: {code}, {printed}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 }
 
-impl Drop for Controls {
+impl Drop for ControlProcesses {
     fn drop(&mut self) {
         for child in &mut self.children {
             let _ = child.kill();
@@ -69,62 +72,65 @@
     }
 }
 
-fn command(words: &[&str]) -> Command {
+fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plovershelf"));
-    command.args(words).stdin(Stdio::null());
+    command.args(arguments).stdin(Stdio::null());
     command
 }
 
 fn path(file: &Path) -> &str {
-    file.to_str().expect("a path")
+    file.to_str().expect("a UTF-8 path")
 }
 
-fn told(output: &Output) -> (i32, String) {
+fn code_and_output(output: &Output) -> (i32, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (output.status.code().expect("no signal"), text(&output.stdout) + &text(&output.stderr))
+    (output.status.code().expect("an exit status"), text(&output.stdout) + &text(&output.stderr))
 }
 
 #[test]
-fn the_command_proposes_and_tells_where_a_change_is_in_force_and_ends_with_what_came_of_it() {
-    let mut controls = Controls::start();
-    controls.until(&["status", "--json"], |_, said| said.contains("\"agrees\":true"));
-    // Nobody is heard of yet, which is no success.
-    let (code, said) = told(&controls.config(&["status"]));
-    assert!(code == 1 && said.contains("NO LISTENER IS HEARD OF"), "{code}: {said}");
+fn config_proposes_changes_reports_where_they_are_in_force_and_sets_the_exit_status() {
+    let mut control = ControlProcesses::start();
+    control.wait_for(&["status", "--json"], |_, printed| printed.contains("\"agrees\":true"));
+    // No listener is known yet, which is not a success.
+    let (code, printed) = code_and_output(&control.config(&["status"]));
+    assert!(code == 1 && printed.contains("NO LISTENER IS HEARD OF"), "{code}: {printed}");
     let setup = DistributionSetup {
         cluster: "fleet".into(),
         listen: free_address().expect("a free port"),
         zone: "a".into(),
         region: "north".into(),
-        origins: controls.at.clone(),
+        origins: control.addresses.clone(),
         config: Default::default(),
     };
     let listener = setup.listen.to_string();
-    config_distribution::start_listener(setup, "n1".into(), Subscriber::Nobody).expect("a listener");
-    let proposed = controls.propose("[set]\nacme = 7\n[add]\nnew = 2\n", &["--after", "0"]);
+    config_distribution::start_listener(setup, "n1".into(), Subscriber::Nobody).expect("start a listener");
+    let proposed = control.propose("[set]\nacme = 7\n[add]\nnew = 2\n", &["--after", "0"]);
     assert_eq!(proposed, (0, "agreed as number 1\n".into()));
-    let all: Vec<String> = controls.at.iter().skip(1).map(SocketAddr::to_string).collect();
+    let all: Vec<String> = control.addresses.iter().skip(1).map(SocketAddr::to_string).collect();
     let everywhere = ["status", "--at", &all[0], "--at", &all[1], "--at", &listener];
-    controls.until(&everywhere, |code, said| {
-        code == 0 && said.contains("change 1 is in force on 1 of 1 that are heard of")
+    control.wait_for(&everywhere, |code, printed| {
+        code == 0 && printed.contains("change 1 is in force on 1 of 1 that are heard of")
     });
-    let (code, said) = told(&controls.config(&["history"]));
-    assert!(code == 0 && said.contains("set \"acme\" to 7, add \"new\" with 2"), "{code}: {said}");
-    for (text, more, code, what) in [
+    let (code, printed) = code_and_output(&control.config(&["history"]));
+    assert!(code == 0 && printed.contains("set \"acme\" to 7, add \"new\" with 2"), "{code}: {printed}");
+    for (text, options, code, expected) in [
         ("[set]\nnobody = 1\n", &[][..], 1, "\"nobody\""),
         ("[set]\nacme = 1\n", &["--after", "0"][..], 1, "after 0"),
         ("[set]\nacme = much\n", &[][..], 2, "[set] acme = \"much\""),
         ("[set]\nacme = 1\n", &["--name", "other"][..], 2, "another group's name"),
     ] {
-        let (ended, said) = controls.propose(text, more);
-        assert!(ended == code && said.contains(what) && said.lines().count() == 1, "{ended}: {said}");
+        let (exit_code, printed) = control.propose(text, options);
+        assert!(
+            exit_code == code && printed.contains(expected) && printed.lines().count() == 1,
+            "{exit_code}: {printed}"
+        );
     }
-    // One source less: it can't be asked, which status says; the notice to leave ends a process well.
-    let last = controls.children.pop().expect("three");
-    let ends = Command::new("sh").args(["-c", &format!("kill -TERM {}", last.id())]).status();
-    assert!(ends.expect("sh").success());
-    let ended = { last }.wait().expect("its end");
-    assert_eq!(ended.code(), Some(0));
-    let (code, said) = told(&controls.config(&everywhere));
-    assert!(code == 1 && said.contains("NOT ASKED"), "{code}: {said}");
+    // SIGTERM ends an origin with exit status 0; afterwards `status` reports that it can't be queried.
+    let last = control.children.pop().expect("three control processes");
+    let killed = Command::new("sh").args(["-c", &format!("kill -TERM {}", last.id())]).status();
+    assert!(killed.expect("run sh").success());
+    let status = { last }.wait().expect("wait for the process");
+    assert_eq!(status.code(), Some(0));
+    let (code, printed) = code_and_output(&control.config(&everywhere));
+    assert!(code == 1 && printed.contains("NOT ASKED"), "{code}: {printed}");
 }
--- a/crates/plovershelf-cli/tests/interface.rs
+++ b/crates/plovershelf-cli/tests/interface.rs
@@ -1,4 +1,4 @@
-//! What people and their scripts read: arguments, help, error texts, exit statuses and the keys of JSON.
+//! Checks the interface for people and scripts: arguments, help and error texts, exit statuses and JSON keys.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -13,14 +13,14 @@
 fn plovershelf(arguments: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plovershelf"));
     command.args(arguments.split_whitespace()).current_dir(fixtures()).stdin(Stdio::null());
-    command.env_remove("PLOVERSHELF_LOG").output().expect("the command runs")
+    command.env_remove("PLOVERSHELF_LOG").output().expect("run plovershelf")
 }
 
 fn fixture(name: &str) -> String {
-    std::fs::read_to_string(fixtures().join(name)).expect("a fixture")
+    std::fs::read_to_string(fixtures().join(name)).expect("read the fixture")
 }
 
-/// Scripts and runbooks call the command with these arguments and match what it prints and its exit status.
+/// Scripts and runbooks call the command with the recorded arguments and match its output and exit status.
 #[test]
 fn command_prints_the_recorded_help_and_error_texts() {
     let transcript = fixture("transcript.txt");
