--- a/crates/plovershelf-cli/src/control.rs
+++ b/crates/plovershelf-cli/src/control.rs
@@ -20,7 +20,8 @@
     name: String,
 }
 
-/// Interval at which the main loop records its heartbeat; members treat a heartbeat older than two seconds as missing.
+/// Interval at which the main loop records its heartbeat; the cluster thread treats the process as stuck after two seconds
+/// without one.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between the drain notice and the exit, so that the notice reaches the other members.
 const DRAIN_MS: f64 = 300.0;
--- a/crates/plovershelf-cli/src/load.rs
+++ b/crates/plovershelf-cli/src/load.rs
@@ -37,8 +37,8 @@
 
 pub const TENANTS: [&str; 2] = ["north", "south"];
 
-/// The request classes: a cheap one with max_per_second of the calls, one with idempotency keys, one that must not be repeated, and a
-/// valuable one.
+/// The request classes: a cheap one with the majority of the calls, one with idempotency keys, one that must not be
+/// repeated, and a valuable one.
 pub const CLASSES: [RequestClass; 4] = [
     RequestClass {
         name: "quote",
@@ -287,7 +287,7 @@
     }
 }
 
-/// Makes all calls of a schedule at their times, counted from now, and waits until all have ended, for at max_per_second `grace_ms`
+/// Makes all calls of a schedule at their times, counted from now, and waits until all have ended or until `timeout_ms`
 /// after the last call was made.
 pub async fn play(
     executor: &Executor,
@@ -295,7 +295,7 @@
     planned: &Rc<Vec<PlannedCall>>,
     callers: &[Caller],
     results: &Results,
-    grace_ms: f64,
+    timeout_ms: f64,
 ) {
     *results.borrow_mut() = vec![Vec::new(); planned.len()];
     let started_ms = clock.now();
@@ -316,7 +316,7 @@
         };
         executor.spawn(call).detach();
     }
-    let deadline = clock.now() + grace_ms;
+    let deadline = clock.now() + timeout_ms;
     while *remaining.borrow() > 0 && clock.now() < deadline {
         Timer::after(Duration::from_millis(10)).await;
     }
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -62,7 +62,7 @@
     failed_after_success: u32,
 }
 
-/// Counts overloaded all callers of a run.
+/// Counts over all callers of a run.
 #[derive(Default)]
 struct CallerCounts {
     keys: Cell<u64>,
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -51,8 +51,8 @@
     started_ms: f64,
 }
 
-/// Returns the first schedule drawn from a seed that has at least six kinds of faults, a kill with a wiped disk, and a kill
-/// that can be judged by itself.
+/// Returns the first schedule drawn from a seed that has at least six kinds of faults, a kill with a wiped disk, and an
+/// isolated kill.
 pub fn schedule(seed: u64, span_ms: f64) -> Schedule {
     let steps = ((span_ms / SPAN_MS * STEPS as f64).round() as usize).max(STEPS);
     let drawn = (0..1000).map(|n| Schedule::draw(seed * 1000 + n, MEMBERS, ZONES, steps, span_ms));
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -101,7 +101,8 @@
 /// The figures of a trial, in the order of output.
 #[derive(Debug, Default)]
 pub struct Figures {
-    own: Vec<(&'static str, Option<f64>, Aim)>,
+    /// Key, value and bound of each figure, without the phases.
+    entries: Vec<(&'static str, Option<f64>, Aim)>,
     /// Other results: texts and tables.
     notes: Vec<(&'static str, Value)>,
     /// Figures of single phases, by name.
@@ -112,7 +113,7 @@
     /// Adds a figure. A missing value (`None`, or not a finite number) fails the trial whatever the aim, also if the figure is
     /// only reported. This prevents a zero from standing for missing data.
     pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, aim: Aim) {
-        self.own.push((key, value.into().filter(|value| value.is_finite()), aim));
+        self.entries.push((key, value.into().filter(|value| value.is_finite()), aim));
     }
 
     /// Adds a figure that is only reported.
@@ -127,8 +128,9 @@
 
     /// Returns true if every figure has a value and meets its bound, in all phases.
     fn all_met(&self) -> bool {
-        let own_met = self.own.iter().all(|(_, value, aim)| value.is_some_and(|value| aim.is_met_by(value)));
-        own_met && self.phases.iter().all(|(_, figures)| figures.all_met())
+        let entries_met =
+            self.entries.iter().all(|(_, value, aim)| value.is_some_and(|value| aim.is_met_by(value)));
+        entries_met && self.phases.iter().all(|(_, figures)| figures.all_met())
     }
 
     /// Adds the figures of a phase.
@@ -147,7 +149,7 @@
     }
 
     fn add_to_json(&self, object: &mut Map<String, Value>) {
-        for (key, value, _) in &self.own {
+        for (key, value, _) in &self.entries {
             let Some(value) = value.map(rounded) else {
                 object.insert((*key).into(), Value::Null);
                 continue;
@@ -171,9 +173,9 @@
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header(["figure", "measured", "aim", ""]);
         let phases = self.phases.iter().flat_map(|(name, figures)| {
-            figures.own.iter().map(move |(key, value, aim)| (format!("{name}: {key}"), *value, *aim))
+            figures.entries.iter().map(move |(key, value, aim)| (format!("{name}: {key}"), *value, *aim))
         });
-        let own = self.own.iter().map(|(key, value, aim)| (key.to_string(), *value, *aim));
+        let own = self.entries.iter().map(|(key, value, aim)| (key.to_string(), *value, *aim));
         for (key, value, aim) in own.chain(phases) {
             let verdict = match (value, aim) {
                 (None, _) => "FELL SHORT",
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -1,6 +1,6 @@
 //! Trial `ramp`: cold backends under the total demand of all processes. A single cold backend is flooded, once by callers
-//! that follow its backpressure signal and once by basic callers; then two dozen cold backends share figures_of_kind dependency. The
-//! control backends are configured as warm, with a dependency share that never limits them.
+//! that follow its backpressure signal and once by basic callers; then two dozen cold backends share one dependency. The
+//! control backends are configured as warm, with fifty times the share of the dependency.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,8 +41,8 @@
 
 #[derive(Default)]
 struct RunResult {
-    /// Largest concurrency on figures_of_kind backend's cores, as a fraction of the concurrency that they survive at the time plus an
-    /// allowance for random variation.
+    /// Largest concurrency on the cores of one backend, as a fraction of the concurrency that they survive at the time plus
+    /// an allowance for random variation.
     peak: f64,
     /// Largest mean concurrency over a window, as a fraction of the concurrency that the cores survive.
     mean: f64,
@@ -67,8 +67,8 @@
     samples.windows(length.min(samples.len().max(1))).map(mean).fold(0.0, f64::max)
 }
 
-/// Runs figures_of_kind load. With `limited`, the backends know their cold speed and their share of the dependency; otherwise they are
-/// the control.
+/// Runs one load. With `limited`, the backends know their cold speed and their share of the dependency; otherwise they
+/// are the control.
 fn play(ground: &Ground, backends: usize, kind: CallerKind, limited: bool) -> Result<RunResult, String> {
     let executor = &ground.executor;
     let clock = Clock::start();
@@ -169,14 +169,14 @@
     for (name, kind) in [("heed", CallerKind::Library), ("untold", CallerKind::Basic)] {
         let result = play(ground, 1, kind, true)?;
         let control = play(ground, 1, kind, false)?;
-        let mut figures_of_kind = Figures::default();
-        figures_of_kind.told("runs", result.executions as f64);
-        figures_of_kind.put("crowd_mean", result.mean, Aim::AtMost(1.0));
-        figures_of_kind.put("crowd_peak", result.peak, Aim::AtMost(1.0));
-        figures_of_kind.told("control_crowd_mean", control.mean);
-        figures_of_kind.told("control_crowd_peak", control.peak);
+        let mut kind_figures = Figures::default();
+        kind_figures.told("runs", result.executions as f64);
+        kind_figures.put("crowd_mean", result.mean, Aim::AtMost(1.0));
+        kind_figures.put("crowd_peak", result.peak, Aim::AtMost(1.0));
+        kind_figures.told("control_crowd_mean", control.mean);
+        kind_figures.told("control_crowd_peak", control.peak);
         broken += result.rules_broken;
-        figures.phase(name, figures_of_kind);
+        figures.phase(name, kind_figures);
     }
     let result = play(ground, CALLERS, CallerKind::Basic, true)?;
     let control = play(ground, CALLERS, CallerKind::Basic, false)?;
--- a/crates/plovershelf-cli/src/trial/scale/poller.rs
+++ b/crates/plovershelf-cli/src/trial/scale/poller.rs
@@ -150,7 +150,7 @@
 }
 
 impl Observations {
-    /// Records the status of a member that was polled address `polled_at_ms` and answered address `answered_at_ms`.
+    /// Records the status of a member, which was requested at `polled_at_ms` and received at `answered_at_ms`.
     pub fn record_status(
         &mut self,
         member: usize,
@@ -417,8 +417,7 @@
         observations.refused as u64
     }
 
-    /// Waits until `condition` holds, for address most `timeout_ms`. Returns the time waited in milliseconds, or `None` after the
-    /// timeout.
+    /// Waits up to `timeout_ms` for `condition` to hold. Returns the time waited in milliseconds, or `None` after the timeout.
     pub async fn wait_until(
         &self,
         timeout_ms: f64,
--- a/crates/plovershelf-cli/src/trial/scale/processes.rs
+++ b/crates/plovershelf-cli/src/trial/scale/processes.rs
@@ -15,7 +15,7 @@
 
 pub const ZONES: usize = 4;
 pub const VOTERS: usize = 3;
-/// Port for the group's protocol; every member listens on an address of its process_index.
+/// Port for the group's protocol; every member listens on its own address.
 pub const CLUSTER_PORT: u16 = 7400;
 /// Port for configuration distribution.
 pub const CONFIG_DISTRIBUTION_PORT: u16 = 7401;
@@ -32,7 +32,7 @@
 pub enum Mode {
     /// All are members of one group.
     Group,
-    /// The voters form a group of their process_index and are origins of configuration; all others are listeners.
+    /// The voters form a separate group and are origins of configuration; all others are listeners.
     ConfigDistribution,
 }
 
@@ -358,8 +358,8 @@
 
     /// Marks the members of a process as touched by the trial; returns their names.
     fn mark_touched(&mut self, process: usize, running: bool) -> Vec<String> {
-        let places = self.processes[process].members.clone();
-        let touched = places.into_iter().map(|index| {
+        let members = self.processes[process].members.clone();
+        let touched = members.into_iter().map(|index| {
             let member = &mut self.members[index];
             (member.touched, member.running) = (true, running);
             member.name.clone()
--- a/crates/plovershelf-cli/src/trial/scale/real_backends.rs
+++ b/crates/plovershelf-cli/src/trial/scale/real_backends.rs
@@ -21,7 +21,8 @@
 /// Interval between the first calls of successive callers, each of which opens a connection.
 const CONNECT_INTERVAL: Duration = Duration::from_micros(500);
 
-/// Returns the names of `count` tenants. The tenants that the load uses come last, so that lookups pass all others.
+/// Returns the names of `count` tenants. The tenants that the load uses come last, as most tenants have many others listed
+/// before them.
 pub fn tenants(count: usize) -> Vec<String> {
     let others = (0..count.saturating_sub(load::TENANTS.len())).map(|n| format!("t{n:05}"));
     others.chain(load::TENANTS.map(str::to_string)).collect()
@@ -46,7 +47,7 @@
 pub struct RealBackends {
     pub fleet: Fleet,
     callers: Vec<Caller>,
-    /// Number of the latest invocation; numbers continue from one load to the next.
+    /// Number of the latest call; numbers continue from one load to the next.
     last_number: u64,
 }
 
@@ -63,7 +64,7 @@
         let quota = |name: String| json!({"name": name, "quota_per_s": 1.0e6, "share": 0.5});
         settings["tenants"] = self::tenants(tenants).into_iter().map(quota).collect();
         let each = callers.div_ceil(REAL_BACKENDS);
-        let plan = FleetConfig {
+        let config = FleetConfig {
             program: ground.program.clone(),
             backends: REAL_BACKENDS,
             cores: cores::CoresConfig {
@@ -89,7 +90,7 @@
         };
         let executor = &ground.executor;
         let fleet =
-            Fleet::start(executor, clock, &plan).map_err(|error| format!("starting backends: {error}"))?;
+            Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
         let addresses = fleet.addresses();
         let caller =
             |n: usize| Caller::Basic(BasicClient::new(executor, &[addresses[n % REAL_BACKENDS]], n as u32));
--- a/crates/plovershelf-cli/src/trial/scale/resource_usage.rs
+++ b/crates/plovershelf-cli/src/trial/scale/resource_usage.rs
@@ -50,7 +50,7 @@
 /// Parses `/proc/stat`: busy ticks and all ticks of all cores since boot, of every process on the machine.
 pub fn parse_cpu_ticks(stat: &str) -> Option<(f64, f64)> {
     let line = stat.lines().next()?.strip_prefix("cpu ")?;
-    let ticks: Vec<f64> = line.split_whitespace().map_while(|word| word.parse().ok()).take(8).collect();
+    let ticks: Vec<f64> = line.split_whitespace().map_while(|field| field.parse().ok()).take(8).collect();
     let all: f64 = ticks.iter().sum();
     (ticks.len() >= 4).then(|| (all - ticks[3] - ticks.get(4).unwrap_or(&0.0), all))
 }
--- a/crates/plovershelf-cli/src/trial/scale/results.rs
+++ b/crates/plovershelf-cli/src/trial/scale/results.rs
@@ -49,9 +49,9 @@
     /// Seconds from a kill until every untouched member has detected it.
     pub detection_s: Spread,
     pub changes: usize,
-    /// ConfigDistribution that did not reach every untouched member.
+    /// Changes that did not reach every untouched member.
     pub changes_missed: usize,
-    /// ConfigDistribution that were not committed.
+    /// Changes that were not committed.
     pub changes_not_agreed: usize,
     /// Seconds from the commit of a change until the last untouched member has it.
     pub in_force_s: Spread,
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -48,20 +48,20 @@
     let first = rng.random_range(0..ZONES);
     for kind in 0..4 {
         let zone = (first + kind * 2) % ZONES;
-        let mut put = |at_ms: f64, for_ms: f64, fault: &dyn Fn(usize) -> Fault| {
+        let mut add_outage = |at_ms: f64, for_ms: f64, fault: &dyn Fn(usize) -> Fault| {
             outages.push((at_ms, at_ms + for_ms, zone));
             schedule.steps.extend(members_of(zone).map(|m| Step { at_ms, for_ms, fault: fault(m) }));
         };
         match kind {
-            0 => put(at_ms, 7000.0, &|member| Fault::Kill { member, folder: Folder::Wiped }),
-            1 => put(at_ms, 6000.0, &|member| Fault::Unfit { member }),
+            0 => add_outage(at_ms, 7000.0, &|member| Fault::Kill { member, folder: Folder::Wiped }),
+            1 => add_outage(at_ms, 6000.0, &|member| Fault::Unfit { member }),
             2 => (0..2).for_each(|n| {
-                put(at_ms + 8000.0 * f64::from(n), 4000.0, &|member| Fault::Kill {
+                add_outage(at_ms + 8000.0 * f64::from(n), 4000.0, &|member| Fault::Kill {
                     member,
                     folder: Folder::Kept,
                 })
             }),
-            _ => put(at_ms, 5000.0, &|member| Fault::Stop { member }),
+            _ => add_outage(at_ms, 5000.0, &|member| Fault::Stop { member }),
         }
         at_ms += if kind == 2 { 24_000.0 } else { 18_000.0 };
     }
@@ -279,7 +279,7 @@
                                     .borrow_mut()
                                     .choose_zone(now, rank, work.work_ms, draw, |_| true)
                             }
-                            // The second attempt goes to another member of the zone, the third to another zone of the plan.
+                            // The second attempt goes to another member of the zone, the third to another zone.
                             (1, _) => tried.last().copied(),
                             (_, true) => origin.advisor.borrow().choose_retry_zone(now, rank, &tried),
                             (_, false) => choose_zone_unplanned(&origin, from, draw),
--- a/crates/plovershelf-cli/src/trial/zones_model.rs
+++ b/crates/plovershelf-cli/src/trial/zones_model.rs
@@ -73,7 +73,7 @@
         scenario_figures.told("revenue_share_each_alone", mean(&|run| revenue_share(&run[1])));
         scenario_figures.told("revenue_share_fixed", mean(&|run| revenue_share(&run[2])));
         scenario_figures.put("revenue_to_best", planned / best.max(1e-9), Aim::AtLeast(0.93));
-        // A difference that is not statistically significant is smaller than its error bar.
+        // A difference that is not statistically significant is smaller than its error bar and is not judged.
         let gain_over = |other: usize| -> Vec<f64> {
             results.iter().map(|run| revenue_share(&run[0]) - revenue_share(&run[other])).collect()
         };
