--- a/crates/plovershelf-cli/src/group.rs
+++ b/crates/plovershelf-cli/src/group.rs
@@ -1,5 +1,5 @@
-//! `plovershelf group`: shows the members of a cluster and the decisions of its consensus group, and has the two commands by
-//! which an operator changes the group.
+//! `plovershelf group`: shows the members of a cluster and the decisions of its consensus group, and has the two commands
+//! by which an operator changes the group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
 
 /// Sends a question to one member and returns its answer.
 ///
-/// Errors: the member can't be reached, doesn't answer within the time, or sends an unexpected message. The text is one line.
+/// Errors: the member can't be reached, doesn't answer in time, or sends an unexpected message. The text is one line.
 pub async fn ask(
     at: SocketAddr,
     group: &str,
--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -1,6 +1,6 @@
-//! Trial `changes-model`: configuration distribution in simulated time. Each fault scenario runs with the distribution tree, with
-//! direct distribution by the leader, and with gossip at two intervals, on the same seeds and changes. Afterwards the costs
-//! of the tree are measured at growing sizes.
+//! Trial `changes-model`: configuration distribution in simulated time. Each fault scenario runs with the distribution tree,
+//! with direct distribution by the leader, and with gossip at two intervals, on the same seeds and changes. Afterwards the
+//! costs of the tree are measured at growing sizes.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -115,21 +115,21 @@
     } else {
         Aim::Informational
     };
-    let [listener, listener_most, listener_second] = rate(&|run| run.spent.listeners);
+    let [listener, max_listener, worst_listener_second] = rate(&|run| run.spent.listeners);
     figures.put("bytes_a_listener_a_second", listener, bounded);
-    figures.told("bytes_worst_listener_a_second", listener_most);
-    figures.told("bytes_worst_listener_worst_second", listener_second);
+    figures.told("bytes_worst_listener_a_second", max_listener);
+    figures.told("bytes_worst_listener_worst_second", worst_listener_second);
     if judged {
-        let [relay, relay_most, _] = rate(&|run| run.spent.relays);
+        let [relay, max_relay, _] = rate(&|run| run.spent.relays);
         figures.told("bytes_a_relay_a_second", relay);
         // A relay is also a backend and has the same budget while no changes are made.
         let calm = if name == "calm" { Aim::AtMost(MAX_BYTES_PER_SECOND) } else { Aim::Informational };
-        figures.put("bytes_worst_relay_a_second", relay_most, calm);
+        figures.put("bytes_worst_relay_a_second", max_relay, calm);
     }
-    let [source, source_most, source_second] = rate(&|run| run.spent.sources);
+    let [source, max_source, worst_source_second] = rate(&|run| run.spent.sources);
     figures.told("bytes_a_source_a_second", source);
-    figures.told("bytes_worst_source_a_second", source_most);
-    figures.told("bytes_worst_source_worst_second", source_second);
+    figures.told("bytes_worst_source_a_second", max_source);
+    figures.told("bytes_worst_source_worst_second", worst_source_second);
     let highest = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).max().map(|n| n as f64);
     figures.told("messages_worst_second", highest(&|run| run.spent.messages_second));
     figures.told("peers_worst_second", highest(&|run| run.spent.peers_second));
@@ -256,8 +256,9 @@
             let runs: Vec<&Came> = of_scenario.map(|(_, runs)| &runs[method]).collect();
             if method == 0 {
                 let violations = runs.iter().flat_map(|run| run.broken.iter().take(3));
-                violations
-                    .for_each(|violation| tracing::warn!(event = "broken", shape = name, told = ?violation));
+                violations.for_each(
+                    |violation| tracing::warn!(event = "broken", shape = name, details = ?violation),
+                );
             }
             all_figures.phase(name, figures(names[0], &runs, method == 0));
         }
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -1,5 +1,5 @@
-//! Trial `client-overload`: demand beyond the capacity of the cores, once from callers with the client library and once from
-//! basic clients, with the same schedule.
+//! Trial `client-overload`: demand beyond the capacity of the cores, once from callers with the client library and once
+//! from basic clients, with the same schedule.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -1,6 +1,6 @@
-//! Trial `copies`: nine backends in three zones replicate the outcomes of requests with idempotency keys. Machines are killed
-//! with their disks throughout, some of them two at once, links are cut and processes are paused, while callers retry at other
-//! backends. The same schedule runs without replication for comparison.
+//! Trial `copies`: nine backends in three zones replicate the outcomes of requests with idempotency keys. Machines are
+//! killed with their disks throughout, some of them two at once, links are cut and processes are paused, while callers
+//! retry at other backends. The same schedule runs without replication for comparison.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     schedule
 }
 
-/// What the callers of one idempotency key observed.
+/// Outcomes that the callers of one idempotency key observed.
 #[derive(Default)]
 struct KeyOutcome {
     succeeded: bool,
@@ -190,8 +190,8 @@
     }
 }
 
-/// Queries a member for its number of under-replicated records; also returns the duration of the query in milliseconds. This
-/// is the only figure that relies on what a member reports about itself.
+/// Queries a member for its number of under-replicated records; also returns the duration of the query in milliseconds.
+/// No other figure of the trial relies on what a member reports about itself.
 async fn query_under_replicated(address: std::net::SocketAddr) -> Option<(u64, f64)> {
     let started = std::time::Instant::now();
     let timeout = Duration::from_millis(300);
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -152,19 +152,20 @@
 /// leadership from the time of the response.
 fn history(run: &RunResult, schedule: &Schedule) -> Vec<Event> {
     let mut events = Vec::new();
-    for done in &run.faults {
-        let text = format!("{} {}", if done.begins() { "begins" } else { "ends" }, schedule.steps[done.step]);
-        events.push(Event { at: done.at_ms, seen: Seen::Fault { text } });
+    for fault in &run.faults {
+        let text =
+            format!("{} {}", if fault.begins() { "begins" } else { "ends" }, schedule.steps[fault.step]);
+        events.push(Event { at: fault.at_ms, seen: Seen::Fault { text } });
         if let (true, Fault::Kill { member, folder: Folder::Wiped }) =
-            (done.begins(), &schedule.steps[done.step].fault)
+            (fault.begins(), &schedule.steps[fault.step].fault)
         {
             let before = run
                 .samples
                 .iter()
-                .rfind(|sample| sample.member == *member && sample.received_at < done.at_ms);
+                .rfind(|sample| sample.member == *member && sample.received_at < fault.at_ms);
             events.extend(
                 before.map(|sample| Event {
-                    at: done.at_ms,
+                    at: fault.at_ms,
                     seen: Seen::Lost { memory: sample.status.node_id },
                 }),
             );
@@ -189,9 +190,9 @@
     events
 }
 
-/// Returns true if a fault affects a member between two times, or up to `HEALTHY_AFTER_MS` before. Cuts, message loss and the
-/// kill of a third affect all members.
-fn is_touched(run: &RunResult, schedule: &Schedule, member: usize, from: f64, to: f64) -> bool {
+/// Returns true if a fault affects a member between two times, or up to `HEALTHY_AFTER_MS` before. Cuts, message loss and
+/// the kill of a third affect all members.
+fn is_affected(run: &RunResult, schedule: &Schedule, member: usize, from: f64, to: f64) -> bool {
     schedule.steps.iter().enumerate().any(|(step_index, step)| {
         let at = |begins: bool| {
             run.faults
@@ -221,7 +222,7 @@
     matches!(step.fault, Fault::Kill { .. }) && step.for_ms >= 3000.0 && !overlaps
 }
 
-/// How the group's views followed the faults.
+/// Reactions of the group's views to the faults.
 struct ViewMetrics {
     /// Healthy members that were removed from a view.
     healthy_removed: usize,
@@ -232,10 +233,12 @@
     views: usize,
 }
 
+/// Returns the larger of two values, of which the first may be missing.
 fn larger(max: Option<f64>, other: f64) -> Option<f64> {
     Some(max.map_or(other, |max| max.max(other)))
 }
 
+/// Evaluates the views that the members reported.
 fn view_metrics(run: &RunResult, schedule: &Schedule) -> ViewMetrics {
     // Time of the first response with each view, and the members by node id.
     let mut first: BTreeMap<u64, (f64, BTreeSet<u64>)> = BTreeMap::new();
@@ -251,10 +254,10 @@
     for pair in views.windows(2) {
         for node_id in pair[0].1.difference(&pair[1].1) {
             let Some(member) = member_of.get(node_id) else { continue };
-            if !is_touched(run, schedule, *member, pair[0].0.max(pair[1].0 - HEALTHY_AFTER_MS), pair[1].0) {
+            if !is_affected(run, schedule, *member, pair[0].0.max(pair[1].0 - HEALTHY_AFTER_MS), pair[1].0) {
                 healthy_removed += 1;
                 tracing::warn!(
-                    event = "healthy_put_out",
+                    event = "healthy_member_removed",
                     member = member + 1,
                     at = pair[1].0 - run.started_ms
                 );
@@ -263,37 +266,37 @@
     }
     // Isolated kills: the time until a view without the member.
     let mut max_removal_s = None;
-    for done in run.faults.iter().filter(|done| done.begins()) {
-        let step = &schedule.steps[done.step];
+    for fault in run.faults.iter().filter(|fault| fault.begins()) {
+        let step = &schedule.steps[fault.step];
         let Fault::Kill { member, .. } = step.fault else { continue };
-        if !is_isolated_kill(schedule, done.step) {
+        if !is_isolated_kill(schedule, fault.step) {
             continue;
         }
         let before =
-            run.samples.iter().rfind(|sample| sample.member == member && sample.received_at < done.at_ms);
+            run.samples.iter().rfind(|sample| sample.member == member && sample.received_at < fault.at_ms);
         let Some(sample) = before else {
             continue;
         };
         let removal =
-            views.iter().find(|(at, members)| *at > done.at_ms && !members.contains(&sample.status.node_id));
-        let took_ms = removal.map_or(f64::INFINITY, |(at, _)| at - done.at_ms);
+            views.iter().find(|(at, members)| *at > fault.at_ms && !members.contains(&sample.status.node_id));
+        let took_ms = removal.map_or(f64::INFINITY, |(at, _)| at - fault.at_ms);
         max_removal_s = larger(max_removal_s, took_ms / 1000.0);
     }
     // Intervals without a fault: the time until all members report one view that contains all of them, and may act.
     let mut max_agreement_s = None;
     let mut active = 0i32;
-    for (index, done) in run.faults.iter().enumerate() {
-        active += if done.begins() { 1 } else { -1 };
-        if active > 0 || done.begins() {
+    for (index, fault) in run.faults.iter().enumerate() {
+        active += if fault.begins() { 1 } else { -1 };
+        if active > 0 || fault.begins() {
             continue;
         }
         let next = run.faults.get(index + 1).map_or(f64::INFINITY, |next| next.at_ms);
-        if next - done.at_ms < 3000.0 {
+        if next - fault.at_ms < 3000.0 {
             continue;
         }
         let mut latest: BTreeMap<usize, &StatusSample> = BTreeMap::new();
         let mut agreed_at = f64::INFINITY;
-        let within = |sample: &&StatusSample| sample.requested_at > done.at_ms && sample.received_at < next;
+        let within = |sample: &&StatusSample| sample.requested_at > fault.at_ms && sample.received_at < next;
         for sample in run.samples.iter().filter(within) {
             latest.insert(sample.member, sample);
             let views: BTreeSet<Option<u64>> = latest.values().map(|sample| sample.status.may_act).collect();
@@ -303,7 +306,7 @@
                 break;
             }
         }
-        max_agreement_s = larger(max_agreement_s, (agreed_at - done.at_ms) / 1000.0);
+        max_agreement_s = larger(max_agreement_s, (agreed_at - fault.at_ms) / 1000.0);
     }
     ViewMetrics { healthy_removed, max_removal_s, max_agreement_s, views: first.len() }
 }
@@ -335,7 +338,7 @@
         }
     }
     for broken in &audited.broken {
-        tracing::warn!(event = "broken", promise = broken.promise, at = broken.at - with.started_ms, told = %broken.told);
+        tracing::warn!(event = "broken", promise = broken.promise, at = broken.at - with.started_ms, details = %broken.told);
     }
     let mut figures = Figures::default();
     figures.told("processes", MEMBERS as f64);
--- a/crates/plovershelf-cli/src/trial/scale/results.rs
+++ b/crates/plovershelf-cli/src/trial/scale/results.rs
@@ -181,7 +181,7 @@
             if !late.is_empty() {
                 let last = latest(&change.in_force_at_ms, untouched(fleet));
                 tracing::warn!(
-                    event = "late",
+                    event = "late_change",
                     number = change.number,
                     agreed = change.agreed_at_ms,
                     last,
@@ -204,7 +204,7 @@
                 format!("at {at_ms:.0} ms parent {}, backup parent {}", name(&parents[0]), name(&parents[1]))
             });
             let (zone, parents) = (member.zone + 1, parents.unwrap_or_default());
-            tracing::warn!(event = "cut_off", name = %member.name, zone, process = member.process, oldest, "{parents}");
+            tracing::warn!(event = "listener_cut_off", name = %member.name, zone, process = member.process, oldest, "{parents}");
         }
         self.conflicting_versions = observed.conflicting_versions();
         self.healthy_members_removed = match fleet.mode {
--- a/crates/plovershelf-cli/src/trial/scale/scenario.rs
+++ b/crates/plovershelf-cli/src/trial/scale/scenario.rs
@@ -31,7 +31,7 @@
     Change,
     /// Several changes are proposed at once.
     Burst,
-    /// One hollow member is killed.
+    /// One hollow member is killed, a relay if there is one.
     Kill,
     /// A killed member is replaced by a new one.
     Replace,
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -38,8 +38,8 @@
     (0..MEMBERS).filter(move |member| member % ZONES == zone)
 }
 
-/// Draws a schedule with one faulty zone at a time: lost with its disks, without its agents, flapping, and paused. Also returns
-/// the outages, each with its start and end in milliseconds and its zone.
+/// Draws a schedule with one faulty zone at a time: lost with its disks, without its agents, flapping, and paused. Also
+/// returns the outages, each with its start and end in milliseconds and its zone.
 fn schedule(seed: u64) -> (Schedule, Vec<(f64, f64, usize)>) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut schedule = Schedule { members: MEMBERS, zones: ZONES, steps: Vec::new() };
--- a/crates/plovershelf-cli/src/zones.rs
+++ b/crates/plovershelf-cli/src/zones.rs
@@ -1,4 +1,4 @@
-//! `plovershelf zones`: shows the failover plan that members act by, and has the commands by which an operator overrides it.
+//! `plovershelf zones`: shows the failover plan that members follow, and has the commands by which an operator overrides it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
