--- a/crates/plovershelf-failover/src/caller_reports.rs
+++ b/crates/plovershelf-failover/src/caller_reports.rs
@@ -37,9 +37,10 @@
 
 /// Upper bound of a valid attempt count.
 const MAX_ATTEMPT_COUNT: f64 = 1e9;
-/// A path counts as cut if less than this fraction of its attempts is answered...
+/// Fraction of answered attempts below which a path counts as cut, if another path to the same zone exceeds
+/// [`REACHED_ABOVE_FRACTION`].
 const CUT_BELOW_FRACTION: f64 = 0.3;
-/// ...and more than this fraction on another path to the same zone.
+/// Fraction of answered attempts above which a path shows that its destination zone is reachable.
 const REACHED_ABOVE_FRACTION: f64 = 0.7;
 
 /// The latest report of each caller.
--- a/crates/plovershelf-failover/src/locality.rs
+++ b/crates/plovershelf-failover/src/locality.rs
@@ -38,9 +38,11 @@
 /// Number of layers of a zone's shared capacity, each with a slightly higher cost than the previous one, so that zones at equal
 /// distance receive equal parts of redirected traffic.
 const LAYERS: usize = 4;
-/// Cost terms, on the same scale as path latency in milliseconds.
+/// Cost per layer of near traffic in its zone's shared capacity, on the same scale as path latency in milliseconds.
 const NEAR_LAYER_COST: f64 = 0.001;
+/// Cost of redirected traffic in addition to the path latency, on the same scale.
 const REDIRECT_COST: f64 = 1.0;
+/// Cost per layer of redirected traffic in the target zone's shared capacity, on the same scale.
 const REDIRECT_LAYER_COST: f64 = 0.2;
 /// Multiple of a zone's capacity that is offered to all zones while [`BrokenRule::NoHeadroom`] is violated.
 const BROKEN_HEADROOM_FACTOR: f64 = 1.5;
--- a/crates/plovershelf-failover/src/traffic_plan.rs
+++ b/crates/plovershelf-failover/src/traffic_plan.rs
@@ -53,8 +53,9 @@
     pub reason: String,
 }
 
-/// Tolerances for rounding errors of a single share and of the sum of a row.
+/// Tolerance for rounding errors of a single share.
 const SHARE_TOLERANCE: f64 = 1e-9;
+/// Tolerance for rounding errors of the sum of a row.
 const ROW_SUM_TOLERANCE: f64 = 1e-6;
 /// Demand in cores below which a zone counts as having none.
 const MIN_DEMAND: f64 = 1e-9;
--- a/crates/plovershelf-failover/src/transition.rs
+++ b/crates/plovershelf-failover/src/transition.rs
@@ -14,8 +14,10 @@
 
 /// Tolerance when comparing near shares with 1 and redirected shares with 0.
 const SHARE_TOLERANCE: f64 = 1e-9;
-/// Demand in cores below which excess over a zone's capacity, and incoming traffic of a band, count as zero.
+/// Redirected traffic in excess of a zone's spare capacity, in cores, up to which nothing is rejected.
 const EXCESS_TOLERANCE: f64 = 1e-9;
+/// Redirected traffic of one band to a zone, in cores, up to which it counts as zero, so that the excess is not divided by
+/// it.
 const INCOMING_TOLERANCE: f64 = 1e-12;
 
 /// Computes the next step from the current plan, given the state of the zones.
--- a/crates/plovershelf-failover/src/zone_capacity.rs
+++ b/crates/plovershelf-failover/src/zone_capacity.rs
@@ -22,16 +22,17 @@
 use crate::planner::PlannerConfig;
 use crate::traffic_plan::PRIORITY_BANDS;
 
-/// Exponential smoothing factors, per update, with which the best capacity decays and a healthy zone's usable capacity follows
-/// the measured capacity.
+/// Exponential smoothing factor, per update, with which the best capacity decays to a lower measured capacity.
 const BEST_SMOOTHING: f64 = 0.002;
+/// Exponential smoothing factor, per update, with which a healthy zone's usable capacity follows the measured capacity.
 const HEALTHY_SMOOTHING: f64 = 0.3;
 /// Increase of a degraded zone's capacity, as a fraction of its best capacity, that counts as recovery.
 const RECOVERY_FRACTION: f64 = 0.1;
 /// Fraction of the best capacity that must be usable for a degraded zone to become healthy without a recovery.
 const HEALTHY_FRACTION: f64 = 0.95;
-/// Factor by which the smoothing of demand is slowed down for a zone without recent reports.
+/// Multiplier of the smoothing factor of demand for a zone without recent reports.
 const STALE_DEMAND_SMOOTHING: f64 = 0.01;
+/// Difference in cores between measured and usable capacity up to which a recovery counts as complete.
 const CAPACITY_TOLERANCE: f64 = 1e-9;
 
 /// Health of a zone; the module's documentation has the transition table.
--- a/crates/plovershelf-replication/tests/support/mod.rs
+++ b/crates/plovershelf-replication/tests/support/mod.rs
@@ -6,8 +6,9 @@
     Event, IdempotencyKey, Member, Outcome, ReplicationConfig, Replicator, RequestId, ViewNumber,
 };
 
-/// Time from a request's reservation to its launch deadline, and the retention time of its outcome.
+/// Time from a request's reservation to its launch deadline, in milliseconds.
 pub(crate) const DEADLINE_MS: f64 = 1000.0;
+/// Retention time of a request's outcome, in milliseconds.
 pub(crate) const RETENTION_MS: f64 = 5000.0;
 const STEP_MS: f64 = 10.0;
 
--- a/crates/plovershelf-server/src/cluster/storage.rs
+++ b/crates/plovershelf-server/src/cluster/storage.rs
@@ -16,8 +16,11 @@
 
 /// Name of the file in the folder.
 const FILE_NAME: &str = "group.log";
-/// Size above which a file is rewritten, if it also exceeds [`REWRITE_GROWTH`] times its size after the last rewrite.
+/// Size in bytes above which a file is rewritten, if it also exceeds [`REWRITE_GROWTH`] times its size after the last
+/// rewrite.
 const REWRITE_BYTES: u64 = 256 << 10;
+/// Ratio of a file's size to its size after the last rewrite above which it is rewritten, if it also exceeds
+/// [`REWRITE_BYTES`].
 const REWRITE_GROWTH: u64 = 4;
 /// Size above which a file can't have been written by this program.
 const MAX_FILE_BYTES: u64 = 64 << 20;
--- a/crates/plovershelf-server/src/driver/bulkheads.rs
+++ b/crates/plovershelf-server/src/driver/bulkheads.rs
@@ -10,11 +10,13 @@
 
 /// Upper bound of the demand that rejected requests add to a bulkhead.
 const MAX_REJECTED_DEMAND: usize = 64;
-/// Fraction of a peak that remains after each update, and the factor by which headroom exceeds the peak.
+/// Fraction of a peak that remains after each update.
 const PEAK_RETAINED_FRACTION: f64 = 0.97;
+/// Ratio of the headroom of a bulkhead to its peak.
 const PEAK_HEADROOM: f64 = 1.5;
-/// Call capacity if the dependency is not shared, and the upper bound of the total capacity of either kind.
+/// Total capacity for calls if the dependency is not shared.
 const UNSHARED_CALLS: usize = 10_000;
+/// Upper bound of the total capacity for runs, and of that for calls.
 const MAX_CAPACITY: f64 = 10_000.0;
 
 /// Counts of a bulkhead's requests in flight.
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -5,7 +5,7 @@
 //!
 //! | outgoing link | left when |
 //! | --- | --- |
-//! | none | `send` is called: connecting, unless the last link broke a moment ago |
+//! | none | `send` is called: connecting, unless the last link broke less than `RECONNECT_PAUSE_MS` ago |
 //! | connecting, open | idle past the limit: none, and the next `send` reconnects at once; an error: broken |
 //! | broken | the reconnect pause has passed: none |
 
@@ -64,11 +64,13 @@
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
-/// Frames queued for one link; further ones are dropped.
+/// Maximum number of frames queued for one outgoing link; further ones are dropped.
 const QUEUED_FRAMES: usize = 64;
+/// Timeout for connecting an outgoing link, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 500;
+/// Timeout for writing one frame to an outgoing link, in milliseconds.
 const WRITE_TIMEOUT_MS: u64 = 2000;
-/// A link that broke is not opened again within this time.
+/// Time in milliseconds for which a link that broke is not opened again.
 const RECONNECT_PAUSE_MS: f64 = 100.0;
 
 struct OutgoingLink {
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -427,7 +427,8 @@
     assert!(count_entries(&with_cluster, "fd") > OFF_DESCRIPTORS);
 }
 
-/// Threads and descriptors without a cluster: the main thread and the reactor's; three descriptors of the reactor and
-/// eight sockets (signals, listener, agent, registry).
+/// Number of threads without a cluster: the main thread and the reactor's.
 const OFF_THREADS: usize = 2;
+/// Number of descriptors without a cluster: three of the reactor and eight sockets (signals, listener, agent,
+/// registry).
 const OFF_DESCRIPTORS: usize = 11;
--- a/crates/plovershelf-settings/src/ranges.rs
+++ b/crates/plovershelf-settings/src/ranges.rs
@@ -2,10 +2,11 @@
 
 use crate::document::NumberRange;
 
-/// A year, in milliseconds.
+/// Maximum duration: a leap year, in milliseconds.
 const MAX_DURATION_MS: f64 = 366.0 * 86_400_000.0;
+/// Maximum number of cores.
 const MAX_CORES: f64 = 4096.0;
-/// 1 PiB, in KiB.
+/// Maximum memory: 1 PiB, in KiB.
 const MAX_MEMORY_KB: f64 = (1u64 << 40) as f64;
 const MAX_COUNT: f64 = 1e7;
 const MAX_FACTOR: f64 = 1e6;
--- a/crates/plovershelf-simulator-adapter/src/event.rs
+++ b/crates/plovershelf-simulator-adapter/src/event.rs
@@ -30,8 +30,9 @@
 
 /// Maximum number of gauges in a timer event.
 const MAX_GAUGES: usize = 4;
-/// Tokens with which timers are set, and which are returned when they fire.
+/// Token of the periodic timer: it is passed when the timer is set and returned when it fires.
 pub(crate) const PERIODIC_TOKEN: u32 = 1;
+/// Token of the deadline timer.
 pub(crate) const DEADLINE_TOKEN: u32 = 2;
 
 /// Start of a process, with its settings and the seed of its random numbers.
--- a/src/admission/concurrency.rs
+++ b/src/admission/concurrency.rs
@@ -29,8 +29,9 @@
 const SOFT_LIMIT_FRACTION: f64 = 0.25;
 /// Multiple of the unread time that is subtracted from the latency objective.
 const UNREAD_MULTIPLE: f64 = 4.0;
-/// Weight of an arrival in the smoothed unread time, and the fraction of that time retained after a period.
+/// Weight of one arrival in the smoothed unread time.
 const UNREAD_WEIGHT: f64 = 0.1;
+/// Fraction of the smoothed unread time that is retained after each period.
 const UNREAD_RETAINED_PER_PERIOD: f64 = 0.97;
 /// Number of executions from which on a class's service time is used.
 const MIN_EXECUTIONS: f64 = 3.0;
--- a/src/admission/idle_timeout.rs
+++ b/src/admission/idle_timeout.rs
@@ -19,8 +19,9 @@
 
 /// Time between requests of a client at which keeping its connection costs as much as reopening it.
 const BREAK_EVEN_MS: f64 = 10000.0;
-/// Factors of the timeout per period with and without contention for the cores.
+/// Factor of the timeout per period with contention for the cores.
 const CONTENTION_GROWTH: f64 = 1.4;
+/// Factor of the timeout per period without contention for the cores.
 const NORMAL_DECAY: f64 = 0.8;
 /// Relative change above which the timeout is announced.
 const MIN_CHANGE: f64 = 0.2;
--- a/src/admission/outbound.rs
+++ b/src/admission/outbound.rs
@@ -23,13 +23,15 @@
 const USED_SHARE_FRACTION: f64 = 0.9;
 /// Multiple of the minimum mean duration above which calls are slow.
 const SLOW_MULTIPLE: f64 = 3.0;
-/// Factors of the limit after a slow and after a failed call.
+/// Factor of the limit after a slow call.
 const SLOW_DECREASE: f64 = 0.95;
+/// Factor of the limit after a failed call.
 const FAILURE_DECREASE: f64 = 0.7;
 /// Lower bound of the limit, as a fraction of the share.
 const MIN_SHARE_FRACTION: f64 = 0.25;
-/// First and longest pause after a failure.
+/// First pause after a failure, in milliseconds.
 const MIN_PAUSE_MS: f64 = 20.0;
+/// Longest pause after a failure, in milliseconds.
 const MAX_PAUSE_MS: f64 = 640.0;
 /// Growth of the minimum mean duration per period, so that the minimum reflects recent calls.
 const MIN_MEAN_GROWTH_PER_PERIOD: f64 = 1.005;
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -23,9 +23,10 @@
 const STEPS: u32 = 20;
 /// Core utilization below which executions under the hard limit shed nothing.
 const MIN_BUSY_UTILIZATION: f64 = 0.85;
-/// Soft limit of requests awaiting a call, as a fraction of their hard limit, with busy and with idle cores. On
-/// idle cores a few such requests are chance rather than a sign of a slow dependency.
+/// Soft limit of requests awaiting a call on busy cores, as a fraction of their hard limit.
 const AWAITING_CALL_SOFT_FRACTION: f64 = 0.33;
+/// Soft limit of requests awaiting a call on idle cores, as a fraction of their hard limit. It is higher, because
+/// on idle cores a few such requests are chance rather than a sign of a slow dependency.
 const AWAITING_CALL_SOFT_FRACTION_IDLE: f64 = 0.66;
 
 /// Load that is compared with the limits.
