--- a/crates/plovershelf-bulkhead/src/bulkheads.rs
+++ b/crates/plovershelf-bulkhead/src/bulkheads.rs
@@ -74,11 +74,11 @@
 /// State of a bulkhead for one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BulkheadStatus {
-    /// Amount of work in flight.
+    /// Number of units of work in flight.
     pub in_flight: usize,
-    /// Current adaptive limit.
+    /// Current adaptive limit, in units of work in flight.
     pub limit: f64,
-    /// Amount of work in flight above the limit.
+    /// Number of units of work in flight above the limit.
     pub borrowed: usize,
 }
 
--- a/crates/plovershelf-bulkhead/src/capacity.rs
+++ b/crates/plovershelf-bulkhead/src/capacity.rs
@@ -15,9 +15,9 @@
 pub(crate) struct CapacityConfig {
     /// Name of the bulkhead.
     pub(crate) name: String,
-    /// Amount of work guaranteed on demand.
+    /// Number of units of work guaranteed on demand.
     pub(crate) reserved: usize,
-    /// Maximum work in flight.
+    /// Maximum number of units of work in flight.
     pub(crate) max: usize,
     /// Relative weight in the division of the capacity beyond reservations.
     pub(crate) weight: f64,
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct Slot {
     config: CapacityConfig,
-    /// Current adaptive limit.
+    /// Current adaptive limit, in units of work in flight.
     limit: usize,
     in_flight: usize,
     waiting: usize,
--- a/crates/plovershelf-bulkhead/src/concurrency_limit.rs
+++ b/crates/plovershelf-bulkhead/src/concurrency_limit.rs
@@ -18,12 +18,12 @@
 
 use crate::latency_baseline::LatencyBaseline;
 
-/// Range of a limit, in units of work in flight.
+/// Range of a limit, as numbers of units of work in flight, which need not be whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
-    /// Lowest limit.
+    /// Lower bound of the limit, in units of work in flight.
     pub min: f64,
-    /// Highest limit.
+    /// Upper bound of the limit, in units of work in flight.
     pub max: f64,
 }
 
@@ -54,9 +54,9 @@
     pub now_ms: f64,
     /// Duration, in milliseconds.
     pub duration_ms: f64,
-    /// Work in flight at the end, including this unit.
+    /// Number of units of work in flight at the end, including this one.
     pub in_flight: usize,
-    /// Outcome.
+    /// Outcome of the unit of work.
     pub outcome: WorkOutcome,
 }
 
@@ -80,9 +80,10 @@
 const DELAY_INTERVAL_MS: f64 = 100.0;
 /// Queueing delay allowed in an interval, as a multiple of the base.
 const DELAY_TARGET_MULTIPLE: f64 = 1.0;
-/// First cut of the delay target algorithm, multiplied by the root of the consecutive cuts, and the lower bound of the
-/// resulting factor.
+/// Fraction by which the first cut of the delay target algorithm lowers the limit. For later consecutive cuts it is
+/// multiplied by the square root of their number.
 const DELAY_CUT_FRACTION: f64 = 0.1;
+/// Lower bound of the factor by which a cut of the delay target algorithm multiplies the limit.
 const DELAY_MIN_FACTOR: f64 = 0.5;
 /// Fraction of the original limit at which the effect of cuts on the latency is evaluated.
 const CUT_EVALUATION_FRACTION: f64 = 0.6;
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Returns the maximum work in flight.
+    /// Returns the maximum number of units of work in flight, which need not be whole.
     pub fn limit(&self) -> f64 {
         self.limit
     }
