--- a/crates/plovershelf-cluster/src/consensus/election.rs
+++ b/crates/plovershelf-cluster/src/consensus/election.rs
@@ -71,8 +71,8 @@
 pub(super) struct Voter {
     pub(super) term: Term,
     pub(super) vote: Option<NodeId>,
-    /// Least last position of a candidate's log: that of the voter's own log, or the position up to which it may have
-    /// acknowledged entries before a restart if that is later.
+    /// Minimum end of a candidate's log. It is the later of two positions: the end of the voter's own log, and the
+    /// position up to which the voter may have acknowledged entries before a restart.
     pub(super) min_last: LogPosition,
 }
 
--- a/crates/plovershelf-cluster/src/consensus/follower.rs
+++ b/crates/plovershelf-cluster/src/consensus/follower.rs
@@ -20,8 +20,8 @@
 pub(super) struct FollowerState {
     leader: Option<NodeId>,
     election: ElectionTimer,
-    /// Position up to which a recovered voter may have acknowledged entries. The voter votes for no log that ends
-    /// before it, and does not campaign until its own log reaches it.
+    /// Position up to which a recovered voter may have acknowledged entries before its restart, as other voters
+    /// reported. The voter votes for no log that ends before it, and does not campaign until its own log reaches it.
     min_log: LogPosition,
 }
 
--- a/crates/plovershelf-cluster/src/consensus/message.rs
+++ b/crates/plovershelf-cluster/src/consensus/message.rs
@@ -77,7 +77,7 @@
         /// `sent_at_us` of the message that this one answers.
         sent_at_us: u64,
     },
-    /// Sent by a restarted voter to learn the state that it may have forgotten. A voter joins term `min_term` before it
+    /// Sent by a restarted voter to request the state that it may have lost. A voter joins term `min_term` before it
     /// responds if its own term is older.
     RecoveryRequest {
         /// Identifies the round of requests. The response echoes it.
@@ -91,8 +91,8 @@
         nonce: u64,
         /// Term of the responding node.
         term: Term,
-        /// Last position of the responding node's log, or the position up to which that node may have acknowledged
-        /// entries if that is later.
+        /// The later of two positions: the end of the responding node's log, and the position up to which that node
+        /// may have acknowledged entries before its own restart, which its log need not contain any more.
         last: LogPosition,
         /// Index of the entry that set `voters`.
         voters_index: u64,
--- a/crates/plovershelf-cluster/src/consensus/mod.rs
+++ b/crates/plovershelf-cluster/src/consensus/mod.rs
@@ -11,8 +11,8 @@
 //!
 //! - A voter is identified by its state on disk ([`NodeId`](crate::NodeId)), not by its name. A node that lost its disk
 //!   gets a new id, so votes and acknowledgements given under the old id are not attributed to it.
-//! - A restarted voter does not trust its disk, which may have been restored from an older copy. It recovers from the
-//!   other voters as in viewstamped replication (module `recovery`).
+//! - A restarted voter does not rely on its disk alone, which may have been restored from an older copy. It recovers
+//!   from the other voters as in viewstamped replication (module `recovery`).
 //! - Non-voters receive committed entries from any node ([`Raft::handle_relayed_entries`]), including the leader. Only
 //!   voters and learners receive `AppendEntries`.
 //!
--- a/crates/plovershelf-cluster/src/consensus/raft.rs
+++ b/crates/plovershelf-cluster/src/consensus/raft.rs
@@ -42,8 +42,8 @@
 }
 
 impl<S: StateMachine> Raft<S> {
-    /// Creates a node from its state on disk, or a node without a consensus group if there is none. `empty` is the
-    /// state machine before the first command.
+    /// Creates a node from `persistent`, its state on disk. If `persistent` is `None`, the node belongs to no consensus
+    /// group yet, and `empty`, the state machine before the first command, is its state.
     pub fn new(
         id: NodeId,
         config: RaftConfig,
@@ -210,17 +210,17 @@
         self.leader_state.set_learner(learner, self.log.voters());
     }
 
-    /// Sets the permanently lost nodes, whose reports a recovering voter does not wait for. The group is guaranteed to
-    /// tolerate only one loss of storage, and the lost node is that one. The storage of the recovering voter is
-    /// therefore assumed to be intact.
+    /// Sets the permanently lost nodes, whose reports a recovering voter does not wait for. The group tolerates only one
+    /// loss of storage, and the lost node accounts for it. The storage of the recovering voter is therefore assumed to
+    /// be intact.
     pub fn set_lost_nodes(&mut self, now_ms: f64, lost: BTreeSet<NodeId>) {
         self.now_ms = now_ms;
         if lost == self.lost {
             return;
         }
         self.lost = lost;
-        // Entries that a lost node reported may no longer exist on any node. Waiting for them would block elections
-        // forever.
+        // Entries that a lost node reported may no longer exist on any node. If votes still required them, elections
+        // would be blocked forever.
         if self.log.voters().iter().any(|id| self.lost.contains(id)) {
             self.follower_state.clear_min_log();
         }
@@ -531,7 +531,7 @@
             self.send(from, Message::AppendResponse { term, matches: false, last_index, sent_at_us });
             return false;
         }
-        // A recovering voter must not acknowledge entries before it knows which state it may have forgotten.
+        // A recovering voter must not acknowledge entries before it knows which state it may have lost.
         if matches!(self.role, Role::Recovering(_)) {
             return false;
         }
@@ -575,7 +575,7 @@
     // ---- recovery ----------------------------------------------------------------------------------
 
     fn start_recovery(&mut self, min_term: Term) {
-        // A single voter has no other voters to ask and must trust its disk.
+        // A single voter has no other voters that could report, so it has to rely on its disk.
         if self.voters().len() == 1 {
             return self.become_follower();
         }
--- a/crates/plovershelf-cluster/src/consensus/recovery.rs
+++ b/crates/plovershelf-cluster/src/consensus/recovery.rs
@@ -17,7 +17,8 @@
 pub struct VoterReport {
     /// Term of the reporting voter.
     pub term: Term,
-    /// Last position of its log, or the position up to which it may have acknowledged entries if that is later.
+    /// The later of two positions: the end of the reporting voter's log, and the position up to which that voter may
+    /// have acknowledged entries before its own restart.
     pub last: LogPosition,
     /// Whether the reporting node is a voter and not recovering itself.
     pub active: bool,
@@ -32,7 +33,7 @@
     pub nonce: u64,
     /// Earliest term from which reports count.
     pub min_term: Term,
-    /// Newest voters known to this node, which it asks for reports.
+    /// Newest voters known to this node, from which it requests reports.
     pub voter_config: VoterConfig,
     /// Reports received so far.
     pub reports: BTreeMap<NodeId, VoterReport>,
--- a/crates/plovershelf-cluster/src/consensus/recovery/tests.rs
+++ b/crates/plovershelf-cluster/src/consensus/recovery/tests.rs
@@ -38,7 +38,7 @@
     assert!(matches!(outcome(&recovery, &[4]), RecoveryOutcome::Recovered { .. }));
 }
 
-/// No leader reports. A leader of the newest term may still count acknowledgements that this voter has forgotten, so
+/// No leader reports. A leader of the newest term may still count acknowledgements that this voter has lost, so
 /// all must report from a later term, after which that leader can commit nothing.
 #[test]
 fn without_a_leader_reports_must_come_from_a_later_term() {
--- a/crates/plovershelf-cluster/src/consensus/role.rs
+++ b/crates/plovershelf-cluster/src/consensus/role.rs
@@ -38,7 +38,7 @@
 pub enum Role {
     /// Not a voter. Receives committed entries from other nodes.
     NonVoter,
-    /// A restarted voter that waits for the reports of other voters on state it may have forgotten.
+    /// A restarted voter that waits for the reports of other voters on state that it may have lost.
     Recovering(Recovery),
     /// A voter that follows a leader or waits for one.
     Follower,
--- a/crates/plovershelf-cluster/src/node/catch_up.rs
+++ b/crates/plovershelf-cluster/src/node/catch_up.rs
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use crate::wire::StateDigest;
 
-/// Maximum number of remembered epochs of other clusters. Each remembered epoch is reported once.
+/// Maximum number of recorded epochs of other clusters. Each recorded epoch is reported once.
 const MAX_FOREIGN_EPOCHS: usize = 64;
 
 /// Whether state of an epoch may be adopted.
