--- a/src/admission/backpressure.rs
+++ b/src/admission/backpressure.rs
@@ -6,13 +6,14 @@
 //! clients, longest Retry-After that clients follow (ms).
 //! *Rule*: Retry-After grows with the shed fraction up to [`HARD_LIMIT_RETRY_AFTER_MS`], plus the unread time.
 //! An unhealthy server redirects every rejected request; a healthy one redirects only requests of shedding
-//! levels that were recently admitted for the most part. Depending on how clients interpret the level, it is a
-//! minimum priority, a number of requests per client or a fraction of the client's usual rate. A new level is
-//! announced when it has changed by more than [`LEVEL_STEP`].
-//! *Why*: each attempt elsewhere costs a read and often a connection, and servers of one fleet shed alike. On a
-//! warm server the number per client is at least one, because a smaller number drives clients to servers that
-//! announce nothing; a cold server cannot take one request from each of many clients. Not all clients obey a
-//! minimum priority, so the announced one covers [`MINIMUM_PRIORITY_REACH`] times the shed fraction of a rank.
+//! levels that were recently admitted for the most part. Depending on how clients interpret the backpressure
+//! level, it is a minimum priority, a number of requests per client or a fraction of the client's usual rate.
+//! A new backpressure level is announced when it has changed by more than [`LEVEL_STEP`].
+//! *Why*: each attempt elsewhere costs a read and often a connection, and all servers of a fleet shed similar
+//! fractions. On a warm server the number per client is at least one, because a smaller number drives clients
+//! to servers that announce nothing; a cold server cannot take one request from each of many clients. Not all
+//! clients obey a minimum priority, so the announced one covers [`MINIMUM_PRIORITY_REACH`] times the shed
+//! fraction of a rank.
 //! *Source*: RFC 9110, section 10.2.3, for Retry-After; CRE life lessons, "Using load shedding to survive a
 //! success disaster"; `docs/design.md`, "What the design leaves open, and what was chosen"
 //! (Retry-After, the advised level) and "Cold, as a sum".
@@ -24,19 +25,20 @@
 
 /// Retry-After at the hard limit, in milliseconds.
 pub(super) const HARD_LIMIT_RETRY_AFTER_MS: f64 = 300.0;
-/// A rejected request may be retried elsewhere when more than this fraction of its level was recently admitted.
+/// A rejected request may be retried elsewhere when more than this fraction of its shedding level was recently
+/// admitted.
 const MIN_ADMITTED_FRACTION_TO_RETRY_ELSEWHERE: f64 = 0.8;
-/// Change of the level above which it is announced again; for a number of requests below one, the change
-/// relative to that number.
+/// Change of the backpressure level above which it is announced again; for a number of requests below one, the
+/// change relative to that number.
 const LEVEL_STEP: f64 = 0.02;
 /// Multiple of the shed fraction of a rank that the announced minimum priority covers.
 const MINIMUM_PRIORITY_REACH: f64 = 1.5;
 /// Smallest announced fraction of a client's usual rate.
 const MIN_RATE_FRACTION: f64 = 0.1;
-/// Marks that no level has been announced yet.
+/// Value of `announced_level` before the first announcement.
 const NOT_ANNOUNCED: f64 = -1.0;
 
-/// Inputs from which the level is computed.
+/// Inputs from which the backpressure level is computed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LevelInputs {
     pub(super) is_unhealthy: bool,
@@ -55,7 +57,7 @@
     pub(super) shed_fraction: f64,
 }
 
-/// Interpretation of the level by the clients, and the level announced last.
+/// Interpretation of the backpressure level by the clients, and the backpressure level announced last.
 pub(super) struct Backpressure {
     signal: BackpressureSignal,
     max_retry_after_ms: f64,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Returns the level to announce, if it has changed enough.
+    /// Returns the backpressure level to announce, if it has changed enough.
     pub(super) fn update(
         &mut self,
         inputs: &LevelInputs,
--- a/src/api.rs
+++ b/src/api.rs
@@ -49,13 +49,13 @@
 /// Interpretation by the clients of the backpressure level in responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackpressureSignal {
-    /// Clients ignore the level.
+    /// Clients ignore the backpressure level.
     None,
-    /// Clients do not send requests below this priority, from 0 to 1.
+    /// The level is a minimum priority, from 0 to 1: clients send no requests below it.
     MinimumPriority,
-    /// Maximum number of outstanding requests of one client at this backend.
+    /// The level is the maximum number of outstanding requests of one client at this backend.
     ConcurrencyPerClient,
-    /// Fraction of its usual rate at which a client sends.
+    /// The level is the fraction of its usual rate at which a client sends.
     RateFraction,
 }
 
@@ -90,7 +90,7 @@
     pub fleet_size: f64,
     /// Number of clients of the fleet.
     pub client_count: f64,
-    /// Whether clients mark retries as such.
+    /// Whether clients mark their retries.
     pub retries_marked: bool,
     /// Whether the cores have just started and are slow at first.
     pub cold_start: bool,
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,6 +1,6 @@
 //! Cold backends with any number of clients, and any number of backends with a shared dependency: the admitted work
-//! and the announced levels must stay within the budget in total, by the admission decisions alone. The budget is
-//! that of the settings; up to 2 √N + 2 above a budget of N are random variation.
+//! and the announced backpressure levels must stay within the budget in total, by the admission decisions alone. The
+//! budget is that of the settings; up to 2 √N + 2 above a budget of N are random variation.
 
 use std::collections::BTreeMap;
 
@@ -18,6 +18,7 @@
 const OVERLOAD_MULTIPLE: f64 = 8.0;
 /// Time over which executions on the cores are averaged, in milliseconds.
 const OVERLOAD_WINDOW_MS: usize = 2000;
+/// Time for which the dependency continues to process an abandoned call, in milliseconds.
 const LINGER_MS: f64 = 200.0;
 
 fn config(
@@ -90,8 +91,9 @@
     next_call_at_ms: f64,
 }
 
-/// Values of `next_call_at_ms` if no call is needed any more, and while a call is pending.
+/// Value of `next_call_at_ms` if no call is needed any more.
 const NO_CALL: f64 = -1.0;
+/// Value of `next_call_at_ms` while a call is pending.
 const CALL_PENDING: f64 = f64::MAX;
 
 /// A backend with a simulated host: cores that warm up and are shared evenly, and calls of random duration and outcome.
@@ -107,7 +109,7 @@
     /// Number of requests without a final response.
     unanswered: usize,
     periodic_timers_ms: Vec<f64>,
-    level: Option<f64>,
+    backpressure_level: Option<f64>,
     last_id: u32,
     work_ms: f64,
     makes_calls: bool,
@@ -127,7 +129,7 @@
             cancelled: Vec::new(),
             unanswered: 0,
             periodic_timers_ms: Vec::new(),
-            level: None,
+            backpressure_level: None,
             last_id: 0,
             work_ms,
             makes_calls,
@@ -141,7 +143,7 @@
         for transition in effects.transitions {
             self.apply_transition(now_ms, transition);
         }
-        self.level = effects.announcements.backpressure.or(self.level);
+        self.backpressure_level = effects.announcements.backpressure.or(self.backpressure_level);
         let timers = effects.announcements.timers.iter().filter(|(_, timer)| *timer == Timer::Periodic);
         self.periodic_timers_ms.extend(timers.map(|(wait_ms, _)| now_ms + wait_ms));
     }
@@ -291,18 +293,18 @@
     }
 }
 
-/// Guards against announced levels that exceed the budget in total: if each client had as many requests as the level
-/// allows, all of them together must fit the budget; and the announced rate fraction must not exceed the fraction
-/// of full speed.
+/// Guards against announced backpressure levels that exceed the budget in total. A number of requests per client,
+/// multiplied by the number of clients, must not exceed the budget; a rate fraction must not exceed the fraction of
+/// full speed.
 #[test]
-fn announced_levels_of_a_cold_backend_add_up_to_at_most_its_budget() {
+fn backpressure_levels_of_a_cold_backend_stay_within_its_budget_in_total() {
     for clients in 1..=30 {
         let announced = |backpressure| {
             let mut host = SimulatedHost::new(config(1, clients, backpressure, None), 300.0, 0.0);
             let mut levels = Vec::new();
             for ms in 0..3000 {
                 host.advance(f64::from(ms));
-                levels.extend(host.level.map(|level| (f64::from(ms), level)));
+                levels.extend(host.backpressure_level.map(|level| (f64::from(ms), level)));
             }
             assert!(!levels.is_empty());
             levels
@@ -352,9 +354,9 @@
     }
 }
 
-/// Guards against panics and invalid levels with extreme settings.
+/// Guards against panics and invalid backpressure levels with extreme settings.
 #[test]
-fn extreme_settings_cause_no_panic_and_no_invalid_level() {
+fn extreme_settings_cause_no_panic_and_no_invalid_backpressure_level() {
     type Change = fn(&mut BackendConfig, f64);
     let changes: [Change; 13] = [
         |config, value| config.cores = value.max(0.001),
@@ -393,7 +395,7 @@
                 for ms in 0..600 {
                     host.send(f64::from(ms), (ms % 2) as usize);
                     host.advance(f64::from(ms));
-                    assert!(host.level.is_none_or(|level| level.is_finite() && level >= 0.0));
+                    assert!(host.backpressure_level.is_none_or(|level| level.is_finite() && level >= 0.0));
                 }
             }
         }
