--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -14,10 +14,12 @@
 
 use crate::admission::backpressure::HARD_LIMIT_RETRY_AFTER_MS;
 
-/// Margin before the stop by which all requests are answered: a fraction of the time from the notice to the
-/// stop, and its bounds.
+/// Margin before the stop by which all requests are answered, as a fraction of the time from the notice to the
+/// stop.
 const STOP_MARGIN_FRACTION: f64 = 0.05;
+/// Lower bound of the margin before the stop, in milliseconds.
 const MIN_STOP_MARGIN_MS: f64 = 40.0;
+/// Upper bound of the margin before the stop, in milliseconds.
 const MAX_STOP_MARGIN_MS: f64 = 150.0;
 /// How long before the end of the grace period clients are sent elsewhere: the Retry-After of a rejection.
 const ENDING_LEAD_MS: f64 = HARD_LIMIT_RETRY_AFTER_MS;
@@ -50,11 +52,11 @@
     }
 
     /// Handles a drain notice. It may be read later than it was issued; all times count from its issue.
-    pub(super) fn handle_notice(&mut self, given_ms: f64, stop_ms: f64) {
-        let margin_ms = STOP_MARGIN_FRACTION * (stop_ms - given_ms);
+    pub(super) fn handle_notice(&mut self, issued_ms: f64, stop_ms: f64) {
+        let margin_ms = STOP_MARGIN_FRACTION * (stop_ms - issued_ms);
         let margin_ms = margin_ms.clamp(MIN_STOP_MARGIN_MS, MAX_STOP_MARGIN_MS);
         self.times =
-            Some(DrainTimes { grace_end_ms: given_ms + self.grace_ms, answered_by_ms: stop_ms - margin_ms });
+            Some(DrainTimes { grace_end_ms: issued_ms + self.grace_ms, answered_by_ms: stop_ms - margin_ms });
     }
 
     pub(super) fn phase(&self, now_ms: f64) -> DrainPhase {
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -156,7 +156,7 @@
         (backend, effects)
     }
 
-    // ---- inputs, in the order of a request's lifecycle ------------------------------------------------
+    // ---- inputs: events of requests, the drain notice, timers, updates of the configuration -------------
 
     /// Handles a request that was read: executes it, joins it to the request that it duplicates, or rejects it.
     pub fn handle_request(&mut self, now_ms: f64, request: Request) -> Effects {
@@ -236,10 +236,10 @@
     }
 
     /// Handles a drain notice, which announces that the process will be stopped. The notice may be read later
-    /// than it was issued; its times count from its issue at `given_ms`.
-    pub fn handle_drain_notice(&mut self, now_ms: f64, given_ms: f64, stop_ms: f64) -> Effects {
+    /// than it was issued; its times count from its issue at `issued_ms`.
+    pub fn handle_drain_notice(&mut self, now_ms: f64, issued_ms: f64, stop_ms: f64) -> Effects {
         self.advance_to(now_ms);
-        self.drain.handle_notice(given_ms, stop_ms);
+        self.drain.handle_notice(issued_ms, stop_ms);
         self.requests.unanswered().into_iter().for_each(|id| self.update_deadline(id));
         self.announce();
         self.take_effects()
@@ -315,8 +315,8 @@
             let joins = self.memory.allows_join(self.deduplication.entries());
             return if joins { Admission::Join } else { Admission::Fail };
         }
-        // If nothing else is running, a request that seems too late is tried all the same: the expected
-        // duration may be outdated.
+        // If nothing else is running, a request that is expected to end too late is executed anyway: the
+        // expected duration may be outdated.
         let running = self.requests.running();
         let expected_ms = self.concurrency.expected_duration_ms(request.class, request.work_hint_ms, running);
         if valuable_for_ms <= 0.0 || (valuable_for_ms < expected_ms && running > 0) {
@@ -419,7 +419,8 @@
         self.answer(id, completion);
     }
 
-    /// Gives the final response; a running execution is cancelled if that is allowed.
+    /// Sends the final response. A running execution is cancelled if its class is idempotent and the host
+    /// supports cancellation.
     fn answer(&mut self, id: u32, completion: Completion) {
         let Some(request) = self.requests.get(id) else { return };
         let idempotency = self.classes[request.class()].idempotency;
@@ -502,7 +503,7 @@
         self.scheduling.enter(state, SchedulingKey::new(rank, new_ms, id));
     }
 
-    // ---- the only place where states change -------------------------------------------------------------
+    // ---- the only function that changes states of requests, and its results ------------------------------
 
     fn transition(&mut self, id: u32, to: RequestState) {
         let clock = Clock { now_ms: self.now_ms, execution_ms: self.cpu.execution_clock_ms() };
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -20,7 +20,7 @@
 //! | `Running` | requests an outbound call | `AwaitingCall` |
 //! | `AwaitingCall` | the call is placed | `Calling` |
 //! | `Calling` | the call completed, or may be skipped | `Running` |
-//! | `Calling` | the call failed | `AwaitingCall` for a retry, or as at the deadline |
+//! | `Calling` | the call failed | `AwaitingCall`; without a retry, then the same as at the deadline |
 //! | `Running`, `AwaitingCall`, `Calling` | client gone; deadline | `Answered` |
 //! | `Running`, `Answered` | the execution ended | `Completed` |
 
--- a/src/admission/retry_detection.rs
+++ b/src/admission/retry_detection.rs
@@ -5,7 +5,7 @@
 //! *Inputs*: the timeout of this attempt (ms), whether the client named a deadline and marked a retry, the
 //! class's timeout (ms).
 //! *Rule*: first attempts of a class use one of a few common timeouts, each found by votes. Any other timeout is
-//! taken for the rest of the client's total timeout, which gives the time since the first attempt.
+//! interpreted as the rest of the client's total timeout, which gives the time since the first attempt.
 //! *Why*: retries carry the deadline of the first attempt. Whether they are marked depends on the client.
 //! *Source*: `docs/design.md`, "Departures": unmarked retries pass a count of arrivals at full priority.
 //! *Without it*: retry storms and restarting clients fill the cores with work that has missed its objective.
@@ -19,7 +19,7 @@
 const MAX_VOTES: i32 = 40;
 /// Number of votes from which on the common timeouts of a class are known.
 const MIN_KNOWN_VOTES: i32 = MAX_VOTES / 4;
-/// Number of votes from which on a timeout is taken for that of a first attempt.
+/// Number of votes from which on a timeout counts as that of a first attempt.
 const MIN_FIRST_ATTEMPT_VOTES: i32 = MAX_VOTES / 10;
 /// Maximum number of common timeouts per class.
 const MAX_COMMON_TIMEOUTS: usize = 4;
--- a/src/admission/retry_detection/tests.rs
+++ b/src/admission/retry_detection/tests.rs
@@ -2,7 +2,7 @@
 use crate::admission::test_support::{config, request};
 
 /// Guards against retries without a mark, which only the rest of their timeout reveals. An attempt with an
-/// uncommon timeout is taken for a retry; a timeout that recurs becomes common.
+/// uncommon timeout counts as a retry; a timeout that recurs becomes common.
 #[test]
 fn an_uncommon_timeout_reveals_the_time_since_the_first_attempt() {
     let mut detection = RetryDetection::new(&config());
