--- a/crates/plovershelf-replication/src/config.rs
+++ b/crates/plovershelf-replication/src/config.rs
@@ -1,6 +1,6 @@
 //! Limits and timeouts of the replication protocol.
 
-/// Replication settings, identical on all members of a group.
+/// Replication settings, identical on all members of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
     /// Number of replicas per record if the view has enough members.
--- a/crates/plovershelf-replication/src/executor/mod.rs
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -18,7 +18,7 @@
 //! | completing | a replica reports a different outcome | completing with that outcome; confirmations are discarded |
 //! | completing | retransmission after `min_replicas` have confirmed | completing, `OutcomeProvisional` |
 //! | completing | all replicas have confirmed | ended, `OutcomeReplicated` |
-//! | completing | the retention time has expired | ended, `OutcomeReplicated` with in doubt |
+//! | completing | the retention time has expired | ended, `OutcomeReplicated` with `Outcome::InDoubt` |
 //! | reserving, completing | view change | the same phase; confirmations are discarded |
 
 mod request;
@@ -113,7 +113,7 @@
         self.requests.values().map(Request::next_timeout_ms).fold(f64::INFINITY, f64::min)
     }
 
-    // ---- inputs of the backend -----------------------------------------------------------------------
+    // ---- inputs from the local backend ---------------------------------------------------------------
 
     pub(crate) fn reserve(
         &mut self,
@@ -162,7 +162,7 @@
         }
     }
 
-    // ---- inputs of the group and timeouts ------------------------------------------------------------
+    // ---- inputs from the cluster, and timeouts -------------------------------------------------------
 
     pub(crate) fn handle_view_change(&mut self, now_ms: f64) {
         for request in self.requests.values_mut() {
--- a/crates/plovershelf-replication/src/lib.rs
+++ b/crates/plovershelf-replication/src/lib.rs
@@ -21,7 +21,7 @@
 //! | `repair` | retransmission of records to replicas that have not confirmed them |
 //! | `handoff` | departure of a leaving member once its records are replicated elsewhere |
 //! | `timers` | a timer queue of keys |
-//! | `replicator` | the public inputs, in the order in which a driver calls them |
+//! | `replicator` | the public inputs, and their dispatch to the roles |
 //! | [`broken`] | deliberate violations of guarantees, for tests |
 
 pub mod broken;
--- a/crates/plovershelf-replication/src/message.rs
+++ b/crates/plovershelf-replication/src/message.rs
@@ -19,7 +19,7 @@
 //! | message | guarantees | for which attempt | does not guarantee |
 //! | --- | --- | --- | --- |
 //! | `Reserved` | the sender stores the reservation with this round and replica set | `reservation` | any outcome |
-//! | `OutcomeRecorded` | the sender stores this outcome | `reservation`; an executor receives in doubt if the sender stores another attempt's record | |
+//! | `OutcomeRecorded` | the sender stores this outcome | `reservation`. If the sender stores another attempt's record, it sends `Outcome::InDoubt` to an executor | |
 //! | `OutcomeReplicated` | all replicas have confirmed the sender's outcome | `reservation` | that all replicas of a later view have it |
 //! | `Repaired` | the sender stores a record at least as new as one received in a `Repair` of this view | not named | an outcome, if one of these `Repair` messages had none |
 //! | `ReportAcknowledged` | the sender has received the entire report | | that any reported record is stored elsewhere |
@@ -166,7 +166,7 @@
         /// The sender's view.
         view: ViewNumber,
     },
-    /// Replica to executor: asks whether a request still exists.
+    /// Replica to executor: queries whether a request still exists.
     ProbeReservation {
         /// The sender's view.
         view: ViewNumber,
@@ -175,7 +175,7 @@
         /// The attempt that holds the key.
         reservation: Reservation,
     },
-    /// Leaving member to all other members: asks for permission to leave.
+    /// Leaving member to all other members: requests permission to leave.
     RequestLeave {
         /// The sender's view.
         view: ViewNumber,
--- a/crates/plovershelf-replication/src/reconciliation/collector.rs
+++ b/crates/plovershelf-replication/src/reconciliation/collector.rs
@@ -38,6 +38,7 @@
     expected: BTreeMap<NodeId, u64>,
     /// Per member, the keys received so far.
     received: BTreeMap<NodeId, BTreeSet<IdempotencyKey>>,
+    /// Whether [`ReportCollector::finish`] has returned the complete reports of all members.
     reconciled: bool,
 }
 
--- a/crates/plovershelf-replication/src/reconciliation/mod.rs
+++ b/crates/plovershelf-replication/src/reconciliation/mod.rs
@@ -7,7 +7,7 @@
 //! | collecting | all members' reports are complete | reconciled; each key is resolved ([`resolution`]) and repair starts |
 //!
 //! While collecting, a primary orders reservations only of keys whose primary it also was in the immediately preceding view,
-//! and only if it was reconciled in that view: it then knows all reservations of these keys.
+//! and only if it had reached the reconciled state in that view: it then knows all reservations of these keys.
 
 mod collector;
 mod resolution;
@@ -25,7 +25,8 @@
 pub(crate) struct Reconciliation {
     pub(crate) collector: ReportCollector,
     pub(crate) sender: ReportSender,
-    /// Whether the local member was reconciled in the immediately preceding view.
+    /// Whether the local member had received the complete reports of all members in the immediately preceding view.
+    /// False if the local member did not install that view.
     was_reconciled: bool,
 }
 
--- a/crates/plovershelf-replication/src/reconciliation/resolution.rs
+++ b/crates/plovershelf-replication/src/reconciliation/resolution.rs
@@ -5,10 +5,10 @@
 //! | an outcome | the outcome is stored again with a new version |
 //! | a reservation that its executor, a member, reports as active | the reservation remains |
 //! | a reservation that its executor, a member, does not report | released |
-//! | a reservation whose executor left the view, stored by all of its remaining replicas | in doubt: the request may have run |
+//! | a reservation whose executor left the view, stored by all of its remaining replicas | `Outcome::InDoubt`: the request may have run |
 //! | a reservation whose executor left the view, missing at a remaining replica | released: the request never ran, as a launch requires the confirmation of all replicas |
 //!
-//! In doubt is a failure for every attempt: the request is never run again because it may have had side effects.
+//! `Outcome::InDoubt` is a failure for every attempt: the request is never run again because it may have had side effects.
 
 use std::collections::BTreeSet;
 
--- a/crates/plovershelf-replication/src/record.rs
+++ b/crates/plovershelf-replication/src/record.rs
@@ -3,7 +3,7 @@
 use plovershelf_cluster::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Number of a view, the group's agreed list of members. Later views have higher numbers; 0 stands for no view.
+/// Number of a view, the cluster's agreed list of members. Later views have higher numbers; 0 means no view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ViewNumber(pub u64);
 
--- a/crates/plovershelf-replication/src/replica.rs
+++ b/crates/plovershelf-replication/src/replica.rs
@@ -198,8 +198,8 @@
     }
 
     /// Stores an outcome sent by its executor or, during a repair, by the primary. The reply contains the stored outcome,
-    /// which may differ from the received one. If the stored record belongs to another reservation, the executor is sent an
-    /// in-doubt outcome and a primary receives no reply.
+    /// which may differ from the received one. If the stored record belongs to another reservation, an executor
+    /// receives `Outcome::InDoubt`, and a primary receives no reply.
     pub(crate) fn handle_record_outcome(
         &mut self,
         ctx: &Context,
--- a/crates/plovershelf-replication/src/replica_substitution.rs
+++ b/crates/plovershelf-replication/src/replica_substitution.rs
@@ -13,7 +13,7 @@
 use crate::membership::Membership;
 use crate::placement::IdempotencyKey;
 
-/// Members that the group's failure detector suspects.
+/// Members that the cluster's failure detector suspects.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectedMembers {
     suspected: BTreeSet<NodeId>,
--- a/crates/plovershelf-replication/src/replicator.rs
+++ b/crates/plovershelf-replication/src/replicator.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member: its inputs, in the order in which a driver calls them, and their dispatch to the roles.
+//! The state machine of one member: its inputs from the local backend and from the cluster, and their dispatch to the roles.
 //!
 //! Normal path of a keyed request:
 //!
@@ -65,7 +65,7 @@
         }
     }
 
-    // ---- inputs of the local backend -----------------------------------------------------------------
+    // ---- inputs from the local backend ---------------------------------------------------------------
 
     /// Starts the reservation of an admitted request's key and returns the request's id. The request may be launched once the
     /// reservation is replicated, at the latest at `deadline_ms`. Its outcome is retained for `retention_ms`. Progress is
@@ -111,7 +111,7 @@
         self.handoff.start(now_ms);
     }
 
-    // ---- inputs of the group -------------------------------------------------------------------------
+    // ---- inputs from the cluster, and timeouts -------------------------------------------------------
 
     /// Updates the suspected members. Reservations that wait for one of them are restarted with other replicas.
     pub fn update_suspected(&mut self, now_ms: f64, suspected: BTreeSet<NodeId>) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Installs a view agreed on by the group. Views that are not newer than the current one are ignored.
+    /// Installs a view committed by the cluster. Views that are not newer than the current one are ignored.
     pub fn update_view(&mut self, now_ms: f64, view: ViewNumber, members: Vec<Member>) {
         self.ctx.now_ms = now_ms;
         let current = self.ctx.view();
