--- a/crates/plovershelf-client/src/caller/call.rs
+++ b/crates/plovershelf-client/src/caller/call.rs
@@ -23,7 +23,7 @@
 use super::retry_policy::{retry_decision, AttemptEnd, RetryDecision};
 use super::timers::TimerQueue;
 
-/// Number of endpoints of earlier attempts that a call remembers in order to prefer others.
+/// Number of endpoints of earlier attempts that a call records in order to prefer others.
 const MAX_AVOIDED: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -191,7 +191,7 @@
     }
 
     /// Returns the call's outcome if it ends with that of `attempt`. A rejection becomes a failure if an
-    /// earlier attempt may have run, since the rejection says nothing about that attempt.
+    /// earlier attempt may have run, since the rejection applies to its own attempt only.
     pub(super) fn outcome_if_ended(&self, attempt: CallOutcome) -> CallOutcome {
         match attempt {
             CallOutcome::Rejected { .. } if self.may_have_run() => CallOutcome::Failed { may_have_run: true },
--- a/crates/plovershelf-client/src/caller/connection.rs
+++ b/crates/plovershelf-client/src/caller/connection.rs
@@ -18,7 +18,7 @@
 use super::endpoint::EndpointId;
 use crate::config::ClientConfig;
 
-/// Number of cancelled attempts that a connection remembers, to distinguish a late response from one that
+/// Number of cancelled attempts that a connection records, to distinguish a late response from one that
 /// matches no attempt.
 const MAX_CANCELLED: usize = 256;
 /// Highest sequence number. A connection that has reached it takes no more attempts.
--- a/crates/plovershelf-server/src/agent_link.rs
+++ b/crates/plovershelf-server/src/agent_link.rs
@@ -265,7 +265,7 @@
                 sent.map_err(|_| protocol_error("the program is exiting"))?;
             }
             // Updated only after the event is queued: if the link ends while an event waits for the queue, the next
-            // link must ask for its notice again.
+            // link must request its notice again.
             self.progress.last_read = self.progress.last_read.max(number.unwrap_or(0));
         }
     }
--- a/crates/plovershelf-server/src/connection_state.rs
+++ b/crates/plovershelf-server/src/connection_state.rs
@@ -3,7 +3,7 @@
 //! | phase | input from the peer | output of this side |
 //! | --- | --- | --- |
 //! | `Open` | accepted | responses |
-//! | `ClosingAnnounced` | accepted, as it may have crossed the announcement | responses |
+//! | `ClosingAnnounced` | accepted, as it may have been sent before the peer read the announcement | responses |
 //! | `Discarding` | read and discarded | responses to earlier requests |
 //! | `Draining` | read and discarded, up to a time and a size | none: the write side is shut down |
 //! | `Closed` | not read | none: the descriptor is closed when its last owner drops it |
--- a/crates/plovershelf-server/src/driver/clients.rs
+++ b/crates/plovershelf-server/src/driver/clients.rs
@@ -2,7 +2,7 @@
 //!
 //! | cause of eviction or closing | reason |
 //! | --- | --- |
-//! | it has sent no message for a while, and connections run short | a regular client sends a request soon after connecting |
+//! | it has sent no message for `min_unused_ms`, and connections run short | a regular client sends a request soon after connecting |
 //! | it is idle, and connections run short | closing the longest idle one costs its client least |
 //! | it is idle past the announced idle timeout | each open connection slows the process down |
 //! | its client violates the protocol | the peer may not be a client at all |
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Closes a connection that has no open requests. The peer gets a notice of closing, and requests that cross that
-    /// notice are not accepted.
+    /// Closes a connection that has no open requests. The peer receives an announcement of closing; requests that it
+    /// sends before it has read the announcement are not accepted.
     fn close(&mut self, connection: ConnectionId) {
         self.announce_closing(connection);
         self.connections.remove(&connection);
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -12,8 +12,9 @@
 const DEDUPLICATION_KEY_BYTES: usize = 512;
 /// Descriptors of the process per connection to the dependency.
 const SOCKETS_PER_DEPENDENCY_CONNECTION: usize = 16;
-/// Bounds on the number of connections to the dependency.
+/// Lower bound of the maximum number of connections to the dependency.
 const MIN_DEPENDENCY_CONNECTIONS: usize = 2;
+/// Upper bound of the maximum number of connections to the dependency.
 const MAX_DEPENDENCY_CONNECTIONS: usize = 24;
 /// Lower bound of the limit on client connections.
 const MIN_CONNECTIONS: usize = 4;
@@ -60,7 +61,7 @@
     /// Time for which a connection that this side ends is still read, so that its peer receives the last response.
     pub(crate) linger_ms: u64,
     /// Value of `linger_ms` while more than `eviction_threshold` connections are open. It still covers a request that
-    /// crosses the end of the connection.
+    /// the peer sends before it detects the end of the connection.
     pub(crate) linger_ms_under_pressure: u64,
     /// Maximum number of bytes that are read while lingering.
     pub(crate) max_linger_bytes: usize,
@@ -122,8 +123,8 @@
     pub(crate) spare_dependency_connections: usize,
     /// Number of calls after which a connection is retired.
     pub(crate) max_calls_per_connection: usize,
-    /// Idle time after which a connection is closed. The dependency may close or drop an idle connection later than
-    /// this, so no call crosses that.
+    /// Idle time after which a connection is closed. Shorter than the time after which the dependency may close or drop
+    /// an idle connection, so that no call is in transit when it does.
     pub(crate) dependency_idle_ms: u64,
     /// Multiple of the mean latency after which a connection with an unanswered call counts as broken.
     pub(crate) reply_timeout_multiple: f64,
@@ -148,8 +149,8 @@
     // ---- drain
     /// Time after which a connection is closed whose client doesn't react to the announcement of closing.
     pub(crate) closing_timeout_ms: f64,
-    /// Value of `closing_timeout_ms` once new connections are refused. It exceeds the time of a request that crosses
-    /// the announcement.
+    /// Value of `closing_timeout_ms` once new connections are refused. It exceeds the transit time of a
+    /// request that the peer sends before it has read the announcement.
     pub(crate) final_closing_timeout_ms: f64,
     /// Time between the announcement of closing and the refusal of new connections.
     pub(crate) closing_lead_ms: f64,
--- a/crates/plovershelf-server/tests/config_distribution.rs
+++ b/crates/plovershelf-server/tests/config_distribution.rs
@@ -203,7 +203,8 @@
     ask(address, &AdminRequest::Propose { edits, after }).expect("an answer")
 }
 
-/// Proposes a change until it is in force as the next number; the group may first have to elect a leader.
+/// Proposes a change until it is in force as the next number; the consensus group may first have to elect a
+/// leader.
 fn propose_until_committed(address: SocketAddr, edits: &[Edit], after: u64) {
     wait_until(&format!("a change after {after}"), || {
         let response = propose(address, edits.to_vec(), Some(after));
--- a/crates/plovershelf-server/tests/crossings.rs
+++ b/crates/plovershelf-server/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Bytes, signals and closes that cross each other at a backend process. `docs/crossings.md` lists the cases.
+//! Bytes, signals and closes that are in transit at the same time, in both directions, at a backend process.
+//! `docs/crossings.md` lists the cases.
 
 mod common;
 
@@ -99,7 +100,7 @@
     assert_eq!(idle.read_response(), Some(Response::Ready(1, true)));
     backend.signal("TERM");
     assert_eq!(idle.read_response(), Some(Response::Closing));
-    // Half a frame crosses the close.
+    // Half a frame is in transit when the backend closes the connection.
     idle.0.write_all(&[0, 0, 0, 90, 0x80]).expect("the write succeeds");
     let mut remaining = Vec::new();
     // The connection must end without a reset, although this side has written and never closes.
