--- a/crates/plovershelf-config/src/config_distribution.rs
+++ b/crates/plovershelf-config/src/config_distribution.rs
@@ -101,7 +101,7 @@
 /// Maximum length of a list of tenants in bytes.
 const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// Reads the text of a listener's file.
+/// Parses the text of a listener's file. `file` is the file's name in error messages.
 ///
 /// # Errors
 /// Returns all errors of the file.
@@ -140,7 +140,7 @@
     }
 }
 
-/// Reads the section `[changes]` of an origin.
+/// Parses the section `[changes]` of an origin.
 pub(crate) fn origin(parser: &mut FileParser<'_>, properties: &Properties) -> Origin {
     parser.check_keys(SECTION, properties, &ORIGIN_KEYS);
     let (listen, origins) = addresses(parser, properties);
@@ -197,7 +197,7 @@
     config
 }
 
-/// Reads the initial list of tenants, lines of NAME = requests per second.
+/// Parses the initial list of tenants, lines of NAME = requests per second.
 ///
 /// # Errors
 /// Returns all errors of the file, or the first of them if there are very many.
@@ -238,7 +238,8 @@
 /// Number of errors after which no further section of a list is read.
 const MAX_REPORTED_ERRORS: usize = 64;
 
-/// Reads a change from a file: `[set]` and `[add]` with NAME = requests per second, `[remove]` with NAME =.
+/// Parses a change from the text of a file: `[set]` and `[add]` with NAME = requests per second, `[remove]` with
+/// NAME =.
 ///
 /// # Errors
 /// Returns all errors of the file. Whether the tenants exist is checked when the change is proposed.
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -26,13 +26,13 @@
     pub region: String,
     /// Addresses of members through which this member joins.
     pub seeds: Vec<SocketAddr>,
-    /// Names of the initial voters; the first one creates the group.
+    /// Names of the initial voters; the first one bootstraps the cluster.
     pub council: Vec<String>,
     /// Folder of the votes and the log; without it they are in memory only.
     pub folder: Option<PathBuf>,
     /// Timeouts of membership and consensus, and the number of voters.
     pub config: NodeConfig,
-    /// Addresses of other members that are reached at another address than they announce, by member name.
+    /// Addresses to use for members that can't be reached at the address that they announce, by member name.
     pub ways: BTreeMap<String, SocketAddr>,
     /// Replication of deduplication records, if enabled.
     pub replication: Option<ReplicationConfig>,
@@ -86,7 +86,7 @@
     "way_most_ms",
 ];
 
-/// Reads the text of the file.
+/// Parses the text of `group.ini`. `file` is the file's name in error messages.
 ///
 /// # Errors
 /// Returns all errors of the file.
@@ -238,7 +238,7 @@
     }
 }
 
-/// Reads the section `[copies]`.
+/// Parses the section `[copies]`.
 fn read_replication(parser: &mut FileParser<'_>, properties: &ini::Properties) -> ReplicationConfig {
     const BYTES_PER_MB: f64 = 1_048_576.0;
     let section = "copies";
--- a/crates/plovershelf-config/src/lib.rs
+++ b/crates/plovershelf-config/src/lib.rs
@@ -66,7 +66,8 @@
         value.to_string()
     }
 
-    /// Reads the path of a file or folder, if the key is present.
+    /// Returns the value of a key as a path, or `None` if the key is missing. Reports an empty value. Does not access
+    /// the file system.
     fn path(&mut self, section: &str, properties: &Properties, key: &str) -> Option<PathBuf> {
         let value = properties.get(key)?.trim();
         if value.is_empty() {
@@ -75,7 +76,7 @@
         Some(PathBuf::from(value))
     }
 
-    /// Reads the address at which other processes reach this one.
+    /// Parses the value of a key as the address at which other processes reach this one. Reports an invalid value.
     fn advertised_address(&mut self, section: &str, properties: &Properties, key: &str) -> SocketAddr {
         let value = properties.get(key).unwrap_or("");
         match value.trim().parse::<SocketAddr>() {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Reads a number in a range; returns the default if the key is missing.
+    /// Parses the value of a key as a number in a range; returns the default if the key is missing.
     fn number(
         &mut self,
         section: &str,
--- a/crates/plovershelf-config/src/pools.rs
+++ b/crates/plovershelf-config/src/pools.rs
@@ -23,7 +23,7 @@
     fraction: f64,
 }
 
-/// Reads the text of the file. `classes` are the names of the backend's request classes in order.
+/// Parses the text of the file of bulkheads. `classes` are the names of the backend's request classes in order.
 ///
 /// # Errors
 /// Returns all errors of the file.
--- a/crates/plovershelf-settings/src/parse.rs
+++ b/crates/plovershelf-settings/src/parse.rs
@@ -15,7 +15,7 @@
 /// Name of the settings in the document that contains them, used in error paths.
 const SETTINGS: &str = "settings";
 
-/// Reads settings from text. `seed` initializes the backend's random numbers.
+/// Parses settings from JSON text. `seed` initializes the backend's random numbers.
 ///
 /// # Errors
 /// Returns all errors of the settings.
@@ -23,7 +23,7 @@
     Ok(read_value(&unique_keys::parse(text)?, seed)?)
 }
 
-/// Reads settings that are part of a larger document.
+/// Parses settings that are part of a larger document.
 ///
 /// # Errors
 /// Returns all errors of the settings.
@@ -33,7 +33,7 @@
     problems.finish(startup)
 }
 
-/// Reads settings together with the rest of their document; errors are recorded in that document's problems.
+/// Parses settings together with the rest of their document; errors are recorded in that document's problems.
 pub fn read_section(settings: &Section<'_>, seed: u64) -> Startup {
     let family_info = settings.get("family_info").section();
     let mut warnings = Vec::new();
