--- a/crates/plovershelf-client/src/caller/dispatcher.rs
+++ b/crates/plovershelf-client/src/caller/dispatcher.rs
@@ -21,7 +21,7 @@
 use super::retry_policy::{is_final_rejection, AttemptEnd};
 use super::throttle::Acceptance;
 
-/// One pass over the ready queue stops after this many calls that no endpoint could take.
+/// Number of calls that no endpoint could take after which a pass over the ready queue stops.
 const MAX_UNPLACED: usize = 32;
 /// Shortest backoff of a call.
 const MIN_BACKOFF_MS: f64 = 0.1;
--- a/crates/plovershelf-client/src/request.rs
+++ b/crates/plovershelf-client/src/request.rs
@@ -9,11 +9,15 @@
 
 use crate::caller::{CallOutcome, NotSentReason};
 
-/// Longest body that backends accept, in bytes.
+/// Maximum length of a body that backends accept, in bytes.
 pub const MAX_BODY_BYTES: usize = 2 << 10;
+/// Maximum length of the name of a class or tenant, in bytes.
 const MAX_NAME_BYTES: usize = 128;
+/// Highest priority; higher values are lowered to it.
 const MAX_PRIORITY: f64 = 0.9999;
+/// Priority of a request without a valid one.
 const DEFAULT_PRIORITY: f64 = 0.5;
+/// Memory that a backend reserves for a request by default, in KB.
 const DEFAULT_FOOTPRINT_KB: f64 = 10.0;
 
 /// A request with its deadline, idempotency and scheduling properties.
--- a/crates/plovershelf-cluster/src/consensus/message.rs
+++ b/crates/plovershelf-cluster/src/consensus/message.rs
@@ -13,7 +13,7 @@
 pub enum Ballot {
     /// A binding vote: the voter grants at most one per term.
     Vote,
-    /// A non-binding vote that asks whether a vote would be granted. Changes no node's term (Ongaro's dissertation,
+    /// A non-binding vote, which shows whether a vote would be granted. Changes no node's term (Ongaro's dissertation,
     /// section 9.6).
     PreVote,
 }
--- a/crates/plovershelf-cluster/src/gossip/config.rs
+++ b/crates/plovershelf-cluster/src/gossip/config.rs
@@ -7,7 +7,7 @@
     pub probe_interval_ms: f64,
     /// Time without an acknowledgement after which a probe is late and indirect probes are requested, in milliseconds.
     pub probe_timeout_ms: f64,
-    /// Number of members asked for an indirect probe.
+    /// Number of members that are requested to send an indirect probe.
     pub indirect_probes: usize,
     /// Duration of an unconfirmed suspicion in a cluster of at most ten members, in milliseconds. Larger clusters
     /// extend it with the logarithm of their size.
--- a/crates/plovershelf-cluster/src/node/epoch_recovery.rs
+++ b/crates/plovershelf-cluster/src/node/epoch_recovery.rs
@@ -12,7 +12,7 @@
 use crate::state::{ClusterState, Command};
 use crate::view::View;
 
-/// Time to wait for consents.
+/// Time within which all survivors must consent, in milliseconds; after it the recovery fails.
 const CONSENT_TIMEOUT_MS: f64 = 5000.0;
 
 /// An error that prevents a recovery from starting or completing.
--- a/crates/plovershelf-cluster/src/view/reconciler.rs
+++ b/crates/plovershelf-cluster/src/view/reconciler.rs
@@ -12,11 +12,12 @@
 /// Timing parameters for changes of the view.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ViewTiming {
-    /// Time for which a difference between the view and the present members must last before the view changes.
+    /// Time for which a difference between the view and the present members must last before the view changes, in
+    /// milliseconds.
     pub(crate) settle_ms: f64,
-    /// Time after which a present member that is not ready is removed.
+    /// Time after which a present member that is not ready is removed, in milliseconds.
     pub(crate) unready_grace_ms: f64,
-    /// Time after its last message during which a member reported dead is expected to refute that.
+    /// Time after its last message during which a member reported dead is expected to refute that, in milliseconds.
     pub(crate) recent_contact_ms: f64,
 }
 
--- a/crates/plovershelf-replication/src/executor/mod.rs
+++ b/crates/plovershelf-replication/src/executor/mod.rs
@@ -355,7 +355,7 @@
                 }
                 effects
             }
-            // Not all replicas confirmed within the retention time, after which no client asks for the outcome.
+            // Not all replicas confirmed within the retention time, after which no client requests the outcome.
             Phase::Completing { .. } => self.finish(id, Event::OutcomeReplicated(id, Outcome::InDoubt)),
             Phase::Running => Effects::default(),
         }
--- a/crates/plovershelf-replication/src/executor/request.rs
+++ b/crates/plovershelf-replication/src/executor/request.rs
@@ -135,7 +135,7 @@
     }
 
     /// Enters the completing phase. From now on the deadline is the end of the retention time: the outcome is sent until all
-    /// replicas have confirmed it or no client can ask for it any more.
+    /// replicas have confirmed it or no client can request it any more.
     pub(super) fn start_completing(&mut self, now_ms: f64, phase: Phase) {
         self.phase = phase;
         self.retransmit_at_ms = now_ms;
--- a/crates/plovershelf-replication/src/replicator.rs
+++ b/crates/plovershelf-replication/src/replicator.rs
@@ -105,7 +105,7 @@
         self.apply(effects);
     }
 
-    /// Starts the handoff of the local member, which asks all other members for permission to leave.
+    /// Starts the handoff of the local member, which requests permission to leave from all other members.
     pub fn start_handoff(&mut self, now_ms: f64) {
         self.ctx.now_ms = now_ms;
         self.handoff.start(now_ms);
--- a/crates/plovershelf-server/src/agent_link.rs
+++ b/crates/plovershelf-server/src/agent_link.rs
@@ -52,7 +52,7 @@
 struct Progress {
     /// Number of the last notice that was passed on.
     last_read: u64,
-    /// True once the agent has greeted on the present link.
+    /// True once the agent has sent its greeting on the current link.
     is_greeted: bool,
 }
 
--- a/crates/plovershelf-server/src/agent_link/tests.rs
+++ b/crates/plovershelf-server/src/agent_link/tests.rs
@@ -15,7 +15,7 @@
 }
 
 /// The queue to the event loop is full while the end of a run waits for it, and the link is handed over. The next
-/// link must ask for that notice again, or the client never gets its answer.
+/// link must request that notice again, or the client never gets its answer.
 #[test]
 fn notice_waiting_for_the_queue_is_requested_again_on_the_next_link() {
     let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"));
--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -42,11 +42,11 @@
 const READINESS_INTERVAL_MS: f64 = 200.0;
 /// Capacity of the driver's inbox; further events are dropped, as on a network.
 const INBOX: usize = 1024;
-/// Events handled before the timeouts are checked again.
+/// Maximum number of events handled before the timeouts are checked again.
 const MAX_EVENTS_PER_TURN: usize = 64;
 /// Pause before failed storage is retried.
 const STORAGE_RETRY_MS: f64 = 500.0;
-/// Longest wait of the driver.
+/// Longest time for which the driver waits for an event.
 const MAX_WAIT_MS: f64 = 1000.0;
 
 /// Returns the wall clock in Unix milliseconds. `PLOVERSHELF_TEST_CLOCK_OFF_MS` shifts it in tests.
@@ -63,7 +63,7 @@
     Link(LinkEvent),
     /// Proposes a configuration under its key.
     ProposeConfiguration {
-        /// Version of the value: one more than the present version.
+        /// Version of the value: one more than the current version.
         version: u64,
         /// The encoded configuration.
         bytes: Vec<u8>,
@@ -79,7 +79,7 @@
     ProposeValue {
         /// Key of the value.
         key: String,
-        /// Version of the value: one more than the present version.
+        /// Version of the value: one more than the current version.
         version: u64,
         /// The encoded value.
         bytes: Vec<u8>,
--- a/crates/plovershelf-server/src/cluster/failover.rs
+++ b/crates/plovershelf-server/src/cluster/failover.rs
@@ -28,11 +28,11 @@
 const NEW_LEADER_WAIT_MS: f64 = 1000.0;
 /// Time after which a proposal that is not committed counts as lost.
 const PROPOSAL_TIMEOUT_MS: f64 = 2000.0;
-/// Plan revisions in the status history.
+/// Maximum number of plan revisions in the status history.
 const MAX_HISTORY: usize = 32;
 /// Number of periods over which counts are compared.
 const COUNTED_PERIODS: usize = 4;
-/// Fewer answers than this don't give a meaningful fraction in time.
+/// Minimum number of answers from which the fraction of answers in time is computed; with fewer it counts as 1.
 const MIN_ANSWERS: f64 = 10.0;
 /// Maximum number of caller reports that wait for the next period.
 const MAX_WAITING_CALLERS: usize = 4 * MAX_CALLER_REPORTS;
--- a/crates/plovershelf-server/src/config_distribution/driver.rs
+++ b/crates/plovershelf-server/src/config_distribution/driver.rs
@@ -25,15 +25,15 @@
 
 /// Capacity of the queue of lost links to the node.
 const MAX_QUEUED_LOST_LINKS: usize = 256;
-/// Inputs handled before the timeouts are checked again.
+/// Maximum number of inputs handled before the timeouts are checked again.
 const MAX_INPUTS_PER_TURN: usize = 64;
-/// Longest wait of the driver.
+/// Longest time for which the driver waits for an input.
 const MAX_SLEEP_MS: f64 = 1000.0;
 /// Pause before an update that the subscriber's queue rejected is offered again.
 const PUBLISH_RETRY_MS: f64 = 50.0;
-/// Listeners that may contact an origin at the same time, as when a release restarts all of them.
+/// Number of listeners that may contact an origin at the same time, as when a release restarts all of them.
 const MAX_SIMULTANEOUS_REQUESTS: usize = 1024;
-/// Links in addition to those with parent and children: backup parents, alternates and operators' commands.
+/// Number of links in addition to those with parent and children: backup parents, alternates and operators' commands.
 const SPARE_CONNECTIONS: usize = 32;
 /// Idle time after which a link is closed. It spans several heartbeats, so links in use stay open.
 const IDLE_CONNECTION_MS: u64 = 4000;
--- a/crates/plovershelf-server/src/config_distribution/origin.rs
+++ b/crates/plovershelf-server/src/config_distribution/origin.rs
@@ -44,8 +44,8 @@
     source: FrameError,
 }
 
-/// Proposes an encoded change under a number to the consensus group. The result shows only in the group's reported
-/// state.
+/// Proposes an encoded change under a number to the consensus group. The result is visible only in the group's
+/// reported state.
 pub(crate) type Propose = Box<dyn Fn(u64, Vec<u8>) + Send>;
 /// Sends the answer to an operator's command.
 pub(super) type Respond = Box<dyn FnOnce(AdminResponse)>;
--- a/crates/plovershelf-server/src/driver.rs
+++ b/crates/plovershelf-server/src/driver.rs
@@ -135,7 +135,8 @@
     open_bytes: usize,
     last_request_id: u32,
     deduplication: DeduplicationRecords,
-    /// Runs that ended inside the driver and are reported to the backend at the end of the current turn.
+    /// Runs that ended inside the driver and are reported to the backend at the end of the current turn of the event
+    /// loop.
     ended_runs: VecDeque<(u32, RunOutcome)>,
 
     agent: Option<Sender<Vec<u8>>>,
@@ -392,8 +393,8 @@
         }
     }
 
-    /// Completes a turn: reports runs that ended inside the driver, checks for the end of the drain and updates the
-    /// heartbeat.
+    /// Completes a turn of the event loop: reports runs that ended inside the driver, checks for the end of the drain
+    /// and updates the heartbeat.
     fn finish_turn(&mut self) {
         while let Some((id, outcome)) = self.ended_runs.pop_front() {
             self.decide(|backend, now_ms| backend.handle_run_ended(now_ms, id, outcome));
--- a/crates/plovershelf-server/src/driver/admission.rs
+++ b/crates/plovershelf-server/src/driver/admission.rs
@@ -14,7 +14,7 @@
 use crate::deduplication::{body_hash, DeduplicationKey, Lookup, LookupResult, NO_OBJECT};
 use crate::event::ConnectionId;
 
-/// The reason for which the driver rejects a request without asking the backend.
+/// The reason for which the driver rejects a request before the backend decides on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RejectReason {
     /// The settings have no class of this name.
@@ -35,8 +35,8 @@
     /// The agent is not up yet.
     #[error("not started yet")]
     NotStarted,
-    /// The sent time is too far from the present. Without this check a single request could distort the measured time
-    /// in receive buffers.
+    /// The sent time is too far from the current time. Without this check a single request could distort the measured
+    /// time in receive buffers.
     #[error("field \"s\" is out of bounds")]
     SentOutOfBounds,
     /// The key belongs to a request with another body, and that request has run.
@@ -165,7 +165,7 @@
         Ok(Deduplicated { key, body_hash, duplicate_of })
     }
 
-    /// Adds a request to the table of open requests and asks the backend for a decision.
+    /// Adds a request to the table of open requests and requests the backend's decision.
     pub(super) fn open_request(&mut self, frame: RequestFrame, checked: CheckedRequest) {
         let RequestFrame { connection, seqid, attempt, frame, body } = frame;
         let CheckedRequest { mut request, key, body_hash } = checked;
--- a/crates/plovershelf-server/src/driver/clients.rs
+++ b/crates/plovershelf-server/src/driver/clients.rs
@@ -189,8 +189,8 @@
         self.record_fault(connection, faults);
     }
 
-    /// Adds to a connection's fault count and stops reading from it at the limit. Faults that another client may have
-    /// caused count less, so that only repeated ones reach the limit.
+    /// Adds to a connection's fault count and stops reading from it at the limit. A fault that another client
+    /// may have caused adds 1, so that only repeated ones reach the limit; any other fault reaches it at once.
     fn record_fault(&mut self, connection: ConnectionId, faults: u32) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.faults += faults;
--- a/crates/plovershelf-server/src/driver/requests.rs
+++ b/crates/plovershelf-server/src/driver/requests.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Ends a duplicate whose original request has ended. The backend is notified at the end of the present turn.
+    /// Ends a duplicate whose original request has ended. The backend is notified at the end of the current
+    /// turn of the event loop.
     pub(super) fn end_duplicate(&mut self, duplicate: u32, result: Option<&[u8]>) {
         if let Some(request) = self.requests.get_mut(&duplicate) {
             request.result = result.unwrap_or_default().to_vec();
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -97,7 +97,8 @@
     pub(crate) listen_queue_timeout_ms: u64,
     /// Pause of accepting when descriptors run short.
     pub(crate) accept_pause_ms: u64,
-    /// Fault count that ends a connection. Faults that another client may have caused count as one.
+    /// Fault count at which a connection is no longer read. A fault that another client may have caused adds 1 to the
+    /// count; any other fault reaches the limit at once.
     pub(crate) max_faults: u32,
 
     // ---- agent
--- a/crates/plovershelf-server/src/log_limit.rs
+++ b/crates/plovershelf-server/src/log_limit.rs
@@ -5,7 +5,7 @@
 /// Default number of lines per second.
 pub(crate) const MAX_LINES_PER_S: u32 = 10;
 
-/// Counts the lines of the present second.
+/// Counts the lines of the current second.
 pub(crate) struct LogLimit {
     max_per_s: u32,
     second: u64,
--- a/crates/plovershelf-simulator-adapter/src/action.rs
+++ b/crates/plovershelf-simulator-adapter/src/action.rs
@@ -20,7 +20,7 @@
 const SET_TIMER: u16 = 268;
 const LOG: u16 = 269;
 
-/// Marks that health checks are answered only from the value that was set.
+/// Value of the field which states that health checks are answered only from the value that was set.
 const ANSWERED_FROM_SETTING: u8 = 1;
 
 /// Encodes the effects of one instance in their order.
--- a/src/admission/deadline.rs
+++ b/src/admission/deadline.rs
@@ -17,7 +17,7 @@
 use crate::admission::time::TimeKey;
 use crate::api::{ClassConfig, Idempotency, Request};
 
-/// How early a timer may fire relative to its deadline.
+/// Maximum time by which a timer may fire before its deadline.
 const TIMER_TOLERANCE_MS: f64 = 0.01;
 /// Shortest timer delay.
 const MIN_TIMER_MS: f64 = 0.001;
--- a/src/admission/statistics.rs
+++ b/src/admission/statistics.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// One of many decaying counts. It is brought up to date only when it is read or incremented, so that the work
+/// One of many decaying counts. Its decay is applied only when it is read or incremented, so that the work
 /// per event does not grow with the number of counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct DecayedCount {
@@ -78,7 +78,7 @@
         self.sum * decay_factor(now_ms - self.updated_ms)
     }
 
-    /// Returns the rate in events per second that would hold the count at its present value.
+    /// Returns the rate in events per second that would keep the count at its current value.
     pub(super) fn rate_per_s(&self, now_ms: f64) -> f64 {
         self.value_at(now_ms) * 1000.0 * std::f64::consts::LN_2 / HALF_LIFE_MS
     }
