--- a/crates/plovershelf-config-distribution/src/freshness.rs
+++ b/crates/plovershelf-config-distribution/src/freshness.rs
@@ -1,7 +1,8 @@
-//! How long ago an origin was heard from, and whether another process is fresher than the parent.
+//! Time since the last origin contact, and detection of processes that are more up to date than the parent.
 //!
-//! A parent that is stuck but not silent would hold its children back. So a listener asks its backup parent from time to
-//! time what it holds, and others in turn once no origin was heard from for long.
+//! A parent that still sends heartbeats but receives no changes would keep its children behind. Therefore a listener
+//! periodically probes its backup parent, and after a long time without origin contact it probes several other
+//! processes in rotation.
 
 use std::net::SocketAddr;
 
@@ -10,53 +11,56 @@
 use crate::parent_selection::ParentSelector;
 use crate::version::Version;
 
-/// The next probe comes no later than this while no origin was heard from for long, or another process is ahead.
+/// Upper bound, in milliseconds, of the time to the next probe while the origin contact is stale or another process
+/// has a newer version.
 const URGENT_PROBE_MS: f64 = 1000.0;
 
-/// What follows from the answer to a probe.
+/// Conclusion from the answer to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeVerdict {
     KeepParent,
-    /// The one that answered is fresher, or ahead for the second time with nothing under way here.
+    /// The probed process has a more recent origin contact, or it was ahead in two probes in a row while no fetch was
+    /// pending.
     SwitchParent,
 }
 
-/// Whether a delta or snapshot is on its way here.
+/// Whether a request for a delta or snapshot is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchState {
     Idle,
-    UnderWay,
+    Pending,
 }
 
-/// A listener's view of how far its parent can be trusted to be up to date.
+/// A listener's information about how up to date its parent is.
 #[derive(Clone, Debug)]
 pub(crate) struct Freshness {
-    /// What the parent was last heard to hold.
-    parent_held: Option<HeldVersion>,
-    /// When an origin sent the latest heartbeat that came here, directly or through relays.
+    /// The version information that the parent sent last.
+    parent_version_info: Option<HeldVersion>,
+    /// The send time of the latest heartbeat of an origin that arrived here, directly or through relays, in
+    /// milliseconds.
     origin_contact_ms: Option<f64>,
     probed: Option<SocketAddr>,
-    /// Probes in a row that were sent because no origin was heard from.
+    /// Number of consecutive probes that were sent because the origin contact was stale.
     stale_probes: usize,
-    /// What the last one that was probed held and this process did not.
-    ahead_elsewhere: Option<Version>,
+    /// The version of the last probed process, if it was newer than the version in force here.
+    newer_version_seen: Option<Version>,
     probe_at_ms: f64,
 }
 
 impl Freshness {
     pub(crate) fn new(probe_at_ms: f64) -> Self {
         Freshness {
-            parent_held: None,
+            parent_version_info: None,
             origin_contact_ms: None,
             probed: None,
             stale_probes: 0,
-            ahead_elsewhere: None,
+            newer_version_seen: None,
             probe_at_ms,
         }
     }
 
-    pub(crate) fn parent_held(&self) -> Option<&HeldVersion> {
-        self.parent_held.as_ref()
+    pub(crate) fn parent_version_info(&self) -> Option<&HeldVersion> {
+        self.parent_version_info.as_ref()
     }
 
     pub(crate) fn origin_contact_age_ms(&self, now_ms: f64) -> Option<f64> {
@@ -71,32 +75,32 @@
         self.probe_at_ms
     }
 
-    /// A heartbeat or the like of the parent.
-    pub(crate) fn handle_parent_held(&mut self, now_ms: f64, held: HeldVersion) {
-        if held.age_ms < u32::MAX {
-            let at_ms = now_ms - f64::from(held.age_ms);
+    /// Records the version information in a message from the parent.
+    pub(crate) fn handle_parent_version_info(&mut self, now_ms: f64, version_info: HeldVersion) {
+        if version_info.age_ms < u32::MAX {
+            let at_ms = now_ms - f64::from(version_info.age_ms);
             self.origin_contact_ms = Some(self.origin_contact_ms.map_or(at_ms, |latest| latest.max(at_ms)));
         }
-        self.parent_held = Some(held);
+        self.parent_version_info = Some(version_info);
     }
 
-    /// The parent sent a change with this version, which has no age.
+    /// Records the version of a change that the parent sent. A change does not include the age of an origin contact.
     pub(crate) fn handle_parent_change(&mut self, version: Version, short_digest: u64) {
-        self.parent_held = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
+        self.parent_version_info = Some(HeldVersion { version, short_digest, age_ms: u32::MAX });
     }
 
-    /// The parent is lost or left: what it held no longer counts, and answers of those probed are about it.
+    /// Drops the information about a former parent, and the probes that were compared with it.
     pub(crate) fn handle_detached(&mut self) {
-        self.parent_held = None;
+        self.parent_version_info = None;
         self.probed = None;
-        self.ahead_elsewhere = None;
+        self.newer_version_seen = None;
     }
 
     pub(crate) fn schedule_probe(&mut self, at_ms: f64) {
         self.probe_at_ms = at_ms;
     }
 
-    /// Whom to probe now, if it is time.
+    /// Returns the process to probe if a probe is due.
     pub(crate) fn handle_timeout(
         &mut self,
         now_ms: f64,
@@ -124,30 +128,30 @@
         probed
     }
 
-    /// Whether this one was probed last, so that its answer is expected.
+    /// Returns true if this process was the last one probed, so that its answer is expected.
     pub(crate) fn is_probed(&self, from: SocketAddr) -> bool {
         self.probed == Some(from)
     }
 
-    /// The answer of the one that was probed.
+    /// Handles the answer of the probed process.
     pub(crate) fn handle_probe_reply(
         &mut self,
         now_ms: f64,
-        theirs: HeldVersion,
+        probed: HeldVersion,
         own: HeldVersion,
         fetch: FetchState,
         config: &DistributionConfig,
     ) -> ProbeVerdict {
-        let (own_age_ms, their_age_ms) = (f64::from(own.age_ms), f64::from(theirs.age_ms));
+        let (own_age_ms, probed_age_ms) = (f64::from(own.age_ms), f64::from(probed.age_ms));
         let is_fresher =
-            own_age_ms > config.stale_after_ms && their_age_ms + config.heartbeat_interval_ms < own_age_ms;
+            own_age_ms > config.stale_after_ms && probed_age_ms + config.heartbeat_interval_ms < own_age_ms;
         let still_behind =
-            self.ahead_elsewhere.is_some_and(|ahead| ahead > own.version) && fetch == FetchState::Idle;
+            self.newer_version_seen.is_some_and(|ahead| ahead > own.version) && fetch == FetchState::Idle;
         if is_fresher || still_behind {
             return ProbeVerdict::SwitchParent;
         }
-        self.ahead_elsewhere = Some(theirs.version).filter(|version| *version > own.version);
-        if self.ahead_elsewhere.is_some() {
+        self.newer_version_seen = Some(probed.version).filter(|version| *version > own.version);
+        if self.newer_version_seen.is_some() {
             self.probe_at_ms = self.probe_at_ms.min(now_ms + URGENT_PROBE_MS);
         }
         ProbeVerdict::KeepParent
--- a/crates/plovershelf-config-distribution/src/placement.rs
+++ b/crates/plovershelf-config-distribution/src/placement.rs
@@ -1,8 +1,9 @@
-//! To which parent an origin sends a listener that looks for one.
+//! Selection of the parent that an origin assigns to a listener.
 //!
-//! A relay of the listener's zone that has capacity, the one with the most of it first. Where there is none, the listener
-//! becomes a relay itself, as long as the origin has capacity. Else a relay of its region, of another region, or one over
-//! its fan-out up to the failover limit.
+//! The first choice is a relay in the listener's zone with free capacity, the least loaded first. If there is none, a
+//! listener of another region is redirected to an origin in that region, and any other listener becomes a relay as long
+//! as this origin has free capacity. Otherwise it gets a relay in its region, then one in another region, and finally a
+//! relay that has reached its fan-out but not the failover limit.
 
 use std::net::SocketAddr;
 
@@ -13,26 +14,26 @@
 use crate::message::{FanOutLimit, ListenerKind, Message, NodeInfo, RelayInfo, MAX_RELAYS};
 use crate::origin_peers::{OriginPeer, OriginPeers};
 
-/// By how many relays two origins of a region may differ before one is sent from the one to the other.
+/// Largest tolerated difference between the relay counts of two origins in one region. Above it, a relay is moved.
 const REBALANCE_SLACK: usize = 4;
-/// For how long a place is reserved for a listener that is to become a relay.
-const PROMISE_MS: f64 = 2000.0;
-/// Alternate parents in a relay's list for a child, at most; an origin twice as many.
+/// Time for which an origin reserves capacity for a listener that becomes a relay on its request, in milliseconds.
+const RESERVATION_MS: f64 = 2000.0;
+/// Maximum number of alternate parents that a relay sends to a child. An origin sends up to twice as many.
 const MAX_ALTERNATES: usize = 4;
-/// Relays in an answer to a listener, at most.
+/// Maximum number of relays in the answer to a listener.
 const MAX_CANDIDATES: usize = 3;
 
-/// A listener that looks for a parent.
+/// A listener's request for a parent.
 pub(crate) struct ParentRequest<'a> {
     pub(crate) from: SocketAddr,
     pub(crate) node: &'a NodeInfo,
-    /// Those that failed it.
+    /// Addresses that failed the listener recently.
     pub(crate) excluded: &'a [SocketAddr],
-    /// Another origin sent it here.
+    /// True if another origin redirected the listener to this one.
     pub(crate) redirected: bool,
 }
 
-/// How far a relay is from a listener; the nearest is the least.
+/// Distance between a relay and a listener, ordered from near to far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
@@ -48,45 +49,46 @@
     }
 }
 
-/// A place for a listener that is to become a relay and has not reported yet.
+/// Capacity reserved for a listener that becomes a relay and has not reported yet.
 #[derive(Clone, Debug)]
-struct Promise {
+struct Reservation {
     relay: RelayInfo,
     until_ms: f64,
 }
 
-/// A relay that would be better off at another origin.
+/// A relay that should move to another origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Relocation {
     pub(crate) relay: SocketAddr,
     pub(crate) to_origin: SocketAddr,
 }
 
-/// An origin's placement of listeners.
+/// An origin's state for assigning parents to listeners.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     origin: NodeInfo,
-    promises: Vec<Promise>,
+    reservations: Vec<Reservation>,
     fan_out: usize,
     failover_fan_out: usize,
     origin_fan_out: usize,
-    /// A relay reports once a second: one that is silent for this long may stand still, and is not counted on.
-    silent_after_ms: f64,
+    /// Time without a report after which a relay is not offered as a parent. A relay reports once a second, so a relay
+    /// without reports for this long may be paused.
+    report_timeout_ms: f64,
 }
 
 impl Placement {
     pub(crate) fn new(origin: NodeInfo, config: &DistributionConfig) -> Self {
         Placement {
             origin,
-            promises: Vec::new(),
+            reservations: Vec::new(),
             fan_out: config.fan_out,
             failover_fan_out: config.failover_fan_out,
             origin_fan_out: config.origin_fan_out,
-            silent_after_ms: config.max_parent_timeout_ms,
+            report_timeout_ms: config.max_parent_timeout_ms,
         }
     }
 
-    /// The answer to a listener that looks for a parent.
+    /// Returns the answer to a listener that looks for a parent.
     pub(crate) fn handle_find_parent(
         &mut self,
         now_ms: f64,
@@ -100,9 +102,9 @@
             if let Some(origin) = self.nearer_origin(now_ms, request, peers) {
                 return parent_candidates(Vec::new(), ListenerKind::Leaf, FanOutLimit::Normal, Some(origin));
             }
-            let is_full = children.len() + self.pending_promises(children) >= self.origin_fan_out;
+            let is_full = children.len() + self.pending_reservations(children) >= self.origin_fan_out;
             if !is_full || children.contains(request.from) {
-                self.promise(now_ms, request);
+                self.reserve(now_ms, request);
                 return parent_candidates(Vec::new(), ListenerKind::Relay, FanOutLimit::Normal, None);
             }
             found = pick(&relays, request.node, self.fan_out, Distance::Far);
@@ -112,32 +114,33 @@
             found = pick(&relays, request.node, self.failover_fan_out, Distance::Far);
         }
         if let Some(first) = found.first().copied() {
-            self.count_placed(first, children, peers);
+            self.count_assignment(first, children, peers);
         }
         parent_candidates(found, ListenerKind::Leaf, limit, None)
     }
 
-    /// Whether a place is reserved for it here, though others may have come meanwhile.
-    pub(crate) fn is_promised(&self, address: SocketAddr) -> bool {
-        self.promises.iter().any(|promise| promise.relay.address == address)
+    /// Returns true if this origin reserved capacity for the process, even if it has since reached its fan-out.
+    pub(crate) fn has_reservation(&self, address: SocketAddr) -> bool {
+        self.reservations.iter().any(|reservation| reservation.relay.address == address)
     }
 
-    /// It has reported: it counts as a child from now on.
-    pub(crate) fn fulfil_promise(&mut self, address: SocketAddr) {
-        self.promises.retain(|promise| promise.relay.address != address);
+    /// Removes the reservation of a relay that has reported, since it now counts as a child.
+    pub(crate) fn remove_reservation(&mut self, address: SocketAddr) {
+        self.reservations.retain(|reservation| reservation.relay.address != address);
     }
 
-    pub(crate) fn expire_promises(&mut self, now_ms: f64) {
-        self.promises.retain(|promise| promise.until_ms > now_ms);
+    pub(crate) fn expire_reservations(&mut self, now_ms: f64) {
+        self.reservations.retain(|reservation| reservation.until_ms > now_ms);
     }
 
-    /// This origin's own relays, for the other origins.
+    /// Returns this origin's relays in the form that the other origins receive.
     pub(crate) fn own_relays(&self, children: &FanOut) -> Vec<RelayInfo> {
         let reported = children.children().iter().filter(|child| child.has_reported);
         reported.take(MAX_RELAYS).map(relay_info).collect()
     }
 
-    /// Relays that a child may go to, of its zone where there are any. Each child gets another one first.
+    /// Returns the relays that a child may attach to: those in its zone, or in its region if its zone has no other
+    /// relay. The list starts at a different relay for each child.
     pub(crate) fn alternates_for(
         &self,
         now_ms: f64,
@@ -160,7 +163,8 @@
         alternates
     }
 
-    /// A relay that is nearer to another origin, or one of many where another origin of this region feeds far fewer.
+    /// Returns a relay of another region with an origin in its region. If there is none, returns a relay to move to an
+    /// origin in this region that has far fewer relays.
     pub(crate) fn relocation(
         &self,
         now_ms: f64,
@@ -168,32 +172,36 @@
         peers: &OriginPeers,
     ) -> Option<Relocation> {
         let has_capacity =
-            |peer: &&OriginPeer| peer.relays().len() < self.origin_fan_out && peer.is_introduced();
-        let peers: Vec<&OriginPeer> = peers.live(now_ms).filter(has_capacity).collect();
+            |peer: &&OriginPeer| peer.relays().len() < self.origin_fan_out && peer.has_identity();
+        let peers: Vec<&OriginPeer> = peers.reachable(now_ms).filter(has_capacity).collect();
         let far = children.children().iter().filter(|child| child.node.region != self.origin.region);
         let mut nearer = far.filter_map(|child| {
             let peer = peers.iter().find(|peer| peer.is_in_region(&child.node.region))?;
             Some(Relocation { relay: child.address, to_origin: peer.address })
         });
         nearer.next().or_else(|| {
-            let feeds_fewer = |peer: &&&OriginPeer| {
+            let has_fewer_relays = |peer: &&&OriginPeer| {
                 peer.relays().len() + REBALANCE_SLACK < children.len()
                     && peer.is_in_region(&self.origin.region)
             };
             let relay = children.children().last()?.address;
-            Some(Relocation { relay, to_origin: peers.iter().find(feeds_fewer)?.address })
+            Some(Relocation { relay, to_origin: peers.iter().find(has_fewer_relays)?.address })
         })
     }
 
-    /// Every relay that is known here, with how many it feeds or will: own children, promised ones, other origins'.
+    /// Returns all known relays with their numbers of children: own children, reservations, and the other origins'
+    /// relays.
     fn known_relays(&self, now_ms: f64, children: &FanOut, peers: &OriginPeers) -> Vec<RelayInfo> {
-        let counts = |child: &&Child| child.has_reported && child.heard_at_ms + self.silent_after_ms > now_ms;
-        let own = children.children().iter().filter(counts).map(relay_info);
-        let promised = self.promises.iter().map(|promise| promise.relay.clone());
-        own.chain(promised).chain(peers.live(now_ms).flat_map(|peer| peer.relays().iter().cloned())).collect()
+        let is_available =
+            |child: &&Child| child.has_reported && child.last_message_ms + self.report_timeout_ms > now_ms;
+        let own = children.children().iter().filter(is_available).map(relay_info);
+        let reserved = self.reservations.iter().map(|reservation| reservation.relay.clone());
+        own.chain(reserved)
+            .chain(peers.reachable(now_ms).flat_map(|peer| peer.relays().iter().cloned()))
+            .collect()
     }
 
-    /// The known relays that are not ruled out, the nearest and least loaded first.
+    /// Returns the known relays that are not excluded, sorted by distance and then by load.
     fn candidates(
         &self,
         now_ms: f64,
@@ -207,7 +215,8 @@
         relays
     }
 
-    /// An origin of the listener's region, where this one is of another and the listener was not sent here.
+    /// Returns an origin in the listener's region if this origin is in another region and the listener was not
+    /// redirected here.
     fn nearer_origin(
         &self,
         now_ms: f64,
@@ -217,38 +226,40 @@
         if request.redirected || self.origin.region == request.node.region {
             return None;
         }
-        let fits = |peer: &&OriginPeer| {
+        let is_nearer = |peer: &&OriginPeer| {
             peer.is_in_region(&request.node.region) && !request.excluded.contains(&peer.address)
         };
-        peers.live(now_ms).find(fits).map(|peer| peer.address)
+        peers.reachable(now_ms).find(is_nearer).map(|peer| peer.address)
     }
 
-    fn pending_promises(&self, children: &FanOut) -> usize {
-        self.promises.iter().filter(|promise| !children.contains(promise.relay.address)).count()
+    fn pending_reservations(&self, children: &FanOut) -> usize {
+        self.reservations.iter().filter(|reservation| !children.contains(reservation.relay.address)).count()
     }
 
-    fn promise(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
-        self.fulfil_promise(request.from);
+    fn reserve(&mut self, now_ms: f64, request: &ParentRequest<'_>) {
+        self.remove_reservation(request.from);
         let (zone, region) = (request.node.zone.clone(), request.node.region.clone());
         let relay = RelayInfo { address: request.from, zone, region, children: 0 };
-        self.promises.push(Promise { relay, until_ms: now_ms + PROMISE_MS });
+        self.reservations.push(Reservation { relay, until_ms: now_ms + RESERVATION_MS });
     }
 
-    /// A listener was sent to this relay, so that the next one is not sent there before its report counts the first.
-    fn count_placed(&mut self, relay: SocketAddr, children: &mut FanOut, peers: &mut OriginPeers) {
+    /// Counts a listener that was assigned to this relay, so that the next listener is not assigned there before the
+    /// relay's next report includes the first one.
+    fn count_assignment(&mut self, relay: SocketAddr, children: &mut FanOut, peers: &mut OriginPeers) {
         if let Some(child) = children.get_mut(relay) {
             child.recently_placed = child.recently_placed.saturating_add(1);
         }
-        let promised = self.promises.iter_mut().map(|promise| &mut promise.relay);
-        if let Some(relay) = promised.chain(peers.relays_mut()).find(|known| known.address == relay) {
+        let reserved = self.reservations.iter_mut().map(|reservation| &mut reservation.relay);
+        if let Some(relay) = reserved.chain(peers.relays_mut()).find(|known| known.address == relay) {
             relay.children = relay.children.saturating_add(1);
         }
     }
 }
 
-/// A relay's list for a child, of the alternates that it knows itself.
+/// Returns a relay's list of alternate parents for a child.
 ///
-/// Each child gets another one first, drawn by its address, so that it stays the same as others come and go.
+/// The hash of the child's address selects the first entry, so that children get different lists and a child's list
+/// stays stable when other children come and go.
 pub(crate) fn rotated_for(alternates: &[SocketAddr], child: SocketAddr) -> Vec<SocketAddr> {
     let mut rotated: Vec<SocketAddr> =
         alternates.iter().copied().filter(|address| *address != child).collect();
@@ -259,9 +270,9 @@
 }
 
 fn pick(sorted: &[RelayInfo], node: &NodeInfo, max_children: usize, farthest: Distance) -> Vec<SocketAddr> {
-    let fits =
+    let is_eligible =
         |relay: &&RelayInfo| (relay.children as usize) < max_children && distance(relay, node) <= farthest;
-    sorted.iter().filter(fits).take(MAX_CANDIDATES).map(|relay| relay.address).collect()
+    sorted.iter().filter(is_eligible).take(MAX_CANDIDATES).map(|relay| relay.address).collect()
 }
 
 fn parent_candidates(
