--- a/crates/plovershelf-simulation/src/audit.rs
+++ b/crates/plovershelf-simulation/src/audit.rs
@@ -1,149 +1,177 @@
-//! Histories and what is held against them. A history has what was seen from outside, with times; it is written as one JSON
-//! object a line, and the model and the rig leave the same form.
+//! Histories and the audit that checks them against the promises of the system. A history is the list of events observed from
+//! outside, with their times, written as one JSON object per line. Simulated runs and runs of real processes write the same
+//! format.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
 use serde::{Deserialize, Serialize};
 
-/// Something that was seen.
+/// Observation in a history. A `memory` is a node id: it identifies the persistent state of a node, so a node that restarts
+/// without its data directory gets another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Seen {
-    /// A fault began or was over.
+    /// A fault began or ended.
     Fault { text: String },
-    /// This memory's folder is lost, or was set back: it must never speak again.
+    /// The node's data directory was wiped or restored from an older copy: the node must not appear in later events.
     Lost { memory: u64 },
-    /// A memory that says it leads a term.
+    /// The node claims to lead a term of an epoch.
     Leads { memory: u64, era: u64, term: u64 },
-    /// A memory that holds this view for agreed. By the time told it was.
+    /// The node reports this view as committed. The view was committed no later than the event's time.
     View { memory: u64, era: u64, number: u64, members: Vec<u64> },
-    /// A memory that acts by a view, not before the time told.
+    /// The node acts by a view. It did so no earlier than the event's time.
     Acts { memory: u64, era: u64, view: u64 },
-    /// An agent launched a ticket's work in a backend's process.
+    /// An agent launched the request with this idempotency key in a backend's process.
     Launched { ticket: u64, process: String },
-    /// A caller read how a ticket ended: `result` is a hash of what it got, or nothing where it was told that it failed.
+    /// A caller received the outcome of an idempotency key: the hash of the result, or `None` for a failure.
     Answered { ticket: u64, result: Option<u64> },
-    /// What stands decided at a place of the log.
+    /// The node holds an entry with this hash as committed at an index of the log.
     Decided { memory: u64, era: u64, index: u64, hash: u64 },
 }
 
+/// Observation with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
+    /// Time of the observation in milliseconds.
     pub at: f64,
+    /// The observation.
     #[serde(flatten)]
     pub seen: Seen,
 }
 
-/// A promise that was broken, by the event that shows it and those that led to it.
+/// Violation of a promise, with the event that shows it and the events that led to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
+    /// Name of the promise.
     pub promise: &'static str,
+    /// Time of the event that shows the violation, in milliseconds.
     pub at: f64,
+    /// Index of that event in the history.
     pub event: usize,
+    /// Indexes of the earlier events that contradict it and of the last three fault events.
     pub led_by: Vec<usize>,
+    /// Description of the violation.
     pub told: String,
 }
 
+/// Promise: two views with the same number in one epoch have the same members.
 pub const ONE_VIEW_A_NUMBER: &str = "one-view-a-number";
+/// Promise: view numbers have no gaps.
 pub const NO_GAP: &str = "views-without-gap";
+/// Promise: a term of an epoch has one leader at most.
 pub const ONE_LEADER_A_TERM: &str = "one-leader-a-term";
+/// Promise: a committed log entry never changes.
 pub const NOTHING_FORGOTTEN: &str = "nothing-agreed-forgotten";
+/// Promise: no node acts by a view after a later view without that node was committed.
 pub const NOT_PAST_LEASE: &str = "nobody-acts-past-its-lease";
+/// Promise: a node whose data directory was lost never appears again under the same id.
 pub const BLANK_IS_NEW: &str = "blank-is-someone-new";
+/// Promise: an idempotency key is launched once at most.
 pub const NO_EFFECT_TWICE: &str = "no-effect-twice";
+/// Promise: after a caller received a result, every later answer for the key is that result.
 pub const ONE_VERDICT: &str = "one-verdict";
 
-/// Of each promise at most so many are told.
-const TOLD_MOST: usize = 8;
+/// Maximum number of violations recorded per promise.
+const MAX_VIOLATIONS_PER_PROMISE: usize = 8;
 
-/// Takes events in the order of their times, and tells of broken promises as they show.
+/// Checks events, which are passed in the order of their times, and records violations.
 #[derive(Default)]
 pub struct Audit {
+    /// Number of events recorded so far; the index of the next event.
     events: usize,
+    /// Members, first event and first time of each view, by (epoch, number).
     views: BTreeMap<(u64, u64), (Vec<u64>, usize, f64)>,
+    /// Leader and first event of each term, by (epoch, term).
     leaders: BTreeMap<(u64, u64), (u64, usize)>,
+    /// Hash and first event of each committed entry, by (epoch, index).
     decided: BTreeMap<(u64, u64), (u64, usize)>,
-    /// In force since, newest last: the views of all eras by number, with the time they were first seen.
+    /// Views of all epochs by number, each with its first event and first time.
     numbers: BTreeMap<u64, (Vec<u64>, usize, f64)>,
+    /// Nodes whose data directory was lost, with the event.
     lost: BTreeMap<u64, usize>,
+    /// Process and event of the first launch, by idempotency key.
     launched: BTreeMap<u64, (String, usize)>,
+    /// Hash and event of the first result, by idempotency key.
     succeeded: BTreeMap<u64, (u64, usize)>,
+    /// Events that began or ended a fault.
     faults: Vec<usize>,
+    /// Violations in the order in which they were found, limited per promise.
     pub broken: Vec<Broken>,
 }
 
 impl Audit {
-    /// Tells the promises that this event shows to be broken.
-    pub fn take(&mut self, event: &Event) {
-        let place = self.events;
+    /// Checks the next event and records the violations that it shows.
+    pub fn record(&mut self, event: &Event) {
+        let position = self.events;
         self.events += 1;
         match &event.seen {
-            Seen::Fault { .. } => self.faults.push(place),
+            Seen::Fault { .. } => self.faults.push(position),
             Seen::Lost { memory } => {
-                self.lost.insert(*memory, place);
+                self.lost.insert(*memory, position);
             }
             Seen::Launched { ticket, process } => {
-                let (first, at) = self.launched.entry(*ticket).or_insert((process.clone(), place)).clone();
-                if at != place {
+                let (first, at) = self.launched.entry(*ticket).or_insert((process.clone(), position)).clone();
+                if at != position {
                     let told = format!("ticket {ticket} was launched in {first} and in {process}");
-                    self.breaks(NO_EFFECT_TWICE, event.at, place, vec![at], told);
+                    self.record_violation(NO_EFFECT_TWICE, event.at, position, vec![at], told);
                 }
             }
-            // A caller that was told of failure may have been told so before the end was known; after a result, nothing else.
+            // A failure may be answered before the outcome is known, so a result may follow it. After a result only the same
+            // result may follow.
             Seen::Answered { ticket, result } => {
                 let before = self.succeeded.get(ticket).copied();
                 match (before, result) {
-                    (None, Some(result)) => drop(self.succeeded.insert(*ticket, (*result, place))),
+                    (None, Some(result)) => drop(self.succeeded.insert(*ticket, (*result, position))),
                     (Some((first, at)), result) if *result != Some(first) => {
                         let told =
-                            format!("ticket {ticket} was answered otherwise after its result was read");
-                        self.breaks(ONE_VERDICT, event.at, place, vec![at], told);
+                            format!("ticket {ticket} was answered differently after its result was received");
+                        self.record_violation(ONE_VERDICT, event.at, position, vec![at], told);
                     }
                     _ => {}
                 }
             }
             Seen::Leads { memory, era, term } => {
-                self.speaks(*memory, event.at, place);
-                let (first, at) = *self.leaders.entry((*era, *term)).or_insert((*memory, place));
+                self.check_not_lost(*memory, event.at, position);
+                let (first, at) = *self.leaders.entry((*era, *term)).or_insert((*memory, position));
                 if first != *memory {
                     let told = format!("{first:x} and {memory:x} both lead term {term}");
-                    self.breaks(ONE_LEADER_A_TERM, event.at, place, vec![at], told);
+                    self.record_violation(ONE_LEADER_A_TERM, event.at, position, vec![at], told);
                 }
             }
             Seen::View { memory, era, number, members } => {
-                self.speaks(*memory, event.at, place);
-                self.view(*era, *number, members, event.at, place);
+                self.check_not_lost(*memory, event.at, position);
+                self.check_view(*era, *number, members, event.at, position);
             }
             Seen::Acts { memory, era, view } => {
-                self.speaks(*memory, event.at, place);
-                self.acts(*memory, *era, *view, event.at, place);
+                self.check_not_lost(*memory, event.at, position);
+                self.check_lease(*memory, *era, *view, event.at, position);
             }
             Seen::Decided { memory, era, index, hash } => {
-                self.speaks(*memory, event.at, place);
-                let (first, at) = *self.decided.entry((*era, *index)).or_insert((*hash, place));
+                self.check_not_lost(*memory, event.at, position);
+                let (first, at) = *self.decided.entry((*era, *index)).or_insert((*hash, position));
                 if first != *hash {
-                    let told = format!("place {index} of the log holds something else at {memory:x}");
-                    self.breaks(NOTHING_FORGOTTEN, event.at, place, vec![at], told);
+                    let told = format!("log index {index} holds a different entry at {memory:x}");
+                    self.record_violation(NOTHING_FORGOTTEN, event.at, position, vec![at], told);
                 }
             }
         }
     }
 
-    fn view(&mut self, era: u64, number: u64, members: &[u64], at: f64, place: usize) {
+    fn check_view(&mut self, era: u64, number: u64, members: &[u64], at: f64, position: usize) {
         if let Some((before, first, _)) = self.views.get(&(era, number)) {
             if before != members {
                 let (first, told) = (*first, format!("view {number} has two memberships"));
-                self.breaks(ONE_VIEW_A_NUMBER, at, place, vec![first], told);
+                self.record_violation(ONE_VIEW_A_NUMBER, at, position, vec![first], told);
             }
             return;
         }
-        self.views.insert((era, number), (members.to_vec(), place, at));
-        self.numbers.entry(number).or_insert((members.to_vec(), place, at));
+        self.views.insert((era, number), (members.to_vec(), position, at));
+        self.numbers.entry(number).or_insert((members.to_vec(), position, at));
     }
 
-    /// Acting by a view is wrong once a later one without the member was agreed.
-    fn acts(&mut self, memory: u64, era: u64, view: u64, at: f64, place: usize) {
+    /// Records a violation if a later view without the node was committed before it acted by this view.
+    fn check_lease(&mut self, memory: u64, era: u64, view: u64, at: f64, position: usize) {
         let after = (Bound::Excluded((era, view)), Bound::Unbounded);
         let later = self
             .views
@@ -151,56 +179,66 @@
             .find(|(_, (members, _, since))| *since < at && !members.contains(&memory));
         if let Some(((_, number), (_, first, since))) = later {
             let told = format!(
-                "{memory:x} acts by view {view} after view {number} without it was agreed at {since:.0}"
+                "{memory:x} acts by view {view} although view {number}, which excludes it, was committed at {since:.0}"
             );
             let first = *first;
-            self.breaks(NOT_PAST_LEASE, at, place, vec![first], told);
+            self.record_violation(NOT_PAST_LEASE, at, position, vec![first], told);
         }
     }
 
-    fn speaks(&mut self, memory: u64, at: f64, place: usize) {
+    /// Records a violation if the node's data directory was lost before this event.
+    fn check_not_lost(&mut self, memory: u64, at: f64, position: usize) {
         if let Some(lost) = self.lost.get(&memory).copied() {
-            self.breaks(
+            self.record_violation(
                 BLANK_IS_NEW,
                 at,
-                place,
+                position,
                 vec![lost],
-                format!("{memory:x} speaks though its folder was lost"),
+                format!("{memory:x} is active although its data directory was lost"),
             );
         }
     }
 
-    fn breaks(&mut self, promise: &'static str, at: f64, event: usize, mut led_by: Vec<usize>, told: String) {
-        if self.broken.iter().filter(|broken| broken.promise == promise).count() < TOLD_MOST {
+    fn record_violation(
+        &mut self,
+        promise: &'static str,
+        at: f64,
+        event: usize,
+        mut led_by: Vec<usize>,
+        told: String,
+    ) {
+        if self.count(promise) < MAX_VIOLATIONS_PER_PROMISE {
             led_by.extend(self.faults.iter().rev().take(3));
             self.broken.push(Broken { promise, at, event, led_by, told });
         }
     }
 
-    /// At the end: numbers without a gap, counted over all that was seen from the first on.
+    /// Ends the history and records a violation if view numbers are missing between the first and the last one observed.
     pub fn finish(&mut self, at: f64) {
         let (Some(first), Some(last)) = (self.numbers.keys().next(), self.numbers.keys().next_back()) else {
             return;
         };
-        let numbers = (*first..=*last).filter(|number| !self.numbers.contains_key(number)).count();
-        if numbers > 0 {
-            let told = format!("{numbers} numbers between {first} and {last} were never seen");
-            self.breaks(NO_GAP, at, self.events, Vec::new(), told);
+        let missing = (*first..=*last).filter(|number| !self.numbers.contains_key(number)).count();
+        if missing > 0 {
+            let told = format!("{missing} view numbers between {first} and {last} were never observed");
+            self.record_violation(NO_GAP, at, self.events, Vec::new(), told);
         }
     }
 
+    /// Returns the number of distinct views.
     pub fn views(&self) -> usize {
         self.views.len()
     }
 
+    /// Returns the number of recorded violations of a promise.
     pub fn count(&self, promise: &str) -> usize {
         self.broken.iter().filter(|broken| broken.promise == promise).count()
     }
 }
 
-/// Judges a written history.
+/// Parses a history.
 ///
-/// Errors: the line that is no event.
+/// Returns an error that names the first line that is not an event.
 pub fn read(text: &str) -> Result<Vec<Event>, String> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     lines
@@ -210,13 +248,15 @@
         .collect()
 }
 
+/// Returns a history as text, one JSON object per line.
 pub fn written(events: &[Event]) -> String {
     events.iter().filter_map(|event| serde_json::to_string(event).ok()).map(|line| line + "\n").collect()
 }
 
+/// Checks a whole history.
 pub fn judge(events: &[Event]) -> Audit {
     let mut audit = Audit::default();
-    events.iter().for_each(|event| audit.take(event));
+    events.iter().for_each(|event| audit.record(event));
     audit.finish(events.last().map_or(0.0, |event| event.at));
     audit
 }
--- a/crates/plovershelf-simulation/src/audit/tests.rs
+++ b/crates/plovershelf-simulation/src/audit/tests.rs
@@ -4,9 +4,9 @@
     Event { at, seen }
 }
 
-/// One history for each promise, broken once, and nothing else.
+/// Appends one event that violates a single promise to a valid history; the audit must report just that promise.
 #[test]
-fn each_broken_promise_is_found_by_its_name_and_first_event() {
+fn each_violation_is_reported_with_its_promise_and_event() {
     let view = |at_ms: f64, number: u64, members: &[u64]| {
         at(at_ms, Seen::View { memory: 1, era: 1, number, members: members.to_vec() })
     };
@@ -37,7 +37,7 @@
         let mut events = well.clone();
         events.push(event);
         let text = written(&events);
-        let audit = judge(&read(&text).expect("what was written"));
+        let audit = judge(&read(&text).expect("the written history parses"));
         let found: Vec<&str> = audit.broken.iter().map(|broken| broken.promise).collect();
         assert_eq!(found, [promise]);
     }
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -169,18 +169,18 @@
     pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> Came {
         for place in 0..self.processes.len() {
             let at = if place < SOURCES { 0.0 } else { self.chance.random_range(0.0..STARTS_MS) };
-            self.queue.put(at, Thing::Start(place));
+            self.queue.schedule(at, Thing::Start(place));
         }
         for (number, step) in self.shape.steps.iter().enumerate() {
-            self.queue.put(step.at_ms, Thing::Begin(number));
-            self.queue.put(step.at_ms + step.for_ms, Thing::End(number));
+            self.queue.schedule(step.at_ms, Thing::Begin(number));
+            self.queue.schedule(step.at_ms + step.for_ms, Thing::End(number));
         }
         for (at, edits) in std::mem::take(&mut self.shape.changes) {
-            self.queue.put(at, Thing::Propose(edits));
+            self.queue.schedule(at, Thing::Propose(edits));
         }
-        self.queue.put(1000.0, Thing::Second);
-        self.queue.put(self.shape.span_ms - QUIET_MS, Thing::Quiet);
-        while let Some(thing) = self.queue.take_next() {
+        self.queue.schedule(1000.0, Thing::Second);
+        self.queue.schedule(self.shape.span_ms - QUIET_MS, Thing::Quiet);
+        while let Some(thing) = self.queue.pop() {
             if self.queue.now() > self.shape.span_ms {
                 break;
             }
@@ -273,7 +273,7 @@
     /// The process at `from` hears that nobody listens there, if its own life is the one that sent.
     fn tell_lost(&mut self, to: usize, life: u32, of: usize) {
         if W::LINKS && !self.net.is_cut(of, to) && !self.net.is_cut(to, of) {
-            self.queue.put(self.queue.now() + REFUSED_MS, Thing::Lost { to, life, of });
+            self.queue.schedule(self.queue.now() + REFUSED_MS, Thing::Lost { to, life, of });
         }
     }
 
@@ -334,9 +334,9 @@
             Some((planned, _)) if planned <= at => {}
             planned => {
                 if let Some((_, number)) = planned {
-                    self.queue.take_back(number);
+                    self.queue.cancel(number);
                 }
-                let number = self.queue.put(at, Thing::Wake { place, life: process.life });
+                let number = self.queue.schedule(at, Thing::Wake { place, life: process.life });
                 process.wake = Some((at, number));
             }
         }
@@ -370,7 +370,7 @@
             W::mangle(&mut message, &mut self.chance);
         }
         let far = if region_of(from) == region_of(to) { 0.0 } else { BETWEEN_REGIONS_MS };
-        for (copy, way) in self.net.ways(from, to, ZONES, bytes).into_iter().enumerate() {
+        for (copy, way) in self.net.send(from, to, ZONES, bytes).into_iter().enumerate() {
             let mut at = leaves + way + far;
             if copy > 0 {
                 at += self.chance.random_range(0.0..TWICE_MS);
@@ -380,7 +380,7 @@
                 *last = at;
             }
             let message = message.clone();
-            self.queue.put(at, Thing::Message { from, to, from_life, to_life, message });
+            self.queue.schedule(at, Thing::Message { from, to, from_life, to_life, message });
         }
     }
 
@@ -450,7 +450,7 @@
                 }
             }
             Trouble::Deaf => self.cut(&(0..SOURCES).collect::<Vec<_>>(), &places, true, false),
-            Trouble::Slow => places.iter().for_each(|place| self.net.slow(*place, Some(SLOW_MS))),
+            Trouble::Slow => places.iter().for_each(|place| self.net.set_delay(*place, Some(SLOW_MS))),
         }
         self.struck[number] = places;
         self.look();
@@ -480,9 +480,9 @@
                         let things = std::mem::take(&mut process.held_back);
                         let now = self.queue.now();
                         for thing in things {
-                            self.queue.put(now, thing);
+                            self.queue.schedule(now, thing);
                         }
-                        self.queue.put(now, Thing::Wake { place: *place, life });
+                        self.queue.schedule(now, Thing::Wake { place: *place, life });
                     }
                 }
             }
@@ -492,7 +492,7 @@
                 places.iter().for_each(|place| self.processes[*place].cut -= 1);
             }
             Trouble::Deaf => self.cut(&(0..SOURCES).collect::<Vec<_>>(), &places, false, false),
-            Trouble::Slow => places.iter().for_each(|place| self.net.slow(*place, None)),
+            Trouble::Slow => places.iter().for_each(|place| self.net.set_delay(*place, None)),
         }
         self.look();
     }
@@ -526,7 +526,7 @@
         process.reachable = false;
         process.due.clear();
         if let Some((_, number)) = process.wake.take() {
-            self.queue.take_back(number);
+            self.queue.cancel(number);
         }
         // A source has its council's folder; a listener begins from its file.
         let way = process.way.take();
@@ -536,7 +536,7 @@
             for peer in links.into_keys() {
                 let life = self.processes[peer].life;
                 if self.processes[peer].links.contains_key(&place) && !self.net.is_cut(place, peer) {
-                    self.queue.put(now + REFUSED_MS, Thing::Lost { to: peer, life, of: place });
+                    self.queue.schedule(now + REFUSED_MS, Thing::Lost { to: peer, life, of: place });
                 }
             }
         }
@@ -630,13 +630,14 @@
             let after_ms =
                 COUNCIL_MS * if source == leader { 1.0 } else { 1.0 + self.chance.random::<f64>() };
             let life = self.processes[source].life;
-            self.queue.put(now + after_ms, Thing::Agreed { place: source, life, change: change.clone() });
+            self.queue
+                .schedule(now + after_ms, Thing::Agreed { place: source, life, change: change.clone() });
         }
     }
 
     fn second(&mut self) {
         let now = self.queue.now();
-        self.queue.put(now + 1000.0, Thing::Second);
+        self.queue.schedule(now + 1000.0, Thing::Second);
         let counts = now > WARM_MS && now <= self.shape.span_ms - QUIET_MS / 2.0;
         for process in &mut self.processes {
             let children = process.way.as_ref().map_or(0, |way| way.hands(now).children);
@@ -650,7 +651,7 @@
             if process.told < newest.version {
                 let life = process.life;
                 let at = now + self.chance.random_range(50.0..300.0);
-                self.queue.put(at, Thing::Agreed { place, life, change: newest.clone() });
+                self.queue.schedule(at, Thing::Agreed { place, life, change: newest.clone() });
             }
         }
     }
--- a/crates/plovershelf-simulation/src/cluster/growth.rs
+++ b/crates/plovershelf-simulation/src/cluster/growth.rs
@@ -88,7 +88,7 @@
             && self.all_count(processes, |node| node.view().members.len())
         {
             report.view_complete_ms = Some(now_ms);
-            report.start_bytes = Some(net.bytes as f64 / processes.len() as f64);
+            report.start_bytes = Some(net.bytes_sent as f64 / processes.len() as f64);
             self.phase = Phase::Settling { until_ms: now_ms + self.plan.max_settle_ms };
             return NextStep::RunUntilMeasured;
         }
@@ -107,8 +107,8 @@
         let pending: usize = nodes.map(|node| node.swim().pending_updates()).sum();
         if pending == 0 || now_ms >= until_ms {
             report.rest_pending_updates = Some(pending as f64 / processes.len() as f64);
-            self.sent_before_rest = net.bytes_of.clone();
-            self.phase = Phase::Resting { since_ms: now_ms, bytes: net.bytes };
+            self.sent_before_rest = net.bytes_by_sender.clone();
+            self.phase = Phase::Resting { since_ms: now_ms, bytes: net.bytes_sent };
         }
         NextStep::GoOn
     }
@@ -126,10 +126,10 @@
             return NextStep::GoOn;
         }
         let (seconds, members) = ((now_ms - since_ms) / 1000.0, processes.len() as f64);
-        let sent = net.bytes_of.iter().zip(&self.sent_before_rest).map(|(now, then)| now - then);
+        let sent = net.bytes_by_sender.iter().zip(&self.sent_before_rest).map(|(now, then)| now - then);
         report.rest_bytes_busiest = sent.max().map(|most| most as f64 / seconds);
-        report.rest_bytes = Some((net.bytes - bytes_before) as f64 / members / seconds);
-        self.phase = Phase::Dying { since_ms: now_ms, bytes: net.bytes };
+        report.rest_bytes = Some((net.bytes_sent - bytes_before) as f64 / members / seconds);
+        self.phase = Phase::Dying { since_ms: now_ms, bytes: net.bytes_sent };
         NextStep::BeginDeaths
     }
 
@@ -149,7 +149,7 @@
         // Of those that are left; each death leaves one fewer.
         let left: f64 = (1..=deaths).map(|dead| processes.len() as f64 - dead as f64).sum();
         let at_rest = |a_second: f64| a_second * left * death_ms / 1000.0;
-        let beyond = report.rest_bytes.map(|rate| (net.bytes - bytes_before) as f64 - at_rest(rate));
+        let beyond = report.rest_bytes.map(|rate| (net.bytes_sent - bytes_before) as f64 - at_rest(rate));
         report.death_bytes = beyond.map(|bytes| bytes / left);
         NextStep::End
     }
--- a/crates/plovershelf-simulation/src/cluster/world.rs
+++ b/crates/plovershelf-simulation/src/cluster/world.rs
@@ -107,21 +107,21 @@
     fn schedule_all(&mut self) {
         (0..self.processes.len()).for_each(|member| self.start(member));
         for (place, step) in self.plan.schedule.steps.clone().into_iter().enumerate() {
-            self.queue.put(step.at_ms, Happening::FaultBegins(place));
-            self.queue.put(step.at_ms + step.for_ms, Happening::FaultEnds(place));
+            self.queue.schedule(step.at_ms, Happening::FaultBegins(place));
+            self.queue.schedule(step.at_ms + step.for_ms, Happening::FaultEnds(place));
         }
         for (place, command) in self.plan.recoveries.iter().enumerate() {
-            self.queue.put(command.at_ms, Happening::Recover(place));
+            self.queue.schedule(command.at_ms, Happening::Recover(place));
         }
-        self.queue.put(OBSERVE_INTERVAL_MS, Happening::Observe);
-        self.queue.put(DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
+        self.queue.schedule(OBSERVE_INTERVAL_MS, Happening::Observe);
+        self.queue.schedule(DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
         if self.plan.proposes {
-            self.queue.put(PROPOSE_INTERVAL_MS, Happening::Propose);
+            self.queue.schedule(PROPOSE_INTERVAL_MS, Happening::Propose);
         }
     }
 
     fn play(&mut self) {
-        while let Some(happening) = self.queue.take_next() {
+        while let Some(happening) = self.queue.pop() {
             if self.queue.now() > self.plan.duration_ms {
                 break;
             }
@@ -150,16 +150,16 @@
             Happening::Observe => {
                 self.observe_all();
                 self.observe_growth();
-                self.queue.put(now_ms + OBSERVE_INTERVAL_MS, Happening::Observe);
+                self.queue.schedule(now_ms + OBSERVE_INTERVAL_MS, Happening::Observe);
             }
             Happening::CopyDisks => {
                 let copied = self.processes.iter_mut().filter(|_| !self.plan.lean);
                 copied.for_each(Process::copy_disk);
-                self.queue.put(now_ms + DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
+                self.queue.schedule(now_ms + DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
             }
             Happening::Propose => {
                 self.propose();
-                self.queue.put(now_ms + PROPOSE_INTERVAL_MS, Happening::Propose);
+                self.queue.schedule(now_ms + PROPOSE_INTERVAL_MS, Happening::Propose);
             }
             Happening::Resume { member } => self.resume(member),
             Happening::Recover(place) => self.recover(place),
@@ -172,7 +172,7 @@
         let now_ms = self.queue.now();
         let mut report = self.report;
         report.audit.finish(now_ms);
-        (report.messages, report.bytes) = (self.net.sent, self.net.bytes);
+        (report.messages, report.bytes) = (self.net.messages_sent, self.net.bytes_sent);
         report.member_seconds = now_ms / 1000.0 * self.plan.schedule.members as f64;
         let nodes = || self.processes.iter().filter_map(|process| Some((process, process.node.as_ref()?)));
         report.views = nodes().map(|(_, node)| node.view().number).max().unwrap_or(0);
@@ -287,22 +287,22 @@
         if at_ms < process.timeout_at_ms - TIMEOUT_TOLERANCE_MS {
             process.timeout_at_ms = at_ms;
             let run = process.run;
-            self.queue.put(at_ms, Happening::Timeout { member, run });
+            self.queue.schedule(at_ms, Happening::Timeout { member, run });
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, envelope: Envelope) {
         let Some(to) = member_at(to).filter(|to| *to < self.processes.len()) else { return };
         let bytes = if self.plan.count_bytes { frame_size(&envelope) } else { 0 };
-        let mut latencies = self.net.ways(from, to, self.plan.schedule.zones, bytes);
+        let mut latencies = self.net.send(from, to, self.plan.schedule.zones, bytes);
         let (now_ms, last) = (self.queue.now(), latencies.pop());
         for latency_ms in latencies {
             let envelope = Box::new(envelope.clone());
-            self.queue.put(now_ms + latency_ms, Happening::Message { to, envelope });
+            self.queue.schedule(now_ms + latency_ms, Happening::Message { to, envelope });
         }
         if let Some(latency_ms) = last {
             let envelope = Box::new(envelope);
-            self.queue.put(now_ms + latency_ms, Happening::Message { to, envelope });
+            self.queue.schedule(now_ms + latency_ms, Happening::Message { to, envelope });
         }
     }
 
@@ -367,7 +367,7 @@
             Fault::Loss { share } => {
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0)
             }
-            Fault::Slow { member, by_ms } => self.net.slow(member, begins.then_some(by_ms)),
+            Fault::Slow { member, by_ms } => self.net.set_delay(member, begins.then_some(by_ms)),
             Fault::Kill { member, folder } => self.hold_down(member, phase, folder),
             // Without the notice: as hard as a loss that keeps its disk.
             Fault::Leave { member } => self.hold_down(member, phase, Folder::Kept),
@@ -378,7 +378,7 @@
             Fault::Stop { member } => {
                 self.processes[member].paused = begins && self.processes[member].node.is_some();
                 if !begins {
-                    self.queue.put(now_ms, Happening::Resume { member });
+                    self.queue.schedule(now_ms, Happening::Resume { member });
                 }
             }
             Fault::Unfit { member } => {
@@ -422,7 +422,7 @@
 
     fn record(&mut self, seen: Seen) {
         let event = Event { at: self.queue.now(), seen };
-        self.report.audit.take(&event);
+        self.report.audit.record(&event);
         if self.plan.keep_history {
             self.report.history.push(event);
         }
@@ -479,7 +479,7 @@
         self.processes[member].observed.acts = acts;
         if let Some(view) = acts {
             let event = Event { at: self.queue.now(), seen: Seen::Acts { memory, era, view } };
-            self.report.audit.take(&event);
+            self.report.audit.record(&event);
             if self.plan.keep_history && acts != acted_before {
                 self.report.history.push(event);
             }
@@ -518,7 +518,7 @@
             let mut hasher = DefaultHasher::new();
             entry.hash(&mut hasher);
             let seen = Seen::Decided { memory, era, index, hash: hasher.finish() };
-            self.report.audit.take(&Event { at: self.queue.now(), seen });
+            self.report.audit.record(&Event { at: self.queue.now(), seen });
         }
     }
 
@@ -539,7 +539,7 @@
                 for (place, member) in plan.deaths.iter().enumerate() {
                     let at_ms = now_ms + place as f64 * plan.death_ms;
                     let fault = Fault::Kill { member: *member, folder: Folder::Kept };
-                    self.queue.put(at_ms, Happening::FaultBegins(self.plan.schedule.steps.len()));
+                    self.queue.schedule(at_ms, Happening::FaultBegins(self.plan.schedule.steps.len()));
                     self.plan.schedule.steps.push(Step { at_ms, for_ms: f64::INFINITY, fault });
                 }
             }
--- a/crates/plovershelf-simulation/src/lib.rs
+++ b/crates/plovershelf-simulation/src/lib.rs
@@ -1,5 +1,6 @@
-//! Many processes at once without any: simulated time and network for the very state machines that serve, schedules of
-//! faults that play here and on real processes alike, histories, and the audit that judges both by the same promises.
+//! Deterministic simulation of clusters: simulated time and network drive the same state machines that the server runs.
+//! Fault schedules apply to simulated and to real processes alike, and the audit checks the histories of both against the
+//! same promises.
 
 pub mod audit;
 pub mod changes;
--- a/crates/plovershelf-simulation/src/net.rs
+++ b/crates/plovershelf-simulation/src/net.rs
@@ -1,4 +1,4 @@
-//! Simulated time and network: what is under way, in the order of its times; ways that are cut, slow, lossy.
+//! Simulated time and network: an event queue ordered by time, and links with latency, cuts, delays and loss.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -7,115 +7,132 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg32;
 
-/// Things that happen, by their time and then in the order they were put in.
+/// Event queue, ordered by time and, at the same time, by insertion.
 pub struct Queue<T> {
+    /// Time (as bits of a non-negative `f64`, which order as the value does) and sequence number of each event.
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    things: BTreeMap<u64, T>,
+    /// Pending events by sequence number; a cancelled one is missing here but remains in the heap until popped.
+    events: BTreeMap<u64, T>,
     count: u64,
     now: f64,
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), things: BTreeMap::new(), count: 0, now: 0.0 }
+        Queue { heap: BinaryHeap::new(), events: BTreeMap::new(), count: 0, now: 0.0 }
     }
 }
 
 impl<T> Queue<T> {
+    /// Returns the simulated time in milliseconds: the time of the last popped event.
     pub fn now(&self) -> f64 {
         self.now
     }
 
-    pub fn put(&mut self, at: f64, thing: T) -> u64 {
+    /// Schedules an event, no earlier than now, and returns the number by which it can be cancelled.
+    pub fn schedule(&mut self, at: f64, event: T) -> u64 {
         self.count += 1;
         self.heap.push(Reverse((at.max(self.now).to_bits(), self.count)));
-        self.things.insert(self.count, thing);
+        self.events.insert(self.count, event);
         self.count
     }
 
-    pub fn take_back(&mut self, number: u64) {
-        self.things.remove(&number);
+    /// Cancels a scheduled event; has no effect if the event was popped.
+    pub fn cancel(&mut self, number: u64) {
+        self.events.remove(&number);
     }
 
-    /// The next thing; time moves on to it.
-    pub fn take_next(&mut self) -> Option<T> {
+    /// Removes and returns the next event and advances the simulated time to it.
+    pub fn pop(&mut self) -> Option<T> {
         loop {
             let Reverse((at, number)) = self.heap.pop()?;
-            if let Some(thing) = self.things.remove(&number) {
+            if let Some(event) = self.events.remove(&number) {
                 self.now = self.now.max(f64::from_bits(at));
-                return Some(thing);
+                return Some(event);
             }
         }
     }
 }
 
-/// The ways between places.
+/// Simulated network between endpoints, which are numbered from 0.
 pub struct Net {
-    chance: Pcg32,
-    way: LogNormal<f64>,
-    /// By zones: a way between two of them takes so much longer.
+    rng: Pcg32,
+    /// Distribution of the one-way latency in milliseconds.
+    latency: LogNormal<f64>,
+    /// Latency added between endpoints of different zones, in milliseconds.
     pub between_zones_ms: f64,
-    cut: BTreeMap<(usize, usize), u32>,
-    slow: BTreeMap<usize, f64>,
+    /// Number of active cuts by (sender, receiver).
+    cuts: BTreeMap<(usize, usize), u32>,
+    /// Latency added to all messages from and to an endpoint, in milliseconds.
+    delays: BTreeMap<usize, f64>,
+    /// Fraction of messages that are lost; the same fraction of the rest is duplicated.
     pub loss: f64,
-    pub sent: u64,
-    pub bytes: u64,
-    /// What each place sent.
-    pub bytes_of: Vec<u64>,
+    /// Number of messages sent.
+    pub messages_sent: u64,
+    /// Number of bytes sent.
+    pub bytes_sent: u64,
+    /// Number of bytes sent by each endpoint.
+    pub bytes_by_sender: Vec<u64>,
 }
 
 impl Net {
-    pub fn new(seed: u64, way_ms: f64) -> Self {
-        // A long tail, as real ways have: one in a hundred takes three times the median.
-        let way =
-            LogNormal::new(way_ms.max(0.001).ln(), 0.5).unwrap_or_else(|_| unreachable!("a spread above 0"));
+    /// Creates a network with this median one-way latency and without faults.
+    pub fn new(seed: u64, median_latency_ms: f64) -> Self {
+        // Real networks have a long latency tail: with this spread one message in a hundred takes three times the median.
+        let latency = LogNormal::new(median_latency_ms.max(0.001).ln(), 0.5)
+            .unwrap_or_else(|_| unreachable!("the standard deviation is positive"));
         Net {
-            chance: Pcg32::seed_from_u64(seed),
-            way,
+            rng: Pcg32::seed_from_u64(seed),
+            latency,
             between_zones_ms: 0.0,
-            cut: BTreeMap::new(),
-            slow: BTreeMap::new(),
+            cuts: BTreeMap::new(),
+            delays: BTreeMap::new(),
             loss: 0.0,
-            sent: 0,
-            bytes: 0,
-            bytes_of: Vec::new(),
+            messages_sent: 0,
+            bytes_sent: 0,
+            bytes_by_sender: Vec::new(),
         }
     }
 
-    /// Nothing passes from one to the other; as often as it is cut it must be healed.
+    /// Adds or removes a cut, which drops all messages from one endpoint to another. Cuts are counted: a path passes messages
+    /// again when each of its cuts was removed.
     pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
-        let count = self.cut.entry((from, to)).or_default();
+        let count = self.cuts.entry((from, to)).or_default();
         *count = if cut { *count + 1 } else { count.saturating_sub(1) };
         if *count == 0 {
-            self.cut.remove(&(from, to));
+            self.cuts.remove(&(from, to));
         }
     }
 
+    /// Returns whether messages from one endpoint to another are dropped by a cut.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cut.contains_key(&(from, to))
+        self.cuts.contains_key(&(from, to))
     }
 
-    pub fn slow(&mut self, place: usize, by_ms: Option<f64>) {
-        match by_ms {
-            Some(by_ms) => drop(self.slow.insert(place, by_ms)),
-            None => drop(self.slow.remove(&place)),
+    /// Sets the latency added to all messages from and to an endpoint, or removes it.
+    pub fn set_delay(&mut self, endpoint: usize, delay_ms: Option<f64>) {
+        match delay_ms {
+            Some(delay_ms) => drop(self.delays.insert(endpoint, delay_ms)),
+            None => drop(self.delays.remove(&endpoint)),
         }
     }
 
-    /// When copies of a message arrive, as spans from now: none where it is lost, two where it is doubled.
-    pub fn ways(&mut self, from: usize, to: usize, zones: usize, bytes: usize) -> Vec<f64> {
-        self.sent += 1;
-        self.bytes += bytes as u64;
-        if self.bytes_of.len() <= from {
-            self.bytes_of.resize(from + 1, 0);
+    /// Counts a message as sent and returns the latency of each delivered copy in milliseconds: no copy if the message is
+    /// lost, two if it is duplicated.
+    pub fn send(&mut self, from: usize, to: usize, zones: usize, bytes: usize) -> Vec<f64> {
+        self.messages_sent += 1;
+        self.bytes_sent += bytes as u64;
+        if self.bytes_by_sender.len() <= from {
+            self.bytes_by_sender.resize(from + 1, 0);
         }
-        self.bytes_of[from] += bytes as u64;
-        if self.is_cut(from, to) || self.loss > 0.0 && self.chance.random::<f64>() < self.loss {
+        self.bytes_by_sender[from] += bytes as u64;
+        if self.is_cut(from, to) || self.loss > 0.0 && self.rng.random::<f64>() < self.loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(self.loss > 0.0 && self.chance.random::<f64>() < self.loss);
-        let far = if from % zones.max(1) == to % zones.max(1) { 0.0 } else { self.between_zones_ms };
-        let slow = self.slow.get(&from).copied().unwrap_or(0.0) + self.slow.get(&to).copied().unwrap_or(0.0);
-        (0..copies).map(|_| far + slow + self.way.sample(&mut self.chance)).collect()
+        let copies = 1 + usize::from(self.loss > 0.0 && self.rng.random::<f64>() < self.loss);
+        let zone_ms = if from % zones.max(1) == to % zones.max(1) { 0.0 } else { self.between_zones_ms };
+        let delay = |endpoint: usize| self.delays.get(&endpoint).copied().unwrap_or(0.0);
+        let delay_ms = delay(from) + delay(to);
+        (0..copies).map(|_| zone_ms + delay_ms + self.latency.sample(&mut self.rng)).collect()
     }
 }
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -65,7 +65,7 @@
         };
         world.play();
         let mut report = world.report.judged(&world.histories);
-        report.messages = world.net.sent;
+        report.messages = world.net.messages_sent;
         report
     }
 
@@ -76,12 +76,12 @@
         let all = self.nodes.iter().enumerate().map(|(member, node)| (member, node.id)).collect();
         self.install_view(all);
         for (place, step) in self.plan.schedule.steps.iter().enumerate() {
-            self.queue.put(step.at_ms, Event::FaultBegins(place));
-            self.queue.put(step.at_ms + step.for_ms, Event::FaultEnds(place));
+            self.queue.schedule(step.at_ms, Event::FaultBegins(place));
+            self.queue.schedule(step.at_ms + step.for_ms, Event::FaultEnds(place));
         }
-        self.queue.put(300.0, Event::NewKey);
-        self.queue.put(AGREE_INTERVAL_MS, Event::Agree);
-        while let Some(event) = self.queue.take_next() {
+        self.queue.schedule(300.0, Event::NewKey);
+        self.queue.schedule(AGREE_INTERVAL_MS, Event::Agree);
+        while let Some(event) = self.queue.pop() {
             if self.queue.now() > self.ends_ms + AFTERMATH_MS {
                 break;
             }
@@ -142,12 +142,12 @@
         let within_ms = if self.rng.random::<f64>() < 0.1 { 300.0 } else { 5.0 };
         let at_ms = self.queue.now() + within_ms * self.rng.random::<f64>();
         let event = ProcessEvent::View { number: self.views.last_number() };
-        self.queue.put(at_ms, Event::Process(self.nodes[member].process(member), event));
+        self.queue.schedule(at_ms, Event::Process(self.nodes[member].process(member), event));
     }
 
     fn agree(&mut self) {
         let now_ms = self.queue.now();
-        self.queue.put(now_ms + AGREE_INTERVAL_MS, Event::Agree);
+        self.queue.schedule(now_ms + AGREE_INTERVAL_MS, Event::Agree);
         let seen: Vec<Seen> = (0..self.nodes.len())
             .map(|member| Seen { id: self.nodes[member].id, reachable: self.is_reachable(member) })
             .collect();
@@ -230,16 +230,16 @@
         if timeout_at_ms < node.timeout_at_ms - 0.5 {
             node.timeout_at_ms = timeout_at_ms;
             let process = node.process(member);
-            self.queue.put(timeout_at_ms, Event::Process(process, ProcessEvent::Timeout));
+            self.queue.schedule(timeout_at_ms, Event::Process(process, ProcessEvent::Timeout));
         }
     }
 
     fn send(&mut self, from: usize, to: NodeId, message: Message) {
         let Some(to) = self.nodes.iter().position(|node| node.id == to && node.is_up()) else { return };
         let process = self.nodes[to].process(to);
-        for delay_ms in self.net.ways(from, to, self.plan.schedule.zones, 0) {
+        for delay_ms in self.net.send(from, to, self.plan.schedule.zones, 0) {
             let event = ProcessEvent::Message { from, message: Box::new(message.clone()) };
-            self.queue.put(self.queue.now() + delay_ms, Event::Process(process, event));
+            self.queue.schedule(self.queue.now() + delay_ms, Event::Process(process, event));
         }
     }
 
@@ -272,7 +272,7 @@
         }
         let run_ms = LogNormal::new(self.plan.run_ms.ln(), 0.4)
             .map_or(self.plan.run_ms, |spread| spread.sample(&mut self.rng));
-        self.queue.put(now_ms + run_ms, Event::Process(process, ProcessEvent::RunEnds(request)));
+        self.queue.schedule(now_ms + run_ms, Event::Process(process, ProcessEvent::RunEnds(request)));
     }
 
     fn run_ended(&mut self, member: usize, request: RequestId) {
@@ -302,23 +302,23 @@
         let gap: f64 = Exp1.sample(&mut self.rng);
         let now_ms = self.queue.now();
         if now_ms < self.ends_ms {
-            self.queue.put(now_ms + gap * 1000.0 / self.plan.keys_per_second, Event::NewKey);
+            self.queue.schedule(now_ms + gap * 1000.0 / self.plan.keys_per_second, Event::NewKey);
         }
         self.last_key += 1;
         let key = self.last_key;
         self.report.keys += 1;
         self.histories.insert(key, KeyHistory::default());
-        self.queue.put(now_ms, Event::Attempt { key, retries_left: RETRIES });
+        self.queue.schedule(now_ms, Event::Attempt { key, retries_left: RETRIES });
         // Some clients try two backends in the same instant.
         if self.rng.random::<f64>() < 0.15 {
-            self.queue.put(now_ms, Event::Attempt { key, retries_left: 2 });
+            self.queue.schedule(now_ms, Event::Attempt { key, retries_left: 2 });
         }
     }
 
     fn retry(&mut self, key: u64, retries_left: u32, after_ms: f64) {
         if retries_left > 0 {
             let event = Event::Attempt { key, retries_left: retries_left - 1 };
-            self.queue.put(self.queue.now() + after_ms, event);
+            self.queue.schedule(self.queue.now() + after_ms, event);
         }
     }
 
@@ -339,7 +339,7 @@
         node.attempts.insert(request, attempt);
         let process = node.process(member);
         let patience_ms = PATIENCE_MS * (0.7 + 0.6 * self.rng.random::<f64>());
-        self.queue.put(now_ms + patience_ms, Event::Process(process, ProcessEvent::ClientGone(request)));
+        self.queue.schedule(now_ms + patience_ms, Event::Process(process, ProcessEvent::ClientGone(request)));
         match self.plan.mode {
             Mode::Replicated => self.reserve(member, request, key),
             Mode::Alone => self.attempt_alone(member, request, key),
@@ -390,7 +390,7 @@
         // Some ask again, though they had it.
         if matches!(outcome, Outcome::Succeeded(_)) && self.rng.random::<f64>() < 0.2 && retries_left > 0 {
             let at_ms = self.queue.now() + 2000.0 * self.rng.random::<f64>();
-            self.queue.put(at_ms, Event::Attempt { key, retries_left: 0 });
+            self.queue.schedule(at_ms, Event::Attempt { key, retries_left: 0 });
         }
         history.answered(outcome);
     }
@@ -407,7 +407,7 @@
             Fault::Loss { share } => {
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0);
             }
-            Fault::Slow { member, by_ms } => self.net.slow(member, begins.then_some(by_ms)),
+            Fault::Slow { member, by_ms } => self.net.set_delay(member, begins.then_some(by_ms)),
             // Without the time that leaving takes: as hard as a loss.
             Fault::Kill { member, .. } | Fault::Leave { member } => self.lose(member, phase),
             // Two at once, next to each other and so in two zones: what three replicas are promised to outlive.
