--- a/crates/plovershelf-simulation/src/cluster/growth.rs
+++ b/crates/plovershelf-simulation/src/cluster/growth.rs
@@ -1,11 +1,11 @@
-//! Phases in which a cluster that grows is measured.
+//! Phases of a growth measurement.
 //!
 //! | phase | ends when |
 //! | --- | --- |
-//! | `Starting` | all know all, and all have a view with all |
-//! | `Settling` | no update is under way, or its time is over |
-//! | `Resting` | its time is over |
-//! | `Dying` | the time of the last death is over |
+//! | `Starting` | every member knows all members and has a view that contains them |
+//! | `Settling` | no membership update is pending, or `max_settle_ms` has passed |
+//! | `Resting` | `rest_ms` has passed |
+//! | `Dying` | `death_ms` has passed since the last death |
 
 use plovershelf_cluster::ClusterNode;
 
@@ -17,30 +17,41 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Starting,
-    Settling { until_ms: f64 },
-    Resting { since_ms: f64, bytes: u64 },
-    Dying { since_ms: f64, bytes: u64 },
+    Settling {
+        until_ms: f64,
+    },
+    /// `bytes` is the total sent before the phase.
+    Resting {
+        since_ms: f64,
+        bytes: u64,
+    },
+    /// `bytes` is the total sent before the phase.
+    Dying {
+        since_ms: f64,
+        bytes: u64,
+    },
 }
 
-/// What the run is to do next for a measurement.
+/// Action that the measurement asks of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum NextStep {
-    GoOn,
-    /// The start is over: from now on the phases say when the run ends.
+    /// No action.
+    Continue,
+    /// Run until the measurement asks for the end: the start succeeded, so its time limit no longer applies.
     RunUntilMeasured,
-    /// The deaths begin.
+    /// Schedule the planned deaths.
     BeginDeaths,
-    /// All is measured.
+    /// End the run: the measurement is complete.
     End,
 }
 
-/// A measurement under way.
+/// Measurement in progress.
 pub(super) struct GrowthMeasurement {
     plan: GrowthPlan,
     phase: Phase,
-    /// A member that did not know all when it was last looked at.
+    /// Member that did not know all members at the last check; it is checked first.
     unsettled: usize,
-    /// What each member had sent when rest began.
+    /// Bytes that each member had sent when the resting phase began.
     sent_before_rest: Vec<u64>,
 }
 
@@ -53,7 +64,7 @@
         &self.plan
     }
 
-    /// Looks at all members, and takes the measurement to its next phase where one is over.
+    /// Inspects all members, records results of the current phase and enters the next phase when the current one ends.
     pub(super) fn observe(
         &mut self,
         now_ms: f64,
@@ -92,7 +103,7 @@
             self.phase = Phase::Settling { until_ms: now_ms + self.plan.max_settle_ms };
             return NextStep::RunUntilMeasured;
         }
-        NextStep::GoOn
+        NextStep::Continue
     }
 
     fn observe_settling(
@@ -110,7 +121,7 @@
             self.sent_before_rest = net.bytes_by_sender.clone();
             self.phase = Phase::Resting { since_ms: now_ms, bytes: net.bytes_sent };
         }
-        NextStep::GoOn
+        NextStep::Continue
     }
 
     fn observe_rest(
@@ -123,7 +134,7 @@
         report: &mut GrowthReport,
     ) -> NextStep {
         if now_ms < since_ms + self.plan.rest_ms {
-            return NextStep::GoOn;
+            return NextStep::Continue;
         }
         let (seconds, members) = ((now_ms - since_ms) / 1000.0, processes.len() as f64);
         let sent = net.bytes_by_sender.iter().zip(&self.sent_before_rest).map(|(now, then)| now - then);
@@ -144,17 +155,18 @@
     ) -> NextStep {
         let (deaths, death_ms) = (self.plan.deaths.len(), self.plan.death_ms);
         if now_ms < since_ms + death_ms * deaths as f64 {
-            return NextStep::GoOn;
+            return NextStep::Continue;
         }
-        // Of those that are left; each death leaves one fewer.
-        let left: f64 = (1..=deaths).map(|dead| processes.len() as f64 - dead as f64).sum();
-        let at_rest = |a_second: f64| a_second * left * death_ms / 1000.0;
-        let beyond = report.rest_bytes.map(|rate| (net.bytes_sent - bytes_before) as f64 - at_rest(rate));
-        report.death_bytes = beyond.map(|bytes| bytes / left);
+        // Sum over the deaths of the members that remain after each.
+        let remaining: f64 = (1..=deaths).map(|dead| processes.len() as f64 - dead as f64).sum();
+        let at_rest = |bytes_per_second: f64| bytes_per_second * remaining * death_ms / 1000.0;
+        let beyond_rest =
+            report.rest_bytes.map(|rate| (net.bytes_sent - bytes_before) as f64 - at_rest(rate));
+        report.death_bytes = beyond_rest.map(|bytes| bytes / remaining);
         NextStep::End
     }
 
-    /// Whether each counts as many as there are, the last one that did not asked first.
+    /// Returns whether every member's count equals the number of members. Checks the member that last fell short first.
     fn all_count(&mut self, processes: &[Process], count: impl Fn(&ClusterNode) -> usize) -> bool {
         let all = processes.len();
         let falls_short = |member: &usize| match &processes[*member].node {
--- a/crates/plovershelf-simulation/src/cluster/mod.rs
+++ b/crates/plovershelf-simulation/src/cluster/mod.rs
@@ -1,13 +1,14 @@
-//! Clusters on simulated time: the code that serves, many nodes, a schedule of faults, and an audit that looks on.
+//! Simulation of a cluster: many nodes run the server's state machine on simulated time under a fault schedule, and an audit
+//! checks the events.
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | `plan` | what a run is like |
-//! | `report` | what came of it |
+//! | `plan` | settings of a run |
+//! | `report` | results of a run |
 //! | `process` | one simulated process with its clock, disk and node |
-//! | `deaths` | how far each death is known |
-//! | `growth` | phases in which a cluster that grows is measured |
-//! | `world` | the run: queue, network, faults |
+//! | `deaths` | propagation of each death through the cluster |
+//! | `growth` | phases of a growth measurement |
+//! | `world` | event loop, network, faults and observations |
 
 mod deaths;
 mod growth;
--- a/crates/plovershelf-simulation/src/cluster/plan.rs
+++ b/crates/plovershelf-simulation/src/cluster/plan.rs
@@ -1,71 +1,72 @@
-//! What a run is like.
+//! Settings of a run.
 
 use plovershelf_cluster::NodeConfig;
 
 use crate::schedule::Schedule;
 
-/// A run of a cluster.
+/// Settings of a cluster run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Members, zones and faults.
     pub schedule: Schedule,
-    /// Seeds all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Settings of every node.
     pub config: NodeConfig,
-    /// Whether nodes have storage. Without it each start is a new node.
+    /// Whether nodes have storage. Without storage, each restart creates a new node.
     pub storage: bool,
-    /// How many initial voters there are.
+    /// Number of initial voters.
     pub initial_voters: usize,
-    /// Median latency of a message.
+    /// Median one-way latency of a message in milliseconds.
     pub latency_ms: f64,
-    /// What is added between zones.
+    /// Latency added between zones in milliseconds.
     pub between_zones_ms: f64,
-    /// Whether bytes are counted by their frames; costs time.
+    /// Whether the bytes of all messages are counted, which requires the encoded size of each frame and costs time.
     pub count_bytes: bool,
-    /// It ends so long after the last fault, or at this time where there are no faults.
+    /// Time in milliseconds at which the run ends.
     pub duration_ms: f64,
-    /// Whether the events of the run are kept.
+    /// Whether the report contains the history of the run.
     pub keep_history: bool,
-    /// Recoveries that operators ask for.
+    /// Recovery commands that operators issue during the run.
     pub recoveries: Vec<RecoveryCommand>,
-    /// Whether someone proposes something five times a second.
+    /// Whether a random member proposes a value five times a second.
     pub proposes: bool,
-    /// For many members: a disk is read from its process when that dies instead of being written along, and a log is
-    /// compared with others only where it grew. The audit of smaller clusters does neither.
+    /// Saves time in runs with many members: a node's disk is copied when its process ends instead of on each write, and a
+    /// log is compared with others only after it grew. Smaller clusters are audited without these shortcuts.
     pub lean: bool,
-    /// Where the run measures growth instead of faults.
+    /// Growth measurement, in a run that measures growth instead of faults.
     pub growth: Option<GrowthPlan>,
 }
 
-/// An operator's command to begin a new epoch.
+/// Operator's command to start a new epoch after the loss of a majority of voters.
 #[derive(Clone, Debug)]
 pub struct RecoveryCommand {
-    /// When it is given.
+    /// Time of the command in milliseconds.
     pub at_ms: f64,
-    /// The member that is asked.
+    /// Member that receives the command.
     pub member: usize,
-    /// Who is named lost.
+    /// Names of the members that the operator declares lost.
     pub lost: Vec<String>,
 }
 
-/// Measured apart from each other: until all know all, with nothing happening after that, and after each of a few deaths.
+/// Settings of a growth measurement, which measures three phases separately: the simultaneous start of all members, the
+/// cluster at rest, and several deaths.
 #[derive(Clone, Debug)]
 pub struct GrowthPlan {
-    /// Until all know all at most; after that the run is given up.
+    /// Maximum time until every member knows all others, in milliseconds; the run is aborted after it.
     pub max_start_ms: f64,
-    /// Updates of the start may still be under way for so long before rest is measured.
+    /// Maximum time that pending updates of the start may delay the resting phase, in milliseconds.
     pub max_settle_ms: f64,
-    /// For how long rest is measured.
+    /// Duration of the resting phase in milliseconds.
     pub rest_ms: f64,
-    /// Who dies, one after the other, and does not come back.
+    /// Members that are killed one after the other and not restarted.
     pub deaths: Vec<usize>,
-    /// How long each death is measured.
+    /// Duration of the measurement of each death in milliseconds.
     pub death_ms: f64,
 }
 
 impl Plan {
-    /// The faults of a schedule, with a calm after the last one.
+    /// Returns the settings of a run with this fault schedule that ends 8 s after the schedule.
     pub fn of(schedule: Schedule, seed: u64) -> Self {
         Plan {
             duration_ms: schedule.ends_ms() + 8000.0,
@@ -85,11 +86,12 @@
         }
     }
 
-    /// No faults but a few deaths of single members, each measured by itself.
+    /// Returns the settings of a growth measurement with this number of deaths, none of them of an initial voter, and without
+    /// other faults.
     pub fn growing(members: usize, zones: usize, seed: u64, deaths: usize) -> Self {
         let mut plan = Plan::of(Schedule { members, zones, steps: Vec::new() }, seed);
-        let free = members - plan.initial_voters;
-        let victim = |place: usize| plan.initial_voters + (seed as usize * 7 + place * 13) % free;
+        let non_voters = members - plan.initial_voters;
+        let victim = |index: usize| plan.initial_voters + (seed as usize * 7 + index * 13) % non_voters;
         let growth = GrowthPlan {
             max_start_ms: 60_000.0,
             max_settle_ms: 20_000.0,
--- a/crates/plovershelf-simulation/src/cluster/process.rs
+++ b/crates/plovershelf-simulation/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One simulated process: its clock, its disk, and the node that runs in it.
+//! Simulated process with its clock, its disk and its node.
 
 use std::collections::VecDeque;
 
@@ -10,16 +10,16 @@
 
 use super::plan::Plan;
 
-/// Older copies of a disk that are kept, a second apart.
+/// Maximum number of older copies of a disk, taken once a second.
 const MAX_DISK_COPIES: usize = 20;
-/// Of these, how far back a restored copy may be.
+/// Maximum age of a restored copy, counted in copies.
 const MAX_RESTORED_COPY: usize = 8;
-/// What a paused process is sent waits in its socket up to so many messages.
-const MAX_WAITING: usize = 256;
-/// The wall clock when a run begins, in Unix milliseconds.
+/// Maximum number of messages in the socket buffer of a paused process; further messages are dropped.
+const MAX_BUFFERED_MESSAGES: usize = 256;
+/// Wall clock at the start of a run, in Unix milliseconds.
 const WALL_START_MS: f64 = 1.7e12;
 
-/// What a disk holds: whose state, when the node was created, and the state.
+/// Contents of a disk.
 #[derive(Clone)]
 pub(super) struct Disk {
     pub(super) id: NodeId,
@@ -27,43 +27,49 @@
     pub(super) state: PersistentState<ClusterState>,
 }
 
-/// What was observed of it last.
+/// Last recorded observations of a process; a change against them is recorded as an event.
 #[derive(Default)]
 pub(super) struct Observed {
+    /// Number of its view.
     pub(super) view: u64,
-    /// Epoch and term that it led.
+    /// Epoch and term that it last led.
     pub(super) led: (u64, u64),
-    /// The view by which it acted.
+    /// View that it was allowed to act by.
     pub(super) acts: Option<u64>,
-    /// What of its log was compared with others: the epoch and the last index.
+    /// Epoch and commit index up to which its log was compared with the others.
     pub(super) log: (u64, u64),
 }
 
 pub(super) struct Process {
+    /// `None` while the process is down.
     pub(super) node: Option<ClusterNode>,
     pub(super) disk: Option<Disk>,
     disk_copies: VecDeque<Option<Disk>>,
-    /// Counts starts and ends, so that a timeout of an earlier one is recognized.
+    /// Counter of starts and stops, which identifies timeouts of an earlier incarnation.
     pub(super) run: u64,
+    /// Speed of the monotonic clock relative to simulated time.
     clock_rate: f64,
+    /// Monotonic clock at simulated time 0, in milliseconds.
     pub(super) clock_offset_ms: f64,
-    /// How far its wall clock is off.
+    /// Error of the wall clock in milliseconds.
     pub(super) wall_offset_ms: f64,
     pub(super) paused: bool,
     pub(super) disk_full: bool,
     pub(super) ready: bool,
-    waiting: Vec<Envelope>,
-    /// When its next timeout is scheduled.
+    /// Messages received while paused.
+    buffered: Vec<Envelope>,
+    /// Simulated time of the scheduled timeout, in milliseconds.
     pub(super) timeout_at_ms: f64,
-    /// When a fault last touched it; in the future while one does.
-    pub(super) touched_ms: f64,
-    /// Faults that hold it down.
+    /// End of the last fault that affected the process, in milliseconds; infinite while one does.
+    pub(super) last_fault_ms: f64,
+    /// Number of active faults that keep the process down.
     pub(super) down_count: u32,
     pub(super) observed: Observed,
 }
 
 impl Process {
-    /// Its clock runs apart from the others' by up to half of what clocks may drift.
+    /// Creates a process that is down. Its clock rate deviates from simulated time by up to half of the permitted drift, so
+    /// that two clocks diverge by the permitted drift at most.
     pub(super) fn new(clock_drift_fraction: f64, rng: &mut Pcg32) -> Self {
         Process {
             node: None,
@@ -76,29 +82,30 @@
             paused: false,
             disk_full: false,
             ready: true,
-            waiting: Vec::new(),
+            buffered: Vec::new(),
             timeout_at_ms: f64::INFINITY,
-            touched_ms: f64::NEG_INFINITY,
+            last_fault_ms: f64::NEG_INFINITY,
             down_count: 0,
             observed: Observed::default(),
         }
     }
 
-    /// Its own clock.
+    /// Converts simulated time to the process's monotonic clock.
     pub(super) fn clock_ms(&self, now_ms: f64) -> f64 {
         self.clock_offset_ms + now_ms * self.clock_rate
     }
 
-    /// When its clock shows that.
-    pub(super) fn when_clock_shows(&self, clock_ms: f64) -> f64 {
+    /// Converts the process's monotonic clock to simulated time.
+    pub(super) fn simulated_ms(&self, clock_ms: f64) -> f64 {
         (clock_ms - self.clock_offset_ms) / self.clock_rate
     }
 
-    /// Its wall clock.
+    /// Returns the process's wall clock in Unix milliseconds.
     pub(super) fn wall_ms(&self, now_ms: f64) -> u64 {
         (now_ms + self.wall_offset_ms + WALL_START_MS) as u64
     }
 
+    /// Adds a copy of the disk and drops the oldest one beyond [`MAX_DISK_COPIES`].
     pub(super) fn copy_disk(&mut self) {
         self.disk_copies.push_back(self.disk.clone());
         if self.disk_copies.len() > MAX_DISK_COPIES {
@@ -106,8 +113,8 @@
         }
     }
 
-    /// Puts a copy of some seconds ago in the disk's place. Whether it is still that node's: its id may speak again then, as
-    /// it recovers first.
+    /// Replaces the disk by a copy from some seconds ago and returns whether the copy belongs to the same node. In that case
+    /// the id may appear again, because a node with an older state recovers from the others before it takes part.
     pub(super) fn restore_disk(&mut self, id: NodeId, rng: &mut Pcg32) -> bool {
         let back = rng.random_range(1..=MAX_RESTORED_COPY);
         let copy = self.disk_copies.len().checked_sub(back).and_then(|at| self.disk_copies.get(at));
@@ -115,33 +122,33 @@
         self.disk.as_ref().is_some_and(|disk| disk.id == id)
     }
 
-    /// The process ends; its node is handed back.
+    /// Stops the process and returns its node, or `None` if the process was down.
     pub(super) fn stop(&mut self, plan: &Plan) -> Option<ClusterNode> {
         let node = self.node.take()?;
         if plan.lean && self.disk.is_some() {
             let (id, created_at_ms) = (node.node().id, node.node().created_at_ms);
             self.disk = Some(Disk { id, created_at_ms, state: node.raft().persistent().clone() });
         }
-        self.waiting.clear();
+        self.buffered.clear();
         self.timeout_at_ms = f64::INFINITY;
         self.run += 1;
         self.paused = false;
         Some(node)
     }
 
-    /// A message comes while the process is paused.
-    pub(super) fn queue_message(&mut self, envelope: Envelope) {
-        if self.waiting.len() < MAX_WAITING {
-            self.waiting.push(envelope);
+    /// Buffers a message that arrives while the process is paused.
+    pub(super) fn buffer_message(&mut self, envelope: Envelope) {
+        if self.buffered.len() < MAX_BUFFERED_MESSAGES {
+            self.buffered.push(envelope);
         }
     }
 
-    pub(super) fn take_waiting(&mut self) -> Vec<Envelope> {
-        std::mem::take(&mut self.waiting)
+    pub(super) fn take_buffered(&mut self) -> Vec<Envelope> {
+        std::mem::take(&mut self.buffered)
     }
 
-    /// Writes what a call asks to save. Where the disk is full the node hears of it, and nothing that depends on it is left to
-    /// send.
+    /// Writes the records of `actions` to the disk. If the disk is full, notifies the node of the failure and removes all
+    /// messages that depend on the records.
     pub(super) fn save(&mut self, clock_ms: f64, plan: &Plan, actions: &mut Actions) {
         if actions.save.is_empty() || !plan.storage {
             return;
@@ -158,7 +165,7 @@
         }
     }
 
-    /// What was not saved while the disk was full is written, all of it.
+    /// Writes the node's whole state to the disk, which includes the records that a full disk rejected.
     pub(super) fn rewrite_disk(&mut self) {
         if let (Some(node), Some(disk)) = (&self.node, &mut self.disk) {
             disk.state = node.raft().persistent().clone();
--- a/crates/plovershelf-simulation/src/cluster/report.rs
+++ b/crates/plovershelf-simulation/src/cluster/report.rs
@@ -1,60 +1,60 @@
-//! What came of a run.
+//! Results of a run.
 
 use crate::audit::{Audit, Event};
 use crate::statistics::Spread;
 
-/// What was seen of a cluster that grows; nothing stands where it was not seen.
+/// Results of a growth measurement; `None` stands for a value that the run did not reach.
 #[derive(Clone, Debug, Default)]
 pub struct GrowthReport {
-    /// Until all take all others to be alive.
+    /// Time until every member considers all others alive, in milliseconds.
     pub all_known_ms: Option<f64>,
-    /// Until all have a view with all of them.
+    /// Time until every member has a view that contains all members, in milliseconds.
     pub view_complete_ms: Option<f64>,
-    /// Bytes a member until both.
+    /// Bytes sent per member until every view is complete.
     pub start_bytes: Option<f64>,
-    /// Bytes a member a second, with nothing happening.
+    /// Bytes sent per member and second in the resting phase.
     pub rest_bytes: Option<f64>,
-    /// The same of the member that sends most.
+    /// Bytes per second sent by the busiest member in the resting phase.
     pub rest_bytes_busiest: Option<f64>,
-    /// Updates still under way then, a member.
+    /// Pending membership updates per member at the start of the resting phase.
     pub rest_pending_updates: Option<f64>,
-    /// Beyond rest, bytes a member from a death on for as long as it is measured.
+    /// Bytes sent per member for each death, beyond the traffic at rest.
     pub death_bytes: Option<f64>,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Default)]
 pub struct Report {
-    /// Promises that were broken.
+    /// Violations of promises.
     pub audit: Audit,
-    /// What was seen, where the plan keeps it.
+    /// Observed events, if the plan keeps the history.
     pub history: Vec<Event>,
-    /// The newest view's number.
+    /// Number of the newest view.
     pub views: u64,
-    /// Members removed that no fault had touched of late: when, and which.
+    /// Removals of members that no recent fault had affected: time in milliseconds and member.
     pub healthy_removed: Vec<(f64, usize)>,
-    /// From a death until a view without it.
+    /// Time from a death until a view excludes the member, in milliseconds.
     pub removal_ms: Spread,
-    /// From a death until all that live know of it.
+    /// Time from a death until every running member knows of it, in milliseconds.
     pub known_ms: Spread,
-    /// Deaths that did not come to be known by all, before the one that died was back or the run was over.
+    /// Number of deaths that not every running member knew of before the member restarted or the run ended.
     pub deaths_not_known: u64,
-    /// Where the run measured growth.
+    /// Results of the growth measurement, if the plan has one.
     pub growth: GrowthReport,
-    /// From the end of the last fault until something new is committed.
+    /// Time from the end of the last fault until a new value is committed, in milliseconds.
     pub committed_after_ms: Option<f64>,
-    /// Members whose view is not the newest one at the end.
+    /// Number of members whose view is not the newest one at the end.
     pub lagging: usize,
-    /// Live members that are in no view at the end.
+    /// Number of running members that are not in their own view at the end.
     pub outside_view: usize,
-    /// Bytes of all messages, where the plan counts them.
+    /// Bytes of all messages, if the plan counts them.
     pub bytes: u64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Members times seconds.
+    /// Number of members times the duration in seconds.
     pub member_seconds: f64,
-    /// What came of recoveries that were asked for, in their order.
+    /// Outcomes of the recovery commands, in the order in which they were reported.
     pub recovered: Vec<Result<u64, String>>,
-    /// How each member stands at the end, a line each.
+    /// State of each running member at the end, one line each.
     pub final_states: Vec<String>,
 }
--- a/crates/plovershelf-simulation/src/cluster/world.rs
+++ b/crates/plovershelf-simulation/src/cluster/world.rs
@@ -1,4 +1,4 @@
-//! A run: the queue of what happens, the network, the faults, and what is observed.
+//! Event loop of a run: processes, network, faults and observations.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -19,22 +19,23 @@
 use crate::net::{Net, Queue};
 use crate::schedule::{cut_paths, third, Fault, FaultPhase, Folder, Step, CALM_MS};
 
-/// Between two looks at all members.
+/// Interval between two observations of all members, in milliseconds.
 const OBSERVE_INTERVAL_MS: f64 = 20.0;
-/// Between two copies of all disks.
+/// Interval between two copies of all disks, in milliseconds.
 const DISK_COPY_INTERVAL_MS: f64 = 1000.0;
-/// Between two proposals.
+/// Interval between two proposals, in milliseconds.
 const PROPOSE_INTERVAL_MS: f64 = 200.0;
-/// A timeout is scheduled anew only where it is earlier by more than this.
+/// A timeout is rescheduled only if it is earlier than the scheduled one by more than this, in milliseconds.
 const TIMEOUT_TOLERANCE_MS: f64 = 0.001;
-/// The newest committed entries that are compared at each look.
+/// Number of the newest committed entries that each observation compares.
 const COMPARED_ENTRIES: u64 = 4;
-/// A member that no fault has touched for so long counts as healthy.
+/// A member counts as healthy once no fault has affected it for this time, in milliseconds.
 const HEALTHY_AFTER_MS: f64 = CALM_MS;
-/// The key under which values are proposed.
+/// Key of the proposed values.
 const PROBE_KEY: &str = "probe";
 
-enum Happening {
+/// Event of the simulation. Faults and recoveries are identified by their index in the plan.
+enum SimulationEvent {
     Message { to: usize, envelope: Box<Envelope> },
     Timeout { member: usize, run: u64 },
     FaultBegins(usize),
@@ -46,18 +47,18 @@
     Recover(usize),
 }
 
-/// Values that are proposed to see whether the cluster commits.
+/// Tracks whether the cluster commits a proposed value after the last fault.
 #[derive(Default)]
 struct CommitProbe {
-    /// The newest version when the last fault ended.
+    /// Newest committed version when the last fault ended.
     before: u64,
     committed: bool,
 }
 
-/// A cluster on simulated time.
+/// Cluster on simulated time.
 pub struct World {
     plan: Plan,
-    queue: Queue<Happening>,
+    queue: Queue<SimulationEvent>,
     net: Net,
     processes: Vec<Process>,
     rng: Pcg32,
@@ -79,7 +80,7 @@
 }
 
 impl World {
-    /// Plays a plan from its start to its end.
+    /// Runs a plan and returns the results.
     pub fn run(plan: Plan) -> Report {
         let mut rng = Pcg32::seed_from_u64(plan.seed);
         let mut net = Net::new(rng.random(), plan.latency_ms);
@@ -99,70 +100,70 @@
             deaths: Deaths::default(),
             probe: CommitProbe::default(),
         };
-        world.schedule_all();
-        world.play();
+        world.schedule_initial_events();
+        world.process_events();
         world.finish()
     }
 
-    fn schedule_all(&mut self) {
+    fn schedule_initial_events(&mut self) {
         (0..self.processes.len()).for_each(|member| self.start(member));
-        for (place, step) in self.plan.schedule.steps.clone().into_iter().enumerate() {
-            self.queue.schedule(step.at_ms, Happening::FaultBegins(place));
-            self.queue.schedule(step.at_ms + step.for_ms, Happening::FaultEnds(place));
+        for (index, step) in self.plan.schedule.steps.clone().into_iter().enumerate() {
+            self.queue.schedule(step.at_ms, SimulationEvent::FaultBegins(index));
+            self.queue.schedule(step.at_ms + step.for_ms, SimulationEvent::FaultEnds(index));
         }
-        for (place, command) in self.plan.recoveries.iter().enumerate() {
-            self.queue.schedule(command.at_ms, Happening::Recover(place));
+        for (index, command) in self.plan.recoveries.iter().enumerate() {
+            self.queue.schedule(command.at_ms, SimulationEvent::Recover(index));
         }
-        self.queue.schedule(OBSERVE_INTERVAL_MS, Happening::Observe);
-        self.queue.schedule(DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
+        self.queue.schedule(OBSERVE_INTERVAL_MS, SimulationEvent::Observe);
+        self.queue.schedule(DISK_COPY_INTERVAL_MS, SimulationEvent::CopyDisks);
         if self.plan.proposes {
-            self.queue.schedule(PROPOSE_INTERVAL_MS, Happening::Propose);
+            self.queue.schedule(PROPOSE_INTERVAL_MS, SimulationEvent::Propose);
         }
     }
 
-    fn play(&mut self) {
-        while let Some(happening) = self.queue.pop() {
+    fn process_events(&mut self) {
+        while let Some(event) = self.queue.pop() {
             if self.queue.now() > self.plan.duration_ms {
                 break;
             }
-            self.handle(happening);
+            self.handle(event);
         }
     }
 
-    fn handle(&mut self, happening: Happening) {
+    fn handle(&mut self, event: SimulationEvent) {
         let now_ms = self.queue.now();
-        match happening {
-            Happening::Message { to, envelope } if self.processes[to].paused => {
-                self.processes[to].queue_message(*envelope)
+        match event {
+            SimulationEvent::Message { to, envelope } if self.processes[to].paused => {
+                self.processes[to].buffer_message(*envelope)
             }
-            Happening::Message { to, envelope } => {
+            SimulationEvent::Message { to, envelope } => {
                 self.call(to, |node, clock_ms| node.handle_message(clock_ms, *envelope))
             }
-            Happening::Timeout { member, run } => {
+            SimulationEvent::Timeout { member, run } => {
                 let process = &mut self.processes[member];
                 if process.run == run && !process.paused {
                     process.timeout_at_ms = f64::INFINITY;
                     self.call(member, |node, clock_ms| node.handle_timeout(clock_ms));
                 }
             }
-            Happening::FaultBegins(place) => self.apply_fault(place, FaultPhase::Begins),
-            Happening::FaultEnds(place) => self.apply_fault(place, FaultPhase::Ends),
-            Happening::Observe => {
+            SimulationEvent::FaultBegins(index) => self.apply_fault(index, FaultPhase::Begins),
+            SimulationEvent::FaultEnds(index) => self.apply_fault(index, FaultPhase::Ends),
+            SimulationEvent::Observe => {
                 self.observe_all();
                 self.observe_growth();
-                self.queue.schedule(now_ms + OBSERVE_INTERVAL_MS, Happening::Observe);
+                self.queue.schedule(now_ms + OBSERVE_INTERVAL_MS, SimulationEvent::Observe);
             }
-            Happening::CopyDisks => {
+            SimulationEvent::CopyDisks => {
                 let copied = self.processes.iter_mut().filter(|_| !self.plan.lean);
                 copied.for_each(Process::copy_disk);
-                self.queue.schedule(now_ms + DISK_COPY_INTERVAL_MS, Happening::CopyDisks);
+                self.queue.schedule(now_ms + DISK_COPY_INTERVAL_MS, SimulationEvent::CopyDisks);
             }
-            Happening::Propose => {
+            SimulationEvent::Propose => {
                 self.propose();
-                self.queue.schedule(now_ms + PROPOSE_INTERVAL_MS, Happening::Propose);
+                self.queue.schedule(now_ms + PROPOSE_INTERVAL_MS, SimulationEvent::Propose);
             }
-            Happening::Resume { member } => self.resume(member),
-            Happening::Recover(place) => self.recover(place),
+            SimulationEvent::Resume { member } => self.resume(member),
+            SimulationEvent::Recover(index) => self.recover(index),
         }
     }
 
@@ -193,7 +194,7 @@
     fn start(&mut self, member: usize) {
         let startup = self.startup(member);
         let id = startup.node.id;
-        // A member that is back under its id is dead no longer.
+        // A member that restarts under the same id is no longer dead.
         let ended = self.deaths.end(id);
         self.report_ended(ended);
         let clock_ms = self.clock_ms(member);
@@ -209,12 +210,12 @@
         let process = &mut self.processes[member];
         process.run += 1;
         let wall_ms = process.wall_ms(self.queue.now());
-        let kept = process.disk.clone().filter(|_| self.plan.storage);
-        let (id, created_at_ms) = match &kept {
+        let restored = process.disk.clone().filter(|_| self.plan.storage);
+        let (id, created_at_ms) = match &restored {
             Some(disk) => (disk.id, disk.created_at_ms),
             None => (NodeId(self.rng.random::<u64>() | 1), wall_ms),
         };
-        if self.plan.storage && kept.is_none() {
+        if self.plan.storage && restored.is_none() {
             let state = PersistentState::empty(ClusterState::default());
             process.disk = Some(Disk { id, created_at_ms, state });
         }
@@ -232,7 +233,7 @@
             config: self.plan.config.clone(),
             seeds: (0..self.plan.initial_voters).map(address).collect(),
             initial_voters: (0..self.plan.initial_voters).map(|n| format!("n{}", n + 1)).collect(),
-            persistent: kept.map(|disk| disk.state),
+            persistent: restored.map(|disk| disk.state),
             seed: self.rng.random(),
         }
     }
@@ -255,7 +256,7 @@
         }
     }
 
-    /// One call of a node, and all that follows from it.
+    /// Calls a node if it is running and executes the resulting actions.
     fn call(&mut self, member: usize, call: impl FnOnce(&mut ClusterNode, f64)) {
         let clock_ms = self.clock_ms(member);
         let process = &mut self.processes[member];
@@ -283,11 +284,11 @@
     fn schedule_timeout(&mut self, member: usize) {
         let process = &mut self.processes[member];
         let Some(node) = &process.node else { return };
-        let at_ms = process.when_clock_shows(node.poll_timeout());
+        let at_ms = process.simulated_ms(node.poll_timeout());
         if at_ms < process.timeout_at_ms - TIMEOUT_TOLERANCE_MS {
             process.timeout_at_ms = at_ms;
             let run = process.run;
-            self.queue.schedule(at_ms, Happening::Timeout { member, run });
+            self.queue.schedule(at_ms, SimulationEvent::Timeout { member, run });
         }
     }
 
@@ -298,33 +299,34 @@
         let (now_ms, last) = (self.queue.now(), latencies.pop());
         for latency_ms in latencies {
             let envelope = Box::new(envelope.clone());
-            self.queue.schedule(now_ms + latency_ms, Happening::Message { to, envelope });
+            self.queue.schedule(now_ms + latency_ms, SimulationEvent::Message { to, envelope });
         }
         if let Some(latency_ms) = last {
             let envelope = Box::new(envelope);
-            self.queue.schedule(now_ms + latency_ms, Happening::Message { to, envelope });
+            self.queue.schedule(now_ms + latency_ms, SimulationEvent::Message { to, envelope });
         }
     }
 
     fn resume(&mut self, member: usize) {
-        // Before it hears or does anything, it might go on with what it was about to do.
+        // The process may complete work that it began before the pause, before it handles a timeout or a message. The
+        // observation checks that it is not allowed to act by an expired lease at this point.
         self.observe(member);
-        let waiting = self.processes[member].take_waiting();
+        let buffered = self.processes[member].take_buffered();
         self.processes[member].timeout_at_ms = f64::INFINITY;
         self.call(member, |node, clock_ms| node.handle_timeout(clock_ms));
-        for envelope in waiting {
+        for envelope in buffered {
             self.call(member, |node, clock_ms| node.handle_message(clock_ms, envelope));
         }
     }
 
-    fn recover(&mut self, place: usize) {
-        let command = self.plan.recoveries[place].clone();
+    fn recover(&mut self, index: usize) {
+        let command = self.plan.recoveries[index].clone();
         let mut refused = None;
         self.call(command.member, |node, clock_ms| refused = node.recover(clock_ms, &command.lost).err());
         self.report.recovered.extend(refused.map(|why| Err(why.to_string())));
     }
 
-    /// Someone proposes a value; the first that is committed after the last fault is what counts.
+    /// Proposes a value at a random running member and records the first commit after the last fault.
     fn propose(&mut self) {
         let now_ms = self.queue.now();
         let running: Vec<usize> = (0..self.processes.len())
@@ -348,12 +350,12 @@
 
     // ---- faults ------------------------------------------------------------------------------------
 
-    fn apply_fault(&mut self, place: usize, phase: FaultPhase) {
+    fn apply_fault(&mut self, index: usize, phase: FaultPhase) {
         let begins = phase == FaultPhase::Begins;
-        let step = self.plan.schedule.steps[place].clone();
+        let step = self.plan.schedule.steps[index].clone();
         let (now_ms, count) = (self.queue.now(), self.processes.len());
         for member in step.fault.touches(count) {
-            self.processes[member].touched_ms = if begins { f64::INFINITY } else { now_ms };
+            self.processes[member].last_fault_ms = if begins { f64::INFINITY } else { now_ms };
         }
         if self.plan.keep_history {
             let text = format!("{} {step}", if begins { "begins" } else { "ends" });
@@ -368,17 +370,17 @@
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0)
             }
             Fault::Slow { member, by_ms } => self.net.set_delay(member, begins.then_some(by_ms)),
-            Fault::Kill { member, folder } => self.hold_down(member, phase, folder),
-            // Without the notice: as hard as a loss that keeps its disk.
-            Fault::Leave { member } => self.hold_down(member, phase, Folder::Kept),
+            Fault::Kill { member, folder } => self.set_down(member, phase, folder),
+            // The model has no graceful shutdown; a kill that keeps the disk is at least as severe.
+            Fault::Leave { member } => self.set_down(member, phase, Folder::Kept),
             Fault::KillThird { first } => {
                 let members: Vec<usize> = third(first, count).collect();
-                members.into_iter().for_each(|member| self.hold_down(member, phase, Folder::Kept));
+                members.into_iter().for_each(|member| self.set_down(member, phase, Folder::Kept));
             }
             Fault::Stop { member } => {
                 self.processes[member].paused = begins && self.processes[member].node.is_some();
                 if !begins {
-                    self.queue.schedule(now_ms, Happening::Resume { member });
+                    self.queue.schedule(now_ms, SimulationEvent::Resume { member });
                 }
             }
             Fault::Unfit { member } => {
@@ -398,8 +400,8 @@
         }
     }
 
-    /// Members that several faults hold down come back when the last of them is over.
-    fn hold_down(&mut self, member: usize, phase: FaultPhase, folder: Folder) {
+    /// Kills a member or restarts it. A member with several such faults restarts when the last of them ends.
+    fn set_down(&mut self, member: usize, phase: FaultPhase, folder: Folder) {
         let process = &mut self.processes[member];
         if phase == FaultPhase::Begins {
             process.down_count += 1;
@@ -418,7 +420,7 @@
         }
     }
 
-    // ---- what is observed --------------------------------------------------------------------------
+    // ---- observations ------------------------------------------------------------------------------
 
     fn record(&mut self, seen: Seen) {
         let event = Event { at: self.queue.now(), seen };
@@ -440,29 +442,30 @@
         }
     }
 
-    /// The first member that has a view: who was removed by it, and was anything wrong with them?
+    /// Records the removals by a view when its first member installs it, and reports removed members that were healthy.
     fn record_removals(&mut self, member: usize) {
         let now_ms = self.queue.now();
         let Some(node) = &self.processes[member].node else { return };
-        let calm = self.is_calm(now_ms);
-        for (place, other) in self.processes.iter().enumerate() {
+        let no_global_fault = self.has_no_global_fault(now_ms);
+        for (index, other) in self.processes.iter().enumerate() {
             let Some(id) = other.node.as_ref().map(|node| node.node().id) else { continue };
-            if removed_last(node, id) && now_ms - other.touched_ms > HEALTHY_AFTER_MS && calm {
-                self.report.healthy_removed.push((now_ms, place));
+            if removed_last(node, id) && now_ms - other.last_fault_ms > HEALTHY_AFTER_MS && no_global_fault {
+                self.report.healthy_removed.push((now_ms, index));
             }
         }
         self.deaths.observe_view(now_ms, node.view(), &mut self.report.removal_ms);
     }
 
-    /// No fault of the network as a whole is under way, nor was of late.
-    fn is_calm(&self, now_ms: f64) -> bool {
+    /// Returns whether no fault that affects the whole cluster is active or ended within [`HEALTHY_AFTER_MS`].
+    fn has_no_global_fault(&self, now_ms: f64) -> bool {
         !self.plan.schedule.steps.iter().any(|step| {
-            let wide = matches!(step.fault, Fault::Loss { .. } | Fault::Cut { .. } | Fault::KillThird { .. });
-            wide && step.at_ms <= now_ms && now_ms < step.at_ms + step.for_ms + HEALTHY_AFTER_MS
+            let is_global =
+                matches!(step.fault, Fault::Loss { .. } | Fault::Cut { .. } | Fault::KillThird { .. });
+            is_global && step.at_ms <= now_ms && now_ms < step.at_ms + step.for_ms + HEALTHY_AFTER_MS
         })
     }
 
-    /// What a member could do at this moment.
+    /// Records whether a member leads and acts at this moment.
     fn observe(&mut self, member: usize) {
         let clock_ms = self.clock_ms(member);
         let process = &self.processes[member];
@@ -486,7 +489,7 @@
         }
     }
 
-    /// Every member as it stands, and how far each death is known.
+    /// Observes every member and the propagation of each death.
     fn observe_all(&mut self) {
         for member in 0..self.processes.len() {
             self.observe(member);
@@ -501,7 +504,7 @@
         });
     }
 
-    /// The newest entries that a member holds for committed, each compared with what others hold there.
+    /// Compares a member's newest committed entries with those that the other members hold at the same indexes.
     fn observe_log(&mut self, member: usize) {
         let process = &mut self.processes[member];
         let Some(node) = &process.node else { return };
@@ -531,15 +534,15 @@
         let Some(growth) = self.growth.as_mut() else { return };
         let now_ms = self.queue.now();
         match growth.observe(now_ms, &self.processes, &self.net, &mut self.report.growth) {
-            NextStep::GoOn => {}
+            NextStep::Continue => {}
             NextStep::RunUntilMeasured => self.plan.duration_ms = f64::INFINITY,
             NextStep::End => self.plan.duration_ms = now_ms,
             NextStep::BeginDeaths => {
                 let plan = growth.plan();
-                for (place, member) in plan.deaths.iter().enumerate() {
-                    let at_ms = now_ms + place as f64 * plan.death_ms;
+                for (index, member) in plan.deaths.iter().enumerate() {
+                    let at_ms = now_ms + index as f64 * plan.death_ms;
                     let fault = Fault::Kill { member: *member, folder: Folder::Kept };
-                    self.queue.schedule(at_ms, Happening::FaultBegins(self.plan.schedule.steps.len()));
+                    self.queue.schedule(at_ms, SimulationEvent::FaultBegins(self.plan.schedule.steps.len()));
                     self.plan.schedule.steps.push(Step { at_ms, for_ms: f64::INFINITY, fault });
                 }
             }
@@ -547,17 +550,17 @@
     }
 }
 
-/// Whether the last change of the view that a node knows removed a member.
+/// Returns whether the last view change that a node knows removed a member.
 fn removed_last(node: &ClusterNode, id: NodeId) -> bool {
     let last = node.raft().state().view_changes.back();
     last.is_some_and(|change| change.left.iter().any(|(left, _)| *left == id))
 }
 
-/// How a node stands at the end, for whoever looks into a run.
+/// Returns a one-line description of a node's state for diagnosis.
 fn describe(process: &Process, node: &ClusterNode) -> String {
     let (info, raft, view) = (node.node(), node.raft(), node.view());
     format!(
-        "{} {:x} era {} term {} {:?} voters {:?} last {:?} decided {} view {} of {} alive {} leader {:x?} sure {:.0} in view {} {:?}",
+        "{} {:x} epoch {} term {} {:?} voters {:?} last {:?} committed {} view {} of {} alive {} leader {:x?} lease until {:.0} in view {} differing {:?}",
         info.name,
         info.id.0,
         raft.epoch().0,
