--- a/crates/plovershelf-simulation/src/plot.rs
+++ b/crates/plovershelf-simulation/src/plot.rs
@@ -1,31 +1,32 @@
-//! Plots as SVG, which any browser shows.
+//! Line plots as SVG.
 
 use plotters::prelude::*;
 
-/// One line of a plot: what it is called, and its points.
+/// Line of a plot: its name in the legend and its points.
 pub struct Line {
     pub name: String,
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws lines over a common ground, as the text of an SVG.
+/// Draws lines with common axes and returns the text of an SVG. `x` and `y` are the descriptions of the axes.
 ///
-/// Errors: what the drawing says.
+/// Returns an error if there are no points or if the drawing fails.
 pub fn lines(title: &str, x: &str, y: &str, drawn: &[Line]) -> Result<String, String> {
-    let all = || drawn.iter().flat_map(|line| line.points.iter());
-    let ends = |of: fn(&(f64, f64)) -> f64| {
-        let (least, most) =
-            all().map(of).fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), v| (l.min(v), m.max(v)));
-        if least < most {
-            (least, most)
+    let points = || drawn.iter().flat_map(|line| line.points.iter());
+    let range = |coordinate: fn(&(f64, f64)) -> f64| {
+        let (min, max) = points()
+            .map(coordinate)
+            .fold((f64::INFINITY, f64::NEG_INFINITY), |(min, max), value| (min.min(value), max.max(value)));
+        if min < max {
+            (min, max)
         } else {
-            (least.min(0.0), least.max(0.0) + 1.0)
+            (min.min(0.0), max.max(0.0) + 1.0)
         }
     };
-    if all().next().is_none() {
-        return Err("a plot of nothing".into());
+    if points().next().is_none() {
+        return Err("the plot has no points".into());
     }
-    let ((from, to), (_, top)) = (ends(|p| p.0), ends(|p| p.1));
+    let ((from, to), (_, top)) = (range(|point| point.0), range(|point| point.1));
     let mut text = String::new();
     let draw = |text: &mut String| -> Result<(), Box<dyn std::error::Error>> {
         let area = SVGBackend::with_string(text, (860, 480)).into_drawing_area();
@@ -37,11 +38,12 @@
             .y_label_area_size(60)
             .build_cartesian_2d(from..to, 0.0..top * 1.05)?;
         chart.configure_mesh().x_desc(x).y_desc(y).light_line_style(WHITE).draw()?;
-        for (place, line) in drawn.iter().enumerate() {
-            let colour = Palette99::pick(place).to_rgba();
+        for (index, line) in drawn.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
             let series = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
-            let told = chart.draw_series(series)?.label(line.name.clone());
-            told.legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
+            let labelled = chart.draw_series(series)?.label(line.name.clone());
+            labelled
+                .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
         }
         chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
         area.present()?;
--- a/crates/plovershelf-simulation/src/plot/tests.rs
+++ b/crates/plovershelf-simulation/src/plot/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_plot_has_its_lines_and_words_and_nothing_draws_no_plot() {
+fn a_plot_contains_its_title_and_legend_and_one_without_points_is_an_error() {
     let line = Line { name: "median".into(), points: vec![(9.0, 1.0), (900.0, 2.0)] };
     let text = lines("until all know", "members", "seconds", &[line]).expect("a plot");
     assert!(text.starts_with("<svg") && text.contains("median") && text.contains("until all know"));
--- a/crates/plovershelf-simulation/src/replication/events.rs
+++ b/crates/plovershelf-simulation/src/replication/events.rs
@@ -1,37 +1,40 @@
-//! What happens in a run. What belongs to a process names its incarnation: after a loss it does not reach the next one.
+//! Simulated events. An event for a process names its incarnation, so that it is dropped if the process was replaced.
 
 use plovershelf_replication::{Message, RequestId};
 
-/// A process at a member's place.
+/// Incarnation of a member's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Process {
     pub(super) member: usize,
     pub(super) incarnation: u64,
 }
 
-/// What a process meets; a paused one meets it when it goes on.
+/// Event for a process; a paused process handles it when it resumes.
 pub(super) enum ProcessEvent {
     Message {
         from: usize,
         message: Box<Message>,
     },
     Timeout,
-    /// A view that was agreed on reaches it.
+    /// The process learns a committed view.
     View {
         number: u64,
     },
-    RunEnds(RequestId),
-    /// The client of an attempt has lost its patience.
-    ClientGone(RequestId),
+    ExecutionEnds(RequestId),
+    /// The client of an attempt timed out.
+    ClientTimeout(RequestId),
 }
 
+/// Event of the simulation. Faults are identified by their index in the schedule.
 pub(super) enum Event {
     Process(Process, ProcessEvent),
     FaultBegins(usize),
     FaultEnds(usize),
-    /// The group takes note of who is there.
-    Agree,
+    /// The group checks which members are reachable and commits a new view if they differ from the last one.
+    UpdateView,
+    /// A client sends a request with a new idempotency key.
     NewKey,
+    /// A client sends an attempt of a request to some backend.
     Attempt {
         key: u64,
         retries_left: u32,
--- a/crates/plovershelf-simulation/src/replication/mod.rs
+++ b/crates/plovershelf-simulation/src/replication/mod.rs
@@ -1,15 +1,15 @@
-//! Replication on simulated time: keyed requests whose attempts come to several backends, machines lost with all they store,
-//! partitions, pauses; views come as a group gives them, late and not to all at once. With replication, and without it as the
-//! control.
+//! Simulation of replication: clients retry requests with idempotency keys at several backends while machines are lost with
+//! their disks, partitioned and paused. Views arrive late and at different times, as a real group delivers them. The same run
+//! without replication is the control.
 //!
-//! | module | what it owns |
+//! | module | owns |
 //! | --- | --- |
-//! | `plan` | the settings of a run, and schedules of faults |
-//! | `events` | what happens, and to which incarnation of which member |
+//! | `plan` | settings of a run and fault schedules |
+//! | `events` | simulated events and the process incarnation that each belongs to |
 //! | `node` | one member: its state machine and the attempts at its backend |
-//! | `views` | who belongs to the group, and since when somebody else should |
-//! | `report` | what each key's clients were told, and the verdict on the run |
-//! | `world` | the event loop |
+//! | `views` | membership views and the delay until each change |
+//! | `report` | answers that the clients of each key received, and the results of the run |
+//! | `world` | event loop |
 
 mod events;
 mod node;
--- a/crates/plovershelf-simulation/src/replication/node.rs
+++ b/crates/plovershelf-simulation/src/replication/node.rs
@@ -1,4 +1,4 @@
-//! One member: its state machine, and the attempts at its backend.
+//! Member of the simulated group: its state machine and the attempts at its backend.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,17 @@
 
 use super::events::{Process, ProcessEvent};
 
-/// An attempt whose client waits.
+/// Attempt that has not been answered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) key: u64,
     pub(super) retries_left: u32,
     pub(super) started_at_ms: f64,
+    /// End of the execution.
     pub(super) completed_at_ms: Option<f64>,
 }
 
-/// What a backend by itself remembers of a key, without replication.
+/// Record of a key at a backend without replication.
 #[derive(Clone, Debug)]
 pub(super) enum LocalRecord {
     Running,
@@ -24,36 +25,42 @@
 }
 
 pub(super) struct Node {
-    /// Nothing while its machine is lost.
+    /// `None` while the machine is lost.
     pub(super) replicator: Option<Replicator>,
     pub(super) id: NodeId,
     incarnation: u64,
-    /// Faults that keep it down.
-    down: u32,
+    /// Number of active faults that keep the member down.
+    down_count: u32,
     pub(super) paused: bool,
+    /// Events that arrived while the process was paused.
     deferred: Vec<(Process, ProcessEvent)>,
+    /// Time of the scheduled timeout, in milliseconds.
     pub(super) timeout_at_ms: f64,
+    /// Unanswered attempts at this backend.
     pub(super) attempts: BTreeMap<RequestId, Attempt>,
+    /// Requests that are being executed.
     pub(super) running: BTreeSet<RequestId>,
+    /// Records by key; used without replication only.
     pub(super) local_records: BTreeMap<u64, LocalRecord>,
     last_request: u64,
 }
 
-/// What a process leaves behind when its machine is lost.
-pub(super) struct Remains {
-    /// Keys of the requests that ran.
+/// Requests and attempts of a process whose machine was lost.
+pub(super) struct LostWork {
+    /// Keys of the requests that were being executed.
     pub(super) running_keys: Vec<u64>,
+    /// Unanswered attempts.
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl Node {
-    /// A machine without a process.
+    /// Creates a machine without a running process.
     pub(super) fn new(id: NodeId) -> Self {
         Node {
             replicator: None,
             id,
             incarnation: 1,
-            down: 0,
+            down_count: 0,
             paused: false,
             deferred: Vec::new(),
             timeout_at_ms: f64::INFINITY,
@@ -84,8 +91,8 @@
         self.timeout_at_ms = f64::INFINITY;
     }
 
-    /// The machine is lost with all that it stores.
-    pub(super) fn kill(&mut self) -> Remains {
+    /// Removes the process with all its state and returns the work that is lost with it.
+    pub(super) fn kill(&mut self) -> LostWork {
         self.replicator = None;
         self.incarnation += 1;
         self.paused = false;
@@ -95,25 +102,26 @@
         let running = std::mem::take(&mut self.running);
         let key = |request| attempts.get(&request).map(|attempt: &Attempt| attempt.key);
         let running_keys = running.into_iter().filter_map(key).collect();
-        Remains { running_keys, attempts: attempts.into_values().collect() }
+        LostWork { running_keys, attempts: attempts.into_values().collect() }
     }
 
-    /// A fault takes it down; it stays so until each fault that did has ended.
+    /// Counts a fault that keeps the member down until [`Node::end_fault`].
     pub(super) fn begin_fault(&mut self) {
-        self.down += 1;
+        self.down_count += 1;
     }
 
-    /// Whether it is to be started again.
+    /// Ends a fault and returns whether the member must be restarted, which is when no other fault keeps it down.
     pub(super) fn end_fault(&mut self) -> bool {
-        self.down -= 1;
-        self.down == 0 && !self.is_up()
+        self.down_count -= 1;
+        self.down_count == 0 && !self.is_up()
     }
 
+    /// Stores an event for a paused process.
     pub(super) fn defer(&mut self, process: Process, event: ProcessEvent) {
         self.deferred.push((process, event));
     }
 
-    /// Goes on after a pause, if it was paused: what came meanwhile.
+    /// Resumes a paused process and returns the deferred events, or `None` if the process was not paused.
     pub(super) fn resume(&mut self) -> Option<Vec<(Process, ProcessEvent)>> {
         if !std::mem::take(&mut self.paused) {
             return None;
@@ -122,7 +130,7 @@
         Some(std::mem::take(&mut self.deferred))
     }
 
-    /// The number that the next request gets, from here and from the state machine alike.
+    /// Returns the id of the next request; the state machine assigns the same id.
     pub(super) fn next_request(&mut self) -> RequestId {
         self.last_request += 1;
         RequestId(self.last_request)
--- a/crates/plovershelf-simulation/src/replication/plan.rs
+++ b/crates/plovershelf-simulation/src/replication/plan.rs
@@ -1,4 +1,4 @@
-//! The settings of a run, and schedules of faults that it is played with.
+//! Settings of a run and fault schedules.
 
 use plovershelf_replication::ReplicationConfig;
 use rand::{RngExt, SeedableRng};
@@ -9,37 +9,37 @@
 /// Whether backends replicate their records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// As it serves.
+    /// Records are replicated as in the server.
     Replicated,
-    /// The control: each backend knows its own requests alone.
+    /// Control: each backend records its own requests only.
     Alone,
 }
 
-/// The settings of one run.
+/// Settings of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Faults, members and zones.
     pub schedule: Schedule,
-    /// Of all that is drawn during the run.
+    /// Seed of all random draws during the run.
     pub seed: u64,
     /// Settings of each member.
     pub config: ReplicationConfig,
-    /// With replication or without.
+    /// Whether backends replicate their records.
     pub mode: Mode,
-    /// New keys a second.
+    /// Rate of new idempotency keys per second.
     pub keys_per_second: f64,
-    /// Median of a run's duration, in milliseconds.
+    /// Median duration of an execution in milliseconds.
     pub run_ms: f64,
-    /// Median of a one-way delay, in milliseconds.
+    /// Median one-way latency of a message in milliseconds.
     pub one_way_ms: f64,
-    /// What a way between two zones takes longer, in milliseconds.
+    /// Latency added between zones in milliseconds.
     pub between_zones_ms: f64,
-    /// How long an outcome is retained, in milliseconds.
+    /// Time for which an outcome is retained, in milliseconds.
     pub retention_ms: f64,
 }
 
 impl Plan {
-    /// A run of a schedule under moderate load.
+    /// Returns the settings of a run with this fault schedule under moderate load.
     pub fn new(schedule: Schedule, seed: u64, mode: Mode) -> Self {
         Plan {
             schedule,
@@ -55,8 +55,8 @@
     }
 }
 
-/// A schedule that loses machines with their disks throughout, two at once among them, with partitions and pauses between.
-/// No more than two are away at a time.
+/// Generates a schedule with this number of machine losses, some of them two at once, and with partitions, pauses and message
+/// loss between them. A machine is lost with its disk. Faults do not overlap, so that at most two machines are down at a time.
 pub fn schedule(seed: u64, members: usize, zones: usize, losses: usize) -> Schedule {
     let mut rng = Pcg32::seed_from_u64(seed ^ 0x5c_4ed);
     let mut schedule = Schedule { members, zones, steps: Vec::new() };
--- a/crates/plovershelf-simulation/src/replication/report.rs
+++ b/crates/plovershelf-simulation/src/replication/report.rs
@@ -1,4 +1,4 @@
-//! What each key's clients were told, and the verdict on a run.
+//! Answers that the clients of each key received, and the results of a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,44 +6,44 @@
 
 use crate::statistics::Spread;
 
-/// Counts of one run, by keys where nothing else is said.
+/// Results of one run.
 #[derive(Default)]
 pub struct Report {
-    /// Keys that were tried.
+    /// Number of idempotency keys that clients sent.
     pub keys: u64,
-    /// Retries at another backend than the attempt before.
+    /// Number of retries at a different backend than the previous attempt.
     pub retries_elsewhere: u64,
-    /// Machines lost with all they stored.
+    /// Number of machines lost with their disks.
     pub machines_lost: u64,
-    /// Most machines that were lost at the same time.
+    /// Maximum number of machines that were down at the same time.
     pub max_lost_at_once: u64,
-    /// Keys that were launched more than once.
+    /// Number of keys that were launched more than once.
     pub executed_twice: u64,
-    /// Keys answered otherwise after a client had a result.
+    /// Number of keys answered differently after a client received a result.
     pub changed_after_success: u64,
-    /// Keys whose clients were answered differently.
+    /// Number of keys whose clients received different answers.
     pub conflicting_outcomes: u64,
-    /// Keys answered as in doubt.
+    /// Number of keys answered as in doubt.
     pub in_doubt: u64,
-    /// Keys that ran on a machine while it was lost.
+    /// Number of keys that were being executed on a machine when it was lost.
     pub ran_on_lost: u64,
-    /// Attempts that were rejected.
+    /// Number of rejected attempts.
     pub rejected: u64,
-    /// Keys of which a client had a result.
+    /// Number of keys for which a client received a result.
     pub succeeded: u64,
-    /// From a request's arrival to its launch.
+    /// Time from the arrival of a request to its launch, in milliseconds.
     pub launch_wait_ms: Spread,
-    /// From the end of a run to its answer.
+    /// Time from the end of an execution to its answer, in milliseconds.
     pub answer_wait_ms: Spread,
-    /// Longest time for which any key lacked replicas.
+    /// Longest period in which at least one key was under-replicated, in milliseconds.
     pub max_under_replicated_ms: f64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Most records that one member stored.
+    /// Maximum number of records that one member stored.
     pub max_records: usize,
 }
 
-/// What became of one key.
+/// Attempts, launches and answers of one key.
 #[derive(Default)]
 pub(super) struct KeyHistory {
     launches: u32,
@@ -54,30 +54,32 @@
     last_member: Option<usize>,
 }
 
-/// Whether an attempt comes to another member than the one before.
+/// Backend of an attempt compared with that of the previous attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Visit {
+pub(super) enum AttemptTarget {
+    /// First attempt, or the same backend.
     FirstOrSame,
-    Elsewhere,
+    /// Different backend.
+    Different,
 }
 
 impl KeyHistory {
-    pub(super) fn attempted_at(&mut self, member: usize) -> Visit {
+    pub(super) fn record_attempt(&mut self, member: usize) -> AttemptTarget {
         match self.last_member.replace(member) {
-            Some(last) if last != member => Visit::Elsewhere,
-            _ => Visit::FirstOrSame,
+            Some(last) if last != member => AttemptTarget::Different,
+            _ => AttemptTarget::FirstOrSame,
         }
     }
 
-    pub(super) fn launched(&mut self) {
+    pub(super) fn record_launch(&mut self) {
         self.launches += 1;
     }
 
-    pub(super) fn lost_while_running(&mut self) {
+    pub(super) fn record_loss_while_running(&mut self) {
         self.lost_while_running = true;
     }
 
-    pub(super) fn answered(&mut self, outcome: Outcome) {
+    pub(super) fn record_answer(&mut self, outcome: Outcome) {
         if self.first_success.as_ref().is_some_and(|first| *first != outcome) {
             self.changed_after_success = true;
         }
@@ -89,8 +91,8 @@
 }
 
 impl Report {
-    /// With what the keys' histories show.
-    pub(super) fn judged(mut self, histories: &BTreeMap<u64, KeyHistory>) -> Self {
+    /// Adds the counts that follow from the histories of all keys.
+    pub(super) fn with_key_counts(mut self, histories: &BTreeMap<u64, KeyHistory>) -> Self {
         for history in histories.values() {
             self.executed_twice += u64::from(history.launches > 1);
             self.changed_after_success += u64::from(history.changed_after_success);
--- a/crates/plovershelf-simulation/src/replication/views.rs
+++ b/crates/plovershelf-simulation/src/replication/views.rs
@@ -1,26 +1,28 @@
-//! Views as a group gives them: one that is away for a second is left out, one that is back is taken in.
+//! Membership views: a member that is unreachable for [`LEAVE_AFTER_MS`] is removed, one that is reachable for
+//! [`JOIN_AFTER_MS`] is added.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use plovershelf_cluster::NodeId;
 use plovershelf_replication::Member;
 
-/// How long a member must be back, or away, before a view says so. Milliseconds.
+/// Time for which a member must be reachable before a view adds it, in milliseconds.
 const JOIN_AFTER_MS: f64 = 300.0;
+/// Time for which a member must be unreachable before a view removes it, in milliseconds.
 const LEAVE_AFTER_MS: f64 = 1000.0;
 
-/// A member as the group sees it now.
+/// Current state of a member as the group observes it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct ObservedMember {
     pub(super) id: NodeId,
     pub(super) reachable: bool,
 }
 
 #[derive(Default)]
 pub(super) struct ViewService {
-    /// By number from 1: who belongs.
+    /// Members of each view; view `n` is at index `n - 1`.
     views: Vec<Vec<(usize, NodeId)>>,
-    /// Since when a member differs from the last view.
+    /// Time since which a member's reachability differs from the last view, in milliseconds.
     differs_since: BTreeMap<usize, f64>,
 }
 
@@ -33,38 +35,39 @@
         self.views.push(view);
     }
 
-    /// A view as its members learn it, with members spread over zones in turn.
+    /// Returns the members of a view, assigned to zones round-robin.
     pub(super) fn members(&self, number: u64, zones: usize) -> Vec<Member> {
         let view = &self.views[number as usize - 1];
         view.iter()
-            .map(|(place, id)| Member {
+            .map(|(member, id)| Member {
                 id: *id,
-                zone: format!("z{}", place % zones.max(1)),
-                machine: format!("m{place}"),
+                zone: format!("z{}", member % zones.max(1)),
+                machine: format!("m{member}"),
                 weight: 1.0,
             })
             .collect()
     }
 
-    /// The next view, where one is due and a majority of all members is in it.
-    pub(super) fn next(&mut self, now_ms: f64, all: &[Seen]) -> Option<Vec<(usize, NodeId)>> {
+    /// Returns the next view if it differs from the last one and contains a majority of all members.
+    pub(super) fn next(&mut self, now_ms: f64, all: &[ObservedMember]) -> Option<Vec<(usize, NodeId)>> {
         let last = self.views.last().cloned().unwrap_or_default();
         let mut next = BTreeSet::new();
-        for (member, seen) in all.iter().enumerate() {
-            let in_last = last.contains(&(member, seen.id));
-            if self.belongs(now_ms, member, seen.reachable, in_last) {
+        for (member, observed) in all.iter().enumerate() {
+            let in_last = last.contains(&(member, observed.id));
+            if self.belongs(now_ms, member, observed.reachable, in_last) {
                 next.insert(member);
             }
         }
-        // A process that is gone for good leaves as soon as another has its place.
+        // A process that was replaced is removed at once: its id is no longer that of the member.
         let view: Vec<(usize, NodeId)> = next
             .iter()
             .map(|member| (*member, all[*member].id))
-            .filter(|one| all[one.0].reachable || last.contains(one))
+            .filter(|entry| all[entry.0].reachable || last.contains(entry))
             .collect();
         (view != last && view.len() * 2 > all.len()).then_some(view)
     }
 
+    /// Returns whether the next view contains a member. A change of reachability counts after its delay only.
     fn belongs(&mut self, now_ms: f64, member: usize, reachable: bool, in_last: bool) -> bool {
         if reachable == in_last {
             self.differs_since.remove(&member);
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -1,4 +1,4 @@
-//! The event loop of a run: members, the ways between them, clients and faults.
+//! Event loop of a run: members, network, clients and faults.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,23 @@
 use super::events::{Event, Process, ProcessEvent};
 use super::node::{Attempt, LocalRecord, Node};
 use super::plan::{Mode, Plan};
-use super::report::{KeyHistory, Report, Visit};
-use super::views::{Seen, ViewService};
+use super::report::{AttemptTarget, KeyHistory, Report};
+use super::views::{ObservedMember, ViewService};
 use crate::net::{Net, Queue};
 use crate::schedule::{cut_paths, third, Fault, FaultPhase};
 
-/// How long a request may be launched, and how long its client waits at the median, in milliseconds.
+/// Time within which a request must be launched, in milliseconds.
 const DEADLINE_MS: f64 = 3000.0;
-const PATIENCE_MS: f64 = 600.0;
+/// Median time after which a client abandons an attempt and retries elsewhere, in milliseconds.
+const CLIENT_TIMEOUT_MS: f64 = 600.0;
+/// Maximum number of retries of a request.
 const RETRIES: u32 = 5;
-/// The group looks at its members so often, in milliseconds.
-const AGREE_INTERVAL_MS: f64 = 50.0;
-/// The run goes on for so long after the last fault, in milliseconds.
-const AFTERMATH_MS: f64 = 10_000.0;
+/// Interval at which the group checks its members, in milliseconds.
+const VIEW_INTERVAL_MS: f64 = 50.0;
+/// Duration of the run after the end of the schedule, in milliseconds.
+const SETTLE_MS: f64 = 10_000.0;
 
-/// One run.
+/// State of one run.
 pub struct World {
     plan: Plan,
     queue: Queue<Event>,
@@ -43,12 +45,12 @@
 }
 
 impl World {
-    /// Plays a run to its end.
+    /// Runs a plan and returns the results.
     pub fn run(plan: Plan) -> Report {
         let mut rng = Pcg32::seed_from_u64(plan.seed ^ 0xc0_91e5);
         let mut net = Net::new(rng.random(), plan.one_way_ms);
         net.between_zones_ms = plan.between_zones_ms;
-        let nodes = (0..plan.schedule.members).map(|_| Node::new(drawn_id(&mut rng))).collect();
+        let nodes = (0..plan.schedule.members).map(|_| Node::new(random_id(&mut rng))).collect();
         let ends_ms = plan.schedule.ends_ms();
         let mut world = World {
             plan,
@@ -63,26 +65,26 @@
             last_key: 0,
             ends_ms,
         };
-        world.play();
-        let mut report = world.report.judged(&world.histories);
+        world.process_events();
+        let mut report = world.report.with_key_counts(&world.histories);
         report.messages = world.net.messages_sent;
         report
     }
 
-    fn play(&mut self) {
+    fn process_events(&mut self) {
         for member in 0..self.nodes.len() {
             self.start(member);
         }
         let all = self.nodes.iter().enumerate().map(|(member, node)| (member, node.id)).collect();
         self.install_view(all);
-        for (place, step) in self.plan.schedule.steps.iter().enumerate() {
-            self.queue.schedule(step.at_ms, Event::FaultBegins(place));
-            self.queue.schedule(step.at_ms + step.for_ms, Event::FaultEnds(place));
+        for (index, step) in self.plan.schedule.steps.iter().enumerate() {
+            self.queue.schedule(step.at_ms, Event::FaultBegins(index));
+            self.queue.schedule(step.at_ms + step.for_ms, Event::FaultEnds(index));
         }
         self.queue.schedule(300.0, Event::NewKey);
-        self.queue.schedule(AGREE_INTERVAL_MS, Event::Agree);
+        self.queue.schedule(VIEW_INTERVAL_MS, Event::UpdateView);
         while let Some(event) = self.queue.pop() {
-            if self.queue.now() > self.ends_ms + AFTERMATH_MS {
+            if self.queue.now() > self.ends_ms + SETTLE_MS {
                 break;
             }
             self.handle_event(event);
@@ -92,9 +94,9 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Process(process, event) => self.handle_process_event(process, event),
-            Event::FaultBegins(place) => self.apply_fault(place, FaultPhase::Begins),
-            Event::FaultEnds(place) => self.apply_fault(place, FaultPhase::Ends),
-            Event::Agree => self.agree(),
+            Event::FaultBegins(index) => self.apply_fault(index, FaultPhase::Begins),
+            Event::FaultEnds(index) => self.apply_fault(index, FaultPhase::Ends),
+            Event::UpdateView => self.update_view(),
             Event::NewKey => self.new_key(),
             Event::Attempt { key, retries_left } => self.attempt(key, retries_left),
         }
@@ -123,8 +125,8 @@
                 let view = ViewNumber(number);
                 self.drive(member, |replicator, now_ms| replicator.update_view(now_ms, view, members));
             }
-            ProcessEvent::RunEnds(request) => self.run_ended(member, request),
-            ProcessEvent::ClientGone(request) => self.client_gone(member, request),
+            ProcessEvent::ExecutionEnds(request) => self.handle_execution_end(member, request),
+            ProcessEvent::ClientTimeout(request) => self.handle_client_timeout(member, request),
         }
     }
 
@@ -137,7 +139,8 @@
         }
     }
 
-    /// The last view reaches each member by its own way, some after a while; one that is cut off not before it is back.
+    /// Schedules the delivery of the last view to a member: within 5 ms, and within 300 ms for one delivery in ten. A member
+    /// that is down or paused when it arrives handles it when it resumes, or is sent the view again.
     fn send_view(&mut self, member: usize) {
         let within_ms = if self.rng.random::<f64>() < 0.1 { 300.0 } else { 5.0 };
         let at_ms = self.queue.now() + within_ms * self.rng.random::<f64>();
@@ -145,18 +148,18 @@
         self.queue.schedule(at_ms, Event::Process(self.nodes[member].process(member), event));
     }
 
-    fn agree(&mut self) {
+    fn update_view(&mut self) {
         let now_ms = self.queue.now();
-        self.queue.schedule(now_ms + AGREE_INTERVAL_MS, Event::Agree);
-        let seen: Vec<Seen> = (0..self.nodes.len())
-            .map(|member| Seen { id: self.nodes[member].id, reachable: self.is_reachable(member) })
+        self.queue.schedule(now_ms + VIEW_INTERVAL_MS, Event::UpdateView);
+        let observed: Vec<ObservedMember> = (0..self.nodes.len())
+            .map(|member| ObservedMember { id: self.nodes[member].id, reachable: self.is_reachable(member) })
             .collect();
-        if let Some(view) = self.views.next(now_ms, &seen) {
+        if let Some(view) = self.views.next(now_ms, &observed) {
             self.install_view(view);
         }
-        // Members that missed the last view are sent it again.
+        // Send the last view again to members that missed it.
         let last = self.views.last_number();
-        for member in (0..seen.len()).filter(|member| seen[*member].reachable) {
+        for member in (0..observed.len()).filter(|member| observed[*member].reachable) {
             let behind = |replicator: &Replicator| replicator.view().0 < last;
             if self.nodes[member].replicator.as_ref().is_some_and(behind) && self.rng.random::<f64>() < 0.5 {
                 self.send_view(member);
@@ -165,20 +168,20 @@
         self.observe_replicas(now_ms);
     }
 
-    /// Up, not paused, and with ways to and from more than half of all.
+    /// Returns whether a member is up, not paused, and connected in both directions to more than half of all members.
     fn is_reachable(&self, member: usize) -> bool {
         let count = self.nodes.len();
-        let linked = |other: &usize| !self.net.is_cut(member, *other) && !self.net.is_cut(*other, member);
+        let connected = |other: &usize| !self.net.is_cut(member, *other) && !self.net.is_cut(*other, member);
         let node = &self.nodes[member];
-        node.is_up() && !node.paused && (0..count).filter(linked).count() * 2 > count
+        node.is_up() && !node.paused && (0..count).filter(connected).count() * 2 > count
     }
 
     fn observe_replicas(&mut self, now_ms: f64) {
-        let live = || self.nodes.iter().filter_map(|node| node.replicator.as_ref());
-        let lacking: usize = live().map(Replicator::under_replicated_count).sum();
-        let records = live().map(Replicator::record_count).max().unwrap_or(0);
+        let running = || self.nodes.iter().filter_map(|node| node.replicator.as_ref());
+        let under_replicated: usize = running().map(Replicator::under_replicated_count).sum();
+        let records = running().map(Replicator::record_count).max().unwrap_or(0);
         self.report.max_records = self.report.max_records.max(records);
-        match (lacking > 0, self.under_replicated_since_ms) {
+        match (under_replicated > 0, self.under_replicated_since_ms) {
             (true, None) => self.under_replicated_since_ms = Some(now_ms),
             (false, Some(since_ms)) => {
                 self.report.max_under_replicated_ms =
@@ -192,28 +195,28 @@
     // ---- one member ------------------------------------------------------------------------------------
 
     fn start(&mut self, member: usize) {
-        let id = drawn_id(&mut self.rng);
+        let id = random_id(&mut self.rng);
         self.nodes[member].start(id, self.plan.config.clone(), self.queue.now());
         self.drive(member, |_, _| ());
     }
 
-    /// A machine is lost with all that it stores. Its clients find the connection broken and go elsewhere.
+    /// Removes a machine with its disk. Its clients notice the broken connection and retry at other backends.
     fn kill(&mut self, member: usize) {
         self.report.machines_lost += 1;
-        let remains = self.nodes[member].kill();
-        for key in remains.running_keys {
+        let lost = self.nodes[member].kill();
+        for key in lost.running_keys {
             if let Some(history) = self.histories.get_mut(&key) {
-                history.lost_while_running();
+                history.record_loss_while_running();
             }
         }
         let down = self.nodes.iter().filter(|node| !node.is_up()).count() as u64;
         self.report.max_lost_at_once = self.report.max_lost_at_once.max(down);
-        for attempt in remains.attempts {
+        for attempt in lost.attempts {
             self.retry(attempt.key, attempt.retries_left, 5.0);
         }
     }
 
-    /// One input of a member's state machine, and what it leads to.
+    /// Passes an input to a member's state machine and executes the resulting actions.
     fn drive(&mut self, member: usize, input: impl FnOnce(&mut Replicator, f64)) {
         let now_ms = self.queue.now();
         let Some(replicator) = self.nodes[member].replicator.as_mut() else { return };
@@ -268,14 +271,14 @@
         let process = node.process(member);
         self.report.launch_wait_ms.put(now_ms - attempt.started_at_ms);
         if let Some(history) = self.histories.get_mut(&attempt.key) {
-            history.launched();
+            history.record_launch();
         }
         let run_ms = LogNormal::new(self.plan.run_ms.ln(), 0.4)
-            .map_or(self.plan.run_ms, |spread| spread.sample(&mut self.rng));
-        self.queue.schedule(now_ms + run_ms, Event::Process(process, ProcessEvent::RunEnds(request)));
+            .map_or(self.plan.run_ms, |distribution| distribution.sample(&mut self.rng));
+        self.queue.schedule(now_ms + run_ms, Event::Process(process, ProcessEvent::ExecutionEnds(request)));
     }
 
-    fn run_ended(&mut self, member: usize, request: RequestId) {
+    fn handle_execution_end(&mut self, member: usize, request: RequestId) {
         let now_ms = self.queue.now();
         let outcome = Outcome::Succeeded(self.rng.random::<u64>().to_be_bytes().to_vec());
         let node = &mut self.nodes[member];
@@ -309,7 +312,7 @@
         self.report.keys += 1;
         self.histories.insert(key, KeyHistory::default());
         self.queue.schedule(now_ms, Event::Attempt { key, retries_left: RETRIES });
-        // Some clients try two backends in the same instant.
+        // Some clients send the request to two backends at the same time.
         if self.rng.random::<f64>() < 0.15 {
             self.queue.schedule(now_ms, Event::Attempt { key, retries_left: 2 });
         }
@@ -322,15 +325,19 @@
         }
     }
 
-    /// An attempt comes to a backend whose machine is not lost.
+    /// Sends an attempt to a random backend whose machine is up.
     fn attempt(&mut self, key: u64, retries_left: u32) {
-        let live: Vec<usize> = (0..self.nodes.len()).filter(|member| self.nodes[*member].is_up()).collect();
-        let Some(member) = live.get(self.rng.random_range(0..live.len().max(1))).copied() else { return };
+        let running: Vec<usize> =
+            (0..self.nodes.len()).filter(|member| self.nodes[*member].is_up()).collect();
+        let Some(member) = running.get(self.rng.random_range(0..running.len().max(1))).copied() else {
+            return;
+        };
         let Some(history) = self.histories.get_mut(&key) else { return };
-        self.report.retries_elsewhere += u64::from(history.attempted_at(member) == Visit::Elsewhere);
+        self.report.retries_elsewhere +=
+            u64::from(history.record_attempt(member) == AttemptTarget::Different);
         if self.nodes[member].paused {
-            // Nobody answers there; the client loses its patience.
-            return self.retry(key, retries_left, PATIENCE_MS);
+            // A paused backend does not answer, so the client times out.
+            return self.retry(key, retries_left, CLIENT_TIMEOUT_MS);
         }
         let now_ms = self.queue.now();
         let node = &mut self.nodes[member];
@@ -338,11 +345,12 @@
         let attempt = Attempt { key, retries_left, started_at_ms: now_ms, completed_at_ms: None };
         node.attempts.insert(request, attempt);
         let process = node.process(member);
-        let patience_ms = PATIENCE_MS * (0.7 + 0.6 * self.rng.random::<f64>());
-        self.queue.schedule(now_ms + patience_ms, Event::Process(process, ProcessEvent::ClientGone(request)));
+        let timeout_ms = CLIENT_TIMEOUT_MS * (0.7 + 0.6 * self.rng.random::<f64>());
+        self.queue
+            .schedule(now_ms + timeout_ms, Event::Process(process, ProcessEvent::ClientTimeout(request)));
         match self.plan.mode {
             Mode::Replicated => self.reserve(member, request, key),
-            Mode::Alone => self.attempt_alone(member, request, key),
+            Mode::Alone => self.attempt_without_replication(member, request, key),
         }
     }
 
@@ -350,12 +358,12 @@
         let key = IdempotencyKey::new("book", &key.to_be_bytes());
         let retention_ms = self.plan.retention_ms;
         self.drive(member, |replicator, now_ms| {
-            let given = replicator.reserve(now_ms, key, now_ms + DEADLINE_MS, retention_ms);
-            debug_assert_eq!(given, request);
+            let assigned = replicator.reserve(now_ms, key, now_ms + DEADLINE_MS, retention_ms);
+            debug_assert_eq!(assigned, request);
         });
     }
 
-    fn attempt_alone(&mut self, member: usize, request: RequestId, key: u64) {
+    fn attempt_without_replication(&mut self, member: usize, request: RequestId, key: u64) {
         match self.nodes[member].local_records.get(&key).cloned() {
             Some(LocalRecord::Completed(outcome)) => self.answer(member, request, outcome),
             Some(LocalRecord::Running) => {}
@@ -366,8 +374,8 @@
         }
     }
 
-    /// The client's patience is over: what was not launched is released, and it tries elsewhere.
-    fn client_gone(&mut self, member: usize, request: RequestId) {
+    /// Handles the timeout of a client: cancels the request if it was not launched, and retries at another backend.
+    fn handle_client_timeout(&mut self, member: usize, request: RequestId) {
         let Some(attempt) = self.nodes[member].attempts.get_mut(&request) else { return };
         let (key, retries_left) = (attempt.key, std::mem::take(&mut attempt.retries_left));
         if self.plan.mode == Mode::Replicated {
@@ -387,19 +395,19 @@
             return;
         };
         let Some(history) = self.histories.get_mut(&key) else { return };
-        // Some ask again, though they had it.
+        // One in five clients repeats a request that succeeded, which checks that the repeated answer is the same.
         if matches!(outcome, Outcome::Succeeded(_)) && self.rng.random::<f64>() < 0.2 && retries_left > 0 {
             let at_ms = self.queue.now() + 2000.0 * self.rng.random::<f64>();
             self.queue.schedule(at_ms, Event::Attempt { key, retries_left: 0 });
         }
-        history.answered(outcome);
+        history.record_answer(outcome);
     }
 
     // ---- faults ----------------------------------------------------------------------------------------
 
-    fn apply_fault(&mut self, place: usize, phase: FaultPhase) {
+    fn apply_fault(&mut self, index: usize, phase: FaultPhase) {
         let begins = phase == FaultPhase::Begins;
-        match self.plan.schedule.steps[place].fault.clone() {
+        match self.plan.schedule.steps[index].fault.clone() {
             Fault::Cut { these, those, one_way } => {
                 let paths = cut_paths(&these, &those, one_way);
                 paths.for_each(|(from, to)| self.net.cut(from, to, begins));
@@ -408,9 +416,9 @@
                 self.net.loss = (self.net.loss + if begins { share } else { -share }).max(0.0);
             }
             Fault::Slow { member, by_ms } => self.net.set_delay(member, begins.then_some(by_ms)),
-            // Without the time that leaving takes: as hard as a loss.
+            // The model has no graceful shutdown; a loss is at least as severe.
             Fault::Kill { member, .. } | Fault::Leave { member } => self.lose(member, phase),
-            // Two at once, next to each other and so in two zones: what three replicas are promised to outlive.
+            // Lose two adjacent members, which are in different zones: three replicas are guaranteed to survive that.
             Fault::KillThird { first } => {
                 let lost: Vec<usize> = third(first, self.nodes.len()).take(2).collect();
                 lost.into_iter().for_each(|member| self.lose(member, phase));
@@ -450,7 +458,7 @@
     }
 }
 
-/// Never 0, which names no member.
-fn drawn_id(rng: &mut Pcg32) -> NodeId {
+/// Returns a random node id other than 0, which is not a valid id.
+fn random_id(rng: &mut Pcg32) -> NodeId {
     NodeId(rng.random::<u64>() | 1)
 }
--- a/crates/plovershelf-simulation/src/statistics.rs
+++ b/crates/plovershelf-simulation/src/statistics.rs
@@ -1,10 +1,11 @@
-//! Figures over many seeds: spreads, and differences that can be told from chance.
+//! Statistics over many seeds: distributions, linear fits, and the significance of paired differences.
 
 use hdrhistogram::Histogram;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
 
-/// Values of one figure, three places kept, from a thousandth on.
+/// Distribution of the values of one metric, with a resolution of 0.001 and three significant digits for quantiles. The mean
+/// and the maximum are exact.
 pub struct Spread {
     histogram: Histogram<u64>,
     sum: f64,
@@ -13,95 +14,106 @@
 
 impl Default for Spread {
     fn default() -> Self {
-        let histogram = Histogram::new(3).unwrap_or_else(|_| unreachable!("three places are allowed"));
+        let histogram =
+            Histogram::new(3).unwrap_or_else(|_| unreachable!("three significant digits are valid"));
         Spread { histogram, sum: 0.0, most: 0.0 }
     }
 }
 
 impl Spread {
+    /// Records a value; the quantiles count a negative value as 0.
     pub fn put(&mut self, value: f64) {
-        // It grows by itself, so nothing is too large for it.
+        // The histogram resizes automatically, so no value is out of range.
         let _ = self.histogram.record((value.max(0.0) * 1000.0).round() as u64);
         self.sum += value;
         self.most = self.most.max(value);
     }
 
+    /// Adds all values of another distribution.
     pub fn join(&mut self, other: &Spread) {
         let _ = self.histogram.add(&other.histogram);
         (self.sum, self.most) = (self.sum + other.sum, self.most.max(other.most));
     }
 
+    /// Returns the number of values.
     pub fn count(&self) -> u64 {
         self.histogram.len()
     }
-    /// None of these is known of a spread with nothing in it: a figure without data is no figure, and never 0.
+    /// Returns the mean, or `None` without values: a metric without data must not be reported as 0.
     pub fn mean(&self) -> Option<f64> {
-        self.filled().map(|spread| spread.sum / spread.count() as f64)
+        self.non_empty().map(|spread| spread.sum / spread.count() as f64)
     }
+    /// Returns the maximum, or `None` without values.
     pub fn most(&self) -> Option<f64> {
-        self.filled().map(|spread| spread.most)
+        self.non_empty().map(|spread| spread.most)
     }
+    /// Returns the quantile for a fraction from 0 to 1, or `None` without values.
     pub fn at(&self, share: f64) -> Option<f64> {
-        self.filled().map(|spread| spread.histogram.value_at_quantile(share) as f64 / 1000.0)
+        self.non_empty().map(|spread| spread.histogram.value_at_quantile(share) as f64 / 1000.0)
     }
 
-    fn filled(&self) -> Option<&Self> {
+    fn non_empty(&self) -> Option<&Self> {
         (self.count() > 0).then_some(self)
     }
 }
 
-/// A straight line through points by least squares.
+/// Linear least-squares fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     pub slope: f64,
     pub intercept: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
-    /// Share of the variance that the line explains; 1 where there is none to explain.
+    /// Fraction of the variance that the line explains; 1 if all y values are equal.
     pub r_squared: f64,
+    /// Number of points.
     pub points: usize,
 }
 
 impl Fit {
-    /// Errors: none for fewer than three points (two leave no error to tell), one x alone, or a value that is no number.
+    /// Fits a line. Returns `None` for fewer than three points (two points leave no residual to estimate the error from), if
+    /// all x values are equal, or if a value is not finite.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let (x, y): (Vec<f64>, Vec<f64>) = points.iter().copied().unzip();
-        let spread = x.as_slice().variance();
-        if points.len() < 3 || x.iter().chain(&y).any(|value| !value.is_finite()) || spread <= 0.0 {
+        let x_variance = x.as_slice().variance();
+        if points.len() < 3 || x.iter().chain(&y).any(|value| !value.is_finite()) || x_variance <= 0.0 {
             return None;
         }
-        let slope = x.as_slice().covariance(y.as_slice()) / spread;
+        let slope = x.as_slice().covariance(y.as_slice()) / x_variance;
         let intercept = y.as_slice().mean() - slope * x.as_slice().mean();
         let count = points.len() as f64;
-        let unexplained = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum::<f64>();
-        let whole = y.as_slice().variance() * (count - 1.0);
-        let r_squared = if whole > 0.0 { 1.0 - unexplained / whole } else { 1.0 };
-        let slope_error = (unexplained / (count - 2.0) / (spread * (count - 1.0))).sqrt();
+        let residual_sum = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum::<f64>();
+        let total_sum = y.as_slice().variance() * (count - 1.0);
+        let r_squared = if total_sum > 0.0 { 1.0 - residual_sum / total_sum } else { 1.0 };
+        let slope_error = (residual_sum / (count - 2.0) / (x_variance * (count - 1.0))).sqrt();
         Some(Fit { slope, intercept, slope_error, r_squared, points: points.len() })
     }
 
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
-    /// The slope lies so far up and down with 95 in 100 confidence.
+    /// Returns half the width of the 95 % confidence interval of the slope.
     pub fn slope_bar(&self) -> f64 {
         let t = StudentsT::new(0.0, 1.0, self.points as f64 - 2.0);
         t.map_or(f64::INFINITY, |t| t.inverse_cdf(0.975)) * self.slope_error
     }
 }
 
-/// What a comparison by pairs came to.
+/// Result of a paired comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Compared {
+    /// Mean difference.
     pub mean: f64,
-    /// The mean lies so far up and down with 95 in 100 confidence.
+    /// Half the width of the 95 % confidence interval of the mean.
     pub bar: f64,
-    /// Whether the difference can be told from chance.
+    /// Whether the difference is significant: the confidence interval excludes 0.
     pub told: bool,
 }
 
-/// The differences of pairs, each of the same seed. Fewer than three tell nothing.
+/// Compares paired samples by their differences; the two samples of a pair have the same seed. Fewer than three pairs are never
+/// significant.
 pub fn compared(differences: &[f64]) -> Compared {
     let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count.max(1.0);
--- a/crates/plovershelf-simulation/src/statistics/tests.rs
+++ b/crates/plovershelf-simulation/src/statistics/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn a_spread_tells_what_was_put_in_also_when_joined() {
-    let (mut one, mut other) = (Spread::default(), Spread::default());
-    (1..=50).for_each(|n| one.put(f64::from(n) * 100.0));
+fn a_joined_spread_has_the_statistics_of_all_values() {
+    let (mut joined, mut other) = (Spread::default(), Spread::default());
+    (1..=50).for_each(|n| joined.put(f64::from(n) * 100.0));
     (51..=100).for_each(|n| other.put(f64::from(n) * 100.0));
-    one.join(&other);
-    assert_eq!((one.count(), one.most()), (100, Some(10_000.0)));
-    let (middle, mean) = (one.at(0.5).unwrap(), one.mean().unwrap());
-    assert!((middle - 5000.0).abs() < 10.0 && (mean - 5050.0).abs() < 0.01, "{middle} {mean}");
+    joined.join(&other);
+    assert_eq!((joined.count(), joined.most()), (100, Some(10_000.0)));
+    let (median, mean) = (joined.at(0.5).unwrap(), joined.mean().unwrap());
+    assert!((median - 5000.0).abs() < 10.0 && (mean - 5050.0).abs() < 0.01, "{median} {mean}");
 }
 
 #[test]
-fn a_spread_with_nothing_in_it_has_no_figures() {
+fn an_empty_spread_has_no_mean_maximum_or_quantile() {
     let mut empty = Spread::default();
     assert_eq!((empty.at(0.5), empty.most(), empty.mean()), (None, None, None));
     empty.join(&Spread::default());
@@ -22,21 +22,23 @@
 }
 
 #[test]
-fn a_line_is_fitted_with_its_error_and_what_it_explains() {
+fn a_fit_has_slope_intercept_standard_error_and_r_squared() {
     let exact = Fit::of(&[(9.0, 118.0), (30.0, 160.0), (90.0, 280.0)]).unwrap();
     assert!((exact.slope - 2.0).abs() < 1e-9 && (exact.intercept - 100.0).abs() < 1e-9, "{exact:?}");
     assert!(
         exact.slope_error < 1e-9 && exact.r_squared > 1.0 - 1e-12 && (exact.at(900.0) - 1900.0).abs() < 1e-6
     );
-    // Worked out by hand: means 2.5 and 3.5, sums of squares 5 and 11, of products 7; unexplained 1.2.
-    let loose = Fit::of(&[(1.0, 2.0), (2.0, 2.0), (3.0, 4.0), (4.0, 6.0)]).unwrap();
-    assert!((loose.slope - 1.4).abs() < 1e-9 && loose.intercept.abs() < 1e-9, "{loose:?}");
-    assert!((loose.r_squared - 9.8 / 11.0).abs() < 1e-9 && (loose.slope_error - 0.12f64.sqrt()).abs() < 1e-9);
-    assert!((loose.slope_bar() - 4.302_65 * 0.12f64.sqrt()).abs() < 1e-3, "{}", loose.slope_bar());
+    // Calculated by hand: means 2.5 and 3.5, sums of squares 5 and 11, sum of products 7, residual sum of squares 1.2.
+    let inexact = Fit::of(&[(1.0, 2.0), (2.0, 2.0), (3.0, 4.0), (4.0, 6.0)]).unwrap();
+    assert!((inexact.slope - 1.4).abs() < 1e-9 && inexact.intercept.abs() < 1e-9, "{inexact:?}");
+    assert!(
+        (inexact.r_squared - 9.8 / 11.0).abs() < 1e-9 && (inexact.slope_error - 0.12f64.sqrt()).abs() < 1e-9
+    );
+    assert!((inexact.slope_bar() - 4.302_65 * 0.12f64.sqrt()).abs() < 1e-3, "{}", inexact.slope_bar());
 }
 
 #[test]
-fn too_few_points_and_no_numbers_give_no_line() {
+fn too_few_points_equal_x_values_or_nan_give_no_fit() {
     for points in
         [vec![(1.0, 1.0), (2.0, 2.0)], vec![(5.0, 1.0); 4], vec![(1.0, 1.0), (2.0, f64::NAN), (3.0, 1.0)]]
     {
@@ -45,11 +47,11 @@
 }
 
 #[test]
-fn equal_pairs_are_not_told_apart_and_better_ones_are() {
+fn only_a_difference_beyond_the_noise_is_significant() {
     let noise: Vec<f64> = (0..20).map(|n| f64::from(n % 5) - 2.0).collect();
     assert!(!compared(&noise).told);
-    let better: Vec<f64> = noise.iter().map(|d| d + 3.0).collect();
-    let found = compared(&better);
-    assert!(found.told && (found.mean - 3.0).abs() < 0.01 && found.bar < 1.0, "{found:?}");
+    let shifted: Vec<f64> = noise.iter().map(|d| d + 3.0).collect();
+    let result = compared(&shifted);
+    assert!(result.told && (result.mean - 3.0).abs() < 0.01 && result.bar < 1.0, "{result:?}");
     assert!(!compared(&[5.0, 5.0]).told);
 }
