--- a/crates/plovershelf-simulation/examples/changes.rs
+++ b/crates/plovershelf-simulation/examples/changes.rs
@@ -1,4 +1,5 @@
-//! One way to carry changes, shape by shape: `changes [tree|direct|gossip] [LISTENERS] [SEED] [SHAPE...]`; no shape is all of them.
+//! Simulates a strategy of configuration distribution and prints the results of each scenario:
+//! `changes [tree|direct|gossip] [LISTENERS] [SEED] [SHAPE...]`. Without a shape, all scenarios run.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -10,45 +11,47 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let way = args.first().map_or("tree", String::as_str);
-    let number = |place: usize, default: u64| -> u64 {
-        args.get(place).map_or(default, |text| text.parse().unwrap_or(default))
+    let strategy = args.first().map_or("tree", String::as_str);
+    let number = |index: usize, default: u64| -> u64 {
+        args.get(index).map_or(default, |text| text.parse().unwrap_or(default))
     };
-    let wanted = args.get(3..).unwrap_or_default();
-    let names: Vec<&'static str> =
-        SHAPES.into_iter().filter(|name| wanted.is_empty() || wanted.iter().any(|w| w == name)).collect();
+    let selected = args.get(3..).unwrap_or_default();
+    let names: Vec<&'static str> = SHAPES
+        .into_iter()
+        .filter(|name| selected.is_empty() || selected.iter().any(|shape| shape == name))
+        .collect();
     let next = AtomicUsize::new(0);
     let work = || {
         while let Some(name) = names.get(next.fetch_add(1, Ordering::Relaxed)) {
-            play(way, name, number(1, 900) as usize, number(2, 1));
+            simulate(strategy, name, number(1, 900) as usize, number(2, 1));
         }
     };
-    // Two at once, so that it stays under a gigabyte.
+    // Two scenarios in parallel keep the memory usage below 1 GB.
     std::thread::scope(|scope| (0..2).for_each(|_| drop(scope.spawn(work))));
 }
 
-fn play(way: &str, name: &'static str, listeners: usize, seed: u64) {
-    let begun = std::time::Instant::now();
+fn simulate(strategy: &str, name: &'static str, listeners: usize, seed: u64) {
+    let started = std::time::Instant::now();
     let shape = Shape::of(name, listeners, seed);
-    let came: Came = match way {
+    let results: Came = match strategy {
         "direct" => run::<Direct>(&shape, None),
         "gossip" => run::<Gossip<300>>(&shape, None),
         _ => run::<Tree>(&shape, None),
     };
     println!(
             "{name:14} {:5.1} s, {} events, agreed {}+{}, in force {:?} 99th {:?} worst {:.0?} ms, late {}, missed {} of {}, counted {} {}, broken {:?}",
-            begun.elapsed().as_secs_f64(), came.events, came.agreed, came.not_agreed, came.in_force_ms.count(),
-            came.in_force_at(0.99), came.in_force_worst(), came.late, came.missed, came.reachable, came.counted,
-            came.counted_in_force, came.broken_count,
+            started.elapsed().as_secs_f64(), results.events, results.agreed, results.not_agreed, results.in_force_ms.count(),
+            results.in_force_at(0.99), results.in_force_worst(), results.late, results.missed, results.reachable, results.counted,
+            results.counted_in_force, results.broken_count,
         );
-    let s = came.spent;
+    let spent = results.spent;
     println!(
             "    bytes a second: listener {:.0?} relay {:.0?} source {:.0?}; messages {}, peers {}, children {} {}, depth {}",
-            [s.listeners.mean, s.listeners.most, s.listeners.second].map(Option::unwrap_or_default),
-            [s.relays.mean, s.relays.most, s.relays.second].map(Option::unwrap_or_default),
-            [s.sources.mean, s.sources.most, s.sources.second].map(Option::unwrap_or_default),
-            s.messages_second, s.peers_second, s.children_of_source, s.children_of_listener, s.depth
+            [spent.listeners.mean, spent.listeners.most, spent.listeners.second].map(Option::unwrap_or_default),
+            [spent.relays.mean, spent.relays.most, spent.relays.second].map(Option::unwrap_or_default),
+            [spent.sources.mean, spent.sources.most, spent.sources.second].map(Option::unwrap_or_default),
+            spent.messages_second, spent.peers_second, spent.children_of_source, spent.children_of_listener, spent.depth
         );
-    came.broken.iter().take(4).for_each(|b| println!("    {b:?}"));
-    came.seen.iter().take(4).for_each(|line| println!("    {line}"));
+    results.broken.iter().take(4).for_each(|violation| println!("    {violation:?}"));
+    results.seen.iter().take(4).for_each(|line| println!("    {line}"));
 }
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -1,14 +1,15 @@
-//! Numbered changes on simulated time, carried in three ways on the same seeds, changes and troubles: the leader sends to all,
-//! gossip with exchange, and the very state machines that serve. Each is held to the same promises, and what each costs is counted
-//! at every process.
+//! Simulation of configuration distribution: numbered changes are distributed by three strategies under the same seeds, changes
+//! and faults: direct broadcast by the leader, gossip with anti-entropy, and the state machines of the server. All are checked
+//! against the same promises, and the traffic of every process is counted.
 //!
-//! Bytes are those of the encoded messages, with [`OVERHEAD`] for each. Messages between two processes keep their order; what
-//! is under way to a process that ends, or on a way that is cut or lossy, is lost, which is harsher than a stream is.
+//! Bytes are those of the encoded messages plus [`MESSAGE_OVERHEAD_BYTES`] for each message. Messages between two processes
+//! arrive in order. Messages in flight to a process that stops, or on a cut or lossy path, are lost, which is harsher than a
+//! TCP stream.
 
 pub mod direct;
 pub mod gossip;
+pub mod results;
 pub mod shapes;
-pub mod told;
 pub mod tree;
 mod world;
 
@@ -20,148 +21,177 @@
 use rand_pcg::Pcg32;
 use serde::Serialize;
 
-use shapes::{Shape, SOURCES};
-pub use told::{Broken, Came, Rates, Spent};
+pub use results::{Broken, Came, Rates, Spent};
+use shapes::{Shape, ORIGINS};
 
-/// Headers of packets and of the frame, for each message.
-pub const OVERHEAD: usize = 40 + 8;
-/// Agreed means in force within that on all that are reachable.
+/// Headers of the packet and of the frame, in bytes per message.
+pub const MESSAGE_OVERHEAD_BYTES: usize = 40 + 8;
+/// Time within which a committed change must be in force on every reachable listener, in milliseconds.
 pub const IN_FORCE_MS: f64 = 4000.0;
-pub const ERA: u64 = 1;
+/// Epoch of all versions.
+pub const EPOCH: u64 = 1;
 
+/// Promise: a version has the same content on every process.
 pub const ONE_CONTENT_A_NUMBER: &str = "one-content-a-number";
+/// Promise: the version of a process never decreases.
 pub const NEVER_BACKWARDS: &str = "never-backwards";
+/// Promise: every reachable listener has the newest committed change at the end.
 pub const AGREED_IS_IN_FORCE: &str = "agreed-is-in-force";
+/// Promise: a listener that is cut off keeps its version and reports the true age of its information.
 pub const CUT_OFF_SERVES_ON: &str = "cut-off-serves-on";
+/// Promise: an invalid edit is rejected and changes nothing.
 pub const BAD_CHANGES_NOTHING: &str = "bad-changes-nothing";
 
-/// What all processes know of the fleet.
+/// Properties of the fleet that all processes know.
 #[derive(Clone, Debug)]
-pub struct Ground {
+pub struct Fleet {
     pub listeners: usize,
-    /// What all begin from.
+    /// Initial content of all processes.
     pub content: QuotaTable,
-    /// That, as it is sent.
+    /// Encoded length of the whole content in bytes.
     pub whole_bytes: usize,
     pub seed: u64,
 }
 
-impl Ground {
-    pub fn places(&self) -> usize {
-        SOURCES + self.listeners
+impl Fleet {
+    /// Returns the number of origins and listeners.
+    pub fn process_count(&self) -> usize {
+        ORIGINS + self.listeners
     }
 }
 
-/// One process as it starts.
-pub struct Start<'a, H> {
-    pub place: usize,
-    pub ground: &'a Ground,
+/// Parameters with which a process starts.
+pub struct Start<'a, P> {
+    /// Index of the process: origins first, then listeners.
+    pub index: usize,
+    pub fleet: &'a Fleet,
     pub seed: u64,
-    /// What a source kept in its folder, where it had any.
-    pub kept: Option<H>,
+    /// State that an origin stored before it stopped, if any.
+    pub stored: Option<P>,
 }
 
-/// What a process says of itself once a second.
+/// State that a process reports about itself.
 #[derive(Clone, Debug, Default)]
-pub struct Hands {
-    /// Those that hear from it.
+pub struct Status {
+    /// Number of processes that receive changes from this one.
     pub children: u64,
+    /// Process from which this one receives changes.
     pub parent: Option<usize>,
-    /// How long ago a source's word came here, where it says so.
+    /// Age of the newest information from an origin in milliseconds, if the strategy reports it.
     pub age_ms: Option<f64>,
-    /// Processes that it counts under it, and those of them that have its version in force.
+    /// Number of processes counted below this one.
     pub under: u64,
+    /// Number of processes counted below this one that have its version in force.
     pub in_force: u64,
 }
 
-/// One process of a way to carry changes.
-pub trait Way: Sized {
+/// Process that takes part in a strategy for distributing changes.
+pub trait Strategy: Sized {
     type Message: Clone + Serialize;
-    type Kept;
-    /// Whether peers hold a link that ends with the process, so that they hear of its end.
-    const LINKS: bool;
-
-    fn start(start: Start<'_, Self::Kept>, now: f64) -> Self;
-    fn next_at(&self) -> f64;
-    fn tick(&mut self, now: f64);
-    fn hear(&mut self, now: f64, from: usize, message: Self::Message);
-    fn lost(&mut self, now: f64, place: usize);
-    /// Of a source: the change that would come next.
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String>;
-    fn agreed(&mut self, now: f64, change: &Rc<Change>);
-    /// What is to be sent since the last call, and notes.
-    fn take(&mut self, send: &mut Vec<(usize, Self::Message)>);
-    /// Beside what was encoded: bytes that stand for content which is not carried in the model.
-    fn beside(message: &Self::Message) -> usize;
-    /// Makes of a message with changes another that must not be taken; of others nothing.
-    fn mangle(_message: &mut Self::Message, _chance: &mut Pcg32) {}
-    fn holds(&self, _tenant: &str) -> bool {
+    /// State that an origin stores across restarts.
+    type Stored;
+    /// Whether peers hold connections to a process and so notice when it stops.
+    const CONNECTION_ORIENTED: bool;
+
+    /// Starts a process.
+    fn start(start: Start<'_, Self::Stored>, now: f64) -> Self;
+    /// Returns the time of the next call of `handle_timeout`, in milliseconds.
+    fn poll_timeout(&self) -> f64;
+    /// Handles a timeout; has no effect before it is due.
+    fn handle_timeout(&mut self, now: f64);
+    /// Handles a message from another process.
+    fn handle_message(&mut self, now: f64, from: usize, message: Self::Message);
+    /// Handles the loss of the connection to another process.
+    fn handle_connection_lost(&mut self, now: f64, index: usize);
+    /// Returns the change that would follow `newest`; called at origins only. Fails if an edit is invalid.
+    fn prepare_change(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String>;
+    /// Handles a change that the consensus group committed; called at origins only.
+    fn handle_commit(&mut self, now: f64, change: &Rc<Change>);
+    /// Moves the messages that are to be sent into `send`.
+    fn poll_messages(&mut self, send: &mut Vec<(usize, Self::Message)>);
+    /// Returns the bytes that a message has beyond its encoding, for content that the model does not carry.
+    fn unencoded_bytes(message: &Self::Message) -> usize;
+    /// Corrupts a message with changes so that the receiver must reject it; leaves other messages unchanged.
+    fn corrupt(_message: &mut Self::Message, _rng: &mut Pcg32) {}
+    /// Returns whether the content has a quota for a tenant.
+    fn has_tenant(&self, _tenant: &str) -> bool {
         false
     }
+    /// Returns the version in force.
     fn version(&self) -> Version;
-    /// Where the process has content at all.
+    /// Returns the digest of the content, or `None` if the strategy models no content.
     fn digest(&self) -> Option<u128>;
-    fn differs(&self, from: &BTreeMap<String, f64>) -> bool;
-    fn hands(&self, now: f64) -> Hands;
-    fn keep(self) -> Option<Self::Kept>;
+    /// Returns whether the content differs from the expected quotas.
+    fn differs_from(&self, expected: &BTreeMap<String, f64>) -> bool;
+    /// Returns the state that the process reports about itself.
+    fn status(&self, now: f64) -> Status;
+    /// Stops the process and returns the state that it has stored, if any.
+    fn into_stored(self) -> Option<Self::Stored>;
 }
 
+/// Returns the encoded length of a value in bytes.
 pub(crate) fn bytes_of<T: Serialize>(value: &T) -> usize {
     postcard::serialize_with_flavor(value, postcard::ser_flavors::Size::default()).unwrap_or(0)
 }
 
-/// A change as the ways without content make it: encoded it is as long as the real one.
-pub(crate) fn numbered(chance: &mut Pcg32, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Change {
-    let version = Version { epoch: ERA, number: newest.number + 1 };
-    Change { version, previous: newest, digest: chance.random(), edits, proposed_unix_ms: unix_ms }
+/// Returns a change for a strategy that models no content. Its encoded length equals that of a real change.
+pub(crate) fn model_change(rng: &mut Pcg32, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Change {
+    let version = Version { epoch: EPOCH, number: newest.number + 1 };
+    Change { version, previous: newest, digest: rng.random(), edits, proposed_unix_ms: unix_ms }
 }
 
-/// Plays a shape. Where `struck` tells whom each step struck in another way's run, the same are struck here.
-pub fn run<W: Way>(shape: &Shape, struck: Option<&[Vec<usize>]>) -> Came {
-    world::World::<W>::new(shape.clone()).run(struck)
+/// Simulates a scenario. `struck`, the targets of each fault in the run of another strategy, replaces the targets that would be
+/// chosen here, so that strategies are compared under the same faults.
+pub fn run<S: Strategy>(shape: &Shape, struck: Option<&[Vec<usize>]>) -> Came {
+    world::World::<S>::new(shape.clone()).run(struck)
 }
 
-/// Changes that a process without content keeps: their numbers and encoded lengths.
+/// Change history of a process without content: the version and the encoded length of each change.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Log {
+pub(crate) struct ChangeLog {
+    /// Newest version.
     pub version: Version,
-    /// How far back it goes.
+    /// Oldest version from which deltas are available.
     base: Version,
     lengths: VecDeque<(Version, u32)>,
 }
 
-/// What leads from one version to the newest.
+/// Data that brings a process from a version to the newest one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Since {
+pub(crate) enum Missing {
+    /// The version is the newest one.
     Nothing,
-    Differences(u32),
-    Whole,
+    /// Changes of this total encoded length in bytes.
+    Delta(u32),
+    /// The whole content, because the history does not reach back to the version.
+    Snapshot,
 }
 
-impl Log {
-    const MOST: usize = 256;
+impl ChangeLog {
+    const MAX_CHANGES: usize = 256;
 
-    /// Differences from what it has to this version.
-    pub fn put(&mut self, version: Version, bytes: u32) {
+    /// Appends the changes from the newest version to this one, with their encoded length.
+    pub fn append(&mut self, version: Version, bytes: u32) {
         self.version = version;
         self.lengths.push_back((version, bytes));
-        if self.lengths.len() > Self::MOST {
+        if self.lengths.len() > Self::MAX_CHANGES {
             self.base = self.lengths.pop_front().map_or(self.base, |(first, _)| first);
         }
     }
-    /// All of it came at once, differences are not known.
-    pub fn set(&mut self, version: Version) {
+    /// Replaces the history after the whole content of a version was received; no earlier changes are available.
+    pub fn reset(&mut self, version: Version) {
         (self.version, self.base) = (version, version);
         self.lengths.clear();
     }
-    pub fn since(&self, version: Version) -> Since {
+    /// Returns the data that brings a process from `version` to the newest one.
+    pub fn missing_since(&self, version: Version) -> Missing {
         if version >= self.version {
-            return Since::Nothing;
+            return Missing::Nothing;
         }
         if version < self.base {
-            return Since::Whole;
+            return Missing::Snapshot;
         }
-        let later = self.lengths.iter().filter(|(of, _)| *of > version);
-        Since::Differences(later.map(|(_, bytes)| bytes).sum())
+        let later = self.lengths.iter().filter(|(change, _)| *change > version);
+        Missing::Delta(later.map(|(_, bytes)| bytes).sum())
     }
 }
--- a/crates/plovershelf-simulation/src/changes/direct.rs
+++ b/crates/plovershelf-simulation/src/changes/direct.rs
@@ -1,5 +1,6 @@
-//! The leader to all: each listener holds a link to one source, the first that answers, which sends it each change and a beat a
-//! second; it says once a second what it has, and asks for what it missed.
+//! Direct broadcast: each listener connects to one origin, which sends it each change and a heartbeat once a second. The listener
+//! reports its version once a second, requests the changes that it missed, and connects to the next origin after
+//! [`PARENT_TIMEOUT_MS`] without a message.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,144 +10,153 @@
 use rand_pcg::Pcg32;
 use serde::Serialize;
 
-use super::shapes::SOURCES;
-use super::{bytes_of, numbered, Hands, Log, Since, Start, Way};
+use super::shapes::ORIGINS;
+use super::{bytes_of, model_change, ChangeLog, Missing, Start, Status, Strategy};
 
-const BEAT_MS: f64 = 1000.0;
-const SILENT_MS: f64 = 3000.0;
-const AGAIN_MS: f64 = 500.0;
+/// Interval of heartbeats and reports, in milliseconds.
+const HEARTBEAT_MS: f64 = 1000.0;
+/// Time without a message after which a listener changes its origin, in milliseconds.
+const PARENT_TIMEOUT_MS: f64 = 3000.0;
+/// Minimum interval between two requests for missed changes, in milliseconds.
+const RETRY_MS: f64 = 500.0;
+/// Maximum length of a part of the whole content, in bytes.
 const PART_BYTES: usize = 32 << 10;
 
+/// Message of the direct strategy.
 #[derive(Clone, Debug, Serialize)]
 pub enum Message {
-    /// What the sender has; the first one makes it a child.
+    /// Version of a listener; the first such message makes the listener a child of the origin.
     Have(Version),
+    /// Heartbeat of an origin with its newest version.
     Beat(Version),
+    /// Request for the changes after a version.
     Ask(Version),
-    Differences {
-        after: Version,
-        upto: Version,
-        bytes: u32,
-    },
-    Part {
-        version: Version,
-        part: u32,
-        of: u32,
-        bytes: u32,
-    },
+    /// Changes after one version up to another; `bytes` is their encoded length.
+    Differences { after: Version, upto: Version, bytes: u32 },
+    /// Part of the whole content, with its index, the number of parts and its length in bytes.
+    Part { version: Version, part: u32, of: u32, bytes: u32 },
 }
 
+/// Process of the direct strategy.
 pub struct Direct {
-    place: usize,
+    index: usize,
     whole_bytes: usize,
-    chance: Pcg32,
-    log: Log,
+    rng: Pcg32,
+    log: ChangeLog,
     send: Vec<(usize, Message)>,
-    /// Of a source: those that hear from it, with when it last heard from them and what they have.
+    /// Children of an origin, each with the time of its last report and its version.
     children: BTreeMap<usize, (f64, Version)>,
-    /// Where it hears from: a source's place.
+    /// Origin from which a listener receives changes.
     parent: usize,
-    heard: f64,
-    beat_at: f64,
+    /// Time of the last message from the parent.
+    last_heard_at: f64,
+    /// Time of the next heartbeat or report.
+    heartbeat_at: f64,
+    /// Newest version that is known to exist.
     newest: Version,
-    ask_at: f64,
+    /// Earliest time of the next request for missed changes.
+    next_request_at: f64,
+    /// Version and received parts of an incomplete transfer of the whole content.
     parts: Option<(Version, Vec<bool>)>,
 }
 
 impl Direct {
-    fn ask(&mut self, now: f64) {
-        if self.newest > self.log.version && now >= self.ask_at {
-            self.ask_at = now + AGAIN_MS;
+    /// Requests missed changes from the parent.
+    fn request_missing(&mut self, now: f64) {
+        if self.newest > self.log.version && now >= self.next_request_at {
+            self.next_request_at = now + RETRY_MS;
             self.send.push((self.parent, Message::Ask(self.log.version)));
         }
     }
 
+    /// Selects the next origin as parent.
     fn next_parent(&mut self, now: f64) {
-        self.parent = (self.parent + 1) % SOURCES;
-        if self.parent == self.place {
-            self.parent = (self.parent + 1) % SOURCES;
+        self.parent = (self.parent + 1) % ORIGINS;
+        if self.parent == self.index {
+            self.parent = (self.parent + 1) % ORIGINS;
         }
-        self.heard = now;
-        self.beat_at = now + self.chance.random_range(0.0..AGAIN_MS);
+        self.last_heard_at = now;
+        self.heartbeat_at = now + self.rng.random_range(0.0..RETRY_MS);
     }
 }
 
+/// Returns the lengths of the parts into which the whole content is divided.
 pub(crate) fn part_lengths(whole_bytes: usize) -> Vec<u32> {
     let count = whole_bytes.div_ceil(PART_BYTES).max(1);
     (0..count).map(|n| (whole_bytes - n * PART_BYTES).min(PART_BYTES) as u32).collect()
 }
 
-/// Marks a part as here; the version once all are.
+/// Marks a part as received and returns the version once all of its parts are.
 pub(crate) fn take_part(
     parts: &mut Option<(Version, Vec<bool>)>,
     version: Version,
     part: u32,
     of: u32,
 ) -> Option<Version> {
-    let begun = parts.get_or_insert_with(|| (version, vec![false; of as usize]));
-    if begun.0 != version || begun.1.len() != of as usize {
-        *begun = (version, vec![false; of as usize]);
+    let transfer = parts.get_or_insert_with(|| (version, vec![false; of as usize]));
+    if transfer.0 != version || transfer.1.len() != of as usize {
+        *transfer = (version, vec![false; of as usize]);
     }
-    if let Some(here) = begun.1.get_mut(part as usize) {
-        *here = true;
+    if let Some(received) = transfer.1.get_mut(part as usize) {
+        *received = true;
     }
-    let whole = begun.1.iter().all(|here| *here);
-    whole.then(|| {
+    let complete = transfer.1.iter().all(|received| *received);
+    complete.then(|| {
         *parts = None;
         version
     })
 }
 
-impl Way for Direct {
+impl Strategy for Direct {
     type Message = Message;
-    type Kept = Folder;
-    const LINKS: bool = true;
+    type Stored = StoredLog;
+    const CONNECTION_ORIENTED: bool = true;
 
-    fn start(start: Start<'_, Folder>, now: f64) -> Self {
-        let mut chance = Pcg32::seed_from_u64(start.seed);
-        let first = now + chance.random_range(0.0..AGAIN_MS);
-        let log = start.kept.map_or_else(Log::default, |kept| kept.0);
+    fn start(start: Start<'_, StoredLog>, now: f64) -> Self {
+        let mut rng = Pcg32::seed_from_u64(start.seed);
+        let first = now + rng.random_range(0.0..RETRY_MS);
+        let log = start.stored.map_or_else(ChangeLog::default, |stored| stored.0);
         let newest = log.version;
         Direct {
-            place: start.place,
-            whole_bytes: start.ground.whole_bytes,
-            chance,
+            index: start.index,
+            whole_bytes: start.fleet.whole_bytes,
+            rng,
             log,
             send: Vec::new(),
             children: BTreeMap::new(),
-            parent: usize::from(start.place == 0),
-            heard: now,
-            beat_at: first,
+            parent: usize::from(start.index == 0),
+            last_heard_at: now,
+            heartbeat_at: first,
             newest,
-            ask_at: 0.0,
+            next_request_at: 0.0,
             parts: None,
         }
     }
 
-    fn next_at(&self) -> f64 {
-        self.beat_at
+    fn poll_timeout(&self) -> f64 {
+        self.heartbeat_at
     }
 
-    fn tick(&mut self, now: f64) {
-        if now < self.beat_at {
+    fn handle_timeout(&mut self, now: f64) {
+        if now < self.heartbeat_at {
             return;
         }
-        self.beat_at = now + BEAT_MS;
-        if self.place < SOURCES {
-            self.children.retain(|_, (heard, _)| now - *heard < 2.0 * SILENT_MS);
+        self.heartbeat_at = now + HEARTBEAT_MS;
+        if self.index < ORIGINS {
+            self.children.retain(|_, (heard, _)| now - *heard < 2.0 * PARENT_TIMEOUT_MS);
             let beat = Message::Beat(self.log.version);
             self.send.extend(self.children.keys().map(|child| (*child, beat.clone())));
         } else {
-            if now - self.heard > SILENT_MS {
+            if now - self.last_heard_at > PARENT_TIMEOUT_MS {
                 self.next_parent(now);
-                self.beat_at = now + BEAT_MS;
+                self.heartbeat_at = now + HEARTBEAT_MS;
             }
             self.send.push((self.parent, Message::Have(self.log.version)));
         }
-        self.ask(now);
+        self.request_missing(now);
     }
 
-    fn hear(&mut self, now: f64, from: usize, message: Message) {
+    fn handle_message(&mut self, now: f64, from: usize, message: Message) {
         match message {
             Message::Have(version) => {
                 let before = self.children.insert(from, (now, version));
@@ -155,17 +165,17 @@
                 }
             }
             Message::Beat(version) => {
-                self.heard = now;
+                self.last_heard_at = now;
                 self.newest = self.newest.max(version);
-                self.ask(now);
+                self.request_missing(now);
             }
-            Message::Ask(version) => match self.log.since(version) {
-                Since::Nothing => {}
-                Since::Differences(bytes) => {
+            Message::Ask(version) => match self.log.missing_since(version) {
+                Missing::Nothing => {}
+                Missing::Delta(bytes) => {
                     let upto = self.log.version;
                     self.send.push((from, Message::Differences { after: version, upto, bytes }));
                 }
-                Since::Whole => {
+                Missing::Snapshot => {
                     let lengths = part_lengths(self.whole_bytes);
                     let of = lengths.len() as u32;
                     let version = self.log.version;
@@ -175,54 +185,54 @@
                 }
             },
             Message::Differences { after, upto, bytes } => {
-                self.heard = now;
+                self.last_heard_at = now;
                 self.newest = self.newest.max(upto);
                 if after <= self.log.version && upto > self.log.version {
-                    self.log.put(upto, bytes);
+                    self.log.append(upto, bytes);
                 } else {
-                    self.ask(now);
+                    self.request_missing(now);
                 }
             }
             Message::Part { version, part, of, .. } => {
-                self.heard = now;
-                self.ask_at = now + AGAIN_MS;
+                self.last_heard_at = now;
+                self.next_request_at = now + RETRY_MS;
                 if let Some(whole) = take_part(&mut self.parts, version, part, of) {
                     if whole > self.log.version {
-                        self.log.set(whole);
+                        self.log.reset(whole);
                     }
                 }
             }
         }
     }
 
-    fn lost(&mut self, now: f64, place: usize) {
-        self.children.remove(&place);
-        if self.place >= SOURCES && place == self.parent {
+    fn handle_connection_lost(&mut self, now: f64, index: usize) {
+        self.children.remove(&index);
+        if self.index >= ORIGINS && index == self.parent {
             self.next_parent(now);
         }
     }
 
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
-        Ok(numbered(&mut self.chance, edits, newest, unix_ms))
+    fn prepare_change(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
+        Ok(model_change(&mut self.rng, edits, newest, unix_ms))
     }
 
-    fn agreed(&mut self, now: f64, change: &Rc<Change>) {
+    fn handle_commit(&mut self, now: f64, change: &Rc<Change>) {
         self.newest = self.newest.max(change.version);
         if change.previous == self.log.version {
             let bytes = bytes_of(&**change) as u32;
-            self.log.put(change.version, bytes);
+            self.log.append(change.version, bytes);
             let message = Message::Differences { after: change.previous, upto: change.version, bytes };
             self.send.extend(self.children.keys().map(|child| (*child, message.clone())));
         } else {
-            self.ask(now);
+            self.request_missing(now);
         }
     }
 
-    fn take(&mut self, send: &mut Vec<(usize, Message)>) {
+    fn poll_messages(&mut self, send: &mut Vec<(usize, Message)>) {
         send.append(&mut self.send);
     }
 
-    fn beside(message: &Message) -> usize {
+    fn unencoded_bytes(message: &Message) -> usize {
         match message {
             Message::Differences { bytes, .. } | Message::Part { bytes, .. } => *bytes as usize,
             _ => 0,
@@ -235,25 +245,25 @@
     fn digest(&self) -> Option<u128> {
         None
     }
-    fn differs(&self, _from: &BTreeMap<String, f64>) -> bool {
+    fn differs_from(&self, _expected: &BTreeMap<String, f64>) -> bool {
         false
     }
 
-    fn hands(&self, _now: f64) -> Hands {
+    fn status(&self, _now: f64) -> Status {
         let in_force = self.children.values().filter(|(_, version)| *version == self.log.version).count();
-        Hands {
+        Status {
             children: self.children.len() as u64,
-            parent: (self.place >= SOURCES).then_some(self.parent),
+            parent: (self.index >= ORIGINS).then_some(self.parent),
             age_ms: None,
             under: self.children.len() as u64,
             in_force: in_force as u64,
         }
     }
 
-    fn keep(self) -> Option<Folder> {
-        Some(Folder(self.log))
+    fn into_stored(self) -> Option<StoredLog> {
+        Some(StoredLog(self.log))
     }
 }
 
-/// What a source keeps in its folder.
-pub struct Folder(pub(crate) Log);
+/// State that an origin stores across restarts.
+pub struct StoredLog(pub(crate) ChangeLog);
--- a/crates/plovershelf-simulation/src/changes/gossip.rs
+++ b/crates/plovershelf-simulation/src/changes/gossip.rs
@@ -1,5 +1,6 @@
-//! Gossip with exchange: every process tells a random other now and then which version it has; whoever finds itself behind asks
-//! for what is missing. All are taken to know all addresses, and what keeping that list costs is not counted.
+//! Gossip with anti-entropy: every process periodically sends its version to a random peer, and a process that is behind requests
+//! the missing changes. The model assumes that every process knows all addresses and does not count the cost of maintaining
+//! that list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,88 +10,99 @@
 use rand_pcg::Pcg32;
 use serde::Serialize;
 
-use super::direct::{part_lengths, take_part, Folder};
-use super::{bytes_of, numbered, Hands, Log, Since, Start, Way};
+use super::direct::{part_lengths, take_part, StoredLog};
+use super::{bytes_of, model_change, ChangeLog, Missing, Start, Status, Strategy};
 
-const AGAIN_MS: f64 = 500.0;
+/// Minimum interval between two requests for missed changes, in milliseconds.
+const RETRY_MS: f64 = 500.0;
 
+/// Message of the gossip strategy.
 #[derive(Clone, Debug, Serialize)]
 pub enum Message {
+    /// Version of the sender.
     Have(Version),
+    /// Request for the changes after a version.
     Ask(Version),
+    /// Changes after one version up to another; `bytes` is their encoded length.
     Differences { after: Version, upto: Version, bytes: u32 },
+    /// Part of the whole content, with its index, the number of parts and its length in bytes.
     Part { version: Version, part: u32, of: u32, bytes: u32 },
 }
 
-pub struct Gossip<const EVERY_MS: u64> {
-    place: usize,
-    places: usize,
+/// Process of the gossip strategy, which sends its version to a random peer every `INTERVAL_MS` milliseconds.
+pub struct Gossip<const INTERVAL_MS: u64> {
+    index: usize,
+    process_count: usize,
     whole_bytes: usize,
-    chance: Pcg32,
-    log: Log,
+    rng: Pcg32,
+    log: ChangeLog,
     send: Vec<(usize, Message)>,
-    tell_at: f64,
-    ask_at: f64,
+    /// Time at which the version is sent to the next peer.
+    send_at: f64,
+    /// Earliest time of the next request for missed changes.
+    next_request_at: f64,
+    /// Version and received parts of an incomplete transfer of the whole content.
     parts: Option<(Version, Vec<bool>)>,
 }
 
-impl<const EVERY_MS: u64> Gossip<EVERY_MS> {
-    fn other(&mut self) -> usize {
-        let other = self.chance.random_range(0..self.places - 1);
-        other + usize::from(other >= self.place)
+impl<const INTERVAL_MS: u64> Gossip<INTERVAL_MS> {
+    /// Returns a random process other than this one.
+    fn random_peer(&mut self) -> usize {
+        let peer = self.rng.random_range(0..self.process_count - 1);
+        peer + usize::from(peer >= self.index)
     }
 }
 
-impl<const EVERY_MS: u64> Way for Gossip<EVERY_MS> {
+impl<const INTERVAL_MS: u64> Strategy for Gossip<INTERVAL_MS> {
     type Message = Message;
-    type Kept = Folder;
-    const LINKS: bool = false;
+    type Stored = StoredLog;
+    const CONNECTION_ORIENTED: bool = false;
 
-    fn start(start: Start<'_, Folder>, now: f64) -> Self {
-        let mut chance = Pcg32::seed_from_u64(start.seed);
-        let tell_at = now + chance.random_range(0.0..EVERY_MS as f64);
+    fn start(start: Start<'_, StoredLog>, now: f64) -> Self {
+        let mut rng = Pcg32::seed_from_u64(start.seed);
+        let send_at = now + rng.random_range(0.0..INTERVAL_MS as f64);
         Gossip {
-            place: start.place,
-            places: start.ground.places(),
-            whole_bytes: start.ground.whole_bytes,
-            chance,
-            log: start.kept.map_or_else(Log::default, |kept| kept.0),
+            index: start.index,
+            process_count: start.fleet.process_count(),
+            whole_bytes: start.fleet.whole_bytes,
+            rng,
+            log: start.stored.map_or_else(ChangeLog::default, |stored| stored.0),
             send: Vec::new(),
-            tell_at,
-            ask_at: 0.0,
+            send_at,
+            next_request_at: 0.0,
             parts: None,
         }
     }
 
-    fn next_at(&self) -> f64 {
-        self.tell_at
+    fn poll_timeout(&self) -> f64 {
+        self.send_at
     }
 
-    fn tick(&mut self, now: f64) {
-        if now >= self.tell_at {
-            self.tell_at = now + EVERY_MS as f64;
-            let other = self.other();
-            self.send.push((other, Message::Have(self.log.version)));
+    fn handle_timeout(&mut self, now: f64) {
+        if now >= self.send_at {
+            self.send_at = now + INTERVAL_MS as f64;
+            let peer = self.random_peer();
+            self.send.push((peer, Message::Have(self.log.version)));
         }
     }
 
-    fn hear(&mut self, now: f64, from: usize, message: Message) {
+    fn handle_message(&mut self, now: f64, from: usize, message: Message) {
         match message {
-            Message::Have(version) if version > self.log.version && now >= self.ask_at => {
-                self.ask_at = now + AGAIN_MS;
+            Message::Have(version) if version > self.log.version && now >= self.next_request_at => {
+                self.next_request_at = now + RETRY_MS;
                 self.send.push((from, Message::Ask(self.log.version)));
             }
             Message::Have(version) if version < self.log.version => {
                 self.send.push((from, Message::Have(self.log.version)));
             }
             Message::Have(_) => {}
-            Message::Ask(version) => match self.log.since(version) {
-                Since::Nothing => {}
-                Since::Differences(bytes) => {
+            Message::Ask(version) => match self.log.missing_since(version) {
+                Missing::Nothing => {}
+                Missing::Delta(bytes) => {
                     let upto = self.log.version;
                     self.send.push((from, Message::Differences { after: version, upto, bytes }));
                 }
-                Since::Whole => {
+                Missing::Snapshot => {
                     let lengths = part_lengths(self.whole_bytes);
                     let of = lengths.len() as u32;
                     let version = self.log.version;
@@ -101,39 +113,39 @@
             },
             Message::Differences { after, upto, bytes } => {
                 if after <= self.log.version && upto > self.log.version {
-                    self.log.put(upto, bytes);
-                    self.ask_at = now;
+                    self.log.append(upto, bytes);
+                    self.next_request_at = now;
                 }
             }
             Message::Part { version, part, of, .. } => {
-                self.ask_at = now + AGAIN_MS;
+                self.next_request_at = now + RETRY_MS;
                 if let Some(whole) = take_part(&mut self.parts, version, part, of) {
                     if whole > self.log.version {
-                        self.log.set(whole);
+                        self.log.reset(whole);
                     }
-                    self.ask_at = now;
+                    self.next_request_at = now;
                 }
             }
         }
     }
 
-    fn lost(&mut self, _now: f64, _place: usize) {}
+    fn handle_connection_lost(&mut self, _now: f64, _index: usize) {}
 
-    fn prepare(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
-        Ok(numbered(&mut self.chance, edits, newest, unix_ms))
+    fn prepare_change(&mut self, edits: Vec<Edit>, newest: Version, unix_ms: u64) -> Result<Change, String> {
+        Ok(model_change(&mut self.rng, edits, newest, unix_ms))
     }
 
-    fn agreed(&mut self, _now: f64, change: &Rc<Change>) {
+    fn handle_commit(&mut self, _now: f64, change: &Rc<Change>) {
         if change.previous == self.log.version {
-            self.log.put(change.version, bytes_of(&**change) as u32);
+            self.log.append(change.version, bytes_of(&**change) as u32);
         }
     }
 
-    fn take(&mut self, send: &mut Vec<(usize, Message)>) {
+    fn poll_messages(&mut self, send: &mut Vec<(usize, Message)>) {
         send.append(&mut self.send);
     }
 
-    fn beside(message: &Message) -> usize {
+    fn unencoded_bytes(message: &Message) -> usize {
         match message {
             Message::Differences { bytes, .. } | Message::Part { bytes, .. } => *bytes as usize,
             _ => 0,
@@ -146,13 +158,13 @@
     fn digest(&self) -> Option<u128> {
         None
     }
-    fn differs(&self, _from: &BTreeMap<String, f64>) -> bool {
+    fn differs_from(&self, _expected: &BTreeMap<String, f64>) -> bool {
         false
     }
-    fn hands(&self, _now: f64) -> Hands {
-        Hands::default()
+    fn status(&self, _now: f64) -> Status {
+        Status::default()
     }
-    fn keep(self) -> Option<Folder> {
-        Some(Folder(self.log))
+    fn into_stored(self) -> Option<StoredLog> {
+        Some(StoredLog(self.log))
     }
 }
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -1,4 +1,4 @@
-//! Processes of one way, their links and troubles, and what is held against them.
+//! Event loop of a run: the processes of one strategy, their connections, the faults, and the checks of the promises.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -7,419 +7,457 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
+use super::results::{summarize, Came, Traffic};
 use super::shapes::{
-    quota_at_first, region_of, tenant, Shape, Trouble, Who, NOBODY, QUIET_MS, SOURCES, TENANTS, WARM_MS,
-    ZONES,
+    initial_quota, region_of, tenant, Fault, Shape, Targets, FINAL_FAULT_FREE_MS, ORIGINS, TENANTS,
+    UNKNOWN_TENANT, WARM_UP_MS, ZONES,
 };
-use super::told::{spent, Account, Came};
 use super::{
-    bytes_of, Ground, Start, Way, AGREED_IS_IN_FORCE, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS,
-    NEVER_BACKWARDS, ONE_CONTENT_A_NUMBER, OVERHEAD,
+    bytes_of, Fleet, Start, Strategy, AGREED_IS_IN_FORCE, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON,
+    IN_FORCE_MS, MESSAGE_OVERHEAD_BYTES, NEVER_BACKWARDS, ONE_CONTENT_A_NUMBER,
 };
 use crate::net::{Net, Queue};
 
-const WAY_MS: f64 = 0.5;
+/// Median one-way latency within a zone, in milliseconds.
+const LATENCY_MS: f64 = 0.5;
+/// Latency added between zones, in milliseconds.
 const BETWEEN_ZONES_MS: f64 = 1.0;
+/// Latency added between regions, in milliseconds.
 const BETWEEN_REGIONS_MS: f64 = 30.0;
+/// Latency that [`Fault::Slow`] adds, in milliseconds.
 const SLOW_MS: f64 = 500.0;
-/// What comes twice comes again within this, after what was sent later.
-const TWICE_MS: f64 = 2000.0;
-/// What a process sends goes over a line of 1 Gbit/s, in bytes a millisecond.
-const LINE: f64 = 125_000.0;
-/// A process that ends in good order of its machine: peers hear of it so soon.
-const REFUSED_MS: f64 = 1.0;
-/// The council agrees in so long.
-const COUNCIL_MS: f64 = 30.0;
-/// Processes start one by one over so long at first.
-const STARTS_MS: f64 = 3000.0;
+/// Maximum additional delay of the second copy of a duplicated message, in milliseconds; it may arrive after later messages.
+const DUPLICATE_DELAY_MS: f64 = 2000.0;
+/// Bandwidth of a process's uplink, 1 Gbit/s, in bytes per millisecond.
+const UPLINK_BYTES_PER_MS: f64 = 125_000.0;
+/// Time after which peers notice that a process stopped while its machine is up, in milliseconds.
+const CONNECTION_REFUSED_MS: f64 = 1.0;
+/// Time that the consensus group takes to commit a change, in milliseconds.
+const COMMIT_MS: f64 = 30.0;
+/// Period over which the listeners start at the beginning of a run, in milliseconds.
+const START_SPREAD_MS: f64 = 3000.0;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Up,
-    /// Its machine is there and refuses.
-    Ended,
-    /// Nothing comes back.
-    Gone,
+    /// The process is stopped; its machine is up and refuses connections.
+    Stopped,
+    /// The machine is lost and does not answer.
+    Unreachable,
 }
 
-enum Thing<M> {
+enum SimulationEvent<M> {
     Message {
         from: usize,
         to: usize,
-        from_life: u32,
-        to_life: u32,
+        from_incarnation: u32,
+        to_incarnation: u32,
         message: M,
     },
-    Wake {
-        place: usize,
-        life: u32,
+    Timeout {
+        index: usize,
+        incarnation: u32,
     },
-    Lost {
+    ConnectionLost {
         to: usize,
-        life: u32,
+        incarnation: u32,
         of: usize,
     },
     Start(usize),
-    Begin(usize),
-    End(usize),
+    FaultBegins(usize),
+    FaultEnds(usize),
     Propose(Vec<Edit>),
-    Agreed {
-        place: usize,
-        life: u32,
+    Committed {
+        index: usize,
+        incarnation: u32,
         change: Rc<Change>,
     },
-    Second,
-    /// From now on nothing is lost or mangled any more.
-    Quiet,
+    /// A second of the traffic measurement ends.
+    SecondEnds,
+    /// Message loss and corruption end.
+    LossEnds,
 }
 
-struct Process<W: Way> {
-    way: Option<W>,
+struct Process<S: Strategy> {
+    /// `None` while the process is down.
+    strategy: Option<S>,
     state: State,
-    life: u32,
-    stopped: u32,
-    /// What came while it stood still.
-    held_back: Vec<Thing<W::Message>>,
-    kept: Option<W::Kept>,
-    wake: Option<(f64, u64)>,
-    /// Peers with a link, and their life as it was made.
-    links: BTreeMap<usize, u32>,
-    line_free_at: f64,
-    account: Account,
+    /// Number of starts; identifies events for an earlier incarnation.
+    incarnation: u32,
+    /// Number of active faults that pause the process.
+    pause_count: u32,
+    /// Events that arrived while the process was paused.
+    deferred: Vec<SimulationEvent<S::Message>>,
+    stored: Option<S::Stored>,
+    /// Time and queue number of the scheduled timeout.
+    timeout: Option<(f64, u64)>,
+    /// Connected peers, each with its incarnation when the connection was established.
+    connections: BTreeMap<usize, u32>,
+    /// Time at which the uplink has sent all earlier messages, in milliseconds.
+    uplink_free_at: f64,
+    traffic: Traffic,
     version: Version,
-    /// Of a source: the newest change that its council told it.
-    told: Version,
+    /// Newest change that the consensus group delivered to an origin.
+    committed: Version,
     reachable: bool,
-    /// What is to be in force, from when on.
+    /// Versions that are not yet in force, each with the time from which the delay counts.
     due: VecDeque<(Version, f64)>,
+    /// Set if a change took longer than [`IN_FORCE_MS`].
     late: bool,
-    /// How many steps cut it off, and since when.
-    cut: u32,
+    /// Number of active cuts that isolate the process.
+    cut_count: u32,
+    /// Start of the last such cut, in milliseconds.
     cut_since: f64,
+    /// Version of the process at that time.
     cut_version: Version,
 }
 
-pub(super) struct World<W: Way> {
+pub(super) struct World<S: Strategy> {
     shape: Shape,
-    ground: Ground,
-    queue: Queue<Thing<W::Message>>,
+    fleet: Fleet,
+    queue: Queue<SimulationEvent<S::Message>>,
     net: Net,
-    chance: Pcg32,
-    processes: Vec<Process<W>>,
-    /// The order of messages between two is kept.
-    last: BTreeMap<(usize, usize), f64>,
+    rng: Pcg32,
+    processes: Vec<Process<S>>,
+    /// Time of the last arrival by (sender, receiver), which keeps messages in order.
+    last_arrival: BTreeMap<(usize, usize), f64>,
+    /// Newest committed change.
     newest: Option<Rc<Change>>,
+    /// Proposals that wait for the consensus group.
     waiting: VecDeque<Vec<Edit>>,
-    /// All that was agreed.
+    /// Quotas after all committed changes.
     quotas: BTreeMap<String, f64>,
+    /// First digest observed for each version.
     digests: BTreeMap<Version, u128>,
+    /// Targets of each fault.
     struck: Vec<Vec<usize>>,
-    send: Vec<(usize, W::Message)>,
-    came: Came,
+    /// Buffer for the messages of one process, reused to avoid allocations.
+    send: Vec<(usize, S::Message)>,
+    results: Came,
 }
 
-impl<W: Way> World<W> {
+impl<S: Strategy> World<S> {
     pub fn new(shape: Shape) -> Self {
-        let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), quota_at_first(n))).collect();
+        let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), initial_quota(n))).collect();
         let whole_bytes = bytes_of(&quotas);
         let content = QuotaTable::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
-            .unwrap_or_else(|why| unreachable!("the model's own tenants: {why}"));
-        let ground = Ground { listeners: shape.listeners, content, whole_bytes, seed: shape.seed };
-        let mut net = Net::new(shape.seed, WAY_MS);
+            .unwrap_or_else(|error| unreachable!("the initial quotas are valid: {error}"));
+        let fleet = Fleet { listeners: shape.listeners, content, whole_bytes, seed: shape.seed };
+        let mut net = Net::new(shape.seed, LATENCY_MS);
         net.between_zones_ms = BETWEEN_ZONES_MS;
         net.loss = shape.loss;
         let process = |_| Process {
-            way: None,
-            state: State::Ended,
-            life: 0,
-            stopped: 0,
-            held_back: Vec::new(),
-            kept: None,
-            wake: None,
-            links: BTreeMap::new(),
-            line_free_at: 0.0,
-            account: Account::default(),
+            strategy: None,
+            state: State::Stopped,
+            incarnation: 0,
+            pause_count: 0,
+            deferred: Vec::new(),
+            stored: None,
+            timeout: None,
+            connections: BTreeMap::new(),
+            uplink_free_at: 0.0,
+            traffic: Traffic::default(),
             version: Version::default(),
-            told: Version::default(),
+            committed: Version::default(),
             reachable: false,
             due: VecDeque::new(),
             late: false,
-            cut: 0,
+            cut_count: 0,
             cut_since: 0.0,
             cut_version: Version::default(),
         };
         World {
-            processes: (0..ground.places()).map(process).collect(),
-            chance: Pcg32::seed_from_u64(shape.seed ^ 0x77e5),
+            processes: (0..fleet.process_count()).map(process).collect(),
+            rng: Pcg32::seed_from_u64(shape.seed ^ 0x77e5),
             struck: vec![Vec::new(); shape.steps.len()],
             queue: Queue::default(),
-            last: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
             newest: None,
             waiting: VecDeque::new(),
             digests: BTreeMap::new(),
             send: Vec::new(),
-            came: Came::default(),
+            results: Came::default(),
             quotas,
-            ground,
+            fleet,
             net,
             shape,
         }
     }
 
     pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> Came {
-        for place in 0..self.processes.len() {
-            let at = if place < SOURCES { 0.0 } else { self.chance.random_range(0.0..STARTS_MS) };
-            self.queue.schedule(at, Thing::Start(place));
+        for index in 0..self.processes.len() {
+            let at = if index < ORIGINS { 0.0 } else { self.rng.random_range(0.0..START_SPREAD_MS) };
+            self.queue.schedule(at, SimulationEvent::Start(index));
         }
         for (number, step) in self.shape.steps.iter().enumerate() {
-            self.queue.schedule(step.at_ms, Thing::Begin(number));
-            self.queue.schedule(step.at_ms + step.for_ms, Thing::End(number));
+            self.queue.schedule(step.at_ms, SimulationEvent::FaultBegins(number));
+            self.queue.schedule(step.at_ms + step.for_ms, SimulationEvent::FaultEnds(number));
         }
         for (at, edits) in std::mem::take(&mut self.shape.changes) {
-            self.queue.schedule(at, Thing::Propose(edits));
+            self.queue.schedule(at, SimulationEvent::Propose(edits));
         }
-        self.queue.schedule(1000.0, Thing::Second);
-        self.queue.schedule(self.shape.span_ms - QUIET_MS, Thing::Quiet);
-        while let Some(thing) = self.queue.pop() {
+        self.queue.schedule(1000.0, SimulationEvent::SecondEnds);
+        self.queue.schedule(self.shape.span_ms - FINAL_FAULT_FREE_MS, SimulationEvent::LossEnds);
+        while let Some(event) = self.queue.pop() {
             if self.queue.now() > self.shape.span_ms {
                 break;
             }
-            self.came.events += 1;
-            self.happen(thing, struck);
+            self.results.events += 1;
+            self.handle_event(event, struck);
         }
-        self.end()
+        self.into_results()
     }
 
-    fn happen(&mut self, thing: Thing<W::Message>, struck: Option<&[Vec<usize>]>) {
+    fn handle_event(&mut self, event: SimulationEvent<S::Message>, struck: Option<&[Vec<usize>]>) {
         let now = self.queue.now();
-        match thing {
-            Thing::Message { from, to, from_life, to_life, message } => {
+        match event {
+            SimulationEvent::Message { from, to, from_incarnation, to_incarnation, message } => {
                 let process = &mut self.processes[to];
-                if process.state != State::Up || process.life != to_life {
-                    if process.state != State::Gone {
-                        self.tell_lost(from, from_life, to);
+                if process.state != State::Up || process.incarnation != to_incarnation {
+                    if process.state != State::Unreachable {
+                        self.schedule_connection_lost(from, from_incarnation, to);
                     }
-                } else if process.stopped > 0 {
-                    process.held_back.push(Thing::Message { from, to, from_life, to_life, message });
+                } else if process.pause_count > 0 {
+                    process.deferred.push(SimulationEvent::Message {
+                        from,
+                        to,
+                        from_incarnation,
+                        to_incarnation,
+                        message,
+                    });
                 } else {
-                    process.account.bytes += (bytes_of(&message) + W::beside(&message) + OVERHEAD) as u64;
-                    process.account.messages += 1;
-                    if W::LINKS {
-                        process.links.insert(from, from_life);
+                    process.traffic.bytes +=
+                        (bytes_of(&message) + S::unencoded_bytes(&message) + MESSAGE_OVERHEAD_BYTES) as u64;
+                    process.traffic.messages += 1;
+                    if S::CONNECTION_ORIENTED {
+                        process.connections.insert(from, from_incarnation);
                     }
-                    if let Some(way) = &mut process.way {
-                        way.hear(now, from, message);
+                    if let Some(strategy) = &mut process.strategy {
+                        strategy.handle_message(now, from, message);
                     }
-                    self.after(to);
+                    self.process_output(to);
                 }
             }
-            Thing::Wake { place, life } => {
-                let process = &mut self.processes[place];
-                if process.life != life || process.state != State::Up {
+            SimulationEvent::Timeout { index, incarnation } => {
+                let process = &mut self.processes[index];
+                if process.incarnation != incarnation || process.state != State::Up {
                     return;
                 }
-                process.wake = None;
-                if process.stopped > 0 {
+                process.timeout = None;
+                if process.pause_count > 0 {
                     return;
                 }
-                if let Some(way) = &mut process.way {
-                    way.tick(now);
+                if let Some(strategy) = &mut process.strategy {
+                    strategy.handle_timeout(now);
                 }
-                self.after(place);
+                self.process_output(index);
             }
-            Thing::Lost { to, life, of } => {
+            SimulationEvent::ConnectionLost { to, incarnation, of } => {
                 let process = &mut self.processes[to];
-                if process.life != life || process.state != State::Up {
+                if process.incarnation != incarnation || process.state != State::Up {
                     return;
                 }
-                if process.stopped > 0 {
-                    process.held_back.push(Thing::Lost { to, life, of });
+                if process.pause_count > 0 {
+                    process.deferred.push(SimulationEvent::ConnectionLost { to, incarnation, of });
                     return;
                 }
-                process.links.remove(&of);
-                if let Some(way) = &mut process.way {
-                    way.lost(now, of);
+                process.connections.remove(&of);
+                if let Some(strategy) = &mut process.strategy {
+                    strategy.handle_connection_lost(now, of);
                 }
-                self.after(to);
+                self.process_output(to);
             }
-            Thing::Start(place) => self.start(place),
-            Thing::Begin(number) => self.begin(number, struck),
-            Thing::End(number) => self.finish(number),
-            Thing::Propose(edits) => {
+            SimulationEvent::Start(index) => self.start(index),
+            SimulationEvent::FaultBegins(number) => self.begin_fault(number, struck),
+            SimulationEvent::FaultEnds(number) => self.end_fault(number),
+            SimulationEvent::Propose(edits) => {
                 self.waiting.push_back(edits);
                 self.propose();
             }
-            Thing::Agreed { place, life, change } => {
-                let process = &mut self.processes[place];
-                if process.life != life || process.state != State::Up || change.version <= process.told {
+            SimulationEvent::Committed { index, incarnation, change } => {
+                let process = &mut self.processes[index];
+                if process.incarnation != incarnation
+                    || process.state != State::Up
+                    || change.version <= process.committed
+                {
                     return;
                 }
-                if process.stopped > 0 {
-                    process.held_back.push(Thing::Agreed { place, life, change });
+                if process.pause_count > 0 {
+                    process.deferred.push(SimulationEvent::Committed { index, incarnation, change });
                     return;
                 }
-                process.told = change.version;
-                if let Some(way) = &mut process.way {
-                    way.agreed(now, &change);
+                process.committed = change.version;
+                if let Some(strategy) = &mut process.strategy {
+                    strategy.handle_commit(now, &change);
                 }
-                self.after(place);
+                self.process_output(index);
                 self.propose();
             }
-            Thing::Second => self.second(),
-            Thing::Quiet => (self.net.loss, self.shape.mangled) = (0.0, 0.0),
+            SimulationEvent::SecondEnds => self.end_second(),
+            SimulationEvent::LossEnds => (self.net.loss, self.shape.mangled) = (0.0, 0.0),
         }
     }
 
-    /// The process at `from` hears that nobody listens there, if its own life is the one that sent.
-    fn tell_lost(&mut self, to: usize, life: u32, of: usize) {
-        if W::LINKS && !self.net.is_cut(of, to) && !self.net.is_cut(to, of) {
-            self.queue.schedule(self.queue.now() + REFUSED_MS, Thing::Lost { to, life, of });
+    /// Notifies an incarnation of process `to` that its connection to process `of` is lost.
+    fn schedule_connection_lost(&mut self, to: usize, incarnation: u32, of: usize) {
+        if S::CONNECTION_ORIENTED && !self.net.is_cut(of, to) && !self.net.is_cut(to, of) {
+            self.queue.schedule(
+                self.queue.now() + CONNECTION_REFUSED_MS,
+                SimulationEvent::ConnectionLost { to, incarnation, of },
+            );
         }
     }
 
-    /// What a process made of what it heard: sent, and held against it.
-    fn after(&mut self, place: usize) {
+    /// Sends the messages that a process produced, checks its version against the promises and schedules its next timeout.
+    fn process_output(&mut self, index: usize) {
         let now = self.queue.now();
         let mut send = std::mem::take(&mut self.send);
-        let Some(way) = &mut self.processes[place].way else { return };
-        way.take(&mut send);
+        let Some(strategy) = &mut self.processes[index].strategy else { return };
+        strategy.poll_messages(&mut send);
         for (to, message) in send.drain(..) {
-            self.transmit(place, to, message);
+            self.transmit(index, to, message);
         }
         self.send = send;
-        let process = &mut self.processes[place];
-        let Some(way) = &process.way else { return };
-        let version = way.version();
+        let process = &mut self.processes[index];
+        let Some(strategy) = &process.strategy else { return };
+        let version = strategy.version();
         if version != process.version {
             let before = std::mem::replace(&mut process.version, version);
             if version < before {
-                let told = || format!("{before} and then {version}");
-                self.came.broken(NEVER_BACKWARDS, now, place, told);
+                let describe = || format!("version {before} was followed by {version}");
+                self.results.record_violation(NEVER_BACKWARDS, now, index, describe);
             }
-            if let Some(digest) = way.digest() {
+            if let Some(digest) = strategy.digest() {
                 let first = *self.digests.entry(version).or_insert(digest);
                 if first != digest {
-                    let told = || format!("{version}: {first:x} elsewhere, {digest:x} here");
-                    self.came.broken(ONE_CONTENT_A_NUMBER, now, place, told);
+                    let describe =
+                        || format!("version {version} has digest {first:x} elsewhere and {digest:x} here");
+                    self.results.record_violation(ONE_CONTENT_A_NUMBER, now, index, describe);
                 }
             }
-            if self.shape.mangled > 0.0 && way.holds(NOBODY) {
-                self.came.broken(BAD_CHANGES_NOTHING, now, place, || {
-                    format!("{version} with an edit that does not fit")
-                });
+            if self.shape.mangled > 0.0 && strategy.has_tenant(UNKNOWN_TENANT) {
+                let describe = || format!("version {version} contains an invalid edit");
+                self.results.record_violation(BAD_CHANGES_NOTHING, now, index, describe);
             }
-            while let Some((_, from)) = process.due.pop_front_if(|(due, _)| *due <= version) {
-                if now >= WARM_MS {
-                    let after_ms = now - from;
-                    self.came.in_force_ms.put(after_ms);
+            while let Some((_, since)) = process.due.pop_front_if(|(due, _)| *due <= version) {
+                if now >= WARM_UP_MS {
+                    let after_ms = now - since;
+                    self.results.in_force_ms.put(after_ms);
                     if after_ms > IN_FORCE_MS && !process.late {
                         process.late = true;
-                        if self.came.seen.len() < 8 {
-                            self.came.seen.push(format!(
-                                "{place}: {version} after {after_ms:.0} ms, from {from:.0} on"
+                        if self.results.seen.len() < 8 {
+                            self.results.seen.push(format!(
+                                "process {index}: version {version} in force after {after_ms:.0} ms, due since {since:.0}"
                             ));
                         }
                     }
                 }
             }
         }
-        self.arm(place);
+        self.schedule_timeout(index);
     }
 
-    fn arm(&mut self, place: usize) {
-        let process = &mut self.processes[place];
-        let Some(way) = &process.way else { return };
-        let at = way.next_at();
-        match process.wake {
-            Some((planned, _)) if planned <= at => {}
-            planned => {
-                if let Some((_, number)) = planned {
+    /// Schedules the next timeout of a process, unless an earlier one is scheduled.
+    fn schedule_timeout(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        let Some(strategy) = &process.strategy else { return };
+        let at = strategy.poll_timeout();
+        match process.timeout {
+            Some((scheduled, _)) if scheduled <= at => {}
+            scheduled => {
+                if let Some((_, number)) = scheduled {
                     self.queue.cancel(number);
                 }
-                let number = self.queue.schedule(at, Thing::Wake { place, life: process.life });
-                process.wake = Some((at, number));
+                let number = self
+                    .queue
+                    .schedule(at, SimulationEvent::Timeout { index, incarnation: process.incarnation });
+                process.timeout = Some((at, number));
             }
         }
     }
 
-    fn transmit(&mut self, from: usize, to: usize, message: W::Message) {
+    /// Sends a message: counts its traffic, checks the connection and schedules its delivery.
+    fn transmit(&mut self, from: usize, to: usize, message: S::Message) {
         if to >= self.processes.len() || to == from {
             return;
         }
         let now = self.queue.now();
-        let bytes = bytes_of(&message) + W::beside(&message) + OVERHEAD;
-        let (to_life, to_state) = (self.processes[to].life, self.processes[to].state);
+        let bytes = bytes_of(&message) + S::unencoded_bytes(&message) + MESSAGE_OVERHEAD_BYTES;
+        let (to_incarnation, to_state) = (self.processes[to].incarnation, self.processes[to].state);
         let process = &mut self.processes[from];
-        process.account.bytes += bytes as u64;
-        process.account.messages += 1;
-        process.account.peers.push(to as u32);
-        let leaves = process.line_free_at.max(now) + bytes as f64 / LINE;
-        process.line_free_at = leaves;
-        let from_life = process.life;
-        if W::LINKS {
-            // A link that was made with a life that is over ends at the first word that is sent on it.
-            let of = *process.links.entry(to).or_insert(to_life);
-            if of != to_life && to_state == State::Up {
-                process.links.remove(&to);
-                self.tell_lost(from, from_life, to);
+        process.traffic.bytes += bytes as u64;
+        process.traffic.messages += 1;
+        process.traffic.peers.push(to as u32);
+        let leaves = process.uplink_free_at.max(now) + bytes as f64 / UPLINK_BYTES_PER_MS;
+        process.uplink_free_at = leaves;
+        let from_incarnation = process.incarnation;
+        if S::CONNECTION_ORIENTED {
+            // A connection to an earlier incarnation of the peer breaks at the first message that is sent on it.
+            let connected_incarnation = *process.connections.entry(to).or_insert(to_incarnation);
+            if connected_incarnation != to_incarnation && to_state == State::Up {
+                process.connections.remove(&to);
+                self.schedule_connection_lost(from, from_incarnation, to);
                 return;
             }
         }
         let mut message = message;
-        if self.shape.mangled > 0.0 && now >= WARM_MS && self.chance.random_bool(self.shape.mangled) {
-            W::mangle(&mut message, &mut self.chance);
+        if self.shape.mangled > 0.0 && now >= WARM_UP_MS && self.rng.random_bool(self.shape.mangled) {
+            S::corrupt(&mut message, &mut self.rng);
         }
-        let far = if region_of(from) == region_of(to) { 0.0 } else { BETWEEN_REGIONS_MS };
-        for (copy, way) in self.net.send(from, to, ZONES, bytes).into_iter().enumerate() {
-            let mut at = leaves + way + far;
+        let region_ms = if region_of(from) == region_of(to) { 0.0 } else { BETWEEN_REGIONS_MS };
+        for (copy, latency_ms) in self.net.send(from, to, ZONES, bytes).into_iter().enumerate() {
+            let mut at = leaves + latency_ms + region_ms;
             if copy > 0 {
-                at += self.chance.random_range(0.0..TWICE_MS);
-            } else if W::LINKS {
-                let last = self.last.entry((from, to)).or_default();
+                at += self.rng.random_range(0.0..DUPLICATE_DELAY_MS);
+            } else if S::CONNECTION_ORIENTED {
+                let last = self.last_arrival.entry((from, to)).or_default();
                 at = at.max(*last);
                 *last = at;
             }
             let message = message.clone();
-            self.queue.schedule(at, Thing::Message { from, to, from_life, to_life, message });
+            self.queue.schedule(
+                at,
+                SimulationEvent::Message { from, to, from_incarnation, to_incarnation, message },
+            );
         }
     }
 
-    fn start(&mut self, place: usize) {
+    fn start(&mut self, index: usize) {
         let now = self.queue.now();
-        let seed = self.chance.random();
-        let process = &mut self.processes[place];
+        let seed = self.rng.random();
+        let process = &mut self.processes[index];
         if process.state == State::Up {
             return;
         }
-        process.life += 1;
+        process.incarnation += 1;
         process.state = State::Up;
-        process.links.clear();
-        process.held_back.clear();
-        process.wake = None;
-        process.told = Version::default();
-        let kept = process.kept.take();
-        let way = W::start(Start { place, ground: &self.ground, seed, kept }, now);
-        process.version = way.version();
-        process.way = Some(way);
-        self.after(place);
-        self.look();
+        process.connections.clear();
+        process.deferred.clear();
+        process.timeout = None;
+        process.committed = Version::default();
+        let stored = process.stored.take();
+        let strategy = S::start(Start { index, fleet: &self.fleet, seed, stored }, now);
+        process.version = strategy.version();
+        process.strategy = Some(strategy);
+        self.process_output(index);
+        self.update_reachability();
     }
 
-    /// Whom a step strikes, as it begins.
-    fn whom(&mut self, number: usize) -> Vec<usize> {
-        match self.shape.steps[number].who.clone() {
-            Who::Places(places) => places,
-            Who::Relays(share) => {
+    /// Returns the targets of a fault that begins now.
+    fn select_targets(&mut self, number: usize) -> Vec<usize> {
+        match self.shape.steps[number].targets.clone() {
+            Targets::Processes(indexes) => indexes,
+            Targets::Relays(share) => {
                 let now = self.queue.now();
-                let hands = |place: &usize| {
-                    let way = self.processes[*place].way.as_ref();
-                    way.is_some_and(|way| way.hands(now).children > 0)
+                let has_children = |index: &usize| {
+                    let strategy = self.processes[*index].strategy.as_ref();
+                    strategy.is_some_and(|strategy| strategy.status(now).children > 0)
                 };
-                let mut relays: Vec<usize> = (SOURCES..self.processes.len()).filter(hands).collect();
+                let mut relays: Vec<usize> = (ORIGINS..self.processes.len()).filter(has_children).collect();
                 let count = ((relays.len() as f64 * share).round() as usize).max(1);
                 let mut drawn = Vec::new();
                 while drawn.len() < count && !relays.is_empty() {
-                    drawn.push(relays.swap_remove(self.chance.random_range(0..relays.len())));
+                    drawn.push(relays.swap_remove(self.rng.random_range(0..relays.len())));
                 }
                 drawn.sort_unstable();
                 drawn
@@ -427,149 +465,162 @@
         }
     }
 
-    fn others(&self, places: &[usize]) -> Vec<usize> {
-        (0..self.processes.len()).filter(|place| places.binary_search(place).is_err()).collect()
+    fn others(&self, indexes: &[usize]) -> Vec<usize> {
+        (0..self.processes.len()).filter(|index| indexes.binary_search(index).is_err()).collect()
     }
 
-    fn begin(&mut self, number: usize, struck: Option<&[Vec<usize>]>) {
+    fn begin_fault(&mut self, number: usize, struck: Option<&[Vec<usize>]>) {
         let now = self.queue.now();
-        let places = match struck.and_then(|struck| struck.get(number)) {
-            Some(places) => places.clone(),
-            None => self.whom(number),
+        let indexes = match struck.and_then(|struck| struck.get(number)) {
+            Some(indexes) => indexes.clone(),
+            None => self.select_targets(number),
         };
-        match self.shape.steps[number].trouble {
-            Trouble::Killed => places.iter().for_each(|place| self.stop_life(*place, State::Ended)),
-            Trouble::Gone => places.iter().for_each(|place| self.stop_life(*place, State::Gone)),
-            Trouble::Stopped => places.iter().for_each(|place| self.processes[*place].stopped += 1),
-            Trouble::CutOff => {
-                self.cut(&places, &self.others(&places), true, true);
-                for place in &places {
-                    let process = &mut self.processes[*place];
-                    process.cut += 1;
+        match self.shape.steps[number].fault {
+            Fault::Killed => indexes.iter().for_each(|index| self.stop(*index, State::Stopped)),
+            Fault::MachineLost => indexes.iter().for_each(|index| self.stop(*index, State::Unreachable)),
+            Fault::Paused => indexes.iter().for_each(|index| self.processes[*index].pause_count += 1),
+            Fault::CutOff => {
+                self.cut(&indexes, &self.others(&indexes), true, true);
+                for index in &indexes {
+                    let process = &mut self.processes[*index];
+                    process.cut_count += 1;
                     (process.cut_since, process.cut_version) = (now, process.version);
                 }
             }
-            Trouble::Deaf => self.cut(&(0..SOURCES).collect::<Vec<_>>(), &places, true, false),
-            Trouble::Slow => places.iter().for_each(|place| self.net.set_delay(*place, Some(SLOW_MS))),
+            Fault::OriginsUnheard => self.cut(&(0..ORIGINS).collect::<Vec<_>>(), &indexes, true, false),
+            Fault::Slow => indexes.iter().for_each(|index| self.net.set_delay(*index, Some(SLOW_MS))),
         }
-        self.struck[number] = places;
-        self.look();
+        self.struck[number] = indexes;
+        self.update_reachability();
     }
 
-    fn cut(&mut self, these: &[usize], those: &[usize], cut: bool, both: bool) {
-        for one in these {
-            for other in those {
-                self.net.cut(*one, *other, cut);
+    /// Adds or removes a cut from every sender to every receiver, with `both` also in the opposite direction.
+    fn cut(&mut self, senders: &[usize], receivers: &[usize], cut: bool, both: bool) {
+        for sender in senders {
+            for receiver in receivers {
+                self.net.cut(*sender, *receiver, cut);
                 if both {
-                    self.net.cut(*other, *one, cut);
+                    self.net.cut(*receiver, *sender, cut);
                 }
             }
         }
     }
 
-    fn finish(&mut self, number: usize) {
-        let places = self.struck[number].clone();
-        match self.shape.steps[number].trouble {
-            Trouble::Killed | Trouble::Gone => places.iter().for_each(|place| self.start(*place)),
-            Trouble::Stopped => {
-                for place in &places {
-                    let process = &mut self.processes[*place];
-                    process.stopped -= 1;
-                    if process.stopped == 0 {
-                        let life = process.life;
-                        let things = std::mem::take(&mut process.held_back);
+    fn end_fault(&mut self, number: usize) {
+        let indexes = self.struck[number].clone();
+        match self.shape.steps[number].fault {
+            Fault::Killed | Fault::MachineLost => indexes.iter().for_each(|index| self.start(*index)),
+            Fault::Paused => {
+                for index in &indexes {
+                    let process = &mut self.processes[*index];
+                    process.pause_count -= 1;
+                    if process.pause_count == 0 {
+                        let incarnation = process.incarnation;
+                        let deferred = std::mem::take(&mut process.deferred);
                         let now = self.queue.now();
-                        for thing in things {
-                            self.queue.schedule(now, thing);
+                        for event in deferred {
+                            self.queue.schedule(now, event);
                         }
-                        self.queue.schedule(now, Thing::Wake { place: *place, life });
+                        self.queue.schedule(now, SimulationEvent::Timeout { index: *index, incarnation });
                     }
                 }
             }
-            Trouble::CutOff => {
-                places.iter().for_each(|place| self.cut_off_served(*place));
-                self.cut(&places, &self.others(&places), false, true);
-                places.iter().for_each(|place| self.processes[*place].cut -= 1);
+            Fault::CutOff => {
+                indexes.iter().for_each(|index| self.check_isolated(*index));
+                self.cut(&indexes, &self.others(&indexes), false, true);
+                indexes.iter().for_each(|index| self.processes[*index].cut_count -= 1);
             }
-            Trouble::Deaf => self.cut(&(0..SOURCES).collect::<Vec<_>>(), &places, false, false),
-            Trouble::Slow => places.iter().for_each(|place| self.net.set_delay(*place, None)),
+            Fault::OriginsUnheard => self.cut(&(0..ORIGINS).collect::<Vec<_>>(), &indexes, false, false),
+            Fault::Slow => indexes.iter().for_each(|index| self.net.set_delay(*index, None)),
         }
-        self.look();
+        self.update_reachability();
     }
 
-    /// One that was cut off still has what it had, and where no source was on its side it says how old that is.
-    fn cut_off_served(&mut self, place: usize) {
+    /// Checks a listener at the end of a cut: its version has not decreased and, if no origin was on its side of the cut, the
+    /// age that it reports is at least the duration of the cut.
+    fn check_isolated(&mut self, index: usize) {
         let now = self.queue.now();
-        let alone = self.shape.name == "back";
-        let process = &self.processes[place];
-        let Some(way) = process.way.as_ref().filter(|_| place >= SOURCES) else { return };
-        if way.version() < process.cut_version {
-            let told = || format!("{} as it was cut off, then {}", process.cut_version, way.version());
-            self.came.broken(CUT_OFF_SERVES_ON, now, place, told);
-        }
-        if let (true, Some(age_ms)) = (alone, way.hands(now).age_ms) {
-            let since = now - process.cut_since;
-            if age_ms < since - 1.0 {
-                let told = || format!("says {age_ms:.0} ms after {since:.0} ms");
-                self.came.broken(CUT_OFF_SERVES_ON, now, place, told);
+        let without_origin = self.shape.name == "back";
+        let process = &self.processes[index];
+        let Some(strategy) = process.strategy.as_ref().filter(|_| index >= ORIGINS) else { return };
+        if strategy.version() < process.cut_version {
+            let describe =
+                || format!("version {} before the cut, {} after it", process.cut_version, strategy.version());
+            self.results.record_violation(CUT_OFF_SERVES_ON, now, index, describe);
+        }
+        if let (true, Some(age_ms)) = (without_origin, strategy.status(now).age_ms) {
+            let cut_ms = now - process.cut_since;
+            if age_ms < cut_ms - 1.0 {
+                let describe = || format!("reports an age of {age_ms:.0} ms after a cut of {cut_ms:.0} ms");
+                self.results.record_violation(CUT_OFF_SERVES_ON, now, index, describe);
             }
         }
     }
 
-    fn stop_life(&mut self, place: usize, state: State) {
+    /// Stops a process and notifies its peers if its machine stays up.
+    fn stop(&mut self, index: usize, state: State) {
         let now = self.queue.now();
-        let process = &mut self.processes[place];
+        let process = &mut self.processes[index];
         if process.state != State::Up {
             return;
         }
         process.state = state;
         process.reachable = false;
         process.due.clear();
-        if let Some((_, number)) = process.wake.take() {
+        if let Some((_, number)) = process.timeout.take() {
             self.queue.cancel(number);
         }
-        // A source has its council's folder; a listener begins from its file.
-        let way = process.way.take();
-        process.kept = if place < SOURCES { way.and_then(W::keep) } else { None };
-        let links = std::mem::take(&mut process.links);
-        if state == State::Ended {
-            for peer in links.into_keys() {
-                let life = self.processes[peer].life;
-                if self.processes[peer].links.contains_key(&place) && !self.net.is_cut(place, peer) {
-                    self.queue.schedule(now + REFUSED_MS, Thing::Lost { to: peer, life, of: place });
+        // An origin restarts with the state stored by the consensus group, a listener with the initial content.
+        let strategy = process.strategy.take();
+        process.stored = if index < ORIGINS { strategy.and_then(S::into_stored) } else { None };
+        let connections = std::mem::take(&mut process.connections);
+        if state == State::Stopped {
+            for peer in connections.into_keys() {
+                let incarnation = self.processes[peer].incarnation;
+                if self.processes[peer].connections.contains_key(&index) && !self.net.is_cut(index, peer) {
+                    self.queue.schedule(
+                        now + CONNECTION_REFUSED_MS,
+                        SimulationEvent::ConnectionLost { to: peer, incarnation, of: index },
+                    );
                 }
             }
         }
     }
 
-    fn acts(&self, place: usize) -> bool {
-        self.processes[place].state == State::Up && self.processes[place].stopped == 0
+    fn is_running(&self, index: usize) -> bool {
+        self.processes[index].state == State::Up && self.processes[index].pause_count == 0
     }
 
-    fn pass(&self, one: usize, other: usize) -> bool {
-        !self.net.is_cut(one, other) && !self.net.is_cut(other, one)
+    fn is_connected(&self, first: usize, second: usize) -> bool {
+        !self.net.is_cut(first, second) && !self.net.is_cut(second, first)
     }
 
-    /// Sources that can agree: most of all, each with the first of them.
-    fn council(&self) -> Vec<usize> {
-        let of = |first: usize| -> Vec<usize> {
-            (0..SOURCES).filter(|s| self.acts(*s) && (*s == first || self.pass(first, *s))).collect()
+    /// Returns the origins that can commit changes: the largest majority that is connected to one of its members.
+    fn consensus_group(&self) -> Vec<usize> {
+        let connected_to = |leader: usize| -> Vec<usize> {
+            (0..ORIGINS)
+                .filter(|origin| {
+                    self.is_running(*origin) && (*origin == leader || self.is_connected(leader, *origin))
+                })
+                .collect()
         };
-        let sides = (0..SOURCES).filter(|first| self.acts(*first)).map(of);
-        sides.filter(|side| side.len() * 2 > SOURCES).max_by_key(Vec::len).unwrap_or_default()
+        let groups = (0..ORIGINS).filter(|leader| self.is_running(*leader)).map(connected_to);
+        groups.filter(|group| group.len() * 2 > ORIGINS).max_by_key(Vec::len).unwrap_or_default()
     }
 
-    /// Who is reachable now: alive, and nothing cuts it off from a source that knows what is agreed.
-    fn look(&mut self) {
+    /// Updates which listeners are reachable: running and connected to an origin of the consensus group, or to any running
+    /// origin if there is no majority.
+    fn update_reachability(&mut self) {
         let now = self.queue.now();
-        let mut knowing = self.council();
-        if knowing.is_empty() {
-            knowing = (0..SOURCES).filter(|source| self.acts(*source)).collect();
+        let mut up_to_date = self.consensus_group();
+        if up_to_date.is_empty() {
+            up_to_date = (0..ORIGINS).filter(|origin| self.is_running(*origin)).collect();
         }
         let newest = self.newest.as_ref().map(|newest| newest.version).unwrap_or_default();
-        for place in SOURCES..self.processes.len() {
-            let reachable = self.acts(place) && knowing.iter().any(|source| self.pass(*source, place));
-            let process = &mut self.processes[place];
+        for index in ORIGINS..self.processes.len() {
+            let reachable =
+                self.is_running(index) && up_to_date.iter().any(|origin| self.is_connected(*origin, index));
+            let process = &mut self.processes[index];
             if reachable && !process.reachable && process.version < newest {
                 process.due.push_back((newest, now));
             }
@@ -580,39 +631,40 @@
         }
     }
 
-    /// One proposal at a time is with the council; those after it wait for their turn.
+    /// Commits the next waiting proposal once the leader has applied the previous one. Drops all proposals if there is no
+    /// majority of origins.
     fn propose(&mut self) {
         let now = self.queue.now();
-        let council = self.council();
-        let Some(leader) = council.first().copied() else {
-            self.came.not_agreed += self.waiting.len() as u64;
+        let group = self.consensus_group();
+        let Some(leader) = group.first().copied() else {
+            self.results.not_agreed += self.waiting.len() as u64;
             self.waiting.clear();
             return;
         };
         let newest = self.newest.as_ref().map(|newest| newest.version).unwrap_or_default();
-        let Some(way) = &mut self.processes[leader].way else { return };
-        if way.version() != newest {
+        let Some(strategy) = &mut self.processes[leader].strategy else { return };
+        if strategy.version() != newest {
             return;
         }
         let Some(edits) = self.waiting.pop_front() else { return };
-        let digest = way.digest();
-        // One that can't be must change nothing, each time.
-        let bad = vec![Edit::Set { tenant: NOBODY.into(), quota_per_s: 1.0 }];
-        let refused = digest.is_none() || way.prepare(bad, newest, 0).is_err();
-        let prepared = way.prepare(edits, newest, now as u64);
-        if !refused || way.digest() != digest || way.version() != newest {
-            let told = || "an unknown tenant's quota was taken".to_string();
-            self.came.broken(BAD_CHANGES_NOTHING, now, leader, told);
+        let digest = strategy.digest();
+        // Check with each proposal that an invalid change is rejected and changes nothing.
+        let invalid = vec![Edit::Set { tenant: UNKNOWN_TENANT.into(), quota_per_s: 1.0 }];
+        let rejected = digest.is_none() || strategy.prepare_change(invalid, newest, 0).is_err();
+        let prepared = strategy.prepare_change(edits, newest, now as u64);
+        if !rejected || strategy.digest() != digest || strategy.version() != newest {
+            let describe = || "a quota of an unknown tenant was accepted".to_string();
+            self.results.record_violation(BAD_CHANGES_NOTHING, now, leader, describe);
         }
         let change = match prepared {
             Ok(change) => Rc::new(change),
-            Err(why) => {
-                self.came
-                    .broken(BAD_CHANGES_NOTHING, now, leader, || format!("refused a good change: {why}"));
+            Err(error) => {
+                let describe = || format!("a valid change was rejected: {error}");
+                self.results.record_violation(BAD_CHANGES_NOTHING, now, leader, describe);
                 return;
             }
         };
-        self.came.agreed += u64::from(now >= WARM_MS);
+        self.results.agreed += u64::from(now >= WARM_UP_MS);
         for edit in &change.edits {
             match edit.quota_per_s() {
                 Some(quota) => drop(self.quotas.insert(edit.tenant().into(), quota)),
@@ -620,56 +672,60 @@
             }
         }
         self.newest = Some(change.clone());
-        for place in SOURCES..self.processes.len() {
-            let process = &mut self.processes[place];
+        for index in ORIGINS..self.processes.len() {
+            let process = &mut self.processes[index];
             if process.reachable {
                 process.due.push_back((change.version, now));
             }
         }
-        for source in council {
-            let after_ms =
-                COUNCIL_MS * if source == leader { 1.0 } else { 1.0 + self.chance.random::<f64>() };
-            let life = self.processes[source].life;
-            self.queue
-                .schedule(now + after_ms, Thing::Agreed { place: source, life, change: change.clone() });
+        for origin in group {
+            let after_ms = COMMIT_MS * if origin == leader { 1.0 } else { 1.0 + self.rng.random::<f64>() };
+            let incarnation = self.processes[origin].incarnation;
+            self.queue.schedule(
+                now + after_ms,
+                SimulationEvent::Committed { index: origin, incarnation, change: change.clone() },
+            );
         }
     }
 
-    fn second(&mut self) {
+    /// Ends a second of the traffic measurement and delivers the newest change to origins that lag behind.
+    fn end_second(&mut self) {
         let now = self.queue.now();
-        self.queue.schedule(now + 1000.0, Thing::Second);
-        let counts = now > WARM_MS && now <= self.shape.span_ms - QUIET_MS / 2.0;
+        self.queue.schedule(now + 1000.0, SimulationEvent::SecondEnds);
+        let counts = now > WARM_UP_MS && now <= self.shape.span_ms - FINAL_FAULT_FREE_MS / 2.0;
         for process in &mut self.processes {
-            let children = process.way.as_ref().map_or(0, |way| way.hands(now).children);
-            process.account.second(counts, process.state == State::Up, children);
+            let children = process.strategy.as_ref().map_or(0, |strategy| strategy.status(now).children);
+            process.traffic.end_second(counts, process.state == State::Up, children);
         }
         self.propose();
-        // A council brings those that lag up to the newest word.
+        // The consensus group replicates the newest change to members that missed it.
         let Some(newest) = self.newest.clone() else { return };
-        for place in self.council() {
-            let process = &self.processes[place];
-            if process.told < newest.version {
-                let life = process.life;
-                let at = now + self.chance.random_range(50.0..300.0);
-                self.queue.schedule(at, Thing::Agreed { place, life, change: newest.clone() });
+        for index in self.consensus_group() {
+            let process = &self.processes[index];
+            if process.committed < newest.version {
+                let incarnation = process.incarnation;
+                let at = now + self.rng.random_range(50.0..300.0);
+                self.queue
+                    .schedule(at, SimulationEvent::Committed { index, incarnation, change: newest.clone() });
             }
         }
     }
 
-    fn end(mut self) -> Came {
+    fn into_results(mut self) -> Came {
         let now = self.shape.span_ms;
         let newest = self.newest.as_ref().map(|newest| newest.version).unwrap_or_default();
         let mut depth = 0;
-        for place in 0..self.processes.len() {
-            let process = &self.processes[place];
-            let Some(way) = &process.way else { continue };
-            let hands = way.hands(now);
-            if place < SOURCES {
-                self.came.counted += hands.under;
-                self.came.counted_in_force += hands.in_force;
+        for index in 0..self.processes.len() {
+            let process = &self.processes[index];
+            let Some(strategy) = &process.strategy else { continue };
+            let status = strategy.status(now);
+            if index < ORIGINS {
+                self.results.counted += status.under;
+                self.results.counted_in_force += status.in_force;
             } else {
-                let (mut at, mut hops) = (place, 0);
-                while let Some(parent) = self.processes[at].way.as_ref().and_then(|way| way.hands(now).parent)
+                let (mut at, mut hops) = (index, 0);
+                while let Some(parent) =
+                    self.processes[at].strategy.as_ref().and_then(|strategy| strategy.status(now).parent)
                 {
                     (at, hops) = (parent, hops + 1);
                     if hops > 9 {
@@ -678,24 +734,25 @@
                 }
                 depth = depth.max(hops);
             }
-            if way.version() == newest && way.differs(&self.quotas) {
-                let told = || format!("{newest}: not what was agreed");
-                self.came.broken(ONE_CONTENT_A_NUMBER, now, place, told);
+            if strategy.version() == newest && strategy.differs_from(&self.quotas) {
+                let describe = || format!("version {newest} differs from the committed content");
+                self.results.record_violation(ONE_CONTENT_A_NUMBER, now, index, describe);
             }
-            if place < SOURCES || !process.reachable {
+            if index < ORIGINS || !process.reachable {
                 continue;
             }
-            self.came.reachable += 1;
-            self.came.late += u64::from(process.late);
+            self.results.reachable += 1;
+            self.results.late += u64::from(process.late);
             if process.version < newest || !process.due.is_empty() {
-                self.came.missed += 1;
-                let told = || format!("has {}, not {newest}; hears from {:?}", process.version, hands.parent);
-                self.came.broken(AGREED_IS_IN_FORCE, now, place, told);
+                self.results.missed += 1;
+                let describe =
+                    || format!("has version {}, not {newest}; parent {:?}", process.version, status.parent);
+                self.results.record_violation(AGREED_IS_IN_FORCE, now, index, describe);
             }
         }
-        let accounts: Vec<Account> = self.processes.into_iter().map(|process| process.account).collect();
-        self.came.spent = spent(&accounts, SOURCES, depth);
-        self.came.struck = self.struck;
-        self.came
+        let traffic: Vec<Traffic> = self.processes.into_iter().map(|process| process.traffic).collect();
+        self.results.spent = summarize(&traffic, ORIGINS, depth);
+        self.results.struck = self.struck;
+        self.results
     }
 }
--- a/crates/plovershelf-simulation/tests/broken.rs
+++ b/crates/plovershelf-simulation/tests/broken.rs
@@ -1,25 +1,25 @@
-//! A lease that is not checked and a view that is numbered twice are caught by the model's audit.
+//! The audit of the cluster model detects an unchecked lease and a duplicate view number, and reports nothing without them.
 
 use plovershelf_cluster::broken::{set, BrokenRule};
 use plovershelf_simulation::audit::{NOT_PAST_LEASE, ONE_VIEW_A_NUMBER};
 use plovershelf_simulation::cluster::{Plan, World};
 use plovershelf_simulation::schedule::Schedule;
 
-fn found(promise: &str) -> usize {
-    let broken = |seed: u64| {
+fn count_violations(promise: &str) -> usize {
+    let violations = |seed: u64| {
         let schedule = Schedule::draw(seed, 9, 3, 14, 30_000.0);
         World::run(Plan::of(schedule, seed)).audit.count(promise)
     };
-    (700..712).map(broken).sum()
+    (700..712).map(violations).sum()
 }
 
 #[test]
-fn broken_on_purpose_is_caught_and_whole_is_not() {
-    assert_eq!(found(NOT_PAST_LEASE) + found(ONE_VIEW_A_NUMBER), 0);
+fn each_broken_rule_is_detected_and_nothing_is_reported_without_one() {
+    assert_eq!(count_violations(NOT_PAST_LEASE) + count_violations(ONE_VIEW_A_NUMBER), 0);
     set(Some(BrokenRule::LeaseNotChecked));
-    let leases = found(NOT_PAST_LEASE);
+    let leases = count_violations(NOT_PAST_LEASE);
     set(Some(BrokenRule::DuplicateViewNumber));
-    let views = found(ONE_VIEW_A_NUMBER);
+    let views = count_violations(ONE_VIEW_A_NUMBER);
     set(None);
     assert!(leases > 0 && views > 0, "{leases} {views}");
 }
