--- a/crates/plovershelf-simulation/examples/shrink.rs
+++ b/crates/plovershelf-simulation/examples/shrink.rs
@@ -1,4 +1,4 @@
-//! Cuts the schedule of a seed, or of a file, down to the fewest steps that still fail, and prints it:
+//! Shrinks the schedule of a seed or of a file to a minimal one that still fails and prints it:
 //! `-- SEED MEMBERS [VOTERS [FILE]]`.
 
 use plovershelf_simulation::cluster::{Plan, Report, World};
@@ -11,18 +11,19 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let number = |place: usize| words.get(place).and_then(|word| word.parse::<u64>().ok());
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let number = |index: usize| args.get(index).and_then(|arg| arg.parse::<u64>().ok());
     let (Some(seed), Some(members)) = (number(0), number(1)) else {
         eprintln!("shrink: SEED MEMBERS [VOTERS [FILE]]");
         std::process::exit(2);
     };
     let voters = number(2).unwrap_or(3) as usize;
-    let read = |file: &String| std::fs::read_to_string(file).map_err(|e| e.to_string())?.parse::<Schedule>();
-    let schedule = match words.get(3).map(read) {
+    let read =
+        |file: &String| std::fs::read_to_string(file).map_err(|error| error.to_string())?.parse::<Schedule>();
+    let schedule = match args.get(3).map(read) {
         Some(Ok(schedule)) => schedule,
-        Some(Err(wrong)) => {
-            eprintln!("shrink: {wrong}");
+        Some(Err(error)) => {
+            eprintln!("shrink: {error}");
             std::process::exit(2);
         }
         None => Schedule::draw(seed, members as usize, 3, 14, 30_000.0),
@@ -36,17 +37,17 @@
         World::run(plan)
     };
     if !fails(&run(&schedule)) {
-        println!("seed {seed} keeps all promises and agrees again");
+        println!("seed {seed}: no promise is violated and the cluster commits after the last fault");
         return;
     }
-    // Without any fault there is nothing that it could agree after.
-    let small = schedule.shrink(|fewer| !fewer.steps.is_empty() && fails(&run(fewer)));
-    let report = run(&small);
-    println!("{small}");
+    // An empty schedule has no last fault after which the cluster could commit, and so would always count as a failure.
+    let smallest = schedule.shrink(|candidate| !candidate.steps.is_empty() && fails(&run(candidate)));
+    let report = run(&smallest);
+    println!("{smallest}");
     report
         .audit
         .broken
         .iter()
-        .for_each(|broken| println!("{} at {:.0}: {}", broken.promise, broken.at, broken.told));
+        .for_each(|violation| println!("{} at {:.0}: {}", violation.promise, violation.at, violation.told));
     report.final_states.iter().for_each(|line| println!("{line}"));
 }
--- a/crates/plovershelf-simulation/examples/slopes.rs
+++ b/crates/plovershelf-simulation/examples/slopes.rs
@@ -1,6 +1,6 @@
-//! What each kind of state and message grows with, counted on the state machines that serve: the rows of `docs/CAPACITY.md`
-//! that need no processes. Prints a line a row: the points, the slope with its error, and what it makes at the size asked for
-//! (`-- [MEMBERS]`, 920 by default).
+//! Measures how the size of state and messages grows with the number of members, on the server's state machines: the rows of
+//! `docs/CAPACITY.md` that need no processes. Prints one line per row with the points, the slope with its error, and the value
+//! that the fit gives for a number of members (`-- [MEMBERS]`, 920 by default).
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -20,20 +20,20 @@
 
 const SIZES: [usize; 5] = [30, 100, 300, 600, 920];
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1, (place >> 8) as u8, place as u8], 7400))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (index >> 8) as u8, index as u8], 7400))
 }
 
-fn node(place: usize) -> NodeInfo {
-    let (zone, region) = (format!("zone-{}", place % 4), format!("region-{}", place % 2));
-    let name = format!("backend-{place:04}");
-    // Ids as they are drawn: all 64 bits.
-    let id = NodeId((place as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    NodeInfo { id, name, zone, region, address: address(place), created_at_ms: 1_796_000_000_000 }
+fn node(index: usize) -> NodeInfo {
+    let (zone, region) = (format!("zone-{}", index % 4), format!("region-{}", index % 2));
+    let name = format!("backend-{index:04}");
+    // Use all 64 bits, as random ids do: the encoded length depends on the value.
+    let id = NodeId((index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    NodeInfo { id, name, zone, region, address: address(index), created_at_ms: 1_796_000_000_000 }
 }
 
-fn update(place: usize) -> MemberUpdate {
-    let node = node(place);
+fn update(index: usize) -> MemberUpdate {
+    let node = node(index);
     let id = node.id;
     MemberUpdate {
         node,
@@ -46,50 +46,52 @@
     }
 }
 
-fn told(kind: &str, unit: &str, points: &[(f64, f64)], at: f64) {
-    let shown: Vec<String> = points.iter().map(|(x, y)| format!("{x}: {y:.1}")).collect();
+/// Prints a row with its points, their linear fit and the value of the fit at `at` members.
+fn print_row(kind: &str, unit: &str, points: &[(f64, f64)], at: f64) {
+    let formatted: Vec<String> = points.iter().map(|(x, y)| format!("{x}: {y:.1}")).collect();
     match Fit::of(points) {
         Some(fit) => println!(
             "{kind} | {unit} | {} | slope {:.4} +- {:.4} each, r2 {:.4} | at {at}: {:.0}",
-            shown.join(", "),
+            formatted.join(", "),
             fit.slope,
             fit.slope_bar(),
             fit.r_squared,
             fit.at(at)
         ),
-        None => println!("{kind} | {unit} | {} | no fit", shown.join(", ")),
+        None => println!("{kind} | {unit} | {} | no fit", formatted.join(", ")),
     }
 }
 
-/// Resident memory of this process in bytes, by the system's own account.
-fn resident() -> Option<f64> {
+/// Returns the resident memory of this process in bytes, as reported by the kernel.
+fn resident_bytes() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     Some(text.split(' ').nth(1)?.parse::<f64>().ok()? * 4096.0)
 }
 
-/// Bytes each of many like things takes, as the growth of resident memory over all of them.
+/// Returns the resident memory per item in bytes, measured as the growth over `count` items.
 fn bytes_each<T>(count: usize, make: impl Fn(usize) -> T) -> Option<f64> {
-    let before = resident()?;
-    let kept: Vec<T> = (0..count).map(make).collect();
-    let grown = resident()? - before;
-    // Kept on purpose: memory that is given back would be counted for the next.
-    std::mem::forget(kept);
-    Some(grown / count as f64)
+    let before = resident_bytes()?;
+    let items: Vec<T> = (0..count).map(make).collect();
+    let growth = resident_bytes()? - before;
+    // Leak the items: the next measurement would reuse freed memory without any growth.
+    std::mem::forget(items);
+    Some(growth / count as f64)
 }
 
-/// A change of view among so many that hold nothing: messages and bytes of all until they rest.
+/// Returns the messages and bytes that all members exchange after a view change, until none is in flight. The members have no
+/// records to replicate.
 fn view_change(members: usize) -> (f64, f64) {
     let view: Vec<Member> = (0..members)
-        .map(|place| {
-            let node = node(place);
+        .map(|index| {
+            let node = node(index);
             Member { id: node.id, zone: node.zone, machine: node.name, weight: 1.0 }
         })
         .collect();
     let all: Vec<NodeId> = view.iter().map(|member| member.id).collect();
     let mut group: Vec<Replicator> =
         all.iter().map(|id| Replicator::new(*id, ReplicationConfig::default(), 0.0)).collect();
-    let place_of: std::collections::BTreeMap<NodeId, usize> =
-        all.iter().enumerate().map(|(place, id)| (*id, place)).collect();
+    let index_of: std::collections::BTreeMap<NodeId, usize> =
+        all.iter().enumerate().map(|(index, id)| (*id, index)).collect();
     for replicator in &mut group {
         replicator.update_view(1.0, ViewNumber(1), view.clone());
     }
@@ -97,12 +99,12 @@
     for _ in 0..8 {
         now += 1.0;
         let mut in_flight: Vec<(usize, NodeId, ReplicationMessage)> = Vec::new();
-        for (place, replicator) in group.iter_mut().enumerate() {
+        for (index, replicator) in group.iter_mut().enumerate() {
             for (to, message) in replicator.poll_actions().messages {
                 messages += 1.0;
-                let wire = Wire::Subsystem { from: all[place], to, bytes: encode_payload(&message) };
+                let wire = Wire::Subsystem { from: all[index], to, bytes: encode_payload(&message) };
                 bytes += encode_frame(&wire).len() as f64;
-                in_flight.push((place_of[&to], all[place], message));
+                in_flight.push((index_of[&to], all[index], message));
             }
         }
         if in_flight.is_empty() {
@@ -122,15 +124,15 @@
 
 fn main() {
     let at = std::env::args().nth(1).and_then(|size| size.parse().ok()).unwrap_or(920.0);
-    let over = |of: &dyn Fn(usize) -> f64| -> Vec<(f64, f64)> {
-        SIZES.iter().map(|size| (*size as f64, of(*size))).collect()
+    let over_sizes = |value: &dyn Fn(usize) -> f64| -> Vec<(f64, f64)> {
+        SIZES.iter().map(|size| (*size as f64, value(*size))).collect()
     };
 
     println!("kind | unit | points | slope | at the size");
-    // Resident memory first, before anything was given back that could be taken again unseen.
+    // Measure resident memory first, before other measurements free memory that would be reused without any growth.
     let view = |size: usize| -> View {
-        let member = |place: usize| {
-            let node = node(place);
+        let member = |index: usize| {
+            let node = node(index);
             let member = ViewMember {
                 name: node.name,
                 zone: node.zone,
@@ -145,92 +147,109 @@
     };
     let mut rows = Vec::new();
     for size in SIZES {
-        let each = bytes_each(100, |own| {
+        let each = bytes_each(100, |index| {
             let mut swim =
-                Swim::new(node(own + 2000), GossipConfig::default(), Vec::new(), own as u64 + 1, 0.0);
-            let all: Vec<MemberUpdate> = (0..size).map(update).collect();
-            for part in all.chunks(GossipConfig::default().updates_per_sync) {
-                swim.handle_message(1.0, node(0).id, address(0), Probe::Sync { updates: part.to_vec() });
+                Swim::new(node(index + 2000), GossipConfig::default(), Vec::new(), index as u64 + 1, 0.0);
+            let updates: Vec<MemberUpdate> = (0..size).map(update).collect();
+            for chunk in updates.chunks(GossipConfig::default().updates_per_sync) {
+                swim.handle_message(1.0, node(0).id, address(0), Probe::Sync { updates: chunk.to_vec() });
             }
             (swim, view(size))
         });
         rows.extend(each.map(|each| (size as f64, each)));
     }
-    told("a member's table and view", "bytes resident", &rows, at);
+    print_row("a member's table and view", "bytes resident", &rows, at);
 
     let mut rows = Vec::new();
     for size in SIZES {
         let all: Vec<SocketAddr> = (0..size).map(address).collect();
-        let each = bytes_each(1000, |place| {
-            let terms = ClientConfig {
-                seed: place as u64 + 1,
-                subset_index: Some(place as u64),
+        let each = bytes_each(1000, |index| {
+            let config = ClientConfig {
+                seed: index as u64 + 1,
+                subset_index: Some(index as u64),
                 ..ClientConfig::default()
             };
-            let mut caller = Caller::new(terms).unwrap_or_else(|wrong| panic!("default settings: {wrong}"));
+            let mut caller = Caller::new(config).unwrap_or_else(|error| panic!("default settings: {error}"));
             caller.update_endpoints(0.0, &EndpointList::from_addresses(&all));
             caller
         });
         rows.extend(each.map(|each| (size as f64, each)));
     }
-    told("a caller of the library, list heard", "bytes resident", &rows, at);
-    let changes: Vec<(f64, f64, f64)> = SIZES
+    print_row("a caller of the library, list heard", "bytes resident", &rows, at);
+    let traffic: Vec<(f64, f64, f64)> = SIZES
         .iter()
         .map(|size| {
             let (messages, bytes) = view_change(*size);
             (*size as f64, messages / *size as f64, bytes / *size as f64)
         })
         .collect();
-    let (messages, bytes): (Vec<_>, Vec<_>) = changes.iter().map(|c| ((c.0, c.1), (c.0, c.2))).unzip();
-    told("copies: a change of view, holding nothing", "messages a member sends", &messages, at);
-    told("copies: a change of view, holding nothing", "bytes a member sends", &bytes, at);
+    let (messages, bytes): (Vec<_>, Vec<_>) =
+        traffic.iter().map(|row| ((row.0, row.1), (row.0, row.2))).unzip();
+    print_row("copies: a change of view, holding nothing", "messages a member sends", &messages, at);
+    print_row("copies: a change of view, holding nothing", "bytes a member sends", &bytes, at);
 
     let config = NodeConfig::default();
     let epoch = Epoch(1 << 40);
     let lease = envelope(NodeMessage::LeaseRequest { sent_at_us: 1 << 40 })
         + envelope(NodeMessage::LeaseGrant { sent_at_us: 1 << 40, epoch, view: 1600, duration_ms: 800.0 });
-    let a_second = 1000.0 / config.lease_renew_interval_ms;
-    println!("leases | bytes an asking and its grant | {lease} | {a_second} a second a member");
-    told("leases at the leader", "bytes a second", &over(&|size| (size - 1) as f64 * lease * a_second), at);
-    told("leases at the leader", "messages in a second", &over(&|size| (size - 1) as f64 * a_second), at);
+    let per_second = 1000.0 / config.lease_renew_interval_ms;
+    println!("leases | bytes an asking and its grant | {lease} | {per_second} a second a member");
+    print_row(
+        "leases at the leader",
+        "bytes a second",
+        &over_sizes(&|size| (size - 1) as f64 * lease * per_second),
+        at,
+    );
+    print_row(
+        "leases at the leader",
+        "messages in a second",
+        &over_sizes(&|size| (size - 1) as f64 * per_second),
+        at,
+    );
 
     let report = MemberReport { zone: "zone-1".into(), load: LoadReport::default(), callers: Vec::new() };
     let report =
         encode_frame(&Wire::Subsystem { from: node(1).id, to: node(2).id, bytes: encode_payload(&report) })
             .len() as f64;
-    let a_second = 1000.0 / PlannerConfig::default().period_ms;
-    println!("zones: a report to the leader | bytes | {report} | {a_second:.2} a second a member");
-    told(
+    let per_second = 1000.0 / PlannerConfig::default().period_ms;
+    println!("zones: a report to the leader | bytes | {report} | {per_second:.2} a second a member");
+    print_row(
         "zones: reports at the leader",
         "bytes a second",
-        &over(&|size| size as f64 * report * a_second),
+        &over_sizes(&|size| size as f64 * report * per_second),
         at,
     );
 
-    let beat = plovershelf_codec::registry::heartbeat("backend-0920", false).len() as f64;
-    println!("service registry: a heartbeat | bytes | {beat} | 4 a second a backend");
-    told("service registry: heartbeats in", "bytes a second", &over(&|size| size as f64 * beat * 4.0), at);
+    let heartbeat_bytes = plovershelf_codec::registry::heartbeat("backend-0920", false).len() as f64;
+    println!("service registry: a heartbeat | bytes | {heartbeat_bytes} | 4 a second a backend");
+    print_row(
+        "service registry: heartbeats in",
+        "bytes a second",
+        &over_sizes(&|size| size as f64 * heartbeat_bytes * 4.0),
+        at,
+    );
 
     let leader = Some(node(0).id);
     let digest = StateDigest { epoch, commit_index: 5000, term: Term(7), leader };
-    let probe = |pieces: usize| {
-        let updates = (0..pieces).map(update).collect();
+    let probe = |update_count: usize| {
+        let updates = (0..update_count).map(update).collect();
         envelope(NodeMessage::Gossip { message: Probe::Ping { nonce: u64::MAX / 3, updates }, digest })
     };
     println!("probes: a ping with no news, with six | bytes | {}, {}", probe(0), probe(6));
-    let sums = Probe::Digest { checksums: vec![u32::MAX / 3; 64], reply: true };
-    let part = Probe::Sync { updates: (0..GossipConfig::default().updates_per_sync).map(update).collect() };
-    let [sums, part] = [sums, part].map(|message| envelope(NodeMessage::Gossip { message, digest }));
-    println!("membership: a comparison, a part of forty | bytes | {sums}, {part}");
+    let checksums = Probe::Digest { checksums: vec![u32::MAX / 3; 64], reply: true };
+    let sync = Probe::Sync { updates: (0..GossipConfig::default().updates_per_sync).map(update).collect() };
+    let [checksums, sync] =
+        [checksums, sync].map(|message| envelope(NodeMessage::Gossip { message, digest }));
+    println!("membership: a comparison, a part of forty | bytes | {checksums}, {sync}");
 
-    let whole = |size: usize| {
+    let snapshot_bytes = |size: usize| {
         let state = ClusterState { view: view(size), ..ClusterState::default() };
-        let voters = (0..3).map(|place| node(place).id).collect();
+        let voters = (0..3).map(|index| node(index).id).collect();
         let last = LogPosition { term: Term(7), index: 5000 };
         let snapshot = Snapshot { last, voters, voters_index: 1, state };
         envelope(NodeMessage::CommittedSnapshot { epoch, snapshot })
     };
-    told("the view, told whole", "bytes", &over(&whole), at);
+    print_row("the view, told whole", "bytes", &over_sizes(&snapshot_bytes), at);
 
     let all: Vec<SocketAddr> = (0..920).map(address).collect();
     let rows = [30, 100, 300, 600, 920].map(|size: usize| {
@@ -238,12 +257,12 @@
         let mut callers: Vec<Caller> = (1..=50)
             .map(|seed| Caller::new(ClientConfig { seed, ..ClientConfig::default() }))
             .collect::<Result<_, _>>()
-            .unwrap_or_else(|wrong| panic!("default settings: {wrong}"));
-        let began = Instant::now();
+            .unwrap_or_else(|error| panic!("default settings: {error}"));
+        let started = Instant::now();
         callers.iter_mut().for_each(|caller| caller.update_endpoints(0.0, &list));
-        (size as f64, began.elapsed().as_secs_f64() * 1e6 / 50.0)
+        (size as f64, started.elapsed().as_secs_f64() * 1e6 / 50.0)
     });
-    told("a caller of the library takes a list", "us", &rows, at);
+    print_row("a caller of the library takes a list", "us", &rows, at);
     let subset = ClientConfig::default().subset_size as f64;
     println!(
         "callers' connections at a backend | connections | {subset} members a caller of the library, evenly | {:.0} with 13,000 callers and {at:.0} backends",
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -1,8 +1,9 @@
-//! Zones on simulated time: demand, capacity, callers and faults of each, led by the very planner and followers that serve, beside
-//! callers that each judge alone, fixed weights, and the best that could be with all known.
+//! Simulation of failover between zones, each with its demand, capacity, callers and faults. Traffic is routed by the server's
+//! planner and followers or, for comparison, by callers that decide alone, by fixed weights, or with complete information.
 //!
-//! Work flows in steps of [`STEP_MS`]: what an origin's callers ask goes to zones by the way they are led, each zone carries
-//! the highest ranks first up to what it can and refuses the rest, of which a part comes again.
+//! Time advances in steps of [`STEP_MS`]. In each step the callers of an origin zone send their work to zones according to the
+//! routing. Each zone serves the highest priority bands first, up to its capacity, and rejects the rest, of which a fraction is
+//! retried.
 
 use std::collections::VecDeque;
 
@@ -14,68 +15,81 @@
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg32;
 
+/// Duration of a simulation step in milliseconds.
 pub const STEP_MS: f64 = 50.0;
-/// Worth of a core-second by bands of rank, the lowest first, and its part of the demand.
-const RANKS: [(f64, f64); PRIORITY_BANDS] = [(1.0, 0.5), (3.0, 0.3), (10.0, 0.2)];
-/// A refused try costs its zone so much of its work, and comes again so often.
-const READING: f64 = 0.15;
-const AGAIN: f64 = 0.5;
-/// A zone that is back carries this part at first, and all after so long.
-const COLD: f64 = 0.4;
-const WARM_MS: f64 = 8000.0;
-/// What was sent where nobody answers is lost to its caller for so long, then it may come again.
-const LOST_MS: f64 = 500.0;
-/// Callers of one origin that hear of plans by themselves.
-const CROWDS: usize = 3;
-/// Two plans may stand beside each other for so long: the span of the older, news under way, a step.
+/// Value of a core-second and fraction of the demand of each priority band, the lowest band first.
+const BANDS: [(f64, f64); PRIORITY_BANDS] = [(1.0, 0.5), (3.0, 0.3), (10.0, 0.2)];
+/// Cost of rejecting a request, as a fraction of its work.
+const REJECTION_COST_FRACTION: f64 = 0.15;
+/// Fraction of the failed work that is retried.
+const RETRY_FRACTION: f64 = 0.5;
+/// Capacity of a zone that has just recovered, as a fraction of its full capacity.
+const COLD_CAPACITY_FRACTION: f64 = 0.4;
+/// Time until a recovered zone reaches its full capacity, in milliseconds.
+const WARM_UP_MS: f64 = 8000.0;
+/// Timeout of work sent to an unreachable zone, in milliseconds; it may be retried after that.
+const TIMEOUT_MS: f64 = 500.0;
+/// Time after which rejected work is retried, in milliseconds.
+const REJECTED_RETRY_MS: f64 = 300.0;
+/// Number of caller groups per origin, each of which receives plans independently.
+const CALLER_GROUPS: usize = 3;
+/// Maximum time for which two plans may be active at once, in milliseconds: the validity of the older plan plus the delivery
+/// of the newer one and a step.
 pub const BOUND_MS: f64 = 4000.0 + 2000.0;
 
-/// Something that happens to zones for a while.
+/// Fault of one or more zones.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// It is gone, and comes back cold.
+pub enum Fault {
+    /// The zone fails and recovers with reduced capacity.
     Lost(usize),
-    /// Of what it answers so much is late.
+    /// This fraction of the zone's answers is late.
     Grey(usize, f64),
-    /// Gone for 4 s, back for 4 s, in turn.
+    /// The zone alternately fails for 4 s and recovers for 4 s.
     Flaps(usize),
-    /// All zones of a region.
+    /// All zones of the region fail.
     Region(usize),
-    /// Nothing passes between the two.
+    /// The two zones cannot reach each other.
     Cable(usize, usize),
-    /// It is asked so many times more.
+    /// The demand of the zone's callers is multiplied by this factor.
     Peak(usize, f64),
-    /// One of its members tells ten times what it can.
+    /// One member of the zone reports ten times its capacity.
     Lies(usize),
-    /// The ledger that all share is slow: all carry so much.
+    /// A ledger that all zones depend on is slow, which reduces the capacity of every zone to this fraction.
     Ledger(f64),
-    /// Its members are restarted in turn: so much is away at a time.
+    /// The members of the zone are restarted in turn, which takes this fraction of its capacity away.
     Release(usize, f64),
-    /// News reach its callers 6 s late.
+    /// Plans reach the zone's callers 6 s late.
     LateNews(usize),
 }
 
+/// Fault with its time interval.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
+    /// Start of the fault in milliseconds.
     pub at_ms: f64,
+    /// Duration of the fault in milliseconds.
     pub for_ms: f64,
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
-/// What is played: zones in regions, what they are asked, what happens.
+/// Scenario: regions, zones, demand and faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shape {
     pub name: &'static str,
     pub regions: usize,
     pub zones: usize,
+    /// Number of members in all zones, of one core each.
     pub members: usize,
-    /// Demand as a part of what each zone can, and how far a day's curve takes it up and down.
+    /// Mean demand as a fraction of capacity.
     pub load: f64,
+    /// Amplitude of the daily demand curve as a fraction of the mean demand.
     pub curve: f64,
+    /// Duration in milliseconds.
     pub span_ms: f64,
     pub steps: Vec<Step>,
 }
 
+/// Names of all scenarios.
 pub const SHAPES: [&str; 13] = [
     "calm",
     "day",
@@ -93,126 +107,160 @@
 ];
 
 impl Shape {
-    /// A shape by its name, for two regions of three zones.
+    /// Returns the scenario with this name, one of [`SHAPES`], for two regions of three zones each.
     pub fn of(name: &'static str, members: usize, seed: u64) -> Self {
-        let mut chance = Pcg32::seed_from_u64(seed ^ 0x5a_9e5);
-        let zone = chance.random_range(0..6);
-        let beside = zone / 3 * 3 + (zone + 1) % 3;
-        let (at_ms, for_ms) = (15_000.0 + 3000.0 * chance.random::<f64>(), 20_000.0);
-        let step = |trouble: Trouble| Step { at_ms, for_ms, trouble };
+        let mut rng = Pcg32::seed_from_u64(seed ^ 0x5a_9e5);
+        let zone = rng.random_range(0..6);
+        let neighbour = zone / 3 * 3 + (zone + 1) % 3;
+        let (at_ms, for_ms) = (15_000.0 + 3000.0 * rng.random::<f64>(), 20_000.0);
+        let step = |fault: Fault| Step { at_ms, for_ms, fault };
         let (mut load, mut curve, mut span_ms) = (0.55, 0.0, 70_000.0);
         let steps = match name {
             "day" => {
                 (load, curve, span_ms) = (0.6, 0.35, 120_000.0);
-                vec![step(Trouble::Lost(zone))]
+                vec![step(Fault::Lost(zone))]
             }
-            "lost" => vec![step(Trouble::Lost(zone))],
-            "grey" => vec![step(Trouble::Grey(zone, 0.5))],
-            "flapping" => vec![Step { for_ms: 40_000.0, ..step(Trouble::Flaps(zone)) }],
-            "region" => vec![step(Trouble::Region(zone / 3))],
-            "cable" => vec![step(Trouble::Lost(zone)), step(Trouble::Cable(zone, beside))],
+            "lost" => vec![step(Fault::Lost(zone))],
+            "grey" => vec![step(Fault::Grey(zone, 0.5))],
+            "flapping" => vec![Step { for_ms: 40_000.0, ..step(Fault::Flaps(zone)) }],
+            "region" => vec![step(Fault::Region(zone / 3))],
+            "cable" => vec![step(Fault::Lost(zone)), step(Fault::Cable(zone, neighbour))],
             "two" => vec![
-                step(Trouble::Lost(zone)),
-                Step { at_ms: at_ms + 2000.0, for_ms, trouble: Trouble::Lost(beside) },
+                step(Fault::Lost(zone)),
+                Step { at_ms: at_ms + 2000.0, for_ms, fault: Fault::Lost(neighbour) },
             ],
-            "weak" => vec![step(Trouble::Lost(zone)), step(Trouble::Peak(beside, 0.95 / load))],
-            "liar" => vec![step(Trouble::Lies(beside)), step(Trouble::Lost(zone))],
-            "ledger" => vec![step(Trouble::Ledger(0.5))],
-            "release" => vec![step(Trouble::Release(zone, 0.5))],
-            "late-news" => vec![step(Trouble::LateNews(zone)), step(Trouble::Lost(zone))],
+            "weak" => vec![step(Fault::Lost(zone)), step(Fault::Peak(neighbour, 0.95 / load))],
+            "liar" => vec![step(Fault::Lies(neighbour)), step(Fault::Lost(zone))],
+            "ledger" => vec![step(Fault::Ledger(0.5))],
+            "release" => vec![step(Fault::Release(zone, 0.5))],
+            "late-news" => vec![step(Fault::LateNews(zone)), step(Fault::Lost(zone))],
             _ => Vec::new(),
         };
         Shape { name, regions: 2, zones: 6, members, load, curve, span_ms, steps }
     }
 }
 
-/// How callers are led.
+/// Routing of the callers' traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Led {
+    /// Callers follow the server's traffic plans.
     Plan,
-    /// Each by what it sees itself: near while that answers, else the nearest that seems well.
+    /// Callers of an origin decide by their own failures: the local zone unless a third fails, otherwise the nearest zone in
+    /// which less than a third fails.
     Alone,
-    /// Near always, evenly elsewhere when near is gone.
+    /// Callers use the local zone, and all others evenly when nearly everything fails there.
     Fixed,
-    /// All known at once.
+    /// Traffic is planned in each step from the actual capacity, demand and reachability of all zones.
     Best,
 }
 
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Came {
+    /// Value of the work served.
     pub worth: f64,
+    /// Value of the work demanded.
     pub worth_asked: f64,
-    /// Of the work of callers whose zone was well, and in steps without any trouble: near, all.
+    /// Work sent to the local zone and all work sent, in periods without faults; in core-seconds.
     pub near_calm: [f64; 2],
+    /// Work sent to the local zone and all work sent, by origins whose zone is healthy; in core-seconds.
     pub near_healthy: [f64; 2],
+    /// Longest time from the failure of a zone until its callers left it, in milliseconds.
     pub shift_ms_worst: f64,
+    /// Longest time from the recovery of a zone until its callers returned, in milliseconds.
     pub return_ms_worst: f64,
-    /// Zones that received others' work and were asked for more than they can, in seconds.
+    /// Time for which a zone that received traffic of others was overloaded, in seconds, summed over zones.
     pub overrun_s: f64,
+    /// Number of plan changes in periods without faults.
     pub needless: u64,
-    /// Turns of a zone's near share in the worst minute.
+    /// Maximum number of reversals of a zone's local share within a minute.
     pub turns_a_minute: u64,
+    /// Number of steps and caller groups in which a plan was followed for more than [`BOUND_MS`] after the next one was issued.
     pub two_plans_past_bound: u64,
+    /// Number of plan changes.
     pub changes: u64,
+    /// Encoded size of the last plan in bytes.
     pub plan_bytes: u64,
 }
 
+/// Divides cores among the priority bands.
 fn banded(cores: f64) -> [f64; PRIORITY_BANDS] {
-    RANKS.map(|(_, part)| part * cores)
+    BANDS.map(|(_, part)| part * cores)
 }
 
-struct Truth {
-    can: Vec<f64>,
-    /// What it says that it could; what of its answers is in time.
-    says: Vec<f64>,
-    in_time: Vec<f64>,
-    there: Vec<bool>,
-    well: Vec<bool>,
+/// Actual state of all zones in a step, independent of what callers and planner observe.
+struct ZoneConditions {
+    /// Capacity for work that is answered in time, in cores.
+    capacity: Vec<f64>,
+    /// Capacity that members report, in cores.
+    reported_capacity: Vec<f64>,
+    /// Fraction of answers that are in time.
+    in_time_fraction: Vec<f64>,
+    is_up: Vec<bool>,
+    /// Up, warm and without a fault.
+    is_healthy: Vec<bool>,
+    /// Pairs of zones that cannot reach each other.
     cut: Vec<(usize, usize)>,
-    asked: Vec<f64>,
+    /// Demand of the zone's callers without retries, in cores.
+    demand: Vec<f64>,
     ledger_slow: bool,
+    /// Zone with a member that reports a false capacity.
     liar: Option<usize>,
+    /// Zones whose callers receive plans late.
     late_news: Vec<bool>,
-    calm: bool,
+    /// Set if no fault is active or ended within the last 15 s.
+    fault_free: bool,
 }
 
+/// State of a run.
 pub struct World {
     shape: Shape,
-    led: Led,
+    routing: Led,
     topology: Topology,
-    chance: Pcg32,
+    rng: Pcg32,
     now: f64,
     reports: LoadReports,
     planner: Planner,
+    /// Number of the last plan message.
     number: u64,
-    /// Plans under way to each crowd, with when they arrive; each crowd's follower.
-    news: Vec<VecDeque<(f64, u64, TrafficPlan)>>,
+    /// Plans in flight to each caller group, with their arrival times.
+    plans_in_flight: Vec<VecDeque<(f64, u64, TrafficPlan)>>,
+    /// Follower of each caller group.
     followers: Vec<PlanFollower>,
-    since_back: Vec<f64>,
-    was_there: Vec<bool>,
-    /// Work that comes again: when, from where.
-    again: VecDeque<(f64, usize, [f64; PRIORITY_BANDS])>,
-    /// Of each origin by target: asked of late, refused or unanswered of late.
-    felt: Vec<Vec<[f64; 2]>>,
-    /// What each origin asks, with what comes again, in cores over a quarter of a second.
+    /// Time of each zone's last recovery.
+    recovered_at: Vec<f64>,
+    was_up: Vec<bool>,
+    /// Retries by time, with their origin and work.
+    retries: VecDeque<(f64, usize, [f64; PRIORITY_BANDS])>,
+    /// Recently sent and recently failed work, by origin and target.
+    failures: Vec<Vec<[f64; 2]>>,
+    /// Demand of each origin including retries, in cores, smoothed over a quarter of a second.
     asked: Vec<[f64; PRIORITY_BANDS]>,
-    /// The same, asked and answered at all.
-    heard: Vec<Vec<[f64; 2]>>,
+    /// Recently sent and recently answered work, by origin and target; a rejection counts as an answer.
+    answers: Vec<Vec<[f64; 2]>>,
+    /// Time of the next reports.
     report_at: f64,
+    /// Time until which there is no leader.
     leader_away_until: f64,
-    came: Came,
-    near_was: Vec<f64>,
+    results: Came,
+    /// Local share of each zone at its last significant change.
+    last_near_share: Vec<f64>,
+    /// Direction of each zone's last significant change.
     rises: Vec<Option<bool>>,
-    turns: Vec<(f64, usize)>,
+    /// Reversals of the local share: time and zone.
+    reversals: Vec<(f64, usize)>,
+    /// Time since which a zone's callers have to leave it.
     shift_since: Vec<Option<f64>>,
+    /// Time since which a zone's callers have to return to it.
     return_since: Vec<Option<f64>>,
-    /// When each change was told.
+    /// Time at which each plan revision was issued.
     issued: Vec<f64>,
-    last_trouble: f64,
+    last_fault_at: f64,
 }
 
 impl World {
-    pub fn run(shape: Shape, led: Led, seed: u64) -> Came {
+    /// Simulates a scenario with this routing and returns the results.
+    pub fn run(shape: Shape, routing: Led, seed: u64) -> Came {
         let zone = |n: usize| Zone {
             name: format!("z{}", n + 1),
             region: format!("r{}", n * shape.regions / shape.zones + 1),
@@ -220,153 +268,161 @@
         let topology = Topology::new((0..shape.zones).map(zone).collect());
         let count = shape.zones;
         let mut world = World {
-            led,
-            chance: Pcg32::seed_from_u64(seed),
+            routing,
+            rng: Pcg32::seed_from_u64(seed),
             now: 0.0,
             reports: LoadReports::new(count, ReportLimits::default()),
             planner: Planner::new(topology.clone(), PlannerConfig::default()),
             number: 0,
-            news: vec![VecDeque::new(); count * CROWDS],
-            followers: vec![PlanFollower::new(count); count * CROWDS],
-            since_back: vec![f64::NEG_INFINITY; count],
-            was_there: vec![true; count],
-            again: VecDeque::new(),
-            felt: vec![vec![[0.0; 2]; count]; count],
+            plans_in_flight: vec![VecDeque::new(); count * CALLER_GROUPS],
+            followers: vec![PlanFollower::new(count); count * CALLER_GROUPS],
+            recovered_at: vec![f64::NEG_INFINITY; count],
+            was_up: vec![true; count],
+            retries: VecDeque::new(),
+            failures: vec![vec![[0.0; 2]; count]; count],
             asked: vec![banded(shape.load * shape.members as f64 / count as f64); count],
-            heard: vec![vec![[0.0; 2]; count]; count],
+            answers: vec![vec![[0.0; 2]; count]; count],
             report_at: 0.0,
             leader_away_until: 0.0,
-            came: Came::default(),
-            near_was: vec![1.0; count],
+            results: Came::default(),
+            last_near_share: vec![1.0; count],
             rises: vec![None; count],
-            turns: Vec::new(),
+            reversals: Vec::new(),
             shift_since: vec![None; count],
             return_since: vec![None; count],
             issued: vec![0.0],
-            last_trouble: f64::NEG_INFINITY,
+            last_fault_at: f64::NEG_INFINITY,
             topology,
             shape,
         };
         while world.now < world.shape.span_ms {
             world.step();
         }
-        world.came
+        world.results
     }
 
     fn count(&self) -> usize {
         self.shape.zones
     }
 
-    /// Cores of one zone.
+    /// Returns the number of cores per zone.
     fn cores(&self) -> f64 {
         self.shape.members as f64 / self.shape.zones as f64
     }
 
-    /// What is so now, whatever anybody sees.
-    fn truth(&mut self) -> Truth {
+    /// Returns the actual state of all zones and records recoveries.
+    fn conditions(&mut self) -> ZoneConditions {
         let (count, cores, now) = (self.count(), self.cores(), self.now);
         let phase =
             |zone: usize| (now / self.shape.span_ms + zone as f64 / count as f64) * std::f64::consts::TAU;
-        let asked = |zone: usize| cores * self.shape.load * (1.0 + self.shape.curve * phase(zone).sin());
-        let mut truth = Truth {
-            can: vec![cores; count],
-            says: vec![0.0; count],
-            in_time: vec![1.0; count],
-            there: vec![true; count],
-            well: vec![true; count],
+        let demand = |zone: usize| cores * self.shape.load * (1.0 + self.shape.curve * phase(zone).sin());
+        let mut conditions = ZoneConditions {
+            capacity: vec![cores; count],
+            reported_capacity: vec![0.0; count],
+            in_time_fraction: vec![1.0; count],
+            is_up: vec![true; count],
+            is_healthy: vec![true; count],
             cut: Vec::new(),
-            asked: (0..count).map(asked).collect(),
+            demand: (0..count).map(demand).collect(),
             ledger_slow: false,
             liar: None,
             late_news: vec![false; count],
-            calm: true,
+            fault_free: true,
         };
-        for step in self.shape.steps.iter().filter(|s| (s.at_ms..s.at_ms + s.for_ms).contains(&now)) {
-            truth.calm = false;
-            match step.trouble {
-                Trouble::Lost(zone) => truth.there[zone] = false,
-                Trouble::Flaps(zone) => truth.there[zone] = ((now - step.at_ms) / 4000.0) as u64 % 2 == 1,
-                Trouble::Region(region) => {
-                    let per = count / self.shape.regions;
-                    (region * per..(region + 1) * per).for_each(|zone| truth.there[zone] = false);
+        let is_active = |step: &&Step| (step.at_ms..step.at_ms + step.for_ms).contains(&now);
+        for step in self.shape.steps.iter().filter(is_active) {
+            conditions.fault_free = false;
+            match step.fault {
+                Fault::Lost(zone) => conditions.is_up[zone] = false,
+                Fault::Flaps(zone) => conditions.is_up[zone] = ((now - step.at_ms) / 4000.0) as u64 % 2 == 1,
+                Fault::Region(region) => {
+                    let zones_per_region = count / self.shape.regions;
+                    (region * zones_per_region..(region + 1) * zones_per_region)
+                        .for_each(|zone| conditions.is_up[zone] = false);
                 }
-                Trouble::Grey(zone, late) => (truth.in_time[zone], truth.well[zone]) = (1.0 - late, false),
-                Trouble::Cable(one, other) => truth.cut.extend([(one, other), (other, one)]),
-                Trouble::Peak(zone, times) => truth.asked[zone] *= times,
-                Trouble::Lies(zone) => truth.liar = Some(zone),
-                Trouble::Ledger(part) => {
-                    truth.ledger_slow = true;
-                    truth.can.iter_mut().for_each(|can| *can *= part);
+                Fault::Grey(zone, late) => {
+                    (conditions.in_time_fraction[zone], conditions.is_healthy[zone]) = (1.0 - late, false)
                 }
-                Trouble::Release(zone, away) => {
-                    (truth.can[zone], truth.well[zone]) = (truth.can[zone] * (1.0 - away), false)
+                Fault::Cable(first, second) => conditions.cut.extend([(first, second), (second, first)]),
+                Fault::Peak(zone, factor) => conditions.demand[zone] *= factor,
+                Fault::Lies(zone) => conditions.liar = Some(zone),
+                Fault::Ledger(part) => {
+                    conditions.ledger_slow = true;
+                    conditions.capacity.iter_mut().for_each(|capacity| *capacity *= part);
                 }
-                Trouble::LateNews(zone) => truth.late_news[zone] = true,
+                Fault::Release(zone, away) => {
+                    (conditions.capacity[zone], conditions.is_healthy[zone]) =
+                        (conditions.capacity[zone] * (1.0 - away), false)
+                }
+                Fault::LateNews(zone) => conditions.late_news[zone] = true,
             }
         }
         for zone in 0..count {
-            if truth.there[zone] && !self.was_there[zone] {
-                self.since_back[zone] = now;
+            if conditions.is_up[zone] && !self.was_up[zone] {
+                self.recovered_at[zone] = now;
             }
-            self.was_there[zone] = truth.there[zone];
-            let warm = (COLD + (1.0 - COLD) * (now - self.since_back[zone]) / WARM_MS).clamp(COLD, 1.0);
-            truth.well[zone] &= truth.there[zone] && warm >= 1.0;
-            truth.can[zone] *= if truth.there[zone] { warm } else { 0.0 };
-            truth.says[zone] = truth.can[zone];
-            // What comes late is worth nothing: that much of it is carried for nothing.
-            truth.can[zone] *= truth.in_time[zone];
+            self.was_up[zone] = conditions.is_up[zone];
+            let warm = (COLD_CAPACITY_FRACTION
+                + (1.0 - COLD_CAPACITY_FRACTION) * (now - self.recovered_at[zone]) / WARM_UP_MS)
+                .clamp(COLD_CAPACITY_FRACTION, 1.0);
+            conditions.is_healthy[zone] &= conditions.is_up[zone] && warm >= 1.0;
+            conditions.capacity[zone] *= if conditions.is_up[zone] { warm } else { 0.0 };
+            conditions.reported_capacity[zone] = conditions.capacity[zone];
+            // A late answer has no value, so the capacity spent on it does not count.
+            conditions.capacity[zone] *= conditions.in_time_fraction[zone];
         }
-        if truth.calm && truth.well.iter().all(|well| *well) {
-            truth.calm = now - self.last_trouble > 15_000.0;
+        if conditions.fault_free && conditions.is_healthy.iter().all(|is_healthy| *is_healthy) {
+            conditions.fault_free = now - self.last_fault_at > 15_000.0;
         } else {
-            (truth.calm, self.last_trouble) = (false, now);
+            (conditions.fault_free, self.last_fault_at) = (false, now);
         }
-        truth
+        conditions
     }
 
-    /// Where each origin's work goes now, as shares of it; the last place for what is not sent.
-    fn shares(&mut self, truth: &Truth) -> Vec<Vec<f64>> {
+    /// Returns the traffic shares by origin and band: the fraction for each target zone and, last, the fraction that is not sent.
+    fn shares(&mut self, conditions: &ZoneConditions) -> Vec<Vec<f64>> {
         let count = self.count();
-        match self.led {
+        match self.routing {
             Led::Plan => (0..count)
                 .flat_map(|from| (0..PRIORITY_BANDS).map(move |band| (from, band)))
                 .map(|(from, band)| {
                     let mut row = vec![0.0; count + 1];
-                    for crowd in 0..CROWDS {
-                        let plan = self.followers[from * CROWDS + crowd].active_plan(self.now);
-                        let near = TrafficPlan::all_near(count);
-                        let of = plan.unwrap_or(&near);
-                        (0..=count).for_each(|to| row[to] += of.share(from, band, to) / CROWDS as f64);
+                    for group in 0..CALLER_GROUPS {
+                        let plan = self.followers[from * CALLER_GROUPS + group].active_plan(self.now);
+                        let all_near = TrafficPlan::all_near(count);
+                        let plan = plan.unwrap_or(&all_near);
+                        (0..=count)
+                            .for_each(|to| row[to] += plan.share(from, band, to) / CALLER_GROUPS as f64);
                     }
                     row
                 })
                 .collect(),
             Led::Best => {
                 let state = |zone: usize| ZoneState {
-                    capacity: truth.can[zone],
-                    demand: banded(truth.asked[zone]),
+                    capacity: conditions.capacity[zone],
+                    demand: banded(conditions.demand[zone]),
                     largest_member: 0.0,
                 };
                 let zones: Vec<ZoneState> = (0..count).map(state).collect();
                 let config =
                     PlannerConfig { fill_fraction: 1.0, near_fill_fraction: 1.0, ..PlannerConfig::default() };
                 let mut topology = self.topology.clone();
-                truth.cut.iter().for_each(|(one, other)| topology.set_latency(*one, *other, 1e9));
+                conditions.cut.iter().for_each(|(from, to)| topology.set_latency(*from, *to, 1e9));
                 locality_weighted_plan(&topology, &config, &zones, &[]).shares
             }
-            Led::Alone | Led::Fixed => {
-                (0..count).flat_map(|from| std::iter::repeat_n(self.alone(from), PRIORITY_BANDS)).collect()
-            }
+            Led::Alone | Led::Fixed => (0..count)
+                .flat_map(|from| std::iter::repeat_n(self.shares_by_failures(from), PRIORITY_BANDS))
+                .collect(),
         }
     }
 
-    /// By what an origin's callers feel themselves.
-    fn alone(&self, from: usize) -> Vec<f64> {
+    /// Returns the traffic shares of an origin whose callers know their own failures only.
+    fn shares_by_failures(&self, from: usize) -> Vec<f64> {
         let count = self.count();
-        let bad = |to: usize| {
-            let [asked, failed] = self.felt[from][to];
-            if asked > 1e-6 {
-                failed / asked
+        let failed_fraction = |to: usize| {
+            let [sent, failed] = self.failures[from][to];
+            if sent > 1e-6 {
+                failed / sent
             } else {
                 0.0
             }
@@ -376,8 +432,8 @@
         others.sort_by(|a, b| {
             self.topology.latency_ms(from, *a).total_cmp(&self.topology.latency_ms(from, *b))
         });
-        if self.led == Led::Fixed {
-            if bad(from) > 0.9 {
+        if self.routing == Led::Fixed {
+            if failed_fraction(from) > 0.9 {
                 others.iter().for_each(|to| row[*to] = 0.99 / others.len() as f64);
                 row[from] = 0.01;
             } else {
@@ -385,47 +441,49 @@
             }
             return row;
         }
-        // All flee once a third fails; a little stays as a probe.
-        if bad(from) < 0.33 {
+        // The callers leave the local zone once a third of their work fails there; 5 % stays as a probe.
+        if failed_fraction(from) < 0.33 {
             row[from] = 1.0;
             return row;
         }
-        let to = others.iter().copied().find(|to| bad(*to) < 0.33).unwrap_or(from);
+        let to = others.iter().copied().find(|to| failed_fraction(*to) < 0.33).unwrap_or(from);
         row[to] += 0.95;
         row[from] += 0.05;
         row
     }
 
     fn step(&mut self) {
-        let truth = self.truth();
+        let conditions = self.conditions();
         let (count, now) = (self.count(), self.now);
-        if self.led == Led::Plan {
-            self.lead(&truth);
+        if self.routing == Led::Plan {
+            self.update_plans(&conditions);
         }
-        let shares = self.shares(&truth);
-        let noise = Normal::new(1.0, 0.05).unwrap_or_else(|_| unreachable!("a spread above 0"));
-        // What is asked, by origin and rank: first tries and what comes again.
+        let shares = self.shares(&conditions);
+        let noise =
+            Normal::new(1.0, 0.05).unwrap_or_else(|_| unreachable!("the standard deviation is positive"));
+        // Work by origin and band, in core-seconds: first attempts, to which due retries are added below.
         let seconds = STEP_MS / 1000.0;
         let mut work: Vec<[f64; PRIORITY_BANDS]> = (0..count)
             .map(|from| {
-                let cores = (truth.asked[from] * noise.sample(&mut self.chance)).max(0.0) * seconds;
-                RANKS.map(|(_, part)| cores * part)
+                let cores = (conditions.demand[from] * noise.sample(&mut self.rng)).max(0.0) * seconds;
+                BANDS.map(|(_, part)| cores * part)
             })
             .collect();
-        for of in &work {
-            self.came.worth_asked += of.iter().zip(RANKS).map(|(work, (worth, _))| work * worth).sum::<f64>();
+        for bands in &work {
+            self.results.worth_asked +=
+                bands.iter().zip(BANDS).map(|(work, (value, _))| work * value).sum::<f64>();
         }
-        while self.again.front().is_some_and(|(at, ..)| *at <= now) {
-            if let Some((_, from, back)) = self.again.pop_front() {
-                work[from].iter_mut().zip(back).for_each(|(work, back)| *work += back);
+        while self.retries.front().is_some_and(|(at, ..)| *at <= now) {
+            if let Some((_, from, retried)) = self.retries.pop_front() {
+                work[from].iter_mut().zip(retried).for_each(|(work, retried)| *work += retried);
             }
         }
         for (asked, work) in self.asked.iter_mut().zip(&work) {
             asked.iter_mut().zip(work).for_each(|(asked, work)| *asked += (work / seconds - *asked) * 0.2);
         }
-        let mut comes = vec![[0.0; PRIORITY_BANDS]; count];
+        let mut received = vec![[0.0; PRIORITY_BANDS]; count];
         let mut foreign = vec![0.0; count];
-        let reaches = |from: usize, to: usize| truth.there[to] && !truth.cut.contains(&(from, to));
+        let reaches = |from: usize, to: usize| conditions.is_up[to] && !conditions.cut.contains(&(from, to));
         let mut sent = vec![vec![0.0; count]; count];
         for from in 0..count {
             let all: f64 = work[from].iter().sum();
@@ -435,109 +493,111 @@
                     let part = work[from][band] * shares[from * PRIORITY_BANDS + band][to];
                     sent[from][to] += part;
                     if reaches(from, to) {
-                        comes[to][band] += part;
+                        received[to][band] += part;
                         foreign[to] += if from == to { 0.0 } else { part };
                     } else {
-                        lost[band] += part * AGAIN;
+                        lost[band] += part * RETRY_FRACTION;
                     }
                 }
             }
             if lost.iter().any(|lost| *lost > 0.0) {
-                self.again.push_back((now + LOST_MS, from, lost));
+                self.retries.push_back((now + TIMEOUT_MS, from, lost));
             }
             let near = sent[from][from];
-            if truth.calm {
-                self.came.near_calm[0] += near;
-                self.came.near_calm[1] += all;
+            if conditions.fault_free {
+                self.results.near_calm[0] += near;
+                self.results.near_calm[1] += all;
             }
-            if truth.well[from] && !truth.ledger_slow {
-                self.came.near_healthy[0] += near;
-                self.came.near_healthy[1] += all;
+            if conditions.is_healthy[from] && !conditions.ledger_slow {
+                self.results.near_healthy[0] += near;
+                self.results.near_healthy[1] += all;
             }
         }
-        // Each zone carries the highest ranks first; reading what it refuses costs it.
-        let mut refused = vec![0.0; count];
+        // Each zone serves the highest bands first; rejecting the excess costs it capacity.
+        let mut rejected = vec![0.0; count];
         for zone in 0..count {
-            let asked: f64 = comes[zone].iter().sum();
-            let can = truth.can[zone] * seconds;
-            let reading = (asked - can).max(0.0) * READING;
-            let mut left = (can - reading).max(0.0);
-            for (rank, (worth, _)) in RANKS.iter().enumerate().rev() {
-                let carried = comes[zone][rank].min(left);
-                left -= carried;
-                self.came.worth += carried * worth;
+            let asked: f64 = received[zone].iter().sum();
+            let capacity = conditions.capacity[zone] * seconds;
+            let rejection_cost = (asked - capacity).max(0.0) * REJECTION_COST_FRACTION;
+            let mut left = (capacity - rejection_cost).max(0.0);
+            for (band, (value, _)) in BANDS.iter().enumerate().rev() {
+                let served = received[zone][band].min(left);
+                left -= served;
+                self.results.worth += served * value;
             }
-            refused[zone] = if asked > 0.0 { (1.0 - (can - reading).max(0.0) / asked).max(0.0) } else { 0.0 };
-            if foreign[zone] > 0.02 * can && asked > 1.02 * can && truth.there[zone] {
-                self.came.overrun_s += seconds;
+            rejected[zone] =
+                if asked > 0.0 { (1.0 - (capacity - rejection_cost).max(0.0) / asked).max(0.0) } else { 0.0 };
+            if foreign[zone] > 0.02 * capacity && asked > 1.02 * capacity && conditions.is_up[zone] {
+                self.results.overrun_s += seconds;
             }
         }
         for from in 0..count {
-            let mut back = [0.0; PRIORITY_BANDS];
+            let mut retried = [0.0; PRIORITY_BANDS];
             for to in 0..count {
-                let failed = if reaches(from, to) { refused[to] } else { 1.0 };
+                let failed = if reaches(from, to) { rejected[to] } else { 1.0 };
                 let sent = sent[from][to];
-                // What was felt fades within a second; whether anybody answered at all is felt apart from what was refused.
-                let fade = 1.0 - STEP_MS / 1000.0;
-                let felt = &mut self.felt[from][to];
-                *felt = [felt[0] * fade + sent, felt[1] * fade + sent * failed];
-                let heard = &mut self.heard[from][to];
-                *heard =
-                    [heard[0] * fade + sent, heard[1] * fade + if reaches(from, to) { sent } else { 0.0 }];
+                // Both records decay with a time constant of one second. Answers are recorded separately from failures, because
+                // a rejection is an answer.
+                let decay = 1.0 - STEP_MS / 1000.0;
+                let failures = &mut self.failures[from][to];
+                *failures = [failures[0] * decay + sent, failures[1] * decay + sent * failed];
+                let answers = &mut self.answers[from][to];
+                let answered = if reaches(from, to) { sent } else { 0.0 };
+                *answers = [answers[0] * decay + sent, answers[1] * decay + answered];
                 if reaches(from, to) {
-                    // Low ranks are what is refused; a part of them comes again.
-                    back[0] += (sent * failed * AGAIN).min(work[from][0]);
+                    // The lowest band is rejected first; a fraction of it is retried.
+                    retried[0] += (sent * failed * RETRY_FRACTION).min(work[from][0]);
                 }
             }
-            if back[0] > 0.0 {
-                self.again.push_back((now + 300.0, from, back));
+            if retried[0] > 0.0 {
+                self.retries.push_back((now + REJECTED_RETRY_MS, from, retried));
             }
         }
-        self.again.make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
-        if self.led == Led::Plan {
-            self.judge(&truth, &shares);
+        self.retries.make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
+        if self.routing == Led::Plan {
+            self.measure(&conditions, &shares);
         }
         self.now += STEP_MS;
     }
 
-    /// Members report, the leader plans, news go out.
-    fn lead(&mut self, truth: &Truth) {
+    /// Collects the reports of members and callers, updates the plan at the leader and delivers plans to the caller groups.
+    fn update_plans(&mut self, conditions: &ZoneConditions) {
         let (count, now) = (self.count(), self.now);
-        // The leader stands in the first zone that is there; a new one takes over after elections.
-        if truth.there.iter().any(|there| !there) && self.came_down(truth) {
+        // The leader is in the first zone. If that zone fails, a new leader takes over after an election of 1.5 s.
+        if conditions.is_up.iter().any(|is_up| !is_up) && self.replace_lost_leader(conditions) {
             self.leader_away_until = now + 1500.0;
         }
         if self.report_at <= now {
             self.report_at = now + 300.0;
-            let per = (self.shape.members / count).max(1);
+            let members = (self.shape.members / count).max(1);
             for zone in 0..count {
-                let acted = self.followers[zone * CROWDS].active_plan(now).cloned();
-                let change = acted.as_ref().map_or(0, |plan| plan.revision);
+                let active = self.followers[zone * CALLER_GROUPS].active_plan(now).cloned();
+                let revision = active.as_ref().map_or(0, |plan| plan.revision);
                 let asked = self.asked[zone];
                 let near: [f64; PRIORITY_BANDS] = std::array::from_fn(|band| {
-                    acted.as_ref().map_or(1.0, |plan| plan.share(zone, band, zone)) * asked[band]
+                    active.as_ref().map_or(1.0, |plan| plan.share(zone, band, zone)) * asked[band]
                 });
                 let demand_elsewhere = std::array::from_fn(|band| asked[band] - near[band]);
-                // Tries are counted; here a core-second is ten of them.
+                // Reports count attempts; the model takes a core-second as ten attempts.
                 let counts = |[attempts, answered]: &[f64; 2]| AttemptCounts {
                     attempts: attempts * 10.0,
                     answered: answered * 10.0,
                 };
-                let attempts = self.heard[zone].iter().map(counts).collect();
+                let attempts = self.answers[zone].iter().map(counts).collect();
                 let report = CallerReport { origin: zone, demand_elsewhere, attempts };
                 self.reports.handle_caller_report(now, zone as u64, report);
-                if !truth.there[zone] {
+                if !conditions.is_up[zone] {
                     continue;
                 }
-                for member in 0..per {
-                    let wobble = 0.9 + 0.2 * self.chance.random::<f64>();
-                    let lies = if truth.liar == Some(zone) && member == 0 { 10.0 } else { 1.0 };
+                for member in 0..members {
+                    let noise = 0.9 + 0.2 * self.rng.random::<f64>();
+                    let false_factor = if conditions.liar == Some(zone) && member == 0 { 10.0 } else { 1.0 };
                     let report = LoadReport {
-                        plan_revision: change,
-                        demand: near.map(|near| near / per as f64 * wobble),
-                        capacity: truth.says[zone] / per as f64 * lies,
-                        in_time_fraction: truth.in_time[zone],
-                        is_dependency_slow: truth.ledger_slow,
+                        plan_revision: revision,
+                        demand: near.map(|near| near / members as f64 * noise),
+                        capacity: conditions.reported_capacity[zone] / members as f64 * false_factor,
+                        in_time_fraction: conditions.in_time_fraction[zone],
+                        is_dependency_slow: conditions.ledger_slow,
                     };
                     self.reports.handle_report(now, (zone * 10_000 + member) as u64, zone, report);
                 }
@@ -547,85 +607,91 @@
             if let Some(plan) = self.planner.poll_plan(now, &self.reports) {
                 self.number += 1;
                 if plan.revision != self.planner.committed().revision {
-                    self.came.changes += 1;
+                    self.results.changes += 1;
                     self.issued.resize(plan.revision as usize + 1, now);
-                    self.came.needless += u64::from(truth.calm);
+                    self.results.needless += u64::from(conditions.fault_free);
                 }
-                self.came.plan_bytes = serde_json::to_string(&plan).map_or(0, |text| text.len() as u64);
+                self.results.plan_bytes = serde_json::to_string(&plan).map_or(0, |text| text.len() as u64);
                 self.planner.handle_committed(now, &plan);
-                for crowd in 0..count * CROWDS {
-                    let late = if truth.late_news[crowd / CROWDS] { 6000.0 } else { 0.0 };
-                    let way = 20.0 + 400.0 * self.chance.random::<f64>() + late;
-                    self.news[crowd].push_back((now + way, self.number, plan.clone()));
+                for group in 0..count * CALLER_GROUPS {
+                    let late_ms = if conditions.late_news[group / CALLER_GROUPS] { 6000.0 } else { 0.0 };
+                    let delay_ms = 20.0 + 400.0 * self.rng.random::<f64>() + late_ms;
+                    self.plans_in_flight[group].push_back((now + delay_ms, self.number, plan.clone()));
                 }
             }
         }
-        for crowd in 0..count * CROWDS {
-            self.news[crowd].make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
-            while self.news[crowd].front().is_some_and(|(at, ..)| *at <= now) {
-                if let Some((_, number, plan)) = self.news[crowd].pop_front() {
-                    self.followers[crowd].handle_plan(now, number, plan);
+        for group in 0..count * CALLER_GROUPS {
+            self.plans_in_flight[group].make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
+            while self.plans_in_flight[group].front().is_some_and(|(at, ..)| *at <= now) {
+                if let Some((_, number, plan)) = self.plans_in_flight[group].pop_front() {
+                    self.followers[group].handle_plan(now, number, plan);
                 }
             }
         }
     }
 
-    /// The zone that the leader was in has just gone: a new one starts from what was agreed.
-    fn came_down(&mut self, truth: &Truth) -> bool {
-        let first = self.shape.steps.iter().any(|step| (self.now - step.at_ms).abs() < STEP_MS / 2.0);
-        let led_from = !truth.there[0];
-        if first && led_from {
+    /// Replaces the planner if the leader's zone failed in this step, and returns whether it did. The new planner starts from
+    /// the committed plan.
+    fn replace_lost_leader(&mut self, conditions: &ZoneConditions) -> bool {
+        let fault_begins = self.shape.steps.iter().any(|step| (self.now - step.at_ms).abs() < STEP_MS / 2.0);
+        let leader_lost = !conditions.is_up[0];
+        if fault_begins && leader_lost {
             let committed = self.planner.committed().clone();
             self.planner = Planner::new(self.topology.clone(), PlannerConfig::default());
             self.planner.handle_committed(self.now, &committed);
         }
-        first && led_from
+        fault_begins && leader_lost
     }
 
-    fn judge(&mut self, truth: &Truth, shares: &[Vec<f64>]) {
+    /// Measures how fast traffic leaves and returns to zones, how often it reverses, and how long outdated plans are followed.
+    fn measure(&mut self, conditions: &ZoneConditions, shares: &[Vec<f64>]) {
         let now = self.now;
         for zone in 0..self.count() {
             let near: f64 = (0..PRIORITY_BANDS)
-                .map(|band| RANKS[band].1 * shares[zone * PRIORITY_BANDS + band][zone])
+                .map(|band| BANDS[band].1 * shares[zone * PRIORITY_BANDS + band][zone])
                 .sum();
-            if (near - self.near_was[zone]).abs() > 0.05 {
-                let rises = near > self.near_was[zone];
+            if (near - self.last_near_share[zone]).abs() > 0.05 {
+                let rises = near > self.last_near_share[zone];
                 if self.rises[zone] != Some(rises) {
-                    self.turns.push((now, zone));
+                    self.reversals.push((now, zone));
                 }
-                (self.rises[zone], self.near_was[zone]) = (Some(rises), near);
+                (self.rises[zone], self.last_near_share[zone]) = (Some(rises), near);
             }
-            // A zone that is gone is to be left; one that is well again is to be returned to.
-            let to_shift = !truth.there[zone] && near > 0.05;
+            // Callers have to leave a failed zone and to return to a healthy one with spare capacity.
+            let to_shift = !conditions.is_up[zone] && near > 0.05;
             let since = self.shift_since[zone];
             self.shift_since[zone] = to_shift.then(|| since.unwrap_or(now));
             if let (Some(since), false) = (since, to_shift) {
-                if !truth.there[zone] {
-                    self.came.shift_ms_worst = self.came.shift_ms_worst.max(now - since);
+                if !conditions.is_up[zone] {
+                    self.results.shift_ms_worst = self.results.shift_ms_worst.max(now - since);
                 }
             }
-            let to_return = truth.well[zone] && near < 0.98 && truth.asked[zone] < 0.9 * truth.can[zone];
+            let to_return = conditions.is_healthy[zone]
+                && near < 0.98
+                && conditions.demand[zone] < 0.9 * conditions.capacity[zone];
             let since = self.return_since[zone];
             self.return_since[zone] = to_return.then(|| since.unwrap_or(now));
             if let (Some(since), false) = (since, to_return) {
-                self.came.return_ms_worst = self.came.return_ms_worst.max(now - since);
+                self.results.return_ms_worst = self.results.return_ms_worst.max(now - since);
             }
         }
-        let minute = |zone: usize, from: f64| {
-            self.turns.iter().filter(|(at, z)| *z == zone && (from..from + 60_000.0).contains(at)).count()
-                as u64
-        };
-        let worst = self.turns.iter().map(|(at, zone)| minute(*zone, *at)).max().unwrap_or(0);
-        self.came.turns_a_minute = self.came.turns_a_minute.max(worst);
-        // Who acts by a plan that was followed by another longer ago than the bound.
-        let late = |step: &Step| {
-            matches!(step.trouble, Trouble::LateNews(_)) && now < step.at_ms + step.for_ms + 7000.0
+        let reversals_in_minute = |zone: usize, from: f64| {
+            let in_minute =
+                |(at, other): &&(f64, usize)| *other == zone && (from..from + 60_000.0).contains(at);
+            self.reversals.iter().filter(in_minute).count() as u64
         };
-        let late = if self.shape.steps.iter().any(late) { 6000.0 } else { 0.0 };
-        let followed_at =
-            |change: u64| self.issued.get(change as usize + 1).copied().unwrap_or(f64::INFINITY);
-        let acts = self.followers.iter().map(|follower| follower.revision(now)).filter(|change| *change > 0);
-        let past = acts.filter(|change| now - followed_at(*change) > BOUND_MS + late).count();
-        self.came.two_plans_past_bound += past as u64;
+        let worst =
+            self.reversals.iter().map(|(at, zone)| reversals_in_minute(*zone, *at)).max().unwrap_or(0);
+        self.results.turns_a_minute = self.results.turns_a_minute.max(worst);
+        // Count the caller groups that still follow a plan although the next one was issued longer ago than the bound.
+        let delays_plans =
+            |step: &Step| matches!(step.fault, Fault::LateNews(_)) && now < step.at_ms + step.for_ms + 7000.0;
+        let late_ms = if self.shape.steps.iter().any(delays_plans) { 6000.0 } else { 0.0 };
+        let replaced_at =
+            |revision: u64| self.issued.get(revision as usize + 1).copied().unwrap_or(f64::INFINITY);
+        let followed =
+            self.followers.iter().map(|follower| follower.revision(now)).filter(|revision| *revision > 0);
+        let past = followed.filter(|revision| now - replaced_at(*revision) > BOUND_MS + late_ms).count();
+        self.results.two_plans_past_bound += past as u64;
     }
 }
