--- a/crates/plovershelf-simulation/src/audit.rs
+++ b/crates/plovershelf-simulation/src/audit.rs
@@ -113,8 +113,8 @@
             Seen::Launched { ticket, process } => {
                 let (first, at) = self.launched.entry(*ticket).or_insert((process.clone(), position)).clone();
                 if at != position {
-                    let told = format!("ticket {ticket} was launched in {first} and in {process}");
-                    self.record_violation(NO_EFFECT_TWICE, event.at, position, vec![at], told);
+                    let description = format!("ticket {ticket} was launched in {first} and in {process}");
+                    self.record_violation(NO_EFFECT_TWICE, event.at, position, vec![at], description);
                 }
             }
             // A failure may be answered before the outcome is known, so a result may follow it. After a result only the same
@@ -124,9 +124,9 @@
                 match (before, result) {
                     (None, Some(result)) => drop(self.succeeded.insert(*ticket, (*result, position))),
                     (Some((first, at)), result) if *result != Some(first) => {
-                        let told =
+                        let description =
                             format!("ticket {ticket} was answered differently after its result was received");
-                        self.record_violation(ONE_VERDICT, event.at, position, vec![at], told);
+                        self.record_violation(ONE_VERDICT, event.at, position, vec![at], description);
                     }
                     _ => {}
                 }
@@ -135,8 +135,8 @@
                 self.check_not_lost(*memory, event.at, position);
                 let (first, at) = *self.leaders.entry((*era, *term)).or_insert((*memory, position));
                 if first != *memory {
-                    let told = format!("{first:x} and {memory:x} both lead term {term}");
-                    self.record_violation(ONE_LEADER_A_TERM, event.at, position, vec![at], told);
+                    let description = format!("{first:x} and {memory:x} both lead term {term}");
+                    self.record_violation(ONE_LEADER_A_TERM, event.at, position, vec![at], description);
                 }
             }
             Seen::View { memory, era, number, members } => {
@@ -151,8 +151,8 @@
                 self.check_not_lost(*memory, event.at, position);
                 let (first, at) = *self.decided.entry((*era, *index)).or_insert((*hash, position));
                 if first != *hash {
-                    let told = format!("log index {index} holds a different entry at {memory:x}");
-                    self.record_violation(NOTHING_FORGOTTEN, event.at, position, vec![at], told);
+                    let description = format!("log index {index} holds a different entry at {memory:x}");
+                    self.record_violation(NOTHING_FORGOTTEN, event.at, position, vec![at], description);
                 }
             }
         }
@@ -161,8 +161,8 @@
     fn check_view(&mut self, era: u64, number: u64, members: &[u64], at: f64, position: usize) {
         if let Some((before, first, _)) = self.views.get(&(era, number)) {
             if before != members {
-                let (first, told) = (*first, format!("view {number} has two memberships"));
-                self.record_violation(ONE_VIEW_A_NUMBER, at, position, vec![first], told);
+                let (first, description) = (*first, format!("view {number} has two memberships"));
+                self.record_violation(ONE_VIEW_A_NUMBER, at, position, vec![first], description);
             }
             return;
         }
@@ -178,11 +178,11 @@
             .range(after)
             .find(|(_, (members, _, since))| *since < at && !members.contains(&memory));
         if let Some(((_, number), (_, first, since))) = later {
-            let told = format!(
+            let description = format!(
                 "{memory:x} acts by view {view} although view {number}, which excludes it, was committed at {since:.0}"
             );
             let first = *first;
-            self.record_violation(NOT_PAST_LEASE, at, position, vec![first], told);
+            self.record_violation(NOT_PAST_LEASE, at, position, vec![first], description);
         }
     }
 
@@ -204,12 +204,12 @@
         promise: &'static str,
         at: f64,
         event: usize,
-        mut led_by: Vec<usize>,
-        told: String,
+        mut causes: Vec<usize>,
+        description: String,
     ) {
         if self.count(promise) < MAX_VIOLATIONS_PER_PROMISE {
-            led_by.extend(self.faults.iter().rev().take(3));
-            self.broken.push(Broken { promise, at, event, led_by, told });
+            causes.extend(self.faults.iter().rev().take(3));
+            self.broken.push(Broken { promise, at, event, led_by: causes, told: description });
         }
     }
 
@@ -220,8 +220,9 @@
         };
         let missing = (*first..=*last).filter(|number| !self.numbers.contains_key(number)).count();
         if missing > 0 {
-            let told = format!("{missing} view numbers between {first} and {last} were never observed");
-            self.record_violation(NO_GAP, at, self.events, Vec::new(), told);
+            let description =
+                format!("{missing} view numbers between {first} and {last} were never observed");
+            self.record_violation(NO_GAP, at, self.events, Vec::new(), description);
         }
     }
 
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -49,7 +49,7 @@
     /// Initial content of all processes.
     pub content: QuotaTable,
     /// Encoded length of the whole content in bytes.
-    pub whole_bytes: usize,
+    pub snapshot_bytes: usize,
     pub seed: u64,
 }
 
--- a/crates/plovershelf-simulation/src/changes/direct.rs
+++ b/crates/plovershelf-simulation/src/changes/direct.rs
@@ -40,7 +40,7 @@
 /// Process of the direct strategy.
 pub struct Direct {
     index: usize,
-    whole_bytes: usize,
+    snapshot_bytes: usize,
     rng: Pcg32,
     log: ChangeLog,
     send: Vec<(usize, Message)>,
@@ -49,7 +49,7 @@
     /// Origin from which a listener receives changes.
     parent: usize,
     /// Time of the last message from the parent.
-    last_heard_at: f64,
+    last_message_at: f64,
     /// Time of the next heartbeat or report.
     heartbeat_at: f64,
     /// Newest version that is known to exist.
@@ -75,15 +75,15 @@
         if self.parent == self.index {
             self.parent = (self.parent + 1) % ORIGINS;
         }
-        self.last_heard_at = now;
+        self.last_message_at = now;
         self.heartbeat_at = now + self.rng.random_range(0.0..RETRY_MS);
     }
 }
 
 /// Returns the lengths of the parts into which the whole content is divided.
-pub(crate) fn part_lengths(whole_bytes: usize) -> Vec<u32> {
-    let count = whole_bytes.div_ceil(PART_BYTES).max(1);
-    (0..count).map(|n| (whole_bytes - n * PART_BYTES).min(PART_BYTES) as u32).collect()
+pub(crate) fn part_lengths(snapshot_bytes: usize) -> Vec<u32> {
+    let count = snapshot_bytes.div_ceil(PART_BYTES).max(1);
+    (0..count).map(|n| (snapshot_bytes - n * PART_BYTES).min(PART_BYTES) as u32).collect()
 }
 
 /// Marks a part as received and returns the version once all of its parts are.
@@ -119,13 +119,13 @@
         let newest = log.version;
         Direct {
             index: start.index,
-            whole_bytes: start.fleet.whole_bytes,
+            snapshot_bytes: start.fleet.snapshot_bytes,
             rng,
             log,
             send: Vec::new(),
             children: BTreeMap::new(),
             parent: usize::from(start.index == 0),
-            last_heard_at: now,
+            last_message_at: now,
             heartbeat_at: first,
             newest,
             next_request_at: 0.0,
@@ -143,11 +143,11 @@
         }
         self.heartbeat_at = now + HEARTBEAT_MS;
         if self.index < ORIGINS {
-            self.children.retain(|_, (heard, _)| now - *heard < 2.0 * PARENT_TIMEOUT_MS);
-            let beat = Message::Beat(self.log.version);
-            self.send.extend(self.children.keys().map(|child| (*child, beat.clone())));
+            self.children.retain(|_, (reported_at, _)| now - *reported_at < 2.0 * PARENT_TIMEOUT_MS);
+            let heartbeat = Message::Beat(self.log.version);
+            self.send.extend(self.children.keys().map(|child| (*child, heartbeat.clone())));
         } else {
-            if now - self.last_heard_at > PARENT_TIMEOUT_MS {
+            if now - self.last_message_at > PARENT_TIMEOUT_MS {
                 self.next_parent(now);
                 self.heartbeat_at = now + HEARTBEAT_MS;
             }
@@ -165,7 +165,7 @@
                 }
             }
             Message::Beat(version) => {
-                self.last_heard_at = now;
+                self.last_message_at = now;
                 self.newest = self.newest.max(version);
                 self.request_missing(now);
             }
@@ -176,7 +176,7 @@
                     self.send.push((from, Message::Differences { after: version, upto, bytes }));
                 }
                 Missing::Snapshot => {
-                    let lengths = part_lengths(self.whole_bytes);
+                    let lengths = part_lengths(self.snapshot_bytes);
                     let of = lengths.len() as u32;
                     let version = self.log.version;
                     let part =
@@ -185,7 +185,7 @@
                 }
             },
             Message::Differences { after, upto, bytes } => {
-                self.last_heard_at = now;
+                self.last_message_at = now;
                 self.newest = self.newest.max(upto);
                 if after <= self.log.version && upto > self.log.version {
                     self.log.append(upto, bytes);
@@ -194,7 +194,7 @@
                 }
             }
             Message::Part { version, part, of, .. } => {
-                self.last_heard_at = now;
+                self.last_message_at = now;
                 self.next_request_at = now + RETRY_MS;
                 if let Some(whole) = take_part(&mut self.parts, version, part, of) {
                     if whole > self.log.version {
--- a/crates/plovershelf-simulation/src/changes/gossip.rs
+++ b/crates/plovershelf-simulation/src/changes/gossip.rs
@@ -33,7 +33,7 @@
 pub struct Gossip<const INTERVAL_MS: u64> {
     index: usize,
     process_count: usize,
-    whole_bytes: usize,
+    snapshot_bytes: usize,
     rng: Pcg32,
     log: ChangeLog,
     send: Vec<(usize, Message)>,
@@ -64,7 +64,7 @@
         Gossip {
             index: start.index,
             process_count: start.fleet.process_count(),
-            whole_bytes: start.fleet.whole_bytes,
+            snapshot_bytes: start.fleet.snapshot_bytes,
             rng,
             log: start.stored.map_or_else(ChangeLog::default, |stored| stored.0),
             send: Vec::new(),
@@ -103,7 +103,7 @@
                     self.send.push((from, Message::Differences { after: version, upto, bytes }));
                 }
                 Missing::Snapshot => {
-                    let lengths = part_lengths(self.whole_bytes);
+                    let lengths = part_lengths(self.snapshot_bytes);
                     let of = lengths.len() as u32;
                     let version = self.log.version;
                     let part =
--- a/crates/plovershelf-simulation/src/changes/results.rs
+++ b/crates/plovershelf-simulation/src/changes/results.rs
@@ -35,7 +35,7 @@
     pub listeners: Rates,
     /// Listeners with children, in the seconds in which they had children.
     pub relays: Rates,
-    /// Origins.
+    /// All origins.
     pub sources: Rates,
     /// Maximum number of messages that a process sent and received in one second.
     pub messages_second: u64,
@@ -102,8 +102,8 @@
         self.broken_count.get(promise).copied().unwrap_or(0)
     }
     /// Returns a quantile of the time until a change is in force, in milliseconds, or `None` if no change was in force anywhere.
-    pub fn in_force_at(&self, share: f64) -> Option<f64> {
-        self.in_force_ms.at(share)
+    pub fn in_force_at(&self, fraction: f64) -> Option<f64> {
+        self.in_force_ms.at(fraction)
     }
     /// Returns the maximum time until a change is in force, in milliseconds, or `None` if no change was in force anywhere.
     pub fn in_force_worst(&self) -> Option<f64> {
--- a/crates/plovershelf-simulation/src/changes/shapes.rs
+++ b/crates/plovershelf-simulation/src/changes/shapes.rs
@@ -30,10 +30,12 @@
 /// Fleet size that the daily rates refer to.
 const REFERENCE_MEMBERS: f64 = 920.0;
 
+/// Returns the zone of a process.
 pub fn zone_of(index: usize) -> usize {
     index % ZONES
 }
 
+/// Returns the region of a process.
 pub fn region_of(index: usize) -> usize {
     zone_of(index) * REGIONS / ZONES
 }
@@ -58,7 +60,7 @@
 /// Targets of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Targets {
-    /// These processes.
+    /// Fixed set of processes.
     Processes(Vec<usize>),
     /// A random selection, made when the fault begins, of this fraction of the listeners with children; at least one.
     Relays(f64),
--- a/crates/plovershelf-simulation/src/changes/tree.rs
+++ b/crates/plovershelf-simulation/src/changes/tree.rs
@@ -17,7 +17,7 @@
 
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const PORT: u16 = 7400;
-/// One of this number of processes replays its events into a copy of the content, which the audit compares.
+/// Every 97th process replays its events into a copy of the content, which is compared with the content at the end.
 const REPLAY_EVERY: usize = 97;
 
 /// Returns the address of a process.
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -37,6 +37,7 @@
 /// Period over which the listeners start at the beginning of a run, in milliseconds.
 const START_SPREAD_MS: f64 = 3000.0;
 
+/// State of a process and its machine.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Up,
@@ -46,6 +47,7 @@
     Unreachable,
 }
 
+/// Event of the simulation. Faults are identified by their index in the scenario.
 enum SimulationEvent<M> {
     Message {
         from: usize,
@@ -112,6 +114,7 @@
     cut_version: Version,
 }
 
+/// State of a run.
 pub(super) struct World<S: Strategy> {
     shape: Shape,
     fleet: Fleet,
@@ -139,10 +142,10 @@
 impl<S: Strategy> World<S> {
     pub fn new(shape: Shape) -> Self {
         let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), initial_quota(n))).collect();
-        let whole_bytes = bytes_of(&quotas);
+        let snapshot_bytes = bytes_of(&quotas);
         let content = QuotaTable::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
             .unwrap_or_else(|error| unreachable!("the initial quotas are valid: {error}"));
-        let fleet = Fleet { listeners: shape.listeners, content, whole_bytes, seed: shape.seed };
+        let fleet = Fleet { listeners: shape.listeners, content, snapshot_bytes, seed: shape.seed };
         let mut net = Net::new(shape.seed, LATENCY_MS);
         net.between_zones_ms = BETWEEN_ZONES_MS;
         net.loss = shape.loss;
@@ -184,6 +187,7 @@
         }
     }
 
+    /// Runs the scenario and returns the results. `struck` replaces the targets that would be selected for each fault.
     pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> Came {
         for index in 0..self.processes.len() {
             let at = if index < ORIGINS { 0.0 } else { self.rng.random_range(0.0..START_SPREAD_MS) };
@@ -465,6 +469,7 @@
         }
     }
 
+    /// Returns all processes except these, which must be sorted.
     fn others(&self, indexes: &[usize]) -> Vec<usize> {
         (0..self.processes.len()).filter(|index| indexes.binary_search(index).is_err()).collect()
     }
@@ -587,10 +592,12 @@
         }
     }
 
+    /// Returns whether a process is up and not paused.
     fn is_running(&self, index: usize) -> bool {
         self.processes[index].state == State::Up && self.processes[index].pause_count == 0
     }
 
+    /// Returns whether no cut separates two processes in either direction.
     fn is_connected(&self, first: usize, second: usize) -> bool {
         !self.net.is_cut(first, second) && !self.net.is_cut(second, first)
     }
--- a/crates/plovershelf-simulation/src/cluster/deaths.rs
+++ b/crates/plovershelf-simulation/src/cluster/deaths.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Updates for each death whether every node knows of it. If a node takes the member for alive again, the propagation
-    /// counts as incomplete until all know of the death once more.
+    /// Updates for each death whether every node knows of it. If a node considers the member alive again, the propagation
+    /// counts as incomplete until every node knows of the death again.
     pub(super) fn observe(&mut self, now_ms: f64, all_know: impl Fn(NodeId) -> bool) {
         for death in &mut self.deaths {
             let known = all_know(death.id);
--- a/crates/plovershelf-simulation/src/cluster/process.rs
+++ b/crates/plovershelf-simulation/src/cluster/process.rs
@@ -40,6 +40,7 @@
     pub(super) log: (u64, u64),
 }
 
+/// Simulated process of a member, which may be down.
 pub(super) struct Process {
     /// `None` while the process is down.
     pub(super) node: Option<ClusterNode>,
--- a/crates/plovershelf-simulation/src/cluster/world.rs
+++ b/crates/plovershelf-simulation/src/cluster/world.rs
@@ -272,7 +272,7 @@
             match event {
                 NodeEvent::View(_) => self.record_view(member),
                 NodeEvent::RecoveryEnded(outcome) => {
-                    self.report.recovered.push(outcome.map_err(|why| why.to_string()))
+                    self.report.recovered.push(outcome.map_err(|error| error.to_string()))
                 }
                 _ => {}
             }
@@ -323,7 +323,7 @@
         let command = self.plan.recoveries[index].clone();
         let mut refused = None;
         self.call(command.member, |node, clock_ms| refused = node.recover(clock_ms, &command.lost).err());
-        self.report.recovered.extend(refused.map(|why| Err(why.to_string())));
+        self.report.recovered.extend(refused.map(|error| Err(error.to_string())));
     }
 
     /// Proposes a value at a random running member and records the first commit after the last fault.
--- a/crates/plovershelf-simulation/src/replication/node.rs
+++ b/crates/plovershelf-simulation/src/replication/node.rs
@@ -24,6 +24,7 @@
     Completed(Outcome),
 }
 
+/// Member of the group with its machine and its backend.
 pub(super) struct Node {
     /// `None` while the machine is lost.
     pub(super) replicator: Option<Replicator>,
--- a/crates/plovershelf-simulation/src/replication/report.rs
+++ b/crates/plovershelf-simulation/src/replication/report.rs
@@ -23,7 +23,7 @@
     pub changed_after_success: u64,
     /// Number of keys whose clients received different answers.
     pub conflicting_outcomes: u64,
-    /// Number of keys answered as in doubt.
+    /// Number of keys answered as in doubt: it is unknown whether the request was executed.
     pub in_doubt: u64,
     /// Number of keys that were being executed on a machine when it was lost.
     pub ran_on_lost: u64,
@@ -59,7 +59,7 @@
 pub(super) enum AttemptTarget {
     /// First attempt, or the same backend.
     FirstOrSame,
-    /// Different backend.
+    /// A backend other than that of the previous attempt.
     Different,
 }
 
--- a/crates/plovershelf-simulation/src/replication/views.rs
+++ b/crates/plovershelf-simulation/src/replication/views.rs
@@ -18,6 +18,7 @@
     pub(super) reachable: bool,
 }
 
+/// History of views, and the reachability changes that the next view will contain.
 #[derive(Default)]
 pub(super) struct ViewService {
     /// Members of each view; view `n` is at index `n - 1`.
--- a/crates/plovershelf-simulation/src/statistics.rs
+++ b/crates/plovershelf-simulation/src/statistics.rs
@@ -9,14 +9,14 @@
 pub struct Spread {
     histogram: Histogram<u64>,
     sum: f64,
-    most: f64,
+    max: f64,
 }
 
 impl Default for Spread {
     fn default() -> Self {
         let histogram =
             Histogram::new(3).unwrap_or_else(|_| unreachable!("three significant digits are valid"));
-        Spread { histogram, sum: 0.0, most: 0.0 }
+        Spread { histogram, sum: 0.0, max: 0.0 }
     }
 }
 
@@ -26,13 +26,13 @@
         // The histogram resizes automatically, so no value is out of range.
         let _ = self.histogram.record((value.max(0.0) * 1000.0).round() as u64);
         self.sum += value;
-        self.most = self.most.max(value);
+        self.max = self.max.max(value);
     }
 
     /// Adds all values of another distribution.
     pub fn join(&mut self, other: &Spread) {
         let _ = self.histogram.add(&other.histogram);
-        (self.sum, self.most) = (self.sum + other.sum, self.most.max(other.most));
+        (self.sum, self.max) = (self.sum + other.sum, self.max.max(other.max));
     }
 
     /// Returns the number of values.
@@ -45,11 +45,11 @@
     }
     /// Returns the maximum, or `None` without values.
     pub fn most(&self) -> Option<f64> {
-        self.non_empty().map(|spread| spread.most)
+        self.non_empty().map(|spread| spread.max)
     }
     /// Returns the quantile for a fraction from 0 to 1, or `None` without values.
-    pub fn at(&self, share: f64) -> Option<f64> {
-        self.non_empty().map(|spread| spread.histogram.value_at_quantile(share) as f64 / 1000.0)
+    pub fn at(&self, fraction: f64) -> Option<f64> {
+        self.non_empty().map(|spread| spread.histogram.value_at_quantile(fraction) as f64 / 1000.0)
     }
 
     fn non_empty(&self) -> Option<&Self> {
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -42,24 +42,24 @@
 pub enum Fault {
     /// The zone fails and recovers with reduced capacity.
     Lost(usize),
-    /// This fraction of the zone's answers is late.
+    /// Gray failure: this fraction of the zone's answers is late.
     Grey(usize, f64),
     /// The zone alternately fails for 4 s and recovers for 4 s.
-    Flaps(usize),
+    Flapping(usize),
     /// All zones of the region fail.
     Region(usize),
     /// The two zones cannot reach each other.
-    Cable(usize, usize),
+    Partition(usize, usize),
     /// The demand of the zone's callers is multiplied by this factor.
     Peak(usize, f64),
     /// One member of the zone reports ten times its capacity.
-    Lies(usize),
-    /// A ledger that all zones depend on is slow, which reduces the capacity of every zone to this fraction.
-    Ledger(f64),
+    FalseReports(usize),
+    /// A dependency of all zones is slow, which reduces the capacity of every zone to this fraction.
+    SlowDependency(f64),
     /// The members of the zone are restarted in turn, which takes this fraction of its capacity away.
-    Release(usize, f64),
+    RollingRestart(usize, f64),
     /// Plans reach the zone's callers 6 s late.
-    LateNews(usize),
+    PlansDelayed(usize),
 }
 
 /// Fault with its time interval.
@@ -122,18 +122,18 @@
             }
             "lost" => vec![step(Fault::Lost(zone))],
             "grey" => vec![step(Fault::Grey(zone, 0.5))],
-            "flapping" => vec![Step { for_ms: 40_000.0, ..step(Fault::Flaps(zone)) }],
+            "flapping" => vec![Step { for_ms: 40_000.0, ..step(Fault::Flapping(zone)) }],
             "region" => vec![step(Fault::Region(zone / 3))],
-            "cable" => vec![step(Fault::Lost(zone)), step(Fault::Cable(zone, neighbour))],
+            "cable" => vec![step(Fault::Lost(zone)), step(Fault::Partition(zone, neighbour))],
             "two" => vec![
                 step(Fault::Lost(zone)),
                 Step { at_ms: at_ms + 2000.0, for_ms, fault: Fault::Lost(neighbour) },
             ],
             "weak" => vec![step(Fault::Lost(zone)), step(Fault::Peak(neighbour, 0.95 / load))],
-            "liar" => vec![step(Fault::Lies(neighbour)), step(Fault::Lost(zone))],
-            "ledger" => vec![step(Fault::Ledger(0.5))],
-            "release" => vec![step(Fault::Release(zone, 0.5))],
-            "late-news" => vec![step(Fault::LateNews(zone)), step(Fault::Lost(zone))],
+            "liar" => vec![step(Fault::FalseReports(neighbour)), step(Fault::Lost(zone))],
+            "ledger" => vec![step(Fault::SlowDependency(0.5))],
+            "release" => vec![step(Fault::RollingRestart(zone, 0.5))],
+            "late-news" => vec![step(Fault::PlansDelayed(zone)), step(Fault::Lost(zone))],
             _ => Vec::new(),
         };
         Shape { name, regions: 2, zones: 6, members, load, curve, span_ms, steps }
@@ -203,11 +203,11 @@
     cut: Vec<(usize, usize)>,
     /// Demand of the zone's callers without retries, in cores.
     demand: Vec<f64>,
-    ledger_slow: bool,
+    dependency_slow: bool,
     /// Zone with a member that reports a false capacity.
-    liar: Option<usize>,
+    false_reporter: Option<usize>,
     /// Zones whose callers receive plans late.
-    late_news: Vec<bool>,
+    plans_delayed: Vec<bool>,
     /// Set if no fault is active or ended within the last 15 s.
     fault_free: bool,
 }
@@ -241,7 +241,7 @@
     /// Time of the next reports.
     report_at: f64,
     /// Time until which there is no leader.
-    leader_away_until: f64,
+    no_leader_until: f64,
     results: Came,
     /// Local share of each zone at its last significant change.
     last_near_share: Vec<f64>,
@@ -283,7 +283,7 @@
             asked: vec![banded(shape.load * shape.members as f64 / count as f64); count],
             answers: vec![vec![[0.0; 2]; count]; count],
             report_at: 0.0,
-            leader_away_until: 0.0,
+            no_leader_until: 0.0,
             results: Came::default(),
             last_near_share: vec![1.0; count],
             rises: vec![None; count],
@@ -324,9 +324,9 @@
             is_healthy: vec![true; count],
             cut: Vec::new(),
             demand: (0..count).map(demand).collect(),
-            ledger_slow: false,
-            liar: None,
-            late_news: vec![false; count],
+            dependency_slow: false,
+            false_reporter: None,
+            plans_delayed: vec![false; count],
             fault_free: true,
         };
         let is_active = |step: &&Step| (step.at_ms..step.at_ms + step.for_ms).contains(&now);
@@ -334,7 +334,9 @@
             conditions.fault_free = false;
             match step.fault {
                 Fault::Lost(zone) => conditions.is_up[zone] = false,
-                Fault::Flaps(zone) => conditions.is_up[zone] = ((now - step.at_ms) / 4000.0) as u64 % 2 == 1,
+                Fault::Flapping(zone) => {
+                    conditions.is_up[zone] = ((now - step.at_ms) / 4000.0) as u64 % 2 == 1
+                }
                 Fault::Region(region) => {
                     let zones_per_region = count / self.shape.regions;
                     (region * zones_per_region..(region + 1) * zones_per_region)
@@ -343,18 +345,18 @@
                 Fault::Grey(zone, late) => {
                     (conditions.in_time_fraction[zone], conditions.is_healthy[zone]) = (1.0 - late, false)
                 }
-                Fault::Cable(first, second) => conditions.cut.extend([(first, second), (second, first)]),
+                Fault::Partition(first, second) => conditions.cut.extend([(first, second), (second, first)]),
                 Fault::Peak(zone, factor) => conditions.demand[zone] *= factor,
-                Fault::Lies(zone) => conditions.liar = Some(zone),
-                Fault::Ledger(part) => {
-                    conditions.ledger_slow = true;
+                Fault::FalseReports(zone) => conditions.false_reporter = Some(zone),
+                Fault::SlowDependency(part) => {
+                    conditions.dependency_slow = true;
                     conditions.capacity.iter_mut().for_each(|capacity| *capacity *= part);
                 }
-                Fault::Release(zone, away) => {
+                Fault::RollingRestart(zone, away) => {
                     (conditions.capacity[zone], conditions.is_healthy[zone]) =
                         (conditions.capacity[zone] * (1.0 - away), false)
                 }
-                Fault::LateNews(zone) => conditions.late_news[zone] = true,
+                Fault::PlansDelayed(zone) => conditions.plans_delayed[zone] = true,
             }
         }
         for zone in 0..count {
@@ -508,7 +510,7 @@
                 self.results.near_calm[0] += near;
                 self.results.near_calm[1] += all;
             }
-            if conditions.is_healthy[from] && !conditions.ledger_slow {
+            if conditions.is_healthy[from] && !conditions.dependency_slow {
                 self.results.near_healthy[0] += near;
                 self.results.near_healthy[1] += all;
             }
@@ -565,7 +567,7 @@
         let (count, now) = (self.count(), self.now);
         // The leader is in the first zone. If that zone fails, a new leader takes over after an election of 1.5 s.
         if conditions.is_up.iter().any(|is_up| !is_up) && self.replace_lost_leader(conditions) {
-            self.leader_away_until = now + 1500.0;
+            self.no_leader_until = now + 1500.0;
         }
         if self.report_at <= now {
             self.report_at = now + 300.0;
@@ -591,19 +593,20 @@
                 }
                 for member in 0..members {
                     let noise = 0.9 + 0.2 * self.rng.random::<f64>();
-                    let false_factor = if conditions.liar == Some(zone) && member == 0 { 10.0 } else { 1.0 };
+                    let false_factor =
+                        if conditions.false_reporter == Some(zone) && member == 0 { 10.0 } else { 1.0 };
                     let report = LoadReport {
                         plan_revision: revision,
                         demand: near.map(|near| near / members as f64 * noise),
                         capacity: conditions.reported_capacity[zone] / members as f64 * false_factor,
                         in_time_fraction: conditions.in_time_fraction[zone],
-                        is_dependency_slow: conditions.ledger_slow,
+                        is_dependency_slow: conditions.dependency_slow,
                     };
                     self.reports.handle_report(now, (zone * 10_000 + member) as u64, zone, report);
                 }
             }
         }
-        if now >= self.leader_away_until {
+        if now >= self.no_leader_until {
             if let Some(plan) = self.planner.poll_plan(now, &self.reports) {
                 self.number += 1;
                 if plan.revision != self.planner.committed().revision {
@@ -614,7 +617,7 @@
                 self.results.plan_bytes = serde_json::to_string(&plan).map_or(0, |text| text.len() as u64);
                 self.planner.handle_committed(now, &plan);
                 for group in 0..count * CALLER_GROUPS {
-                    let late_ms = if conditions.late_news[group / CALLER_GROUPS] { 6000.0 } else { 0.0 };
+                    let late_ms = if conditions.plans_delayed[group / CALLER_GROUPS] { 6000.0 } else { 0.0 };
                     let delay_ms = 20.0 + 400.0 * self.rng.random::<f64>() + late_ms;
                     self.plans_in_flight[group].push_back((now + delay_ms, self.number, plan.clone()));
                 }
@@ -684,8 +687,9 @@
             self.reversals.iter().map(|(at, zone)| reversals_in_minute(*zone, *at)).max().unwrap_or(0);
         self.results.turns_a_minute = self.results.turns_a_minute.max(worst);
         // Count the caller groups that still follow a plan although the next one was issued longer ago than the bound.
-        let delays_plans =
-            |step: &Step| matches!(step.fault, Fault::LateNews(_)) && now < step.at_ms + step.for_ms + 7000.0;
+        let delays_plans = |step: &Step| {
+            matches!(step.fault, Fault::PlansDelayed(_)) && now < step.at_ms + step.for_ms + 7000.0
+        };
         let late_ms = if self.shape.steps.iter().any(delays_plans) { 6000.0 } else { 0.0 };
         let replaced_at =
             |revision: u64| self.issued.get(revision as usize + 1).copied().unwrap_or(f64::INFINITY);
