--- a/crates/plovershelf-simulation/src/audit.rs
+++ b/crates/plovershelf-simulation/src/audit.rs
@@ -113,7 +113,8 @@
             Seen::Launched { ticket, process } => {
                 let (first, at) = self.launched.entry(*ticket).or_insert((process.clone(), position)).clone();
                 if at != position {
-                    let description = format!("ticket {ticket} was launched in {first} and in {process}");
+                    let description =
+                        format!("idempotency key {ticket} was launched in {first} and in {process}");
                     self.record_violation(NO_EFFECT_TWICE, event.at, position, vec![at], description);
                 }
             }
@@ -124,8 +125,9 @@
                 match (before, result) {
                     (None, Some(result)) => drop(self.succeeded.insert(*ticket, (*result, position))),
                     (Some((first, at)), result) if *result != Some(first) => {
-                        let description =
-                            format!("ticket {ticket} was answered differently after its result was received");
+                        let description = format!(
+                            "idempotency key {ticket} was answered differently after its result was received"
+                        );
                         self.record_violation(ONE_VERDICT, event.at, position, vec![at], description);
                     }
                     _ => {}
--- a/crates/plovershelf-simulation/src/changes/direct.rs
+++ b/crates/plovershelf-simulation/src/changes/direct.rs
@@ -1,6 +1,6 @@
 //! Direct broadcast: each listener connects to one origin, which sends it each change and a heartbeat once a second. The listener
 //! reports its version once a second, requests the changes that it missed, and connects to the next origin after
-//! [`PARENT_TIMEOUT_MS`] without a message.
+//! 3 s without a message.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/plovershelf-simulation/src/changes/shapes.rs
+++ b/crates/plovershelf-simulation/src/changes/shapes.rs
@@ -6,7 +6,9 @@
 
 /// Number of origins. Processes are indexed from 0, the origins first; the zone of a process is its index modulo [`ZONES`].
 pub const ORIGINS: usize = 3;
+/// Number of zones.
 pub const ZONES: usize = 4;
+/// Number of regions, each with the same number of zones.
 pub const REGIONS: usize = 2;
 /// Number of machines in a rack or behind a switch.
 pub const RACK_SIZE: usize = 20;
@@ -318,12 +320,12 @@
         }
         "back" => {
             let count = (listeners / 40).max(2);
-            let away: Vec<usize> =
+            let mut isolated: Vec<usize> =
                 (0..count).map(|n| all[(n * 41 + rng.random_range(0..41)) % all.len()]).collect();
-            let mut away: Vec<usize> = away;
-            away.sort_unstable();
-            away.dedup();
-            away.into_iter()
+            isolated.sort_unstable();
+            isolated.dedup();
+            isolated
+                .into_iter()
                 .map(|index| step(1000.0, 34_000.0, Targets::Processes(vec![index]), Fault::CutOff))
                 .collect()
         }
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -176,6 +176,7 @@
         node.is_up() && !node.paused && (0..count).filter(connected).count() * 2 > count
     }
 
+    /// Records the number of records and the periods in which a key is under-replicated.
     fn observe_replicas(&mut self, now_ms: f64) {
         let running = || self.nodes.iter().filter_map(|node| node.replicator.as_ref());
         let under_replicated: usize = running().map(Replicator::under_replicated_count).sum();
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -235,7 +235,7 @@
     /// Recently sent and recently failed work, by origin and target.
     failures: Vec<Vec<[f64; 2]>>,
     /// Demand of each origin including retries, in cores, smoothed over a quarter of a second.
-    asked: Vec<[f64; PRIORITY_BANDS]>,
+    demand_with_retries: Vec<[f64; PRIORITY_BANDS]>,
     /// Recently sent and recently answered work, by origin and target; a rejection counts as an answer.
     answers: Vec<Vec<[f64; 2]>>,
     /// Time of the next reports.
@@ -280,7 +280,7 @@
             was_up: vec![true; count],
             retries: VecDeque::new(),
             failures: vec![vec![[0.0; 2]; count]; count],
-            asked: vec![banded(shape.load * shape.members as f64 / count as f64); count],
+            demand_with_retries: vec![banded(shape.load * shape.members as f64 / count as f64); count],
             answers: vec![vec![[0.0; 2]; count]; count],
             report_at: 0.0,
             no_leader_until: 0.0,
@@ -480,11 +480,14 @@
                 work[from].iter_mut().zip(retried).for_each(|(work, retried)| *work += retried);
             }
         }
-        for (asked, work) in self.asked.iter_mut().zip(&work) {
-            asked.iter_mut().zip(work).for_each(|(asked, work)| *asked += (work / seconds - *asked) * 0.2);
+        for (demand, work) in self.demand_with_retries.iter_mut().zip(&work) {
+            demand
+                .iter_mut()
+                .zip(work)
+                .for_each(|(demand, work)| *demand += (work / seconds - *demand) * 0.2);
         }
         let mut received = vec![[0.0; PRIORITY_BANDS]; count];
-        let mut foreign = vec![0.0; count];
+        let mut remote_work = vec![0.0; count];
         let reaches = |from: usize, to: usize| conditions.is_up[to] && !conditions.cut.contains(&(from, to));
         let mut sent = vec![vec![0.0; count]; count];
         for from in 0..count {
@@ -496,7 +499,7 @@
                     sent[from][to] += part;
                     if reaches(from, to) {
                         received[to][band] += part;
-                        foreign[to] += if from == to { 0.0 } else { part };
+                        remote_work[to] += if from == to { 0.0 } else { part };
                     } else {
                         lost[band] += part * RETRY_FRACTION;
                     }
@@ -518,18 +521,21 @@
         // Each zone serves the highest bands first; rejecting the excess costs it capacity.
         let mut rejected = vec![0.0; count];
         for zone in 0..count {
-            let asked: f64 = received[zone].iter().sum();
+            let demand: f64 = received[zone].iter().sum();
             let capacity = conditions.capacity[zone] * seconds;
-            let rejection_cost = (asked - capacity).max(0.0) * REJECTION_COST_FRACTION;
+            let rejection_cost = (demand - capacity).max(0.0) * REJECTION_COST_FRACTION;
             let mut left = (capacity - rejection_cost).max(0.0);
             for (band, (value, _)) in BANDS.iter().enumerate().rev() {
                 let served = received[zone][band].min(left);
                 left -= served;
                 self.results.worth += served * value;
             }
-            rejected[zone] =
-                if asked > 0.0 { (1.0 - (capacity - rejection_cost).max(0.0) / asked).max(0.0) } else { 0.0 };
-            if foreign[zone] > 0.02 * capacity && asked > 1.02 * capacity && conditions.is_up[zone] {
+            rejected[zone] = if demand > 0.0 {
+                (1.0 - (capacity - rejection_cost).max(0.0) / demand).max(0.0)
+            } else {
+                0.0
+            };
+            if remote_work[zone] > 0.02 * capacity && demand > 1.02 * capacity && conditions.is_up[zone] {
                 self.results.overrun_s += seconds;
             }
         }
@@ -575,11 +581,11 @@
             for zone in 0..count {
                 let active = self.followers[zone * CALLER_GROUPS].active_plan(now).cloned();
                 let revision = active.as_ref().map_or(0, |plan| plan.revision);
-                let asked = self.asked[zone];
+                let demand = self.demand_with_retries[zone];
                 let near: [f64; PRIORITY_BANDS] = std::array::from_fn(|band| {
-                    active.as_ref().map_or(1.0, |plan| plan.share(zone, band, zone)) * asked[band]
+                    active.as_ref().map_or(1.0, |plan| plan.share(zone, band, zone)) * demand[band]
                 });
-                let demand_elsewhere = std::array::from_fn(|band| asked[band] - near[band]);
+                let demand_elsewhere = std::array::from_fn(|band| demand[band] - near[band]);
                 // Reports count attempts; the model takes a core-second as ten attempts.
                 let counts = |[attempts, answered]: &[f64; 2]| AttemptCounts {
                     attempts: attempts * 10.0,
