--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg32;
 use serde::Serialize;
 
-pub use results::{Broken, Came, Rates, Spent};
+pub use results::{Broken, Came, Rates, TrafficSummary};
 use shapes::{Shape, ORIGINS};
 
 /// Headers of the packet and of the frame, in bytes per message.
--- a/crates/plovershelf-simulation/src/changes/results.rs
+++ b/crates/plovershelf-simulation/src/changes/results.rs
@@ -31,7 +31,7 @@
 
 /// Network traffic of a run and the shape of the distribution tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
+pub struct TrafficSummary {
     pub listeners: Rates,
     /// Listeners with children, in the seconds in which they had children.
     pub relays: Rates,
@@ -52,7 +52,7 @@
 /// Results of a run.
 #[derive(Default)]
 pub struct Came {
-    pub spent: Spent,
+    pub spent: TrafficSummary,
     /// Number of changes committed after the warm-up.
     pub agreed: u64,
     /// Number of changes that were dropped because no majority of origins was available.
@@ -167,11 +167,11 @@
 }
 
 /// Summarizes the traffic of all processes, of which the first `origin_count` are origins.
-pub(crate) fn summarize(traffic: &[Traffic], origin_count: usize, depth: u64) -> Spent {
+pub(crate) fn summarize(traffic: &[Traffic], origin_count: usize, depth: u64) -> TrafficSummary {
     let (origins, listeners) = traffic.split_at(origin_count);
     let whole = |process: &Traffic| (process.total, process.seconds, process.worst);
     let relaying = |process: &Traffic| (process.relaying.0, process.relaying.1, process.worst_relaying);
-    Spent {
+    TrafficSummary {
         listeners: rates(listeners.iter().map(whole)),
         relays: rates(listeners.iter().map(relaying)),
         sources: rates(origins.iter().map(whole)),
--- a/crates/plovershelf-simulation/src/statistics.rs
+++ b/crates/plovershelf-simulation/src/statistics.rs
@@ -103,7 +103,7 @@
 
 /// Result of a paired comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Compared {
+pub struct PairedComparison {
     /// Mean difference.
     pub mean: f64,
     /// Half the width of the 95 % confidence interval of the mean.
@@ -114,16 +114,16 @@
 
 /// Compares paired samples by their differences; the two samples of a pair have the same seed. Fewer than three pairs are never
 /// significant.
-pub fn compared(differences: &[f64]) -> Compared {
+pub fn compared(differences: &[f64]) -> PairedComparison {
     let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count.max(1.0);
     if differences.len() < 3 {
-        return Compared { mean, bar: f64::INFINITY, told: false };
+        return PairedComparison { mean, bar: f64::INFINITY, told: false };
     }
     let variance = differences.iter().map(|d| (d - mean) * (d - mean)).sum::<f64>() / (count - 1.0);
     let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(2.0, |t| t.inverse_cdf(0.975));
     let bar = t * (variance / count).sqrt();
-    Compared { mean, bar, told: mean.abs() > bar }
+    PairedComparison { mean, bar, told: mean.abs() > bar }
 }
 
 #[cfg(test)]
