--- a/crates/plovershelf-server/src/driver/bulkheads.rs
+++ b/crates/plovershelf-server/src/driver/bulkheads.rs
@@ -59,8 +59,9 @@
     }
 }
 
-/// Decaying maximum of what a bulkhead recently had in flight or wanted. Requests run at once or are rejected, so
-/// this much capacity stays reserved for the bulkhead and is not lent to others.
+/// Decaying maximum of a bulkhead's recent demand: its work in flight, its requests that await a call, and its rejected
+/// requests. Requests run at once or are rejected, so this much capacity stays reserved for the bulkhead and is not
+/// lent to others.
 #[derive(Clone, Copy, Default)]
 struct Peak {
     runs: f64,
@@ -125,7 +126,7 @@
         Ok(state)
     }
 
-    /// Recounts all open requests under the present plan.
+    /// Recounts all open requests under the current plan.
     fn recount(&mut self) {
         let count = self.bulkheads.names().count();
         self.in_flight = vec![InFlight::default(); count];
@@ -190,9 +191,9 @@
         self.bulkheads.set_total(WorkKind::Call, to_count(total_calls));
         for (bulkhead, in_flight) in self.in_flight.iter().enumerate() {
             let InFlight { runs, calls, awaiting_call } = *in_flight;
-            let wanted = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_REJECTED_DEMAND);
+            let rejected = std::mem::take(&mut self.rejected[bulkhead]).min(MAX_REJECTED_DEMAND);
             let peak = &mut self.peaks[bulkhead];
-            peak.update(runs + wanted, calls + awaiting_call + wanted);
+            peak.update(runs + rejected, calls + awaiting_call + rejected);
             self.bulkheads.set_in_flight(WorkKind::Run, bulkhead, runs);
             self.bulkheads.set_waiting(
                 WorkKind::Run,
@@ -264,7 +265,7 @@
         self.decide(|backend, now_ms| backend.update_bulkheads(now_ms, Some(capacities)));
     }
 
-    /// Replaces the plan by the operator's reloaded file, or keeps the present one if the new one is invalid.
+    /// Replaces the plan by the operator's reloaded file, or keeps the current one if the new one is invalid.
     pub(super) fn replace_bulkheads(&mut self, plan: BulkheadPlan) {
         let Some(bulkheads) = &mut self.bulkheads else {
             tracing::warn!(
