--- a/crates/plovershelf-cluster/src/consensus/replication.rs
+++ b/crates/plovershelf-cluster/src/consensus/replication.rs
@@ -1,7 +1,7 @@
 //! Replication progress of each follower, and the choice of what to send to it next.
 //!
-//! The tracker handles only indices and times, not entries or terms. The leader queries it for the range to send and reads
-//! the entries from its log.
+//! The tracker handles only indices and times, not entries or terms. The leader queries it for the range to send and
+//! reads the entries from its log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/plovershelf-replication/src/replicator.rs
+++ b/crates/plovershelf-replication/src/replicator.rs
@@ -1,4 +1,5 @@
-//! The state machine of one member: its inputs from the local backend and from the cluster, and their dispatch to the roles.
+//! The state machine of one member: its inputs from the local backend and from the cluster, and their dispatch to the
+//! roles.
 //!
 //! Normal path of a keyed request:
 //!
--- a/crates/plovershelf-server/src/limits.rs
+++ b/crates/plovershelf-server/src/limits.rs
@@ -150,8 +150,8 @@
     // ---- drain
     /// Time after which a connection is closed whose client doesn't react to the announcement of closing.
     pub(crate) closing_timeout_ms: f64,
-    /// Value of `closing_timeout_ms` once new connections are refused. It exceeds the transit time of a
-    /// request that the peer sends before it has read the announcement.
+    /// Value of `closing_timeout_ms` once new connections are refused. It exceeds the transit time of
+    /// a request that the peer sends before it has read the announcement.
     pub(crate) final_closing_timeout_ms: f64,
     /// Time between the announcement of closing and the refusal of new connections.
     pub(crate) closing_lead_ms: f64,
--- a/crates/plovershelf-server/src/links.rs
+++ b/crates/plovershelf-server/src/links.rs
@@ -68,7 +68,7 @@
 const QUEUED_FRAMES: usize = 64;
 /// Timeout for connecting an outgoing link, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 500;
-/// Timeout for writing one frame to an outgoing link, in milliseconds.
+/// Timeout for writing the hello or one frame to an outgoing link, in milliseconds.
 const WRITE_TIMEOUT_MS: u64 = 2000;
 /// Time in milliseconds for which a link that broke is not opened again.
 const RECONNECT_PAUSE_MS: f64 = 100.0;
