--- a/crates/plovershelf-cli/src/hollow.rs
+++ b/crates/plovershelf-cli/src/hollow.rs
@@ -77,7 +77,7 @@
             member[key].as_str().ok_or_else(|| named(format!("a member without {key:?}"))).map(str::to_string)
         };
         let (name, file) = (text("name")?, text("file")?);
-        let invalid = |error: plovershelf_config::Wrong| error.to_string();
+        let invalid = |error: plovershelf_config::InvalidFile| error.to_string();
         if member["listener"].as_bool().unwrap_or(false) {
             let listener = plovershelf_config::config_distribution::read(&name, &file).map_err(invalid)?;
             listeners.push((name, DistributionSetup::from(listener)));
@@ -119,14 +119,14 @@
 fn start_listeners(mut listeners: Vec<(String, DistributionSetup)>) -> Result<(), String> {
     if listeners.len() < 2 {
         let Some((name, setup)) = listeners.pop() else { return Ok(()) };
-        let started = config_distribution::start_listener(setup, name, Subscriber::Nobody);
+        let started = config_distribution::start_listener(setup, name, Subscriber::Discard);
         return started.map(drop).map_err(|error| error.to_string());
     }
     let run = move || {
         let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
         let mut tasks = Vec::new();
         for (name, setup) in listeners {
-            match config_distribution::spawn_listener(executor, setup, name, Subscriber::Nobody) {
+            match config_distribution::spawn_listener(executor, setup, name, Subscriber::Discard) {
                 Ok(task) => tasks.push(task),
                 // The trial notices the missing listener when it polls the members.
                 Err(error) => tracing::error!("starting a listener: {error}"),
--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -8,16 +8,16 @@
 use plovershelf_config_distribution::DistributionConfig;
 use plovershelf_simulation::changes::direct::Direct;
 use plovershelf_simulation::changes::gossip::Gossip;
-use plovershelf_simulation::changes::shapes::{Shape, FASTER, SHAPES};
+use plovershelf_simulation::changes::shapes::{Scenario, SCENARIOS, TIME_FACTOR};
 use plovershelf_simulation::changes::tree::Tree;
 use plovershelf_simulation::changes::{
-    self, Came, Rates, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS,
+    self, Rates, RunReport, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS,
     ONE_CONTENT_A_NUMBER,
 };
 use plovershelf_simulation::plot::{lines, Line};
-use plovershelf_simulation::statistics::{Fit, Spread};
+use plovershelf_simulation::statistics::{Fit, SampleDistribution};
 
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 
 /// Largest traffic of a backend, in bytes per second.
 const MAX_BYTES_PER_SECOND: f64 = 4096.0;
@@ -36,7 +36,7 @@
     ]),*] };
 }
 
-const NAMES: [[&str; 4]; SHAPES.len()] = phase_names!(
+const NAMES: [[&str; 4]; SCENARIOS.len()] = phase_names!(
     "calm",
     "day",
     "burst",
@@ -78,7 +78,7 @@
 }
 
 /// Runs a scenario with each method. The tree runs first; the faults of the other methods hit the same members.
-fn run_methods(shape: &Shape) -> [Came; 4] {
+fn run_methods(shape: &Scenario) -> [RunReport; 4] {
     let tree = changes::run::<Tree>(shape, None);
     let fault_targets = Some(&tree.struck[..]);
     let direct = changes::run::<Direct>(shape, fault_targets);
@@ -97,12 +97,12 @@
 }
 
 /// Returns the figures of one method in one scenario over all seeds. Only the tree is `judged` against bounds.
-fn figures(name: &str, runs: &[&Came], judged: bool) -> Figures {
+fn figures(name: &str, runs: &[&RunReport], judged: bool) -> Figures {
     let mut figures = Figures::default();
-    let aim = |aim: Aim| if judged { aim } else { Aim::Informational };
-    let zero = aim(Aim::AtMost(0.0));
-    let sum = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).sum::<u64>() as f64;
-    let rate = |rates: &dyn Fn(&Came) -> Rates| -> [Option<f64>; 3] {
+    let aim = |aim: Bound| if judged { aim } else { Bound::Informational };
+    let zero = aim(Bound::AtMost(0.0));
+    let sum = |value: &dyn Fn(&RunReport) -> u64| runs.iter().map(|run| value(run)).sum::<u64>() as f64;
+    let rate = |rates: &dyn Fn(&RunReport) -> Rates| -> [Option<f64>; 3] {
         let rates: Vec<Rates> = runs.iter().map(|run| rates(run)).collect();
         [
             mean(rates.iter().map(|rates| rates.mean)),
@@ -111,56 +111,57 @@
         ]
     };
     let bounded = if matches!(name, "calm" | "day") {
-        aim(Aim::AtMost(MAX_BYTES_PER_SECOND))
+        aim(Bound::AtMost(MAX_BYTES_PER_SECOND))
     } else {
-        Aim::Informational
+        Bound::Informational
     };
     let [listener, max_listener, worst_listener_second] = rate(&|run| run.spent.listeners);
     figures.put("bytes_a_listener_a_second", listener, bounded);
-    figures.told("bytes_worst_listener_a_second", max_listener);
-    figures.told("bytes_worst_listener_worst_second", worst_listener_second);
+    figures.report("bytes_worst_listener_a_second", max_listener);
+    figures.report("bytes_worst_listener_worst_second", worst_listener_second);
     if judged {
         let [relay, max_relay, _] = rate(&|run| run.spent.relays);
-        figures.told("bytes_a_relay_a_second", relay);
+        figures.report("bytes_a_relay_a_second", relay);
         // A relay is also a backend and has the same budget while no changes are made.
-        let calm = if name == "calm" { Aim::AtMost(MAX_BYTES_PER_SECOND) } else { Aim::Informational };
+        let calm = if name == "calm" { Bound::AtMost(MAX_BYTES_PER_SECOND) } else { Bound::Informational };
         figures.put("bytes_worst_relay_a_second", max_relay, calm);
     }
     let [source, max_source, worst_source_second] = rate(&|run| run.spent.sources);
-    figures.told("bytes_a_source_a_second", source);
-    figures.told("bytes_worst_source_a_second", max_source);
-    figures.told("bytes_worst_source_worst_second", worst_source_second);
-    let highest = |value: &dyn Fn(&Came) -> u64| runs.iter().map(|run| value(run)).max().map(|n| n as f64);
-    figures.told("messages_worst_second", highest(&|run| run.spent.messages_second));
-    figures.told("peers_worst_second", highest(&|run| run.spent.peers_second));
+    figures.report("bytes_a_source_a_second", source);
+    figures.report("bytes_worst_source_a_second", max_source);
+    figures.report("bytes_worst_source_worst_second", worst_source_second);
+    let highest =
+        |value: &dyn Fn(&RunReport) -> u64| runs.iter().map(|run| value(run)).max().map(|n| n as f64);
+    figures.report("messages_worst_second", highest(&|run| run.spent.messages_second));
+    figures.report("peers_worst_second", highest(&|run| run.spent.peers_second));
     let config = DistributionConfig::default();
     if judged {
         figures.put(
             "fed_by_a_source_most",
             highest(&|run| run.spent.children_of_source),
-            Aim::AtMost(config.origin_failover_fan_out as f64),
+            Bound::AtMost(config.origin_failover_fan_out as f64),
         );
         figures.put(
             "fed_by_a_relay_most",
             highest(&|run| run.spent.children_of_listener),
-            Aim::AtMost(config.failover_fan_out as f64),
+            Bound::AtMost(config.failover_fan_out as f64),
         );
-        figures.put("depth_most", highest(&|run| run.spent.depth), Aim::AtMost(2.0));
+        figures.put("depth_most", highest(&|run| run.spent.depth), Bound::AtMost(2.0));
     } else {
-        figures.told("fed_by_a_source_most", highest(&|run| run.spent.children_of_source));
+        figures.report("fed_by_a_source_most", highest(&|run| run.spent.children_of_source));
     }
     if name != "calm" {
-        let mut in_force = Spread::default();
+        let mut in_force = SampleDistribution::default();
         runs.iter().for_each(|run| in_force.join(&run.in_force_ms));
         let seconds = |ms: Option<f64>| ms.map(|ms| ms / 1000.0);
-        figures.put("changes", sum(&|run| run.agreed), aim(Aim::AtLeast(runs.len() as f64 * 10.0)));
-        figures.told("changes_without_a_council", sum(&|run| run.not_agreed));
-        figures.told("in_force_s_median", seconds(in_force.at(0.5)));
-        figures.put("in_force_s_99", seconds(in_force.at(0.99)), aim(Aim::AtMost(IN_FORCE_MS / 1000.0)));
-        figures.told("in_force_s_worst", seconds(in_force.most()));
-        figures.told("listeners_not_in_time", sum(&|run| run.late));
+        figures.put("changes", sum(&|run| run.agreed), aim(Bound::AtLeast(runs.len() as f64 * 10.0)));
+        figures.report("changes_without_a_council", sum(&|run| run.not_agreed));
+        figures.report("in_force_s_median", seconds(in_force.at(0.5)));
+        figures.put("in_force_s_99", seconds(in_force.at(0.99)), aim(Bound::AtMost(IN_FORCE_MS / 1000.0)));
+        figures.report("in_force_s_worst", seconds(in_force.most()));
+        figures.report("listeners_not_in_time", sum(&|run| run.late));
     }
-    figures.put("reachable_at_end", sum(&|run| run.reachable), aim(Aim::AtLeast(1.0)));
+    figures.put("reachable_at_end", sum(&|run| run.reachable), aim(Bound::AtLeast(1.0)));
     figures.put("missed", sum(&|run| run.missed), zero);
     figures.put("went_back", sum(&|run| run.count(NEVER_BACKWARDS)), zero);
     if judged {
@@ -168,25 +169,30 @@
         figures.put("two_at_one_number", sum(&|run| run.count(ONE_CONTENT_A_NUMBER)), zero);
         figures.put("cut_off_did_not_serve_on", sum(&|run| run.count(CUT_OFF_SERVES_ON)), zero);
         figures.put("bad_changed_something", sum(&|run| run.count(BAD_CHANGES_NOTHING)), zero);
-        let miscounted =
-            |run: &Came| run.counted.abs_diff(run.reachable) + run.counted_in_force.abs_diff(run.reachable);
+        let miscounted = |run: &RunReport| {
+            run.counted.abs_diff(run.reachable) + run.counted_in_force.abs_diff(run.reachable)
+        };
         figures.put("counted_wrong_at_sources", sum(&miscounted), zero);
     }
     figures
 }
 
 /// Adds the figures of the tree at growing sizes, without changes and on an ordinary day.
-fn add_growth_figures(ground: &Ground, members: usize, all_figures: &mut Figures) -> Result<(), String> {
+fn add_growth_figures(
+    context: &TrialContext,
+    members: usize,
+    all_figures: &mut Figures,
+) -> Result<(), String> {
     let sizes: Vec<(usize, &'static str)> = SIZES.into_iter().filter(|(size, _)| *size <= members).collect();
-    let seeds = ground.seeds.unwrap_or(1);
+    let seeds = context.seeds.unwrap_or(1);
     let work: Vec<(usize, &'static str, u64)> = sizes
         .iter()
         .flat_map(|(size, _)| ["calm", "day"].map(|name| (*size, name)))
-        .flat_map(|(size, name)| (ground.seed..ground.seed + seeds).map(move |seed| (size, name, seed)))
+        .flat_map(|(size, name)| (context.seed..context.seed + seeds).map(move |seed| (size, name, seed)))
         .collect();
     let runs =
-        run_all(&work, |(size, name, seed)| changes::run::<Tree>(&Shape::of(name, *size, *seed), None));
-    type Figure = (&'static str, &'static str, fn(&Came) -> Option<f64>);
+        run_all(&work, |(size, name, seed)| changes::run::<Tree>(&Scenario::of(name, *size, *seed), None));
+    type Figure = (&'static str, &'static str, fn(&RunReport) -> Option<f64>);
     let growing: [Figure; 7] = [
         ("calm_bytes_a_listener_a_second", "calm", |run| run.spent.listeners.mean),
         ("calm_bytes_worst_relay_a_second", "calm", |run| run.spent.relays.most),
@@ -196,13 +202,13 @@
         ("day_bytes_a_source_a_second", "day", |run| run.spent.sources.mean),
         ("day_in_force_s_99", "day", |run| run.in_force_at(0.99).map(|ms| ms / 1000.0)),
     ];
-    let value = |size: usize, name: &str, figure: fn(&Came) -> Option<f64>| {
+    let value = |size: usize, name: &str, figure: fn(&RunReport) -> Option<f64>| {
         let same = work.iter().zip(&runs).filter(|((s, n, _), _)| *s == size && *n == name);
         mean(same.map(|(_, run)| figure(run)))
     };
     for (size, phase) in &sizes {
         let mut figures = Figures::default();
-        growing.iter().for_each(|(key, name, figure)| figures.told(key, value(*size, name, *figure)));
+        growing.iter().for_each(|(key, name, figure)| figures.report(key, value(*size, name, *figure)));
         all_figures.phase(phase, figures);
     }
     let mut curves = Vec::new();
@@ -216,15 +222,15 @@
             .collect();
         let fit = Fit::of(&points);
         let mut figures = Figures::default();
-        figures.told("slope_a_member", fit.map(|fit| fit.slope));
-        figures.told("slope_bar", fit.map(|fit| fit.slope_bar()));
-        figures.told("intercept", fit.map(|fit| fit.intercept));
-        figures.told("r_squared", fit.map(|fit| fit.r_squared));
-        figures.told("at_920", fit.map(|fit| fit.at(920.0)));
+        figures.report("slope_a_member", fit.map(|fit| fit.slope));
+        figures.report("slope_bar", fit.map(|fit| fit.slope_bar()));
+        figures.report("intercept", fit.map(|fit| fit.intercept));
+        figures.report("r_squared", fit.map(|fit| fit.r_squared));
+        figures.report("at_920", fit.map(|fit| fit.at(920.0)));
         all_figures.phase(key, figures);
         curves.push(Line { name: key.into(), points });
     }
-    if let Some(folder) = &ground.logs {
+    if let Some(folder) = &context.logs {
         let path = folder.join("changes-model.svg");
         let text =
             lines("Numbered changes as the fleet grows", "members", "bytes a second, seconds", &curves)?;
@@ -233,8 +239,8 @@
     Ok(())
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let (members, seeds) = (ground.members.unwrap_or(900), ground.seeds.unwrap_or(1));
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let (members, seeds) = (context.members.unwrap_or(900), context.seeds.unwrap_or(1));
     if !(30..=2000).contains(&members) {
         return Err(format!("--members {members}: from 30 to 2000"));
     }
@@ -242,18 +248,18 @@
         return Err("--seeds 0: at least 1".into());
     }
     let mut all_figures = Figures::default();
-    all_figures.told("members", members as f64);
-    all_figures.told("seeds", seeds as f64);
-    all_figures.told("tenants", changes::shapes::TENANTS as f64);
-    all_figures.told("days_faster", FASTER);
-    let work: Vec<(usize, u64)> = (0..SHAPES.len())
-        .flat_map(|shape| (ground.seed..ground.seed + seeds).map(move |seed| (shape, seed)))
+    all_figures.report("members", members as f64);
+    all_figures.report("seeds", seeds as f64);
+    all_figures.report("tenants", changes::shapes::TENANTS as f64);
+    all_figures.report("days_faster", TIME_FACTOR);
+    let work: Vec<(usize, u64)> = (0..SCENARIOS.len())
+        .flat_map(|shape| (context.seed..context.seed + seeds).map(move |seed| (shape, seed)))
         .collect();
-    let runs = run_all(&work, |(shape, seed)| run_methods(&Shape::of(SHAPES[*shape], members, *seed)));
+    let runs = run_all(&work, |(shape, seed)| run_methods(&Scenario::of(SCENARIOS[*shape], members, *seed)));
     for (number, names) in NAMES.iter().enumerate() {
         for (method, name) in names.iter().enumerate() {
             let of_scenario = work.iter().zip(&runs).filter(|((shape, _), _)| *shape == number);
-            let runs: Vec<&Came> = of_scenario.map(|(_, runs)| &runs[method]).collect();
+            let runs: Vec<&RunReport> = of_scenario.map(|(_, runs)| &runs[method]).collect();
             if method == 0 {
                 let violations = runs.iter().flat_map(|run| run.broken.iter().take(3));
                 violations.for_each(
@@ -263,7 +269,7 @@
             all_figures.phase(name, figures(names[0], &runs, method == 0));
         }
     }
-    add_growth_figures(ground, members, &mut all_figures)?;
+    add_growth_figures(context, members, &mut all_figures)?;
     Ok(all_figures)
 }
 
--- a/crates/plovershelf-cli/src/trial/changes_model/tests.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model/tests.rs
@@ -2,13 +2,13 @@
 
 #[test]
 fn phases_are_named_after_the_scenarios_in_order() {
-    assert_eq!(NAMES.map(|names| names[0]), SHAPES);
+    assert_eq!(NAMES.map(|names| names[0]), SCENARIOS);
 }
 
 #[test]
 fn a_scenario_without_data_fails() {
-    assert!(!figures("loss", &[&Came::default()], true).all_met());
-    assert!(!figures("calm", &[&Came::default()], true).all_met());
+    assert!(!figures("loss", &[&RunReport::default()], true).all_met());
+    assert!(!figures("calm", &[&RunReport::default()], true).all_met());
     assert!(!figures("loss", &[], true).all_met());
 }
 
--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -11,7 +11,7 @@
 use plovershelf_testkit::tap::{ReadCost, Tap, Traffic};
 use plovershelf_testkit::{cores, dependency, Clock, Executor};
 
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load::{self, Caller, PlannedCall, Summary};
 
 const BACKENDS: usize = 3;
@@ -22,10 +22,10 @@
 const OVERLOAD_FACTOR: f64 = 8.0;
 
 /// Returns the configuration of a fleet with the trial's cores and dependency.
-pub fn fleet_config(ground: &Ground, backends: usize, callers: usize) -> FleetConfig {
+pub fn fleet_config(context: &TrialContext, backends: usize, callers: usize) -> FleetConfig {
     let share = 40.0;
     FleetConfig {
-        program: ground.program.clone(),
+        program: context.program.clone(),
         backends,
         cores: cores::CoresConfig {
             cores: CORES,
@@ -43,7 +43,7 @@
         memory_mb: 192.0,
         sockets: 1024,
         stop_ms: 2500.0,
-        logs: ground.logs.clone(),
+        logs: context.logs.clone(),
         pools: None,
         cluster: None,
         peer_paths: false,
@@ -62,7 +62,7 @@
     clock: Clock,
     fleet: &Fleet,
 ) -> Result<(Vec<Tap>, Vec<SocketAddr>), String> {
-    if !fleet.up(clock, 10_000.0).await {
+    if !fleet.wait_until_up(clock, 10_000.0).await {
         return Err("the backends did not come up within 10 s".to_string());
     }
     let cost_ms = load::READ_COST_FRACTION * load::mean_work_ms();
@@ -85,10 +85,10 @@
     rules_broken: u64,
 }
 
-fn play(ground: &Ground, planned: &Rc<Vec<PlannedCall>>, library: bool) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+fn play(context: &TrialContext, planned: &Rc<Vec<PlannedCall>>, library: bool) -> Result<RunResult, String> {
+    let executor = &context.executor;
     let clock = Clock::start();
-    let config = fleet_config(ground, BACKENDS, CLIENTS);
+    let config = fleet_config(context, BACKENDS, CLIENTS);
     let mut fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -100,7 +100,7 @@
                 continue;
             }
             let config = ClientConfig {
-                seed: ground.seed * 1000 + number as u64 + 1,
+                seed: context.seed * 1000 + number as u64 + 1,
                 subset_index: Some(number as u64),
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
@@ -161,12 +161,12 @@
     busy.map(|(firsts, marked)| *marked as f64 / *firsts as f64).fold(0.0, f64::max)
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let span_ms = ground.seconds.unwrap_or(9.0) * 1000.0;
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let span_ms = context.seconds.unwrap_or(9.0) * 1000.0;
     let demand = DEMAND * calls_per_second(BACKENDS);
-    let planned = Rc::new(load::schedule(ground.seed, CLIENTS, span_ms, |_| demand));
-    let baseline = play(ground, &planned, false)?;
-    let library = play(ground, &planned, true)?;
+    let planned = Rc::new(load::schedule(context.seed, CLIENTS, span_ms, |_| demand));
+    let baseline = play(context, &planned, false)?;
+    let library = play(context, &planned, true)?;
     let total = |count: fn(&Traffic) -> u64| {
         library.traffic.iter().map(|traffic| count(&traffic.borrow())).sum::<u64>() as f64
     };
@@ -176,24 +176,24 @@
     let baseline_share = baseline.summary.revenue_in_time / baseline.summary.revenue;
     let work: f64 = planned.iter().map(|call| call.work.work_ms).sum();
     let mut figures = Figures::default();
-    figures.told("demand_ratio", work / (BACKENDS as f64 * CORES * span_ms));
-    figures.told("reading_to_work", load::READ_COST_FRACTION);
-    figures.told("calls", planned.len() as f64);
-    figures.told("first_tries", firsts);
-    figures.told("marked_retries", marked);
-    figures.put("retry_share", marked / firsts.max(1.0), Aim::Under(0.10));
-    figures.put("worst_second_retry_share", worst_second_retry_ratio(&library.traffic), Aim::Under(0.10));
-    figures.put("calls_without_result", library.summary.without_result as f64, Aim::AtMost(0.0));
-    figures.put("calls_with_two_results", library.summary.duplicate_results as f64, Aim::AtMost(0.0));
-    figures.put("results_late", library.summary.late as f64, Aim::AtMost(0.0));
-    figures.told("revenue_in_time_share", share);
-    figures.told("baseline_revenue_in_time_share", baseline_share);
-    figures.put("revenue_to_baseline", share / baseline_share.max(1e-9), Aim::AtLeast(1.15));
-    figures.put("rules_broken", library.rules_broken as f64, Aim::AtMost(0.0));
-    figures.told("cores_used", library.used_fraction);
-    figures.told("baseline_cores_used", baseline.used_fraction);
+    figures.report("demand_ratio", work / (BACKENDS as f64 * CORES * span_ms));
+    figures.report("reading_to_work", load::READ_COST_FRACTION);
+    figures.report("calls", planned.len() as f64);
+    figures.report("first_tries", firsts);
+    figures.report("marked_retries", marked);
+    figures.put("retry_share", marked / firsts.max(1.0), Bound::Under(0.10));
+    figures.put("worst_second_retry_share", worst_second_retry_ratio(&library.traffic), Bound::Under(0.10));
+    figures.put("calls_without_result", library.summary.without_result as f64, Bound::AtMost(0.0));
+    figures.put("calls_with_two_results", library.summary.duplicate_results as f64, Bound::AtMost(0.0));
+    figures.put("results_late", library.summary.late as f64, Bound::AtMost(0.0));
+    figures.report("revenue_in_time_share", share);
+    figures.report("baseline_revenue_in_time_share", baseline_share);
+    figures.put("revenue_to_baseline", share / baseline_share.max(1e-9), Bound::AtLeast(1.15));
+    figures.put("rules_broken", library.rules_broken as f64, Bound::AtMost(0.0));
+    figures.report("cores_used", library.used_fraction);
+    figures.report("baseline_cores_used", baseline.used_fraction);
     let baseline_attempts = baseline.traffic.iter().map(|traffic| traffic.borrow().requests).sum::<u64>();
-    figures.told("baseline_tries", baseline_attempts as f64);
+    figures.report("baseline_tries", baseline_attempts as f64);
     for (index, class) in load::CLASSES.iter().enumerate() {
         let (library, baseline) = (&library.summary.by_class[index], &baseline.summary.by_class[index]);
         tracing::info!(event = "request_class", name = class.name, ?library, ?baseline);
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -11,7 +11,7 @@
 use plovershelf_testkit::Clock;
 
 use super::client_overload::{calls_per_second, fleet_config, start_taps};
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load::{self, CallOutcome, Caller};
 
 const BACKENDS: usize = 3;
@@ -23,14 +23,15 @@
 /// Time between the kill and the restart.
 const DOWN_MS: f64 = 1000.0;
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let executor = &ground.executor;
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let executor = &context.executor;
     let clock = Clock::start();
-    let span_ms =
-        ground.seconds.map_or(16_000.0, |seconds| (seconds * 1000.0).max(STEADY_STATE_MS + DOWN_MS + 8000.0));
+    let span_ms = context
+        .seconds
+        .map_or(16_000.0, |seconds| (seconds * 1000.0).max(STEADY_STATE_MS + DOWN_MS + 8000.0));
     let demand = DEMAND * calls_per_second(BACKENDS);
-    let planned = Rc::new(load::schedule(ground.seed, CLIENTS, span_ms, |_| demand));
-    let config = fleet_config(ground, BACKENDS, CLIENTS);
+    let planned = Rc::new(load::schedule(context.seed, CLIENTS, span_ms, |_| demand));
+    let config = fleet_config(context, BACKENDS, CLIENTS);
     let mut fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -38,7 +39,7 @@
         let mut clients: Vec<Client> = Vec::new();
         for number in 0..CLIENTS {
             let config = ClientConfig {
-                seed: ground.seed * 1000 + number as u64 + 1,
+                seed: context.seed * 1000 + number as u64 + 1,
                 backpressure: BackpressureSignal::MinimumPriority,
                 ..ClientConfig::default()
             };
@@ -69,7 +70,9 @@
             let restarted = |processes_before: &[u32]| {
                 fleet.backends.iter().zip(processes_before).all(|(b, before)| b.agent.processes() > *before)
             };
-            while !(restarted(&processes_before) && fleet.up(clock, 1.0).await) && clock.now() < deadline_ms {
+            while !(restarted(&processes_before) && fleet.wait_until_up(clock, 1.0).await)
+                && clock.now() < deadline_ms
+            {
                 Timer::after(Duration::from_millis(5)).await;
             }
             taps.iter_mut().for_each(|tap| drop(tap.up()));
@@ -142,23 +145,23 @@
         let (before, after) = *attempts.borrow();
         let effects = fleet.effects.borrow();
         let mut figures = Figures::default();
-        figures.told("clients", CLIENTS as f64);
-        figures.told("clients_back", reconnected.len() as f64);
-        figures.put("reconnect_spread_ms", spread, Aim::AtLeast(2000.0));
+        figures.report("clients", CLIENTS as f64);
+        figures.report("clients_back", reconnected.len() as f64);
+        figures.put("reconnect_spread_ms", spread, Bound::AtLeast(2000.0));
         figures.put(
             "worst_tenth_second_share",
             max_in_100_ms.map(|max| max as f64 / CLIENTS as f64),
-            Aim::AtMost(0.15),
+            Bound::AtMost(0.15),
         );
-        figures.told("reconnect_attempts_per_client", (after - before) as f64 / CLIENTS as f64);
-        figures.put("calls_without_result", summary.without_result as f64, Aim::AtMost(0.0));
-        figures.put("calls_with_two_results", summary.duplicate_results as f64, Aim::AtMost(0.0));
-        figures.put("results_late", summary.late as f64, Aim::AtMost(0.0));
-        figures.told("calm_share", before_kill);
-        figures.told("seconds_to_full_service", (restored - ready) / 1000.0);
+        figures.report("reconnect_attempts_per_client", (after - before) as f64 / CLIENTS as f64);
+        figures.put("calls_without_result", summary.without_result as f64, Bound::AtMost(0.0));
+        figures.put("calls_with_two_results", summary.duplicate_results as f64, Bound::AtMost(0.0));
+        figures.put("results_late", summary.late as f64, Bound::AtMost(0.0));
+        figures.report("calm_share", before_kill);
+        figures.report("seconds_to_full_service", (restored - ready) / 1000.0);
         let beyond = spread.map(|spread| ((restored - ready - spread) / 1000.0).max(0.0));
-        figures.put("seconds_beyond_the_spread", beyond, Aim::AtMost(3.0));
-        figures.put("ran_twice", effects.repeated_executions().len() as f64, Aim::AtMost(0.0));
+        figures.put("seconds_beyond_the_spread", beyond, Bound::AtMost(3.0));
+        figures.put("ran_twice", effects.repeated_executions().len() as f64, Bound::AtMost(0.0));
         Ok(figures)
     };
     async_io::block_on(executor.run(run))
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -8,10 +8,10 @@
 
 use async_io::Timer;
 use plovershelf_cluster::status::{Answer, Question};
-use plovershelf_simulation::audit::{self, Event, Seen};
+use plovershelf_simulation::audit::{self, Event, Observation};
 use plovershelf_simulation::replication::schedule as drawn;
 use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step};
-use plovershelf_simulation::statistics::Spread;
+use plovershelf_simulation::statistics::SampleDistribution;
 use plovershelf_testkit::basic_client::{BasicClient, Call, Outcome};
 use plovershelf_testkit::fleet::Fleet;
 use plovershelf_testkit::work::{Idempotency, WorkSpec};
@@ -20,7 +20,7 @@
 use rand_pcg::Pcg64;
 
 use super::client_overload::fleet_config;
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load;
 
 const MEMBERS: usize = 9;
@@ -77,7 +77,7 @@
     /// Callers that have not finished.
     open: Cell<u64>,
     /// Latency of first attempts that succeeded, in milliseconds.
-    latency_ms: RefCell<Spread>,
+    latency_ms: RefCell<SampleDistribution>,
     history: RefCell<Vec<Event>>,
 }
 
@@ -85,7 +85,7 @@
     /// Records a final outcome in the history; `result` is `None` for a failure.
     fn record_outcome(&self, at: f64, ticket: u64, result: Option<&[u8]>) {
         let result = result.map(|bytes| u64::from(crc32fast::hash(bytes)));
-        self.history.borrow_mut().push(Event { at, seen: Seen::Answered { ticket, result } });
+        self.history.borrow_mut().push(Event { at, seen: Observation::Answered { ticket, result } });
     }
 }
 
@@ -202,14 +202,14 @@
 
 /// Runs a schedule of faults under load, with or without replication.
 pub(super) fn play(
-    ground: &Ground,
+    context: &TrialContext,
     schedule: &Schedule,
     replicated: bool,
     demand: f64,
 ) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+    let executor = &context.executor;
     let clock = Clock::start();
-    let mut config = fleet_config(ground, MEMBERS, 20);
+    let mut config = fleet_config(context, MEMBERS, 20);
     config.cores = cores::CoresConfig { cores: CORES, ..config.cores };
     config.memory_mb = MEMORY_MB;
     config.settings = load::settings(CORES, MEMBERS, 20, 40.0, 8.0);
@@ -218,12 +218,16 @@
     } else {
         "replace_ms = 1500\n"
     };
-    config.cluster =
-        Some(cluster::ClusterConfig { zones: ZONES, founders: VOTERS, folders: true, more: more.into() });
+    config.cluster = Some(cluster::ClusterConfig {
+        zones: ZONES,
+        initial_voters: VOTERS,
+        folders: true,
+        more: more.into(),
+    });
     let fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
-        if !fleet.up(clock, 15_000.0).await {
+        if !fleet.wait_until_up(clock, 15_000.0).await {
             return Err("the backends did not come up within 15 s".to_string());
         }
         Timer::after(Duration::from_millis(2500)).await;
@@ -234,7 +238,7 @@
         let key_outcomes: Rc<RefCell<Vec<Rc<RefCell<KeyOutcome>>>>> = Rc::default();
         let clients: Vec<BasicClient> =
             (0..8).map(|number| BasicClient::new(executor, &members, number)).collect();
-        let mut rng = Pcg64::seed_from_u64(ground.seed);
+        let mut rng = Pcg64::seed_from_u64(context.seed);
         let ends_ms = clock.now() + schedule.ends_ms();
         let generate_load = async {
             let mut number = 0u64;
@@ -285,7 +289,8 @@
         };
         let faults = fault_injection::play(&fleet, clock, schedule, &applied);
         // Polls all members several times a second for the time for which a member has under-replicated records.
-        let (max_under_replicated_ms, round_trips_ms) = (Cell::new(0.0f64), RefCell::new(Spread::default()));
+        let (max_under_replicated_ms, round_trips_ms) =
+            (Cell::new(0.0f64), RefCell::new(SampleDistribution::default()));
         let poll_members = async {
             let mut since: Vec<Option<f64>> = vec![None; MEMBERS];
             let addresses: Vec<_> = fleet
@@ -330,7 +335,7 @@
         let applied = applied.borrow();
         history.extend(applied.iter().map(|fault| Event {
             at: fault.at_ms,
-            seen: Seen::Fault {
+            seen: Observation::Fault {
                 text: format!(
                     "{} {}",
                     if fault.begins() { "begins" } else { "ends" },
@@ -343,7 +348,7 @@
         let at = clock.now();
         let launched = |(ticket, (backend, start)): (u64, (usize, u32))| Event {
             at,
-            seen: Seen::Launched { ticket, process: format!("n{}, start {start}", backend + 1) },
+            seen: Observation::Launched { ticket, process: format!("n{}, start {start}", backend + 1) },
         };
         history.extend(fleet.effects.borrow().keyed_launches().map(launched));
         let key_outcomes = key_outcomes.borrow();
@@ -371,73 +376,77 @@
 }
 
 /// Adds the figures of one load, with and without replication.
-pub(super) fn add_figures(figures: &mut Figures, with: &RunResult, without: &RunResult, min_goodput: Aim) {
-    let zero = Aim::AtMost(0.0);
+pub(super) fn add_figures(figures: &mut Figures, with: &RunResult, without: &RunResult, min_goodput: Bound) {
+    let zero = Bound::AtMost(0.0);
     let tickets = with.counts.keys.get() as f64;
-    figures.told("tickets", tickets);
-    figures.told("repeats_elsewhere", with.counts.retries.get() as f64);
+    figures.report("tickets", tickets);
+    figures.report("repeats_elsewhere", with.counts.retries.get() as f64);
     figures.put("effects_twice", with.executed_twice as f64, zero);
     figures.put("succeeded_then_other", with.failed_after_success as f64, zero);
     // A retry is rejected if no member that knows the outcome can be reached in time. A rejection is no outcome, and
     // nothing is executed for it.
     figures.put("promises_broken", audit::judge(&with.history).broken.len() as f64, zero);
-    figures.told("dismissed_after_verdict", with.rejected_after_outcome as f64);
+    figures.report("dismissed_after_verdict", with.rejected_after_outcome as f64);
     figures.put("verdicts_that_differ", with.conflicting_outcomes as f64, zero);
-    figures.told("told_failed_share", with.failed as f64 / tickets.max(1.0));
-    figures.told("dismissed", with.counts.rejected.get() as f64);
-    figures.told("copies_low_s_worst", with.max_under_replicated_s);
-    figures.told("round_trip_ms_median", with.round_trip_ms);
-    figures.told("took_ms_median", with.counts.latency_ms.borrow().at(0.5));
-    figures.told("without_took_ms_median", without.counts.latency_ms.borrow().at(0.5));
+    figures.report("told_failed_share", with.failed as f64 / tickets.max(1.0));
+    figures.report("dismissed", with.counts.rejected.get() as f64);
+    figures.report("copies_low_s_worst", with.max_under_replicated_s);
+    figures.report("round_trip_ms_median", with.round_trip_ms);
+    figures.report("took_ms_median", with.counts.latency_ms.borrow().at(0.5));
+    figures.report("without_took_ms_median", without.counts.latency_ms.borrow().at(0.5));
     let median_ms = |run: &RunResult| run.counts.latency_ms.borrow().at(0.5);
     let added = median_ms(with).zip(median_ms(without)).map(|(with, without)| with - without);
-    figures.told("wait_added_ms_median", added);
-    figures.told("served", goodput(with));
-    figures.told("without_served", goodput(without));
+    figures.report("wait_added_ms_median", added);
+    figures.report("served", goodput(with));
+    figures.report("without_served", goodput(without));
     figures.put("goodput_ratio", goodput(with) / goodput(without).max(1e-9), min_goodput);
     let peak_share = with.peak_kb.map(|kb| kb as f64 / 1024.0 / MEMORY_MB);
-    figures.put("memory_peak_share", peak_share, Aim::AtMost(1.0));
+    figures.put("memory_peak_share", peak_share, Bound::AtMost(1.0));
     figures.put("rules_broken", with.rules_broken as f64, zero);
-    figures.put("without_effects_twice", without.executed_twice as f64, Aim::AtLeast(1.0));
-    figures.told("without_succeeded_then_other", without.failed_after_success as f64);
+    figures.put("without_effects_twice", without.executed_twice as f64, Bound::AtLeast(1.0));
+    figures.report("without_succeeded_then_other", without.failed_after_success as f64);
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
     // Each loss takes about four seconds, pauses included.
-    let losses = ground.seconds.map_or(LOSSES, |seconds| ((seconds / 4.0) as usize).max(2));
-    let schedule = match &ground.schedule {
+    let losses = context.seconds.map_or(LOSSES, |seconds| ((seconds / 4.0) as usize).max(2));
+    let schedule = match &context.schedule {
         Some(file) => {
             let text =
                 std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
             text.parse().map_err(|error| format!("{}: {error}", file.display()))?
         }
-        None => schedule(ground.seed, losses),
+        None => schedule(context.seed, losses),
     };
-    if let Some(logs) = &ground.logs {
+    if let Some(logs) = &context.logs {
         let file = logs.join("schedule.txt");
         std::fs::write(&file, schedule.to_string())
             .map_err(|error| format!("{}: {error}", file.display()))?;
     }
-    let with = play(ground, &schedule, true, DEMAND)?;
-    if let Some(logs) = &ground.logs {
+    let with = play(context, &schedule, true, DEMAND)?;
+    if let Some(logs) = &context.logs {
         let file = logs.join("history.jsonl");
         std::fs::write(&file, audit::written(&with.history))
             .map_err(|error| format!("{}: {error}", file.display()))?;
     }
-    let without = play(ground, &schedule, false, DEMAND)?;
+    let without = play(context, &schedule, false, DEMAND)?;
     let kills: Vec<&Step> =
         schedule.steps.iter().filter(|step| matches!(step.fault, Fault::Kill { .. })).collect();
     let at_once = |step: &&Step| kills.iter().filter(|other| (other.at_ms - step.at_ms).abs() < 1.0).count();
     let mut figures = Figures::default();
-    figures.put("machines_lost_with_disk", kills.len() as f64, Aim::AtLeast(losses as f64));
-    figures.put("most_lost_at_once", kills.iter().map(at_once).max().unwrap_or(0) as f64, Aim::AtLeast(2.0));
-    add_figures(&mut figures, &with, &without, Aim::AtLeast(0.9));
+    figures.put("machines_lost_with_disk", kills.len() as f64, Bound::AtLeast(losses as f64));
+    figures.put(
+        "most_lost_at_once",
+        kills.iter().map(at_once).max().unwrap_or(0) as f64,
+        Bound::AtLeast(2.0),
+    );
+    add_figures(&mut figures, &with, &without, Bound::AtLeast(0.9));
     // Demand beyond the capacity of the cores, with fewer losses.
-    let fewer = self::schedule(ground.seed ^ 0x0f, losses.min(OVERLOAD_LOSSES));
+    let fewer = self::schedule(context.seed ^ 0x0f, losses.min(OVERLOAD_LOSSES));
     let (with, without) =
-        (play(ground, &fewer, true, OVERLOAD_DEMAND)?, play(ground, &fewer, false, OVERLOAD_DEMAND)?);
+        (play(context, &fewer, true, OVERLOAD_DEMAND)?, play(context, &fewer, false, OVERLOAD_DEMAND)?);
     let mut overloaded = Figures::default();
-    add_figures(&mut overloaded, &with, &without, Aim::AtLeast(0.9));
+    add_figures(&mut overloaded, &with, &without, Bound::AtLeast(0.9));
     figures.phase("over", overloaded);
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/copies_rolling.rs
+++ b/crates/plovershelf-cli/src/trial/copies_rolling.rs
@@ -4,7 +4,7 @@
 
 use plovershelf_simulation::schedule::{Fault, Schedule, Step};
 
-use super::{copies, Aim, Figures, Ground};
+use super::{copies, Bound, Figures, TrialContext};
 
 const MEMBERS: usize = 9;
 const ZONES: usize = 3;
@@ -14,17 +14,17 @@
 /// Time from a drain notice to the restart. The notice grants two and a half seconds.
 const RESTART_AFTER_MS: f64 = 2800.0;
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
     let step = |turn: usize| Step {
         at_ms: 2000.0 + NOTICE_INTERVAL_MS * turn as f64,
         for_ms: RESTART_AFTER_MS,
-        fault: Fault::Leave { member: (turn + ground.seed as usize) % MEMBERS },
+        fault: Fault::Leave { member: (turn + context.seed as usize) % MEMBERS },
     };
     let schedule = Schedule { members: MEMBERS, zones: ZONES, steps: (0..MEMBERS).map(step).collect() };
-    let with = copies::play(ground, &schedule, true, DEMAND)?;
-    let without = copies::play(ground, &schedule, false, DEMAND)?;
+    let with = copies::play(context, &schedule, true, DEMAND)?;
+    let without = copies::play(context, &schedule, false, DEMAND)?;
     let mut figures = Figures::default();
-    figures.put("restarted", schedule.steps.len() as f64, Aim::AtLeast(MEMBERS as f64));
-    copies::add_figures(&mut figures, &with, &without, Aim::AtLeast(0.9));
+    figures.put("restarted", schedule.steps.len() as f64, Bound::AtLeast(MEMBERS as f64));
+    copies::add_figures(&mut figures, &with, &without, Bound::AtLeast(0.9));
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -9,14 +9,14 @@
 use async_io::Timer;
 use plovershelf_client::{BackpressureSignal, ClientConfig};
 use plovershelf_cluster::status::{Answer, Question, Status};
-use plovershelf_simulation::audit::{self, Event, Seen};
-use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step, CALM_MS};
+use plovershelf_simulation::audit::{self, Event, Observation};
+use plovershelf_simulation::schedule::{Fault, Folder, Schedule, Step, FAULT_FREE_MS};
 use plovershelf_testkit::fault_injection::{self, AppliedFault};
 use plovershelf_testkit::fleet::Fleet;
 use plovershelf_testkit::{cluster, cores, Clock};
 
 use super::client_overload::{fleet_config, start_taps};
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::group::ask;
 use crate::load::{self, Caller};
 
@@ -30,7 +30,7 @@
 const SPAN_MS: f64 = 36_000.0;
 const POLL_INTERVAL_MS: u64 = 100;
 /// Time without a fault after which a member counts as healthy.
-const HEALTHY_AFTER_MS: f64 = CALM_MS;
+const HEALTHY_AFTER_MS: f64 = FAULT_FREE_MS;
 
 /// Status of one member, with the times at which it was requested and received, in milliseconds.
 #[derive(Clone)]
@@ -67,27 +67,27 @@
     drawn.swap_remove(index)
 }
 
-fn play(ground: &Ground, schedule: &Schedule, with_group: bool) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+fn play(context: &TrialContext, schedule: &Schedule, with_group: bool) -> Result<RunResult, String> {
+    let executor = &context.executor;
     let clock = Clock::start();
-    let mut config = fleet_config(ground, MEMBERS, CLIENTS);
+    let mut config = fleet_config(context, MEMBERS, CLIENTS);
     config.cores = cores::CoresConfig { cores: CORES, ..config.cores };
     config.settings = load::settings(CORES, MEMBERS, CLIENTS, 40.0, 8.0);
     config.cluster = with_group.then(|| cluster::ClusterConfig {
         zones: ZONES,
-        founders: 3,
+        initial_voters: 3,
         folders: true,
         more: String::new(),
     });
     let demand = DEMAND * MEMBERS as f64 * CORES * 1000.0 / load::mean_work_ms();
-    let planned = Rc::new(load::schedule(ground.seed, CLIENTS, schedule.ends_ms(), |_| demand));
+    let planned = Rc::new(load::schedule(context.seed, CLIENTS, schedule.ends_ms(), |_| demand));
     let fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
         let (taps, addresses) = start_taps(executor, clock, &fleet).await?;
         let mut callers = Vec::new();
         for number in 0..CLIENTS {
-            let seed = ground.seed * 1000 + number as u64 + 1;
+            let seed = context.seed * 1000 + number as u64 + 1;
             let config = ClientConfig {
                 seed,
                 backpressure: BackpressureSignal::MinimumPriority,
@@ -155,7 +155,7 @@
     for fault in &run.faults {
         let text =
             format!("{} {}", if fault.begins() { "begins" } else { "ends" }, schedule.steps[fault.step]);
-        events.push(Event { at: fault.at_ms, seen: Seen::Fault { text } });
+        events.push(Event { at: fault.at_ms, seen: Observation::Fault { text } });
         if let (true, Fault::Kill { member, folder: Folder::Wiped }) =
             (fault.begins(), &schedule.steps[fault.step].fault)
         {
@@ -163,27 +163,28 @@
                 .samples
                 .iter()
                 .rfind(|sample| sample.member == *member && sample.received_at < fault.at_ms);
-            events.extend(
-                before.map(|sample| Event {
-                    at: fault.at_ms,
-                    seen: Seen::Lost { memory: sample.status.node_id },
-                }),
-            );
+            events.extend(before.map(|sample| Event {
+                at: fault.at_ms,
+                seen: Observation::Lost { memory: sample.status.node_id },
+            }));
         }
     }
     for sample in &run.samples {
         let status = &sample.status;
         let (memory, era) = (status.node_id, status.epoch);
         if status.view > 0 {
-            let seen = Seen::View { memory, era, number: status.view, members: status.view_members.clone() };
+            let seen =
+                Observation::View { memory, era, number: status.view, members: status.view_members.clone() };
             events.push(Event { at: sample.received_at, seen });
         }
         if status.leads {
-            events
-                .push(Event { at: sample.received_at, seen: Seen::Leads { memory, era, term: status.term } });
+            events.push(Event {
+                at: sample.received_at,
+                seen: Observation::Leads { memory, era, term: status.term },
+            });
         }
         if let Some(view) = status.may_act {
-            events.push(Event { at: sample.requested_at, seen: Seen::Acts { memory, era, view } });
+            events.push(Event { at: sample.requested_at, seen: Observation::Acts { memory, era, view } });
         }
     }
     events.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -212,7 +213,7 @@
     let step = &schedule.steps[step_index];
     let delays_decision = |other: &Fault| match other {
         Fault::Stop { member } | Fault::Slow { member, .. } => *member < ZONES,
-        Fault::Unfit { .. } | Fault::Clock { .. } => false,
+        Fault::Unready { .. } | Fault::Clock { .. } => false,
         _ => true,
     };
     let overlaps = schedule.steps.iter().enumerate().any(|(other_index, other)| {
@@ -311,25 +312,25 @@
     ViewMetrics { healthy_removed, max_removal_s, max_agreement_s, views: first.len() }
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let span_ms = ground.seconds.map_or(SPAN_MS, |seconds| seconds * 1000.0);
-    let schedule = match &ground.schedule {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let span_ms = context.seconds.map_or(SPAN_MS, |seconds| seconds * 1000.0);
+    let schedule = match &context.schedule {
         Some(path) => {
             let text =
                 std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
             text.parse().map_err(|error| format!("{}: {error}", path.display()))?
         }
-        None => schedule(ground.seed, span_ms),
+        None => schedule(context.seed, span_ms),
     };
     if schedule.members != MEMBERS {
         return Err(format!("the schedule has {} members, but this trial has {MEMBERS}", schedule.members));
     }
-    let with = play(ground, &schedule, true)?;
-    let without = play(ground, &schedule, false)?;
+    let with = play(context, &schedule, true)?;
+    let without = play(context, &schedule, false)?;
     let events = history(&with, &schedule);
     let audited = audit::judge(&events);
     let metrics = view_metrics(&with, &schedule);
-    if let Some(folder) = &ground.logs {
+    if let Some(folder) = &context.logs {
         for (name, text) in
             [("schedule.txt", schedule.to_string()), ("history.jsonl", audit::written(&events))]
         {
@@ -341,24 +342,24 @@
         tracing::warn!(event = "broken", promise = broken.promise, at = broken.at - with.started_ms, details = %broken.told);
     }
     let mut figures = Figures::default();
-    figures.told("processes", MEMBERS as f64);
-    figures.put("faults", schedule.steps.len() as f64, Aim::AtLeast(12.0));
-    figures.put("kinds_of_fault", schedule.kinds() as f64, Aim::AtLeast(6.0));
-    figures.told("views", metrics.views as f64);
-    let zero = Aim::AtMost(0.0);
-    figures.put("two_views_of_one_number", audited.count(audit::ONE_VIEW_A_NUMBER) as f64, zero);
-    figures.put("two_leaders_of_one_term", audited.count(audit::ONE_LEADER_A_TERM) as f64, zero);
-    figures.put("acted_past_lease", audited.count(audit::NOT_PAST_LEASE) as f64, zero);
-    let wiped = events.iter().filter(|event| matches!(event.seen, Seen::Lost { .. })).count();
-    figures.told("blank_returns", wiped as f64);
-    figures.put("blank_votes", audited.count(audit::BLANK_IS_NEW) as f64, zero);
+    figures.report("processes", MEMBERS as f64);
+    figures.put("faults", schedule.steps.len() as f64, Bound::AtLeast(12.0));
+    figures.put("kinds_of_fault", schedule.kinds() as f64, Bound::AtLeast(6.0));
+    figures.report("views", metrics.views as f64);
+    let zero = Bound::AtMost(0.0);
+    figures.put("two_views_of_one_number", audited.count(audit::ONE_VIEW_PER_NUMBER) as f64, zero);
+    figures.put("two_leaders_of_one_term", audited.count(audit::ONE_LEADER_PER_TERM) as f64, zero);
+    figures.put("acted_past_lease", audited.count(audit::NO_ACTION_PAST_LEASE) as f64, zero);
+    let wiped = events.iter().filter(|event| matches!(event.seen, Observation::Lost { .. })).count();
+    figures.report("blank_returns", wiped as f64);
+    figures.put("blank_votes", audited.count(audit::LOST_STORAGE_IS_NEW_NODE) as f64, zero);
     figures.put("healthy_put_out", metrics.healthy_removed as f64, zero);
-    figures.put("lost_put_out_s_worst", metrics.max_removal_s, Aim::AtMost(3.0));
-    figures.put("agreed_after_heal_s_worst", metrics.max_agreement_s, Aim::AtMost(3.0));
-    figures.put("service_lost_to_group", without.service - with.service, Aim::AtMost(0.02));
-    figures.told("service", with.service);
-    figures.told("service_without_group", without.service);
+    figures.put("lost_put_out_s_worst", metrics.max_removal_s, Bound::AtMost(3.0));
+    figures.put("agreed_after_heal_s_worst", metrics.max_agreement_s, Bound::AtMost(3.0));
+    figures.put("service_lost_to_group", without.service - with.service, Bound::AtMost(0.02));
+    figures.report("service", with.service);
+    figures.report("service_without_group", without.service);
     figures.put("rules_broken", with.rules_broken as f64, zero);
-    figures.told("rules_broken_without_group", without.rules_broken as f64);
+    figures.report("rules_broken_without_group", without.rules_broken as f64);
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/group_model.rs
+++ b/crates/plovershelf-cli/src/trial/group_model.rs
@@ -7,9 +7,9 @@
 use plovershelf_simulation::cluster::{Plan, Report, World};
 use plovershelf_simulation::plot::{lines, Line};
 use plovershelf_simulation::schedule::Schedule;
-use plovershelf_simulation::statistics::{Fit, Spread};
+use plovershelf_simulation::statistics::{Fit, SampleDistribution};
 
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 
 const ZONES: usize = 3;
 const STEPS: usize = 14;
@@ -27,9 +27,9 @@
     /// Healthy members that were removed from a view.
     healthy_removed: u64,
     /// Time from the end of the faults to agreement.
-    agreement_ms: Spread,
+    agreement_ms: SampleDistribution,
     /// Time from a kill to a view without the member.
-    removal_ms: Spread,
+    removal_ms: SampleDistribution,
 }
 
 /// Simulates all seeds on all cores.
@@ -74,19 +74,19 @@
     let report = World::run(Plan::growing(size, ZONES, seed, KILLS));
     let mut figures = Figures::default();
     let growth = &report.growth;
-    figures.told("all_know_all_s", seconds(growth.all_known_ms));
-    figures.told("view_whole_s", seconds(growth.view_complete_ms));
-    figures.told("start_bytes_a_member", growth.start_bytes);
-    figures.put("bytes_a_member_a_second", growth.rest_bytes, Aim::AtMost(MAX_BYTES_PER_SECOND));
-    figures.told("bytes_a_second_busiest", growth.rest_bytes_busiest);
-    figures.told("news_under_way_in_calm", growth.rest_pending_updates);
-    figures.told("death_bytes_a_member", growth.death_bytes);
-    figures.put("deaths_not_known", report.deaths_not_known as f64, Aim::AtMost(0.0));
-    figures.told("until_all_know_s_median", seconds(report.known_ms.at(0.5)));
-    figures.put("until_all_know_s_worst", seconds(report.known_ms.most()), Aim::AtMost(MAX_DETECTION_S));
-    figures.told("put_out_s_worst", seconds(report.removal_ms.most()));
-    figures.put("healthy_put_out", report.healthy_removed.len() as f64, Aim::AtMost(0.0));
-    figures.put("promises_broken", report.audit.broken.len() as f64, Aim::AtMost(0.0));
+    figures.report("all_know_all_s", seconds(growth.all_known_ms));
+    figures.report("view_whole_s", seconds(growth.view_complete_ms));
+    figures.report("start_bytes_a_member", growth.start_bytes);
+    figures.put("bytes_a_member_a_second", growth.rest_bytes, Bound::AtMost(MAX_BYTES_PER_SECOND));
+    figures.report("bytes_a_second_busiest", growth.rest_bytes_busiest);
+    figures.report("news_under_way_in_calm", growth.rest_pending_updates);
+    figures.report("death_bytes_a_member", growth.death_bytes);
+    figures.put("deaths_not_known", report.deaths_not_known as f64, Bound::AtMost(0.0));
+    figures.report("until_all_know_s_median", seconds(report.known_ms.at(0.5)));
+    figures.put("until_all_know_s_worst", seconds(report.known_ms.most()), Bound::AtMost(MAX_DETECTION_S));
+    figures.report("put_out_s_worst", seconds(report.removal_ms.most()));
+    figures.put("healthy_put_out", report.healthy_removed.len() as f64, Bound::AtMost(0.0));
+    figures.put("promises_broken", report.audit.broken.len() as f64, Bound::AtMost(0.0));
     (report, figures)
 }
 
@@ -94,36 +94,36 @@
 fn linear_fit(points: &[(f64, f64)]) -> Figures {
     let fit = Fit::of(points);
     let mut figures = Figures::default();
-    figures.told("slope", fit.map(|fit| fit.slope));
-    figures.told("slope_error", fit.map(|fit| fit.slope_error));
-    figures.told("intercept", fit.map(|fit| fit.intercept));
-    figures.told("r_squared", fit.map(|fit| fit.r_squared));
+    figures.report("slope", fit.map(|fit| fit.slope));
+    figures.report("slope_error", fit.map(|fit| fit.slope_error));
+    figures.report("intercept", fit.map(|fit| fit.intercept));
+    figures.report("r_squared", fit.map(|fit| fit.r_squared));
     figures
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let (members, seeds) = (ground.members.unwrap_or(9), ground.seeds.unwrap_or(200));
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let (members, seeds) = (context.members.unwrap_or(9), context.seeds.unwrap_or(200));
     if !(3..=900).contains(&members) {
         return Err(format!("--members {members}: from 3 to 900"));
     }
     let mut figures = Figures::default();
-    let from = ground.seed * 100_000;
+    let from = context.seed * 100_000;
     let totals = if members <= 30 { run_seeds(from..from + seeds, members) } else { Totals::default() };
     if members <= 30 {
-        figures.told("members", members as f64);
-        figures.told("seeds", seeds as f64);
-        figures.put("promises_broken", totals.broken.len() as f64, Aim::AtMost(0.0));
+        figures.report("members", members as f64);
+        figures.report("seeds", seeds as f64);
+        figures.put("promises_broken", totals.broken.len() as f64, Bound::AtMost(0.0));
         figures.put(
             "never_agreed_again",
             totals.never_agreed.len() as f64,
-            Aim::AtMost(seeds as f64 / 200.0),
+            Bound::AtMost(seeds as f64 / 200.0),
         );
-        figures.told("lagging_or_left_out", totals.lagging as f64);
-        figures.told("healthy_put_out", totals.healthy_removed as f64);
-        figures.told("agreed_after_heal_s_median", seconds(totals.agreement_ms.at(0.5)));
-        figures.told("agreed_after_heal_s_99", seconds(totals.agreement_ms.at(0.99)));
-        figures.told("agreed_after_heal_s_worst", seconds(totals.agreement_ms.most()));
-        figures.told("put_out_s_median", seconds(totals.removal_ms.at(0.5)));
+        figures.report("lagging_or_left_out", totals.lagging as f64);
+        figures.report("healthy_put_out", totals.healthy_removed as f64);
+        figures.report("agreed_after_heal_s_median", seconds(totals.agreement_ms.at(0.5)));
+        figures.report("agreed_after_heal_s_99", seconds(totals.agreement_ms.at(0.99)));
+        figures.report("agreed_after_heal_s_worst", seconds(totals.agreement_ms.most()));
+        figures.report("put_out_s_median", seconds(totals.removal_ms.at(0.5)));
         for (seed, promise) in totals.broken.iter().take(5) {
             tracing::warn!(event = "broken", seed, promise, "replay: --members {members} --seeds 1");
         }
@@ -134,7 +134,7 @@
         [9, 30, 90, 300, 900].into_iter().filter(|size| *size <= members.max(90)).collect();
     let mut by_size: [Vec<(f64, f64)>; 4] = Default::default();
     for size in sizes {
-        let (report, size_figures) = simulate_growth(ground.seed, size);
+        let (report, size_figures) = simulate_growth(context.seed, size);
         figures.phase(phase_name(size), size_figures);
         let growth = &report.growth;
         let values =
@@ -151,7 +151,7 @@
     let by_log: Vec<(f64, f64)> = detection.iter().map(|(size, value)| (size.log2(), *value)).collect();
     figures.phase("fit_until_all_know_s_by_log2", linear_fit(&by_log));
     let bytes = steady.iter().map(|(size, value)| (*size, value / 1000.0)).collect();
-    if let Some(folder) = &ground.logs {
+    if let Some(folder) = &context.logs {
         plot(folder, detection, bytes)?;
     }
     Ok(figures)
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -65,7 +65,7 @@
 
 /// Bound that a figure has to meet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Aim {
+pub enum Bound {
     Under(f64),
     AtMost(f64),
     AtLeast(f64),
@@ -73,22 +73,22 @@
     Informational,
 }
 
-impl Aim {
+impl Bound {
     fn is_met_by(self, value: f64) -> bool {
         match self {
-            Aim::Under(bound) => value < bound,
-            Aim::AtMost(bound) => value <= bound,
-            Aim::AtLeast(bound) => value >= bound,
-            Aim::Informational => true,
+            Bound::Under(bound) => value < bound,
+            Bound::AtMost(bound) => value <= bound,
+            Bound::AtLeast(bound) => value >= bound,
+            Bound::Informational => true,
         }
     }
 
     fn text(self) -> String {
         match self {
-            Aim::Under(bound) => format!("under {bound}"),
-            Aim::AtMost(bound) => format!("at most {bound}"),
-            Aim::AtLeast(bound) => format!("at least {bound}"),
-            Aim::Informational => String::new(),
+            Bound::Under(bound) => format!("under {bound}"),
+            Bound::AtMost(bound) => format!("at most {bound}"),
+            Bound::AtLeast(bound) => format!("at least {bound}"),
+            Bound::Informational => String::new(),
         }
     }
 }
@@ -102,7 +102,7 @@
 #[derive(Debug, Default)]
 pub struct Figures {
     /// Key, value and bound of each figure, without the phases.
-    entries: Vec<(&'static str, Option<f64>, Aim)>,
+    entries: Vec<(&'static str, Option<f64>, Bound)>,
     /// Other results: texts and tables.
     notes: Vec<(&'static str, Value)>,
     /// Figures of single phases, by name.
@@ -112,13 +112,13 @@
 impl Figures {
     /// Adds a figure. A missing value (`None`, or not a finite number) fails the trial whatever the aim, also if the figure is
     /// only reported. This prevents a zero from standing for missing data.
-    pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, aim: Aim) {
+    pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, aim: Bound) {
         self.entries.push((key, value.into().filter(|value| value.is_finite()), aim));
     }
 
     /// Adds a figure that is only reported.
-    pub fn told(&mut self, key: &'static str, value: impl Into<Option<f64>>) {
-        self.put(key, value, Aim::Informational);
+    pub fn report(&mut self, key: &'static str, value: impl Into<Option<f64>>) {
+        self.put(key, value, Bound::Informational);
     }
 
     /// Adds a text or a table.
@@ -179,7 +179,7 @@
         for (key, value, aim) in own.chain(phases) {
             let verdict = match (value, aim) {
                 (None, _) => "FELL SHORT",
-                (Some(_), Aim::Informational) => "",
+                (Some(_), Bound::Informational) => "",
                 (Some(value), _) if aim.is_met_by(value) => "held",
                 _ => "FELL SHORT",
             };
@@ -204,7 +204,7 @@
 }
 
 /// Options and resources that a trial runs with.
-pub struct Ground {
+pub struct TrialContext {
     pub executor: Executor,
     /// Path of the server program.
     pub program: PathBuf,
@@ -220,7 +220,7 @@
     pub schedule: Option<PathBuf>,
 }
 
-type RunTrial = fn(&Ground) -> Result<Figures, String>;
+type RunTrial = fn(&TrialContext) -> Result<Figures, String>;
 
 /// Name, description and function of each trial.
 const TRIALS: [(&str, &str, RunTrial); 14] = [
@@ -311,7 +311,7 @@
     if let Some(logs) = &options.logs {
         std::fs::create_dir_all(logs).map_err(|error| format!("{}: {error}", logs.display()))?;
     }
-    let ground = Ground {
+    let context = TrialContext {
         executor: Rc::new(async_executor::LocalExecutor::new()),
         program: server_program().map_err(|error| error.to_string())?,
         seed: options.seed,
@@ -323,7 +323,7 @@
         tenants: options.tenants.map(|tenants| tenants as usize),
         schedule: options.schedule.clone(),
     };
-    let figures = run(&ground)?;
+    let figures = run(&context)?;
     if options.json {
         println!("{}", figures.json(name, options.seed));
     } else {
--- a/crates/plovershelf-cli/src/trial/pools.rs
+++ b/crates/plovershelf-cli/src/trial/pools.rs
@@ -9,7 +9,7 @@
 use plovershelf_testkit::{cores, dependency, Clock};
 
 use super::client_overload::start_taps;
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load::{self, CallOutcome, Caller, PlannedCall};
 
 const BACKENDS: usize = 3;
@@ -39,12 +39,12 @@
                     [pool others]\nofferings = book, settle\n\n[reserve]\npool = cheap\nshare = 0.08\n";
 
 /// Draws the schedule. The calls of the valuable class are the same with and without the cheap class.
-fn planned(ground: &Ground, phase_ms: f64, with_cheap: bool) -> Vec<PlannedCall> {
+fn planned(context: &TrialContext, phase_ms: f64, with_cheap: bool) -> Vec<PlannedCall> {
     let span_ms = phase_ms * PHASES.len() as f64;
     let draw_class = |class: usize, rate: f64| {
         let mut shares = [0.0; load::CLASSES.len()];
         shares[class] = 1.0;
-        load::schedule_with_shares(ground.seed * 10 + class as u64, CLIENTS, span_ms, |_| rate, &shares)
+        load::schedule_with_shares(context.seed * 10 + class as u64, CLIENTS, span_ms, |_| rate, &shares)
     };
     let mut all = draw_class(VALUABLE, VALUABLE_RATE);
     if with_cheap {
@@ -88,14 +88,19 @@
     }
 }
 
-fn play(ground: &Ground, phase_ms: f64, with_cheap: bool, with_bulkheads: bool) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+fn play(
+    context: &TrialContext,
+    phase_ms: f64,
+    with_cheap: bool,
+    with_bulkheads: bool,
+) -> Result<RunResult, String> {
+    let executor = &context.executor;
     let clock = Clock::start();
     let share = MAX_IN_FLIGHT as f64 / BACKENDS as f64;
     let file = std::env::temp_dir().join(format!("plovershelf-pools-{}.ini", std::process::id()));
     std::fs::write(&file, BULKHEADS_FILE).map_err(|error| format!("{}: {error}", file.display()))?;
     let config = FleetConfig {
-        program: ground.program.clone(),
+        program: context.program.clone(),
         backends: BACKENDS,
         cores: cores::CoresConfig {
             cores: CORES,
@@ -113,12 +118,12 @@
         memory_mb: 192.0,
         sockets: 1024,
         stop_ms: 2500.0,
-        logs: ground.logs.clone(),
+        logs: context.logs.clone(),
         pools: with_bulkheads.then(|| file.clone()),
         cluster: None,
         peer_paths: false,
     };
-    let planned = Rc::new(planned(ground, phase_ms, with_cheap));
+    let planned = Rc::new(planned(context, phase_ms, with_cheap));
     let mut fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -126,7 +131,7 @@
         let mut callers = Vec::new();
         for number in 0..CLIENTS {
             // Callers neither throttle nor follow a priority threshold, so that the flood reaches the backends.
-            let seed = ground.seed * 1000 + number as u64 + 1;
+            let seed = context.seed * 1000 + number as u64 + 1;
             let config = ClientConfig { seed, throttle_ratio: 1000.0, ..ClientConfig::default() };
             let client = load::library_client(executor, &members, number, config)?;
             callers.push(Caller::Library(client));
@@ -173,30 +178,30 @@
     run_result
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let phase_ms = ground.seconds.unwrap_or(7.5) * 1000.0 / PHASES.len() as f64;
-    let alone = play(ground, phase_ms, false, false)?;
-    let without = play(ground, phase_ms, true, false)?;
-    let with = play(ground, phase_ms, true, true)?;
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let phase_ms = context.seconds.unwrap_or(7.5) * 1000.0 / PHASES.len() as f64;
+    let alone = play(context, phase_ms, false, false)?;
+    let without = play(context, phase_ms, true, false)?;
+    let with = play(context, phase_ms, true, true)?;
     let all = 0..PHASES.len();
     let fill = |figures: &mut Figures, phases: std::ops::Range<usize>| {
         let valuable_alone = alone.in_time_fraction(1, phases.clone());
         let (cheap, valuable) =
             (with.in_time_fraction(0, phases.clone()), with.in_time_fraction(1, phases.clone()));
-        figures.put("cheap_service", cheap, Aim::AtLeast(0.05));
-        figures.put("dear_service", valuable, Aim::AtLeast(valuable_alone - 0.03));
-        figures.told("dear_service_alone", valuable_alone);
-        figures.told("without_pools_cheap_service", without.in_time_fraction(0, phases.clone()));
-        figures.told("without_pools_dear_service", without.in_time_fraction(1, phases));
+        figures.put("cheap_service", cheap, Bound::AtLeast(0.05));
+        figures.put("dear_service", valuable, Bound::AtLeast(valuable_alone - 0.03));
+        figures.report("dear_service_alone", valuable_alone);
+        figures.report("without_pools_cheap_service", without.in_time_fraction(0, phases.clone()));
+        figures.report("without_pools_dear_service", without.in_time_fraction(1, phases));
     };
     let mut figures = Figures::default();
     let capacity = SLOTS as f64 * 1000.0 / CALL_MS;
-    figures.told("ledger_demand_ratio", (VALUABLE_RATE + CHEAP_RATE) / capacity);
+    figures.report("ledger_demand_ratio", (VALUABLE_RATE + CHEAP_RATE) / capacity);
     fill(&mut figures, all);
-    figures.put("ledger_peak_share", with.dependency_peak, Aim::Under(1.0));
-    figures.put("crowd_peak_share", with.overload_peak, Aim::Under(1.0));
-    figures.put("rules_broken", with.rules_broken as f64, Aim::AtMost(0.0));
-    figures.told("without_pools_rules_broken", without.rules_broken as f64);
+    figures.put("ledger_peak_share", with.dependency_peak, Bound::Under(1.0));
+    figures.put("crowd_peak_share", with.overload_peak, Bound::Under(1.0));
+    figures.put("rules_broken", with.rules_broken as f64, Bound::AtMost(0.0));
+    figures.report("without_pools_rules_broken", without.rules_broken as f64);
     for (index, name) in PHASES.into_iter().enumerate() {
         let mut phase_figures = Figures::default();
         fill(&mut phase_figures, index..index + 1);
--- a/crates/plovershelf-cli/src/trial/ramp.rs
+++ b/crates/plovershelf-cli/src/trial/ramp.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use super::client_overload::start_taps;
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load::{self, Caller};
 
 const CALLERS: usize = 24;
@@ -69,10 +69,15 @@
 
 /// Runs one load. With `limited`, the backends know their cold speed and their share of the dependency; otherwise they
 /// are the control.
-fn play(ground: &Ground, backends: usize, kind: CallerKind, limited: bool) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+fn play(
+    context: &TrialContext,
+    backends: usize,
+    kind: CallerKind,
+    limited: bool,
+) -> Result<RunResult, String> {
+    let executor = &context.executor;
     let clock = Clock::start();
-    let span_ms = ground.seconds.map_or(5000.0, |seconds| seconds * 1000.0);
+    let span_ms = context.seconds.map_or(5000.0, |seconds| seconds * 1000.0);
     let budget = SHARE * backends as f64;
     let share = if limited { SHARE } else { 50.0 * SHARE };
     let mut settings = load::settings(CORES, backends, CALLERS, share, OVERLOAD_FACTOR);
@@ -82,7 +87,7 @@
         settings["rules"]["warm_within_ms"] = json!(span_ms);
     }
     let config = FleetConfig {
-        program: ground.program.clone(),
+        program: context.program.clone(),
         backends,
         cores: cores::CoresConfig {
             cores: CORES,
@@ -100,13 +105,13 @@
         memory_mb: 64.0,
         sockets: 512,
         stop_ms: 1500.0,
-        logs: ground.logs.clone(),
+        logs: context.logs.clone(),
         pools: None,
         cluster: None,
         peer_paths: false,
     };
     let rate = DEMAND * backends as f64 * CORES * 1000.0 / load::mean_work_ms();
-    let planned = Rc::new(load::schedule(ground.seed, CALLERS, span_ms, |_| rate));
+    let planned = Rc::new(load::schedule(context.seed, CALLERS, span_ms, |_| rate));
     let mut fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
@@ -117,7 +122,7 @@
                 callers.push(Caller::Basic(BasicClient::new(executor, &members, number as u32)));
                 continue;
             };
-            let seed = ground.seed * 1000 + number as u64 + 1;
+            let seed = context.seed * 1000 + number as u64 + 1;
             let backpressure = BackpressureSignal::ConcurrencyPerClient;
             let config = ClientConfig {
                 seed,
@@ -163,31 +168,31 @@
     async_io::block_on(executor.run(run))
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
     let mut figures = Figures::default();
     let mut broken = 0;
     for (name, kind) in [("heed", CallerKind::Library), ("untold", CallerKind::Basic)] {
-        let result = play(ground, 1, kind, true)?;
-        let control = play(ground, 1, kind, false)?;
+        let result = play(context, 1, kind, true)?;
+        let control = play(context, 1, kind, false)?;
         let mut kind_figures = Figures::default();
-        kind_figures.told("runs", result.executions as f64);
-        kind_figures.put("crowd_mean", result.mean, Aim::AtMost(1.0));
-        kind_figures.put("crowd_peak", result.peak, Aim::AtMost(1.0));
-        kind_figures.told("control_crowd_mean", control.mean);
-        kind_figures.told("control_crowd_peak", control.peak);
+        kind_figures.report("runs", result.executions as f64);
+        kind_figures.put("crowd_mean", result.mean, Bound::AtMost(1.0));
+        kind_figures.put("crowd_peak", result.peak, Bound::AtMost(1.0));
+        kind_figures.report("control_crowd_mean", control.mean);
+        kind_figures.report("control_crowd_peak", control.peak);
         broken += result.rules_broken;
         figures.phase(name, kind_figures);
     }
-    let result = play(ground, CALLERS, CallerKind::Basic, true)?;
-    let control = play(ground, CALLERS, CallerKind::Basic, false)?;
+    let result = play(context, CALLERS, CallerKind::Basic, true)?;
+    let control = play(context, CALLERS, CallerKind::Basic, false)?;
     let mut shared = Figures::default();
-    shared.told("runs", result.executions as f64);
-    shared.put("ledger_mean", result.dependency_mean, Aim::AtMost(1.0));
-    shared.put("ledger_peak", result.dependency_peak, Aim::AtMost(1.0));
-    shared.put("crowd_mean", result.mean, Aim::AtMost(1.0));
-    shared.put("control_ledger_peak", control.dependency_peak, Aim::AtLeast(1.0));
+    shared.report("runs", result.executions as f64);
+    shared.put("ledger_mean", result.dependency_mean, Bound::AtMost(1.0));
+    shared.put("ledger_peak", result.dependency_peak, Bound::AtMost(1.0));
+    shared.put("crowd_mean", result.mean, Bound::AtMost(1.0));
+    shared.put("control_ledger_peak", control.dependency_peak, Bound::AtLeast(1.0));
     broken += result.rules_broken;
     figures.phase("shared", shared);
-    figures.put("rules_broken", broken as f64, Aim::AtMost(0.0));
+    figures.put("rules_broken", broken as f64, Bound::AtMost(0.0));
     Ok(figures)
 }
--- a/crates/plovershelf-cli/src/trial/scale.rs
+++ b/crates/plovershelf-cli/src/trial/scale.rs
@@ -18,7 +18,7 @@
 use async_io::Timer;
 use plovershelf_testkit::Clock;
 
-use super::{Figures, Ground};
+use super::{Figures, TrialContext};
 use poller::{MemberStatus, Observations, Poller, POLLER_ADDRESS};
 use processes::{Fleet, Mode, ProcessKind, Topology, CLUSTER_PORT, CONFIG_DISTRIBUTION_PORT};
 use real_backends::RealBackends;
@@ -117,13 +117,13 @@
 /// Runs one group size: measures the processes before they join, waits until the group has settled, measures its steady
 /// state and plays the scenario of faults and changes.
 fn run_size(
-    ground: &Ground,
+    context: &TrialContext,
     options: ScaleOptions,
     mode: Mode,
     number: u8,
     short: bool,
 ) -> Result<SizeResult, String> {
-    let (executor, clock) = (&ground.executor, Clock::start());
+    let (executor, clock) = (&context.executor, Clock::start());
     let topology = Topology::of(options.members)?;
     let mut result = SizeResult {
         members: options.members,
@@ -132,8 +132,8 @@
         ..SizeResult::default()
     };
     let run = async {
-        let mut fleet = Fleet::start(topology, mode, options.tenants, number, ground.logs.clone())?;
-        let mut real = RealBackends::start(ground, clock, options.callers, options.tenants).await?;
+        let mut fleet = Fleet::start(topology, mode, options.tenants, number, context.logs.clone())?;
+        let mut real = RealBackends::start(context, clock, options.callers, options.tenants).await?;
         let (racks, single) = (fleet.running(ProcessKind::Rack), fleet.running(ProcessKind::Single));
         let ids =
             |indices: &[usize], fleet: &Fleet| indices.iter().map(|p| fleet.processes[*p].id()).collect();
@@ -143,7 +143,7 @@
 
         // Baseline without a group.
         let (before, at) = (process_usage(&all_ids(&real)), clock.now());
-        let baseline = real.run_light_load(executor, clock, ground.seed, BASELINE_MS).await;
+        let baseline = real.run_light_load(executor, clock, context.seed, BASELINE_MS).await;
         let (after, span) = (process_usage(&all_ids(&real)), clock.now() - at);
         result.baseline_cost = ids_by_kind(&real).map(|ids| cost(&ids, &before, &after, span));
         result.baseline_added_ms = baseline.p99_ms();
@@ -191,7 +191,7 @@
         let cpu_ticks = resource_usage::cpu_ticks();
         let span = Duration::from_secs_f64(STEADY_STATE_MS / 1000.0);
         let counting = count_traffic(fleet.single_member_processes(), span);
-        let loaded = real.run_light_load(executor, clock, ground.seed + 1, STEADY_STATE_MS).await;
+        let loaded = real.run_light_load(executor, clock, context.seed + 1, STEADY_STATE_MS).await;
         let (after, span) = (process_usage(&all_ids(&real)), clock.now() - at);
         result.group_cost = ids_by_kind(&real).map(|ids| cost(&ids, &before, &after, span));
         result.busy_fraction = resource_usage::busy_fraction_since(cpu_ticks);
@@ -212,7 +212,7 @@
         result.memory_fraction = larger(result.memory_fraction, memory_fraction(&fleet, &real));
 
         poller.set_paused(false);
-        let schedule = scenario::schedule(ground.seed, short);
+        let schedule = scenario::schedule(context.seed, short);
         result.event_counts = scenario::play(&mut fleet, &poller, &schedule).await?;
         let all_propagated = |observed: &Observations| results::all_propagated(observed, &fleet);
         poller.wait_until(PROPAGATION_TIMEOUT_MS, all_propagated).await;
@@ -258,7 +258,7 @@
 /// Runs all sizes of one mode; returns their results and the limit that bounds the largest size. `first_run` numbers the
 /// first of the runs.
 fn run_sizes(
-    ground: &Ground,
+    context: &TrialContext,
     options: ScaleOptions,
     mode: Mode,
     first_run: u8,
@@ -266,25 +266,25 @@
     let mut all: Vec<SizeResult> = Vec::new();
     for members in smaller_sizes(options.members) {
         let options = ScaleOptions { members, ..options };
-        all.push(run_size(ground, options, mode, first_run + all.len() as u8, true)?);
+        all.push(run_size(context, options, mode, first_run + all.len() as u8, true)?);
     }
     let (members, limit) = largest_size(options.members, &all);
     let options = ScaleOptions { members, ..options };
-    all.push(run_size(ground, options, mode, first_run + all.len() as u8, false)?);
+    all.push(run_size(context, options, mode, first_run + all.len() as u8, false)?);
     Ok((all, limit))
 }
 
 /// Runs the trial with configuration distribution and, for comparison, with all members in one group.
-pub fn run(ground: &Ground) -> Result<Figures, String> {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
     let options = ScaleOptions {
-        members: ground.members.unwrap_or(DEFAULT_MEMBERS),
-        callers: ground.callers.unwrap_or(DEFAULT_CALLERS),
-        tenants: ground.tenants.unwrap_or(DEFAULT_TENANTS),
+        members: context.members.unwrap_or(DEFAULT_MEMBERS),
+        callers: context.callers.unwrap_or(DEFAULT_CALLERS),
+        tenants: context.tenants.unwrap_or(DEFAULT_TENANTS),
     };
     Topology::of(options.members)?;
-    let (with, limit) = run_sizes(ground, options, Mode::ConfigDistribution, 0)?;
-    let (without, without_limit) = run_sizes(ground, options, Mode::Group, with.len() as u8)?;
-    if let Some(folder) = &ground.logs {
+    let (with, limit) = run_sizes(context, options, Mode::ConfigDistribution, 0)?;
+    let (without, without_limit) = run_sizes(context, options, Mode::Group, with.len() as u8)?;
+    if let Some(folder) = &context.logs {
         results::plot(&with, &folder.join("scale.svg"))?;
         results::plot(&without, &folder.join("scale-without-mechanism.svg"))?;
     }
--- a/crates/plovershelf-cli/src/trial/scale/real_backends.rs
+++ b/crates/plovershelf-cli/src/trial/scale/real_backends.rs
@@ -5,13 +5,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plovershelf_simulation::statistics::Spread;
+use plovershelf_simulation::statistics::SampleDistribution;
 use plovershelf_testkit::basic_client::BasicClient;
 use plovershelf_testkit::fleet::{Fleet, FleetConfig};
 use plovershelf_testkit::{cores, dependency, Clock, Executor};
 use serde_json::json;
 
-use super::super::Ground;
+use super::super::TrialContext;
 use super::processes::{Mode, REAL_BACKENDS};
 use crate::load::{self, CallOutcome, Caller};
 
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct LoadResult {
     /// Time from the call to the response, less the execution time by the agent's clock, in milliseconds.
-    pub added_ms: Spread,
+    pub added_ms: SampleDistribution,
     pub rules_broken: u64,
 }
 
@@ -54,7 +54,7 @@
 impl RealBackends {
     /// Starts the backends without a group and connects the callers.
     pub async fn start(
-        ground: &Ground,
+        context: &TrialContext,
         clock: Clock,
         callers: usize,
         tenants: usize,
@@ -65,7 +65,7 @@
         settings["tenants"] = self::tenants(tenants).into_iter().map(quota).collect();
         let each = callers.div_ceil(REAL_BACKENDS);
         let config = FleetConfig {
-            program: ground.program.clone(),
+            program: context.program.clone(),
             backends: REAL_BACKENDS,
             cores: cores::CoresConfig {
                 cores: CORES,
@@ -83,12 +83,12 @@
             memory_mb: 192.0 + each as f64 / 8.0,
             sockets: (each * 3 / 2 + 1024).min(19_000) as u32,
             stop_ms: 2500.0,
-            logs: ground.logs.clone(),
+            logs: context.logs.clone(),
             pools: None,
             cluster: None,
             peer_paths: false,
         };
-        let executor = &ground.executor;
+        let executor = &context.executor;
         let fleet =
             Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
         let addresses = fleet.addresses();
@@ -122,7 +122,7 @@
 
     /// Makes each caller open its connection with one small call.
     async fn connect_callers(&mut self, executor: &Executor, clock: Clock) -> Result<(), String> {
-        if !self.fleet.up(clock, 15_000.0).await {
+        if !self.fleet.wait_until_up(clock, 15_000.0).await {
             return Err("the backends did not come up within 15 s".into());
         }
         let planned = self.plan_calls(1, 1.0, |_| 0.0, self.callers.len());
--- a/crates/plovershelf-cli/src/trial/scale/results.rs
+++ b/crates/plovershelf-cli/src/trial/scale/results.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 
 use plovershelf_simulation::plot::{self, Line};
-use plovershelf_simulation::statistics::{Fit, Spread};
+use plovershelf_simulation::statistics::{Fit, SampleDistribution};
 use serde_json::{json, Value};
 
-use super::super::{Aim, Figures};
+use super::super::{Bound, Figures};
 use super::poller::{MemberStatus, Observations};
 use super::processes::{Fleet, Mode, Topology, VOTERS};
 use super::resource_usage::TrafficCounter;
@@ -47,14 +47,14 @@
     /// Killed members whose failure was not detected by every untouched member.
     pub undetected: usize,
     /// Seconds from a kill until every untouched member has detected it.
-    pub detection_s: Spread,
+    pub detection_s: SampleDistribution,
     pub changes: usize,
     /// Changes that did not reach every untouched member.
     pub changes_missed: usize,
     /// Changes that were not committed.
     pub changes_not_agreed: usize,
     /// Seconds from the commit of a change until the last untouched member has it.
-    pub in_force_s: Spread,
+    pub in_force_s: SampleDistribution,
     /// Version numbers that were observed with different contents.
     pub conflicting_versions: usize,
     /// Untouched members that were removed from a view, or cut off from configuration.
@@ -311,50 +311,50 @@
 pub fn figures(all: &[SizeResult], options: ScaleOptions, limit: &str, judged: bool) -> Figures {
     let mut figures = Figures::default();
     let Some(result) = all.last() else { return figures };
-    let aim = |max: f64| if judged { Aim::AtMost(max) } else { Aim::Informational };
+    let aim = |max: f64| if judged { Bound::AtMost(max) } else { Bound::Informational };
     let zero = aim(0.0);
-    figures.told("members", result.members as f64);
-    figures.told("hollow", result.topology.map_or(0, |topology| topology.hollow()) as f64);
-    figures.told("real", result.topology.map_or(0, |topology| topology.real) as f64);
-    figures.told("processes", result.topology.map_or(0, |topology| topology.processes()) as f64);
-    figures.told("callers", options.callers as f64);
-    figures.told("tenants", options.tenants as f64);
+    figures.report("members", result.members as f64);
+    figures.report("hollow", result.topology.map_or(0, |topology| topology.hollow()) as f64);
+    figures.report("real", result.topology.map_or(0, |topology| topology.real) as f64);
+    figures.report("processes", result.topology.map_or(0, |topology| topology.processes()) as f64);
+    figures.report("callers", options.callers as f64);
+    figures.report("tenants", options.tenants as f64);
     figures.note("ended_by", limit.into());
     let share = all.iter().map(|size| size.memory_fraction).reduce(super::larger).flatten();
-    figures.put("peak_memory_share", share, Aim::AtMost(super::MAX_MEMORY_FRACTION));
-    figures.put("machine_busy_share", result.busy_fraction, Aim::Informational);
+    figures.put("peak_memory_share", share, Bound::AtMost(super::MAX_MEMORY_FRACTION));
+    figures.put("machine_busy_share", result.busy_fraction, Bound::Informational);
     figures.note("slopes", slopes(all));
     let [single, racked, real] = [0, 1, 2].map(|kind| result.cost(kind));
     figures.put("control_core_percent", single.map(|cost| cost.core_percent), aim(1.4));
     figures.put("control_memory_mb", single.map(|cost| cost.memory_mb), aim(32.0));
-    figures.put("racked_core_percent", racked.map(|cost| cost.core_percent), Aim::Informational);
-    figures.put("racked_memory_mb", racked.map(|cost| cost.memory_mb), Aim::Informational);
-    figures.put("real_core_percent", real.map(|cost| cost.core_percent), Aim::Informational);
-    figures.put("real_memory_mb", real.map(|cost| cost.memory_mb), Aim::Informational);
+    figures.put("racked_core_percent", racked.map(|cost| cost.core_percent), Bound::Informational);
+    figures.put("racked_memory_mb", racked.map(|cost| cost.memory_mb), Bound::Informational);
+    figures.put("real_core_percent", real.map(|cost| cost.core_percent), Bound::Informational);
+    figures.put("real_memory_mb", real.map(|cost| cost.memory_mb), Bound::Informational);
     figures.put("control_bytes_a_second", result.bytes_per_second, aim(4096.0));
-    figures.put("leader_bytes_a_second", result.leader_bytes_per_second, Aim::Informational);
-    figures.put("links_a_member", result.links, Aim::Informational);
-    figures.put("alone_bytes_a_second_worst", result.max_single_bytes_per_second, Aim::Informational);
+    figures.put("leader_bytes_a_second", result.leader_bytes_per_second, Bound::Informational);
+    figures.put("links_a_member", result.links, Bound::Informational);
+    figures.put("alone_bytes_a_second_worst", result.max_single_bytes_per_second, Bound::Informational);
     if result.mode == Some(Mode::ConfigDistribution) {
-        figures.told("relays_killed", result.event_counts.relays as f64);
-        figures.told("proposals_refused", result.refused as f64);
-        figures.put("oldest_word_s", result.max_age_s, Aim::Informational);
-        figures.put("sum_off_at_the_end", result.listener_count_error, Aim::Informational);
+        figures.report("relays_killed", result.event_counts.relays as f64);
+        figures.report("proposals_refused", result.refused as f64);
+        figures.put("oldest_word_s", result.max_age_s, Bound::Informational);
+        figures.put("sum_off_at_the_end", result.listener_count_error, Bound::Informational);
     }
-    figures.told("settled_share", result.settled_fraction);
-    figures.told("deaths", result.killed as f64);
-    figures.put("death_known_s_worst", result.max_detection_s(), Aim::Informational);
-    figures.told("deaths_not_known", result.undetected as f64);
-    figures.told("changes", result.changes as f64);
+    figures.report("settled_share", result.settled_fraction);
+    figures.report("deaths", result.killed as f64);
+    figures.put("death_known_s_worst", result.max_detection_s(), Bound::Informational);
+    figures.report("deaths_not_known", result.undetected as f64);
+    figures.report("changes", result.changes as f64);
     figures.put("change_in_force_s_99", result.p99_in_force_s(), aim(4.0));
     figures.put("changes_missed", result.changes_missed as f64, zero);
-    figures.told("changes_not_agreed", result.changes_not_agreed as f64);
+    figures.report("changes_not_agreed", result.changes_not_agreed as f64);
     figures.put("two_at_one_number", result.conflicting_versions as f64, zero);
     figures.put("healthy_put_out", result.healthy_members_removed as f64, zero);
     figures.put("added_ms_99", result.added_ms, aim(1.1));
-    figures.put("added_ms_99_off", result.baseline_added_ms, Aim::Informational);
-    figures.told("questions", result.polls as f64);
-    figures.told("unanswered", result.unanswered as f64);
+    figures.put("added_ms_99_off", result.baseline_added_ms, Bound::Informational);
+    figures.report("questions", result.polls as f64);
+    figures.report("unanswered", result.unanswered as f64);
     figures.put("rules_broken", all.iter().map(|size| size.rules_broken).sum::<u64>() as f64, zero);
     figures
 }
--- a/crates/plovershelf-cli/src/trial/soak.rs
+++ b/crates/plovershelf-cli/src/trial/soak.rs
@@ -36,7 +36,7 @@
 use self::machine_delay::MachineDelay;
 use self::plan::{Plan, CORES, DEPENDENCY_SHARE, OVERLOAD_FACTOR};
 use self::probes::SharedProbeResults;
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 
 /// Default duration of the load of one seed.
 const DEFAULT_SPAN_MS: f64 = 12_000.0;
@@ -62,19 +62,19 @@
 }
 
 /// Runs the given number of seeds, one after the other, and returns the figures of the trial.
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let span_ms = ground.seconds.map_or(DEFAULT_SPAN_MS, |seconds| seconds * 1000.0).max(MIN_SPAN_MS);
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let span_ms = context.seconds.map_or(DEFAULT_SPAN_MS, |seconds| seconds * 1000.0).max(MIN_SPAN_MS);
     let mut violations_by_promise: BTreeMap<Promise, u64> = BTreeMap::new();
     let (mut failed_seeds, mut seeds_without_data) = (Vec::new(), Vec::new());
     let (mut totals, mut retries, mut worst_late_ms) = (Totals::default(), 0, 0.0f64);
-    let seeds = ground.seeds.unwrap_or(1);
-    for seed in ground.seed..ground.seed + seeds {
+    let seeds = context.seeds.unwrap_or(1);
+    for seed in context.seed..context.seed + seeds {
         let plan = Plan::draw(seed, span_ms);
         let executor: Executor = Rc::new(async_executor::LocalExecutor::new());
-        let result = run_seed(&executor, ground, &plan)?;
+        let result = run_seed(&executor, context, &plan)?;
         if !result.violations.is_empty() {
             failed_seeds.push(seed);
-            print_violations(ground, &plan, &result.violations);
+            print_violations(context, &plan, &result.violations);
         }
         let seed_totals = result.totals;
         if seed_totals.restarts == 0 || seed_totals.rejected == 0 || result.retries == 0 {
@@ -95,19 +95,19 @@
         worst_late_ms = worst_late_ms.max(result.worst_late_ms);
     }
     let mut figures = Figures::default();
-    figures.told("seeds", seeds as f64);
-    figures.put("broken_promises", violations_by_promise.values().sum::<u64>() as f64, Aim::AtMost(0.0));
-    figures.put("seeds_without_data", seeds_without_data.len() as f64, Aim::AtMost(0.0));
+    figures.report("seeds", seeds as f64);
+    figures.put("broken_promises", violations_by_promise.values().sum::<u64>() as f64, Bound::AtMost(0.0));
+    figures.put("seeds_without_data", seeds_without_data.len() as f64, Bound::AtMost(0.0));
     let ready = (totals.restarts > 0).then(|| totals.restarts_ready as f64 / totals.restarts as f64);
-    figures.put("restarts_ready_in_10_s", ready, Aim::AtLeast(MIN_READY_RESTART_FRACTION));
-    figures.told("requests", totals.requests as f64);
-    figures.told("succeeded", totals.succeeded as f64);
-    figures.told("rejected", totals.rejected as f64);
-    figures.told("retries", retries as f64);
-    figures.told("keyed_launches", totals.keyed_launches as f64);
-    figures.told("bad_clients", totals.bad_clients as f64);
-    figures.told("restarts", totals.restarts as f64);
-    figures.told("worst_timer_late_ms", worst_late_ms);
+    figures.put("restarts_ready_in_10_s", ready, Bound::AtLeast(MIN_READY_RESTART_FRACTION));
+    figures.report("requests", totals.requests as f64);
+    figures.report("succeeded", totals.succeeded as f64);
+    figures.report("rejected", totals.rejected as f64);
+    figures.report("retries", retries as f64);
+    figures.report("keyed_launches", totals.keyed_launches as f64);
+    figures.report("bad_clients", totals.bad_clients as f64);
+    figures.report("restarts", totals.restarts as f64);
+    figures.report("worst_timer_late_ms", worst_late_ms);
     let violation_counts =
         violations_by_promise.iter().map(|(promise, count)| (promise.name().to_string(), json!(count)));
     figures.note("broken", violation_counts.collect::<serde_json::Map<_, _>>().into());
@@ -117,7 +117,7 @@
 }
 
 /// Prints the plan, the command that repeats the run, and the first violations of a seed.
-fn print_violations(ground: &Ground, plan: &Plan, violations: &[Violation]) {
+fn print_violations(context: &TrialContext, plan: &Plan, violations: &[Violation]) {
     let seconds = plan.span_ms / 1000.0;
     eprintln!(
         "seed {}: {} promises broken; to repeat: plovershelf trial soak --seed {0} --seconds {seconds}",
@@ -128,14 +128,14 @@
     for Violation { promise, history } in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         eprintln!("  {}: {history}", promise.name());
     }
-    if let Some(logs) = &ground.logs {
+    if let Some(logs) = &context.logs {
         eprintln!("  logs of the backends: {}", logs.display());
     }
 }
 
-fn fleet_config(ground: &Ground, plan: &Plan, bulkheads_file: Option<PathBuf>) -> FleetConfig {
+fn fleet_config(context: &TrialContext, plan: &Plan, bulkheads_file: Option<PathBuf>) -> FleetConfig {
     FleetConfig {
-        program: ground.program.clone(),
+        program: context.program.clone(),
         backends: plan.backends,
         cores: CoresConfig {
             cores: CORES,
@@ -153,7 +153,7 @@
         memory_mb: plan.memory_mb,
         sockets: plan.sockets,
         stop_ms: plan.stop_ms,
-        logs: ground.logs.clone(),
+        logs: context.logs.clone(),
         pools: bulkheads_file,
         cluster: None,
         peer_paths: true,
@@ -172,12 +172,12 @@
 }
 
 /// Runs one plan on a new fleet and evaluates the run.
-fn run_seed(executor: &Executor, ground: &Ground, plan: &Plan) -> Result<SeedResult, String> {
+fn run_seed(executor: &Executor, context: &TrialContext, plan: &Plan) -> Result<SeedResult, String> {
     let clock = Clock::start();
     let bulkheads_file = write_bulkheads_file(plan)?;
-    let fleet = Fleet::start(executor, clock, &fleet_config(ground, plan, bulkheads_file.clone()))
+    let fleet = Fleet::start(executor, clock, &fleet_config(context, plan, bulkheads_file.clone()))
         .map_err(|error| format!("starting backends: {error}"))?;
-    if !async_io::block_on(executor.run(fleet.up(clock, READY_TIMEOUT_MS))) {
+    if !async_io::block_on(executor.run(fleet.wait_until_up(clock, READY_TIMEOUT_MS))) {
         return Err("the backends did not come up within 15 s".to_string());
     }
     let addresses = fleet.addresses();
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg64;
 
 use super::client_overload::fleet_config;
-use super::{Aim, Figures, Ground};
+use super::{Bound, Figures, TrialContext};
 use crate::load;
 use crate::zones::ask_zones;
 
@@ -54,7 +54,7 @@
         };
         match kind {
             0 => add_outage(at_ms, 7000.0, &|member| Fault::Kill { member, folder: Folder::Wiped }),
-            1 => add_outage(at_ms, 6000.0, &|member| Fault::Unfit { member }),
+            1 => add_outage(at_ms, 6000.0, &|member| Fault::Unready { member }),
             2 => (0..2).for_each(|n| {
                 add_outage(at_ms + 8000.0 * f64::from(n), 4000.0, &|member| Fault::Kill {
                     member,
@@ -132,24 +132,24 @@
 
 /// Runs a schedule of faults under load; with `planned`, callers follow the failover plan.
 fn play(
-    ground: &Ground,
+    context: &TrialContext,
     schedule: &Schedule,
     outages: &[(f64, f64, usize)],
     planned: bool,
 ) -> Result<RunResult, String> {
-    let executor = &ground.executor;
+    let executor = &context.executor;
     let clock = Clock::start();
-    let mut config = fleet_config(ground, MEMBERS, 24);
+    let mut config = fleet_config(context, MEMBERS, 24);
     config.cores = cores::CoresConfig { cores: CORES, ..config.cores };
     config.settings = load::settings(CORES, MEMBERS, 24, 40.0, 8.0);
     let zones: String =
         topology().zones().iter().map(|z| format!("[zone {}]\nregion = {}\n", z.name, z.region)).collect();
     let more = format!("replace_ms = 1500\n\n{zones}[zones]\nwell_ms = 4000\n");
-    config.cluster = Some(cluster::ClusterConfig { zones: ZONES, founders: 5, folders: true, more });
+    config.cluster = Some(cluster::ClusterConfig { zones: ZONES, initial_voters: 5, folders: true, more });
     let fleet =
         Fleet::start(executor, clock, &config).map_err(|error| format!("starting backends: {error}"))?;
     let run = async {
-        if !fleet.up(clock, 15_000.0).await {
+        if !fleet.wait_until_up(clock, 15_000.0).await {
             return Err("the backends did not come up within 15 s".to_string());
         }
         Timer::after(Duration::from_millis(4000)).await;
@@ -176,7 +176,7 @@
         let open = Rc::new(Cell::new(0u64));
         // Callers request the plan from members, half of the time from one in their own zone, and report their observations.
         let request_plans = async {
-            let mut rng = Pcg64::seed_from_u64(ground.seed ^ 0x91a);
+            let mut rng = Pcg64::seed_from_u64(context.seed ^ 0x91a);
             while clock.now() < ends_ms && planned {
                 for (zone, origin) in origins.iter().enumerate() {
                     let report = origin.advisor.borrow_mut().poll_report(clock.now());
@@ -236,7 +236,7 @@
             }
         };
         let generate_load = async {
-            let mut rng = Pcg64::seed_from_u64(ground.seed);
+            let mut rng = Pcg64::seed_from_u64(context.seed);
             let mut number = 0u64;
             while clock.now() < ends_ms {
                 number += 1;
@@ -389,36 +389,36 @@
     duration_ms.iter().map(|(out, ms)| revenue_fraction(out) * ms).sum::<f64>() / total_ms
 }
 
-pub fn run(ground: &Ground) -> Result<Figures, String> {
-    let (schedule, outages) = schedule(ground.seed);
-    if let Some(logs) = &ground.logs {
+pub fn run(context: &TrialContext) -> Result<Figures, String> {
+    let (schedule, outages) = schedule(context.seed);
+    if let Some(logs) = &context.logs {
         let file = logs.join("schedule.txt");
         std::fs::write(&file, schedule.to_string())
             .map_err(|error| format!("{}: {error}", file.display()))?;
     }
-    let planned = play(ground, &schedule, &outages, true)?;
-    let unplanned = play(ground, &schedule, &outages, false)?;
+    let planned = play(context, &schedule, &outages, true)?;
+    let unplanned = play(context, &schedule, &outages, false)?;
     let revenue_share =
         |run: &RunResult| run.counts.earned_revenue.get() / run.counts.requested_revenue.get().max(1.0);
     let ratio = |cell: &Cell<[f64; 2]>| cell.get()[0] / cell.get()[1].max(1.0);
     let (planned_share, unplanned_share) = (revenue_share(&planned), revenue_share(&unplanned));
     let best = best_revenue_fraction(&schedule, &outages);
-    let zero = Aim::AtMost(0.0);
+    let zero = Bound::AtMost(0.0);
     let mut figures = Figures::default();
-    figures.told("processes", MEMBERS as f64);
-    figures.told("faults", schedule.steps.len() as f64);
-    figures.told("kinds_of_fault", schedule.kinds() as f64);
-    figures.put("near_share_calm", ratio(&planned.counts.local_calm), Aim::AtLeast(0.98));
-    figures.told("near_share_healthy_zones", ratio(&planned.counts.local_healthy));
-    figures.told("revenue_share", planned_share);
-    figures.told("revenue_share_best", best);
-    figures.put("revenue_to_best", planned_share / best.max(1e-9), Aim::AtLeast(0.93));
-    figures.told("revenue_share_each_alone", unplanned_share);
-    figures.put("revenue_over_each_alone", planned_share - unplanned_share, Aim::AtLeast(0.0));
-    figures.put("shift_s_worst", planned.max_shift_s, Aim::AtMost(3.0));
-    figures.told("moves", planned.reversals as f64);
+    figures.report("processes", MEMBERS as f64);
+    figures.report("faults", schedule.steps.len() as f64);
+    figures.report("kinds_of_fault", schedule.kinds() as f64);
+    figures.put("near_share_calm", ratio(&planned.counts.local_calm), Bound::AtLeast(0.98));
+    figures.report("near_share_healthy_zones", ratio(&planned.counts.local_healthy));
+    figures.report("revenue_share", planned_share);
+    figures.report("revenue_share_best", best);
+    figures.put("revenue_to_best", planned_share / best.max(1e-9), Bound::AtLeast(0.93));
+    figures.report("revenue_share_each_alone", unplanned_share);
+    figures.put("revenue_over_each_alone", planned_share - unplanned_share, Bound::AtLeast(0.0));
+    figures.put("shift_s_worst", planned.max_shift_s, Bound::AtMost(3.0));
+    figures.report("moves", planned.reversals as f64);
     figures.put("needless_shifts", planned.counts.needless_revisions.get() as f64, zero);
-    figures.told("late", planned.counts.late.get() as f64);
+    figures.report("late", planned.counts.late.get() as f64);
     figures.put("effects_twice", planned.effects_twice as f64, zero);
     figures.put("rules_broken", planned.rules_broken as f64, zero);
     Ok(figures)
--- a/crates/plovershelf-cli/tests/config.rs
+++ b/crates/plovershelf-cli/tests/config.rs
@@ -103,7 +103,7 @@
         config: Default::default(),
     };
     let listener = setup.listen.to_string();
-    config_distribution::start_listener(setup, "n1".into(), Subscriber::Nobody).expect("start a listener");
+    config_distribution::start_listener(setup, "n1".into(), Subscriber::Discard).expect("start a listener");
     let proposed = control.propose("[set]\nacme = 7\n[add]\nnew = 2\n", &["--after", "0"]);
     assert_eq!(proposed, (0, "agreed as number 1\n".into()));
     let all: Vec<String> = control.addresses.iter().skip(1).map(SocketAddr::to_string).collect();
--- a/crates/plovershelf-codec/src/agent.rs
+++ b/crates/plovershelf-codec/src/agent.rs
@@ -30,7 +30,7 @@
         /// Whether the cores have just started.
         fresh: bool,
         /// Uptime of the agent in milliseconds.
-        up_for_ms: f64,
+        uptime_ms: f64,
     },
     /// A run has ended.
     RunEnded {
@@ -116,7 +116,7 @@
         b"steady" => false,
         _ => return None,
     };
-    non_negative(uptime).map(|up_for_ms| Notice::Greeting { fresh, up_for_ms })
+    non_negative(uptime).map(|uptime_ms| Notice::Greeting { fresh, uptime_ms })
 }
 
 fn run_result(word: &[u8]) -> Option<RunResult> {
--- a/crates/plovershelf-codec/src/front.rs
+++ b/crates/plovershelf-codec/src/front.rs
@@ -8,7 +8,7 @@
 mod binary_protocol;
 pub mod client;
 
-pub use binary_protocol::{FrameError, LENGTH_BYTES};
+pub use binary_protocol::{FrameError, LENGTH_PREFIX_BYTES};
 use binary_protocol::{
     Header, Reader, TextField, Writer, BOOL, CALL, EXCEPTION, I32, MAP, MAX_NESTED, ONEWAY, REPLY, STRING,
     STRUCT,
@@ -156,7 +156,7 @@
 /// # Errors
 /// Returns an error if the length is negative or above `max_length`.
 pub fn frame_length(read: &[u8], max_length: usize) -> Result<Option<usize>, FrameError> {
-    let Some(prefix) = read.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let Some(prefix) = read.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
     match usize::try_from(i32::from_be_bytes(*prefix)) {
         Ok(length) if length <= max_length => Ok(Some(length)),
         Ok(_) => Err(FrameError::TooLong),
@@ -171,8 +171,8 @@
 /// Returns an error if the length is negative or above `max_length`.
 pub fn decode_first(read: &[u8], max_length: usize) -> Result<Option<(&[u8], usize)>, FrameError> {
     let Some(length) = frame_length(read, max_length)? else { return Ok(None) };
-    let end = LENGTH_BYTES + length;
-    Ok(read.get(LENGTH_BYTES..end).map(|frame| (frame, end)))
+    let end = LENGTH_PREFIX_BYTES + length;
+    Ok(read.get(LENGTH_PREFIX_BYTES..end).map(|frame| (frame, end)))
 }
 
 /// Decodes a client's message from a frame without its length prefix.
--- a/crates/plovershelf-codec/src/front/binary_protocol.rs
+++ b/crates/plovershelf-codec/src/front/binary_protocol.rs
@@ -34,7 +34,7 @@
 const LIST: u8 = 15;
 
 /// Length of a frame's length prefix, in bytes.
-pub const LENGTH_BYTES: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Error of a malformed frame or of a message that the peer must not send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -211,7 +211,7 @@
 impl Writer {
     /// Starts a frame with the header of a message.
     pub(super) fn message(message_type: u8, method: &str, seqid: i32) -> Self {
-        let mut writer = Writer { frame: vec![0; LENGTH_BYTES] };
+        let mut writer = Writer { frame: vec![0; LENGTH_PREFIX_BYTES] };
         writer.raw(&(STRICT_VERSION | u32::from(message_type)).to_be_bytes());
         writer.binary(method.as_bytes());
         writer.i32(seqid);
@@ -254,8 +254,8 @@
     /// Ends the open structs, sets the length prefix and returns the frame.
     pub(super) fn finish(mut self, open_structs: usize) -> Vec<u8> {
         self.frame.resize(self.frame.len() + open_structs, STOP);
-        let length = (self.frame.len() - LENGTH_BYTES) as u32;
-        self.frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+        let length = (self.frame.len() - LENGTH_PREFIX_BYTES) as u32;
+        self.frame[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
         self.frame
     }
 }
--- a/crates/plovershelf-codec/src/lines/tests.rs
+++ b/crates/plovershelf-codec/src/lines/tests.rs
@@ -21,7 +21,7 @@
     };
     let text = format!("request 8 {NAME} 0\r\n\r\n");
     assert_eq!(notice(&text), Notice::CallRequested { number: 8, id: ID, call: b"" });
-    assert_eq!(notice("greeting booting 12\r\n"), Notice::Greeting { fresh: true, up_for_ms: 12.0 });
+    assert_eq!(notice("greeting booting 12\r\n"), Notice::Greeting { fresh: true, uptime_ms: 12.0 });
     let gauges = vec![0.5, 12.0, 0.25, 24.0];
     assert_eq!(notice("sampled 3 0.5 12 0.25 24\r\n"), Notice::Sampled { tag: b"3", gauges });
     let text = format!("refusal launch {NAME}\r\n");
--- a/crates/plovershelf-codec/tests/pins.rs
+++ b/crates/plovershelf-codec/tests/pins.rs
@@ -263,8 +263,8 @@
     let pinned = pinned("agent");
     let run_ended = |number, id, over, result: &'static [u8]| Notice::RunEnded { number, id, over, result };
     let expected = [
-        ("greeting_booting", Notice::Greeting { fresh: true, up_for_ms: 12.0 }),
-        ("greeting_steady", Notice::Greeting { fresh: false, up_for_ms: 3456.5 }),
+        ("greeting_booting", Notice::Greeting { fresh: true, uptime_ms: 12.0 }),
+        ("greeting_steady", Notice::Greeting { fresh: false, uptime_ms: 3456.5 }),
         ("outcome_success", run_ended(7, ID, RunResult::Succeeded, b"a\r\nbc")),
         ("outcome_failure", run_ended(8, OTHER_ID, RunResult::Failed, b"x")),
         ("outcome_interrupted", run_ended(9, ID, RunResult::Interrupted, b"")),
--- a/crates/plovershelf-config/src/config_distribution.rs
+++ b/crates/plovershelf-config/src/config_distribution.rs
@@ -8,7 +8,7 @@
 use ini::Properties;
 use plovershelf_config_distribution::{DistributionConfig, Edit, QuotaTable, MAX_QUOTA_PER_S, MAX_TENANTS};
 
-use crate::{FileParser, Wrong};
+use crate::{FileParser, InvalidFile};
 
 /// Contents of a valid listener's file.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,7 +53,7 @@
     },
     /// The file is invalid; the error lists all of its errors.
     #[error("{0}")]
-    Invalid(Wrong),
+    Invalid(InvalidFile),
 }
 
 impl Origin {
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 /// Returns all errors of the file.
-pub fn read(file: &str, text: &str) -> Result<Listener, Wrong> {
+pub fn read(file: &str, text: &str) -> Result<Listener, InvalidFile> {
     let (mut parser, ini) = FileParser::new(file, text)?;
     let mut listener = None;
     for (section, properties) in ini.iter() {
@@ -135,7 +135,7 @@
         Some(listener) => parser.finish(listener),
         None => {
             parser.report(SECTION, "is missing");
-            Err(Wrong(parser.errors))
+            Err(InvalidFile(parser.errors))
         }
     }
 }
@@ -201,7 +201,7 @@
 ///
 /// # Errors
 /// Returns all errors of the file, or the first of them if there are very many.
-pub fn tenants(file: &str, text: &str) -> Result<QuotaTable, Wrong> {
+pub fn tenants(file: &str, text: &str) -> Result<QuotaTable, InvalidFile> {
     let (mut parser, ini) = FileParser::with_max_bytes(file, text, MAX_LIST_BYTES)?;
     let mut list: BTreeMap<Box<str>, f64> = BTreeMap::new();
     for (section, properties) in ini.iter() {
@@ -223,7 +223,7 @@
     }
     if list.len() > MAX_TENANTS {
         parser.report("tenants", &format!("names {}: {MAX_TENANTS} at most", list.len()));
-        return Err(Wrong(parser.errors));
+        return Err(InvalidFile(parser.errors));
     }
     let table = match QuotaTable::initial(list) {
         Ok(table) => table,
@@ -243,7 +243,7 @@
 ///
 /// # Errors
 /// Returns all errors of the file. Whether the tenants exist is checked when the change is proposed.
-pub fn edits(file: &str, text: &str) -> Result<Vec<Edit>, Wrong> {
+pub fn edits(file: &str, text: &str) -> Result<Vec<Edit>, InvalidFile> {
     let (mut parser, ini) = FileParser::new(file, text)?;
     let mut edits: Vec<Edit> = Vec::new();
     for (section, properties) in ini.iter() {
--- a/crates/plovershelf-config/src/config_distribution/tests.rs
+++ b/crates/plovershelf-config/src/config_distribution/tests.rs
@@ -38,9 +38,9 @@
     let section = "[changes]\nlisten = 127.0.0.1:7501\nsources = 127.0.0.1:7502\ntenants = t.ini\n";
     let valid = format!("{group}folder = /x\n{section}");
     let read = |text: &str| crate::group::read("g.ini", text);
-    let origin = read(&valid).expect("a valid file").changes.expect("an origin");
+    let origin = read(&valid).expect("a valid file").config_distribution.expect("an origin");
     assert_eq!((origin.listen.port(), origin.origins.len()), (7501, 1));
-    assert!(read(&format!("{group}folder = /x\n")).expect("a valid file").changes.is_none());
+    assert!(read(&format!("{group}folder = /x\n")).expect("a valid file").config_distribution.is_none());
     let same_address = valid.replace("7501", "7400");
     let (without_folder, same_address) = (read(&format!("{group}{section}")), read(&same_address));
     assert!(
--- a/crates/plovershelf-config/src/group.rs
+++ b/crates/plovershelf-config/src/group.rs
@@ -11,7 +11,7 @@
 };
 use plovershelf_replication::ReplicationConfig;
 
-use crate::{FileParser, Wrong};
+use crate::{FileParser, InvalidFile};
 
 /// Contents of a valid `group.ini`.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,24 +27,24 @@
     /// Addresses of members through which this member joins.
     pub seeds: Vec<SocketAddr>,
     /// Names of the initial voters; the first one bootstraps the cluster.
-    pub council: Vec<String>,
+    pub initial_voters: Vec<String>,
     /// Folder of the votes and the log; without it they are in memory only.
     pub folder: Option<PathBuf>,
     /// Timeouts of membership and consensus, and the number of voters.
     pub config: NodeConfig,
     /// Addresses to use for members that can't be reached at the address that they announce, by member name.
-    pub ways: BTreeMap<String, SocketAddr>,
+    pub address_overrides: BTreeMap<String, SocketAddr>,
     /// Replication of deduplication records, if enabled.
     pub replication: Option<ReplicationConfig>,
     /// Failover between zones, if the file has sections for it.
-    pub zones: Option<Zones>,
+    pub failover: Option<FailoverConfig>,
     /// Configuration distribution from this member as an origin, if the file has its section.
-    pub changes: Option<crate::config_distribution::Origin>,
+    pub config_distribution: Option<crate::config_distribution::Origin>,
 }
 
 /// Zones and settings of the failover planner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Zones {
+pub struct FailoverConfig {
     /// Zones and the latencies between them.
     pub topology: Topology,
     /// Settings of the planner.
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// Returns all errors of the file.
-pub fn read(file: &str, text: &str) -> Result<Group, Wrong> {
+pub fn read(file: &str, text: &str) -> Result<Group, InvalidFile> {
     let (mut parser, ini) = FileParser::new(file, text)?;
     let config = NodeConfig::default();
     let mut group = Group {
@@ -99,13 +99,13 @@
         zone: String::new(),
         region: String::new(),
         seeds: Vec::new(),
-        council: Vec::new(),
+        initial_voters: Vec::new(),
         folder: None,
         config,
-        ways: BTreeMap::new(),
+        address_overrides: BTreeMap::new(),
         replication: None,
-        zones: None,
-        changes: None,
+        failover: None,
+        config_distribution: None,
     };
     let (mut zones, mut latencies, mut planner_config) = (Vec::new(), Vec::new(), PlannerConfig::default());
     let mut seen: Vec<&str> = Vec::new();
@@ -129,12 +129,12 @@
                 group.replication = Some(read_replication(&mut parser, properties));
             }
             crate::config_distribution::SECTION => {
-                group.changes = Some(crate::config_distribution::origin(&mut parser, properties));
+                group.config_distribution = Some(crate::config_distribution::origin(&mut parser, properties));
             }
             "ways" => {
                 for (from, to) in properties.iter() {
                     match to.trim().parse() {
-                        Ok(to) if group.ways.insert(from.trim().to_string(), to).is_none() => {}
+                        Ok(to) if group.address_overrides.insert(from.trim().to_string(), to).is_none() => {}
                         Ok(_) => parser.report(section, &format!("{from} stands there twice")),
                         Err(_) => parser.report(section, &format!("{from} = {to:?}: NAME = ADDRESS:PORT")),
                     }
@@ -167,7 +167,7 @@
     if !seen.contains(&"group") {
         parser.report("group", "is missing");
     }
-    if let Some(changes) = &group.changes {
+    if let Some(changes) = &group.config_distribution {
         if group.folder.is_none() {
             let reason = "what was agreed on would be lost when all sources start anew";
             parser.report("group", &format!("folder is missing, and [changes] needs it: {reason}"));
@@ -179,7 +179,7 @@
             );
         }
     }
-    group.zones = topology(&mut parser, zones, &latencies, &group.zone).map(|topology| Zones {
+    group.failover = topology(&mut parser, zones, &latencies, &group.zone).map(|topology| FailoverConfig {
         topology,
         planner: planner_config,
         report_limits: ReportLimits::default(),
@@ -278,29 +278,30 @@
             Err(_) => parser.report(section, &format!("seeds: {seed:?}: ADDRESS:PORT, with commas between")),
         }
     }
-    group.council = list("council");
-    if group.council.is_empty() {
+    group.initial_voters = list("council");
+    if group.initial_voters.is_empty() {
         parser.report(
             section,
             "council is missing: names of the first voters, of which the first founds the group",
         );
     }
-    for name in group.council.iter().filter(|name| name.contains(char::is_whitespace)) {
+    for name in group.initial_voters.iter().filter(|name| name.contains(char::is_whitespace)) {
         parser.report(section, &format!("council: {name:?}: one word a name, with commas between"));
     }
-    let mut names = group.council.clone();
+    let mut names = group.initial_voters.clone();
     names.sort();
     names.dedup();
-    if names.len() < group.council.len() {
+    if names.len() < group.initial_voters.len() {
         parser.report(section, "council names one twice");
     }
     let max_voters = plovershelf_cluster::consensus::MAX_VOTERS;
-    let voters = parser.count(section, properties, "voters", group.council.len().max(1));
+    let voters = parser.count(section, properties, "voters", group.initial_voters.len().max(1));
     if voters.is_multiple_of(2) || voters > max_voters {
         parser.report(section, &format!("voters = {voters}: 1, 3, 5 or {max_voters}"));
     }
-    if group.council.len() > max_voters {
-        parser.report(section, &format!("council names {}: {max_voters} at most", group.council.len()));
+    if group.initial_voters.len() > max_voters {
+        parser
+            .report(section, &format!("council names {}: {max_voters} at most", group.initial_voters.len()));
     }
     group.config.voters = voters;
     group.folder = parser.path(section, properties, "folder");
--- a/crates/plovershelf-config/src/group/tests.rs
+++ b/crates/plovershelf-config/src/group/tests.rs
@@ -7,9 +7,9 @@
 #[test]
 fn a_valid_file_is_read() {
     let group = read("group.ini", VALID).expect("a valid file");
-    assert_eq!((group.config.voters, group.council.len(), group.seeds.len()), (3, 3, 2));
+    assert_eq!((group.config.voters, group.initial_voters.len(), group.seeds.len()), (3, 3, 2));
     assert_eq!((group.config.lease_duration_ms, group.config.lease_renew_interval_ms), (800.0, 200.0));
-    assert_eq!(group.ways.len(), 1);
+    assert_eq!(group.address_overrides.len(), 1);
 }
 
 #[test]
@@ -17,7 +17,7 @@
     let zones =
         "[zone a]\nregion = north\n[zone b]\nregion = south\n[way a b]\nms = 12\n[zones]\nvalid_ms = 3000\n";
     let group = read("group.ini", &format!("{VALID}{zones}")).expect("a valid file");
-    let zones = group.zones.expect("zones");
+    let zones = group.failover.expect("zones");
     assert_eq!(
         (zones.topology.len(), zones.topology.latency_ms(1, 0), zones.planner.valid_ms),
         (2, 12.0, 3000.0)
--- a/crates/plovershelf-config/src/lib.rs
+++ b/crates/plovershelf-config/src/lib.rs
@@ -12,9 +12,9 @@
 
 /// All errors of a file, one line each.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Wrong(pub Vec<String>);
+pub struct InvalidFile(pub Vec<String>);
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for InvalidFile {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(out, "{}", self.0.join("; "))
     }
@@ -30,17 +30,17 @@
 }
 
 impl<'a> FileParser<'a> {
-    fn new(file: &'a str, text: &str) -> Result<(Self, Ini), Wrong> {
+    fn new(file: &'a str, text: &str) -> Result<(Self, Ini), InvalidFile> {
         FileParser::with_max_bytes(file, text, MAX_FILE_BYTES)
     }
 
-    fn with_max_bytes(file: &'a str, text: &str, max_bytes: usize) -> Result<(Self, Ini), Wrong> {
+    fn with_max_bytes(file: &'a str, text: &str, max_bytes: usize) -> Result<(Self, Ini), InvalidFile> {
         if text.len() > max_bytes {
-            return Err(Wrong(vec![format!("{file}: longer than {max_bytes} bytes")]));
+            return Err(InvalidFile(vec![format!("{file}: longer than {max_bytes} bytes")]));
         }
         match Ini::load_from_str_noescape(text) {
             Ok(ini) => Ok((FileParser { file, errors: Vec::new() }, ini)),
-            Err(error) => Err(Wrong(vec![format!("{file}: line {}: {}", error.line + 1, error.msg)])),
+            Err(error) => Err(InvalidFile(vec![format!("{file}: line {}: {}", error.line + 1, error.msg)])),
         }
     }
 
@@ -136,11 +136,11 @@
         }
     }
 
-    fn finish<T>(self, value: T) -> Result<T, Wrong> {
+    fn finish<T>(self, value: T) -> Result<T, InvalidFile> {
         if self.errors.is_empty() {
             Ok(value)
         } else {
-            Err(Wrong(self.errors))
+            Err(InvalidFile(self.errors))
         }
     }
 }
--- a/crates/plovershelf-config/src/pools.rs
+++ b/crates/plovershelf-config/src/pools.rs
@@ -3,7 +3,7 @@
 use ini::{Ini, Properties};
 use plovershelf_bulkhead::{BulkheadConfig, BulkheadPlan, Reserve};
 
-use crate::{suggestion, FileParser, Wrong};
+use crate::{suggestion, FileParser, InvalidFile};
 
 const BULKHEAD_KEYS: [&str; 6] =
     ["offerings", "least_runs", "most_runs", "least_calls", "most_calls", "weight"];
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// Returns all errors of the file.
-pub fn read(file: &str, text: &str, classes: &[String]) -> Result<BulkheadPlan, Wrong> {
+pub fn read(file: &str, text: &str, classes: &[String]) -> Result<BulkheadPlan, InvalidFile> {
     let (mut parser, ini) = FileParser::new(file, text)?;
     let (bulkheads, reserve) = read_sections(&mut parser, &ini, classes);
     if bulkheads.is_empty() {
--- a/crates/plovershelf-config/tests/invalid_files.rs
+++ b/crates/plovershelf-config/tests/invalid_files.rs
@@ -1,6 +1,6 @@
 //! Invalid operators' files: each key with an invalid value is reported, and nothing panics.
 
-use plovershelf_config::{config_distribution, group, pools, Wrong};
+use plovershelf_config::{config_distribution, group, pools, InvalidFile};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -28,7 +28,7 @@
 const INVALID_VALUES: [&str; 8] =
     ["", "-1", "1e308", "NaN", "9223372036854775808", "two words, x", "{}", "0x10"];
 
-fn read(file: &str, text: &str) -> Result<(), Wrong> {
+fn read(file: &str, text: &str) -> Result<(), InvalidFile> {
     let classes = ["quote".to_string(), "book".to_string()];
     match file {
         "pools.ini" => pools::read(file, text, &classes).map(drop),
--- a/crates/plovershelf-server/src/agent_link.rs
+++ b/crates/plovershelf-server/src/agent_link.rs
@@ -211,7 +211,7 @@
 #[derive(Clone, Copy)]
 struct Greeting {
     fresh: bool,
-    up_for_ms: f64,
+    uptime_ms: f64,
 }
 
 /// Effect of a notice on its link.
@@ -276,8 +276,8 @@
         self.missed_notices |= !self.link.is_up.get() && follows_gap(&notice, last_read);
         let is_new = notice_number(&notice).is_none_or(|number| is_new_notice(number, last_read));
         let event = match notice {
-            Notice::Greeting { fresh, up_for_ms } => {
-                self.handle_greeting(Greeting { fresh, up_for_ms }).await?;
+            Notice::Greeting { fresh, uptime_ms } => {
+                self.handle_greeting(Greeting { fresh, uptime_ms }).await?;
                 None
             }
             Notice::RunEnded { id, over, result, .. } => {
@@ -309,10 +309,10 @@
         let tag = std::str::from_utf8(tag).ok().and_then(|tag| tag.parse().ok());
         let Some(tag) = tag else { return Err(protocol_error("a sample with an unknown tag")) };
         match (tag, self.greeting, self.sender.take()) {
-            (FENCE_TAG, Some(Greeting { fresh, up_for_ms }), Some(commands)) => {
+            (FENCE_TAG, Some(Greeting { fresh, uptime_ms }), Some(commands)) => {
                 self.link.is_up.set(true);
                 let missed_notices = self.missed_notices;
-                let up = AgentEvent::Up { fresh, up_for_ms, commands, missed_notices };
+                let up = AgentEvent::Up { fresh, uptime_ms, commands, missed_notices };
                 Ok(NoticeEffect::Continue(Some(up)))
             }
             (FENCE_TAG, ..) if self.link.commands.is_closed() => Ok(NoticeEffect::HandedOver),
--- a/crates/plovershelf-server/src/agent_link/tests.rs
+++ b/crates/plovershelf-server/src/agent_link/tests.rs
@@ -11,7 +11,7 @@
 fn gap_before_a_notice_is_detected() {
     let skipped = |number| Notice::Skipped { number };
     assert_eq!([1, 5, 6, 7].map(|number| follows_gap(&skipped(number), 5)), [false, false, false, true]);
-    assert!(!follows_gap(&Notice::Greeting { fresh: true, up_for_ms: 0.0 }, 5));
+    assert!(!follows_gap(&Notice::Greeting { fresh: true, uptime_ms: 0.0 }, 5));
 }
 
 /// The queue to the event loop is full while the end of a run waits for it, and the link is handed over. The next
--- a/crates/plovershelf-server/src/client_io.rs
+++ b/crates/plovershelf-server/src/client_io.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt};
-use plovershelf_codec::front::{self, LENGTH_BYTES};
+use plovershelf_codec::front::{self, LENGTH_PREFIX_BYTES};
 
 use crate::connection_state::{ConnectionState, PhaseEvent};
 use crate::event::{ConnectionId, Event, ReadError};
@@ -38,7 +38,7 @@
 ) -> Option<ReadError> {
     let stream = state.stream()?;
     let timeout = Duration::from_millis(limits.message_timeout_ms);
-    let mut buffer = ReadBuffer::new(LENGTH_BYTES + limits.max_frame_bytes, limits.read_chunk_bytes);
+    let mut buffer = ReadBuffer::new(LENGTH_PREFIX_BYTES + limits.max_frame_bytes, limits.read_chunk_bytes);
     let mut complete_by = Some(Instant::now() + timeout);
     loop {
         if !state.phase().accepts_requests() {
--- a/crates/plovershelf-server/src/cluster.rs
+++ b/crates/plovershelf-server/src/cluster.rs
@@ -123,7 +123,13 @@
             Err(error) => return tracing::error!("the cluster's thread ends, its listener failed: {error}"),
         };
         executor.spawn(listening).detach();
-        let links = OutgoingLinks::new(executor, &setup.name, setup.ways.clone(), links::CLUSTER_LINKS, None);
+        let links = OutgoingLinks::new(
+            executor,
+            &setup.name,
+            setup.address_overrides.clone(),
+            links::CLUSTER_LINKS,
+            None,
+        );
         let node = ClusterNode::new(startup, now_ms());
         let (own_id, boot_id) = (node.node().id, node.swim().own().boot_id);
         let replication = setup.replication.clone().zip(replication_events);
@@ -168,7 +174,7 @@
         node,
         config: setup.config.clone(),
         seeds: setup.seeds.iter().copied().filter(|seed| *seed != setup.listen).collect(),
-        initial_voters: setup.council.clone(),
+        initial_voters: setup.initial_voters.clone(),
         persistent: opened.persistent,
         seed: random_id(),
     };
@@ -177,7 +183,7 @@
 
 /// Creates the failover driver, if zones are configured.
 fn start_failover(setup: &Setup) -> Result<Option<failover::FailoverDriver>, String> {
-    let Some(zones) = setup.zones.clone() else { return Ok(None) };
+    let Some(zones) = setup.failover.clone() else { return Ok(None) };
     let failover = failover::FailoverDriver::new(zones, &setup.zone, now_ms());
     failover.map(Some).map_err(|error| error.to_string())
 }
@@ -188,7 +194,7 @@
     name: String,
     inbox: Sender<Incoming>,
 ) -> Result<Option<Sender<config_distribution::Input>>, String> {
-    let Some(file) = &setup.changes else { return Ok(None) };
+    let Some(file) = &setup.config_distribution else { return Ok(None) };
     let propose =
         move |version, bytes| drop(inbox.try_send(Incoming::ProposeConfiguration { version, bytes }));
     config_distribution::start_origin(setup, file, name, Box::new(propose))
--- a/crates/plovershelf-server/src/cluster/failover.rs
+++ b/crates/plovershelf-server/src/cluster/failover.rs
@@ -12,7 +12,7 @@
 
 use plovershelf_cluster::wire::{decode, encode_payload};
 use plovershelf_cluster::{ClusterNode, NodeId};
-use plovershelf_config::group::Zones;
+use plovershelf_config::group::FailoverConfig;
 use plovershelf_failover::{
     CallerReport, LoadReport, LoadReports, MemberReport, PlanFollower, Planner, Request, Response,
     ShiftError, ShiftRequest, Status, TrafficPlan, MAX_CALLER_REPORTS, PRIORITY_BANDS,
@@ -92,7 +92,11 @@
 impl FailoverDriver {
     /// # Errors
     /// Returns an error if the topology lacks this member's zone.
-    pub(super) fn new(zones: Zones, own_zone_name: &str, now_ms: f64) -> Result<Self, UnknownZoneError> {
+    pub(super) fn new(
+        zones: FailoverConfig,
+        own_zone_name: &str,
+        now_ms: f64,
+    ) -> Result<Self, UnknownZoneError> {
         let own_zone = zones.topology.index_of(own_zone_name);
         let own_zone = own_zone.ok_or_else(|| UnknownZoneError { zone: own_zone_name.into() })?;
         let count = zones.topology.len();
--- a/crates/plovershelf-server/src/config_distribution.rs
+++ b/crates/plovershelf-server/src/config_distribution.rs
@@ -171,7 +171,7 @@
     let listener = listen(&setup)?;
     let origin = OriginStartup { propose, file: path.map(TableFile::new) };
     let startup =
-        Startup { table, origin: Some(origin), ..Startup::listener(setup, name, Subscriber::Nobody) };
+        Startup { table, origin: Some(origin), ..Startup::listener(setup, name, Subscriber::Discard) };
     run_on_thread(startup, listener)
 }
 
--- a/crates/plovershelf-server/src/config_distribution/subscriber.rs
+++ b/crates/plovershelf-server/src/config_distribution/subscriber.rs
@@ -46,7 +46,7 @@
     /// A trial that observes versions.
     Versions(Sender<VersionInForce>),
     /// Updates are discarded.
-    Nobody,
+    Discard,
 }
 
 /// Pending update and its receiver.
@@ -81,7 +81,7 @@
 
     fn publish(&mut self, now_ms: f64, version: Version, update: impl FnOnce() -> QuotaUpdate) {
         match &self.subscriber {
-            Subscriber::Nobody => {}
+            Subscriber::Discard => {}
             Subscriber::Versions(to) => {
                 let _ = to.try_send(VersionInForce { name: self.name.clone(), version, at_ms: now_ms });
             }
--- a/crates/plovershelf-server/src/driver/agent.rs
+++ b/crates/plovershelf-server/src/driver/agent.rs
@@ -77,8 +77,8 @@
 impl Driver {
     pub(super) fn handle_agent_event(&mut self, event: AgentEvent) {
         match event {
-            AgentEvent::Up { fresh, up_for_ms, commands, missed_notices } => {
-                self.handle_agent_up(fresh, up_for_ms, commands);
+            AgentEvent::Up { fresh, uptime_ms, commands, missed_notices } => {
+                self.handle_agent_up(fresh, uptime_ms, commands);
                 if missed_notices {
                     self.resolve_missed_notices();
                 }
@@ -100,20 +100,20 @@
 
     // ---- link ----------------------------------------------------------------------------------------
 
-    pub(super) fn handle_agent_up(&mut self, fresh: bool, up_for_ms: f64, commands: Sender<Vec<u8>>) {
+    pub(super) fn handle_agent_up(&mut self, fresh: bool, uptime_ms: f64, commands: Sender<Vec<u8>>) {
         self.agent = Some(commands);
         if self.backend.is_some() {
             self.recover_link();
         } else if !self.draining.get() {
             // A backend that got the drain notice before its agent was up accepts no requests.
-            self.start_backend(fresh, up_for_ms);
+            self.start_backend(fresh, uptime_ms);
         }
     }
 
-    fn start_backend(&mut self, fresh: bool, up_for_ms: f64) {
+    fn start_backend(&mut self, fresh: bool, uptime_ms: f64) {
         let mut config = self.startup.config.clone();
         config.cold_start = fresh;
-        let (backend, effects) = Backend::start(self.now_ms - up_for_ms, config);
+        let (backend, effects) = Backend::start(self.now_ms - uptime_ms, config);
         self.backend = Some(backend);
         let state = if fresh { "fresh" } else { "warm" };
         tracing::info!(event = "agent_up", fresh, "the agent is up, {state}");
--- a/crates/plovershelf-server/src/driver/tests.rs
+++ b/crates/plovershelf-server/src/driver/tests.rs
@@ -49,7 +49,7 @@
         self.commands = commands;
         self.driver.handle_event(Event::Agent(AgentEvent::Up {
             fresh: false,
-            up_for_ms: 0.0,
+            uptime_ms: 0.0,
             commands: sender,
             missed_notices,
         }));
--- a/crates/plovershelf-server/src/event.rs
+++ b/crates/plovershelf-server/src/event.rs
@@ -63,7 +63,7 @@
         /// True if the agent has just started its cores.
         fresh: bool,
         /// Time for which the agent has been up, in milliseconds.
-        up_for_ms: f64,
+        uptime_ms: f64,
         /// Takes the bytes of commands.
         commands: Sender<Vec<u8>>,
         /// True if notices were lost, so that the ends of some runs will never be reported.
--- a/crates/plovershelf-server/src/startup.rs
+++ b/crates/plovershelf-server/src/startup.rs
@@ -202,7 +202,7 @@
 
     fn read_section(document: &Value, section: &Section<'_>) -> Self {
         let cell = |key| Rc::new(Cell::new(address(&section.get(key)).unwrap_or_else(placeholder_address)));
-        let is_shared = plovershelf_settings::shares_a_dependency(&document["settings"]);
+        let is_shared = plovershelf_settings::has_shared_dependency(&document["settings"]);
         let dependency = match document["records"] {
             Value::Null if !is_shared => None,
             _ => address(&section.get("records")),
--- a/crates/plovershelf-server/tests/clients.rs
+++ b/crates/plovershelf-server/tests/clients.rs
@@ -106,7 +106,7 @@
     let clock = Clock::start();
     let mut fleet = Fleet::start(&executor, clock, &fleet_config(backends)).expect("backends");
     let run = async {
-        assert!(fleet.up(clock, 20_000.0).await, "the backends did not start");
+        assert!(fleet.wait_until_up(clock, 20_000.0).await, "the backends did not start");
         let stop = Rc::new(std::cell::Cell::new(false));
         let endpoints = fleet.addresses();
         let tasks: Vec<_> = (0..4u64)
@@ -156,7 +156,7 @@
         fleet.backends[0].kill().expect("the backend ends");
         Timer::after(Duration::from_millis(300)).await;
         fleet.backends[0].start().expect("the backend starts again");
-        assert!(fleet.up(clock, 20_000.0).await);
+        assert!(fleet.wait_until_up(clock, 20_000.0).await);
     });
     assert!(success_rate > 0.5, "{success_rate}");
 }
@@ -166,7 +166,7 @@
     let success_rate = run_with_clients(2, async |fleet, clock| {
         fleet.backends.iter_mut().for_each(|backend| backend.kill().expect("the backend ends"));
         fleet.backends.iter_mut().for_each(|backend| backend.start().expect("the backend starts again"));
-        assert!(fleet.up(clock, 20_000.0).await);
+        assert!(fleet.wait_until_up(clock, 20_000.0).await);
     });
     assert!(success_rate > 0.3, "{success_rate}");
 }
--- a/crates/plovershelf-server/tests/group.rs
+++ b/crates/plovershelf-server/tests/group.rs
@@ -44,7 +44,7 @@
         pools: None,
         cluster: has_cluster.then(|| cluster::ClusterConfig {
             zones: 3,
-            founders: 3,
+            initial_voters: 3,
             folders: true,
             more: String::new(),
         }),
@@ -137,9 +137,9 @@
         fleet.apply_fault(&Fault::Stop { member: 2 }, FaultPhase::Ends, 3);
         wait_until("paused member readmitted", &fleet, &[0, 1, 2], agreed(3)).await;
         // A member whose event loop makes no progress is removed, although it still answers.
-        fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Begins, 3);
+        fleet.apply_fault(&Fault::Unready { member: 0 }, FaultPhase::Begins, 3);
         wait_until("unready member removed", &fleet, &[1, 2], agreed(2)).await;
-        fleet.apply_fault(&Fault::Unfit { member: 0 }, FaultPhase::Ends, 3);
+        fleet.apply_fault(&Fault::Unready { member: 0 }, FaultPhase::Ends, 3);
         wait_until("unready member readmitted", &fleet, &[0, 1, 2], agreed(3)).await;
     };
     async_io::block_on(executor.run(run));
@@ -208,7 +208,7 @@
     let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
         wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
-        assert!(fleet.up(clock, 20_000.0).await);
+        assert!(fleet.wait_until_up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
         let client = BasicClient::new(&executor, &addresses, 1);
         let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
@@ -242,7 +242,7 @@
     let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
         wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
-        assert!(fleet.up(clock, 20_000.0).await);
+        assert!(fleet.wait_until_up(clock, 20_000.0).await);
         let addresses = fleet.addresses();
         let work = WorkSpec { number: 1, work_ms: 5.0, outbound_calls: 0, idempotency: Idempotency::Keyed };
         let body = work.body();
@@ -331,7 +331,7 @@
     let mut fleet = Fleet::start(&executor, clock, &config).expect("three backends");
     let run = async {
         wait_until("bootstrapped", &fleet, &[0, 1, 2], agreed(3)).await;
-        assert!(fleet.up(clock, 20_000.0).await);
+        assert!(fleet.wait_until_up(clock, 20_000.0).await);
         let is_local_only = |status: &ZonesStatus| {
             !status.plan.is_excluded.contains(&true)
                 && status.plan.max_difference(&TrafficPlan::all_near(3)) < 1e-6
@@ -413,7 +413,9 @@
     let fleet = Fleet::start(&executor, clock, &fleet_config(false)).expect("three backends");
     let with_cluster = Fleet::start(&executor, clock, &fleet_config(true)).expect("three backends");
     let run = async {
-        assert!(fleet.up(clock, 20_000.0).await && with_cluster.up(clock, 20_000.0).await);
+        assert!(
+            fleet.wait_until_up(clock, 20_000.0).await && with_cluster.wait_until_up(clock, 20_000.0).await
+        );
         wait_until("bootstrapped", &with_cluster, &[0, 1, 2], agreed(3)).await;
         // The health check connections of `up` close first.
         let started = Instant::now();
--- a/crates/plovershelf-settings/src/lib.rs
+++ b/crates/plovershelf-settings/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use error::SettingsError;
 pub use names::Names;
-pub use parse::{read, read_section, read_value, shares_a_dependency};
+pub use parse::{has_shared_dependency, read, read_section, read_value};
 
 use keywords::Gauge;
 use plovershelf::api::{BackendConfig, Gauges};
--- a/crates/plovershelf-settings/src/parse.rs
+++ b/crates/plovershelf-settings/src/parse.rs
@@ -48,7 +48,7 @@
 }
 
 /// Returns whether the settings describe a dependency that is shared by all backends.
-pub fn shares_a_dependency(settings: &Value) -> bool {
+pub fn has_shared_dependency(settings: &Value) -> bool {
     let word = settings["family_info"]["below"].as_str();
     keywords::DEPENDENCY.contains(&(word.unwrap_or_default(), Dependency::Shared))
 }
--- a/crates/plovershelf-settings/tests/settings.rs
+++ b/crates/plovershelf-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings as passed by the host: keywords, defaults, and error messages of invalid settings.
 
 use plovershelf::api::{BackpressureSignal, Cancellation, Idempotency};
-use plovershelf_settings::{read, shares_a_dependency};
+use plovershelf_settings::{has_shared_dependency, read};
 
 fn error_text(settings: &str) -> String {
     read(settings, 7).err().expect("invalid settings").to_string()
@@ -69,7 +69,7 @@
 fn the_share_of_the_dependency_is_read_only_if_it_is_shared() {
     let share = |below: &str| {
         let text = settings_with(&format!(r#""below": "{below}", "dep_share": 2.5"#));
-        let shared = shares_a_dependency(&serde_json::from_str(&text).expect("JSON"));
+        let shared = has_shared_dependency(&serde_json::from_str(&text).expect("JSON"));
         (shared, read(&text, 7).expect("settings").config.dependency_share)
     };
     assert_eq!((share("shared"), share("tier")), ((true, Some(2.5)), (false, None)));
--- a/crates/plovershelf-simulation/examples/changes.rs
+++ b/crates/plovershelf-simulation/examples/changes.rs
@@ -5,9 +5,9 @@
 
 use plovershelf_simulation::changes::direct::Direct;
 use plovershelf_simulation::changes::gossip::Gossip;
-use plovershelf_simulation::changes::shapes::{Shape, SHAPES};
+use plovershelf_simulation::changes::shapes::{Scenario, SCENARIOS};
 use plovershelf_simulation::changes::tree::Tree;
-use plovershelf_simulation::changes::{run, Came};
+use plovershelf_simulation::changes::{run, RunReport};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -16,7 +16,7 @@
         args.get(index).map_or(default, |text| text.parse().unwrap_or(default))
     };
     let selected = args.get(3..).unwrap_or_default();
-    let names: Vec<&'static str> = SHAPES
+    let names: Vec<&'static str> = SCENARIOS
         .into_iter()
         .filter(|name| selected.is_empty() || selected.iter().any(|shape| shape == name))
         .collect();
@@ -32,8 +32,8 @@
 
 fn simulate(strategy: &str, name: &'static str, listeners: usize, seed: u64) {
     let started = std::time::Instant::now();
-    let shape = Shape::of(name, listeners, seed);
-    let results: Came = match strategy {
+    let shape = Scenario::of(name, listeners, seed);
+    let results: RunReport = match strategy {
         "direct" => run::<Direct>(&shape, None),
         "gossip" => run::<Gossip<300>>(&shape, None),
         _ => run::<Tree>(&shape, None),
--- a/crates/plovershelf-simulation/src/audit.rs
+++ b/crates/plovershelf-simulation/src/audit.rs
@@ -11,7 +11,7 @@
 /// without its data directory gets another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Observation {
     /// A fault began or ended.
     Fault { text: String },
     /// The node's data directory was wiped or restored from an older copy: the node must not appear in later events.
@@ -37,7 +37,7 @@
     pub at: f64,
     /// The observation.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// Violation of a promise, with the event that shows it and the events that led to it.
@@ -56,17 +56,17 @@
 }
 
 /// Promise: two views with the same number in one epoch have the same members.
-pub const ONE_VIEW_A_NUMBER: &str = "one-view-a-number";
+pub const ONE_VIEW_PER_NUMBER: &str = "one-view-a-number";
 /// Promise: view numbers have no gaps.
 pub const NO_GAP: &str = "views-without-gap";
 /// Promise: a term of an epoch has one leader at most.
-pub const ONE_LEADER_A_TERM: &str = "one-leader-a-term";
+pub const ONE_LEADER_PER_TERM: &str = "one-leader-a-term";
 /// Promise: a committed log entry never changes.
 pub const NOTHING_FORGOTTEN: &str = "nothing-agreed-forgotten";
 /// Promise: no node acts by a view after a later view without that node was committed.
-pub const NOT_PAST_LEASE: &str = "nobody-acts-past-its-lease";
+pub const NO_ACTION_PAST_LEASE: &str = "nobody-acts-past-its-lease";
 /// Promise: a node whose data directory was lost never appears again under the same id.
-pub const BLANK_IS_NEW: &str = "blank-is-someone-new";
+pub const LOST_STORAGE_IS_NEW_NODE: &str = "blank-is-someone-new";
 /// Promise: an idempotency key is launched once at most.
 pub const NO_EFFECT_TWICE: &str = "no-effect-twice";
 /// Promise: after a caller received a result, every later answer for the key is that result.
@@ -106,11 +106,11 @@
         let position = self.events;
         self.events += 1;
         match &event.seen {
-            Seen::Fault { .. } => self.faults.push(position),
-            Seen::Lost { memory } => {
+            Observation::Fault { .. } => self.faults.push(position),
+            Observation::Lost { memory } => {
                 self.lost.insert(*memory, position);
             }
-            Seen::Launched { ticket, process } => {
+            Observation::Launched { ticket, process } => {
                 let (first, at) = self.launched.entry(*ticket).or_insert((process.clone(), position)).clone();
                 if at != position {
                     let description =
@@ -120,7 +120,7 @@
             }
             // A failure may be answered before the outcome is known, so a result may follow it. After a result only the same
             // result may follow.
-            Seen::Answered { ticket, result } => {
+            Observation::Answered { ticket, result } => {
                 let before = self.succeeded.get(ticket).copied();
                 match (before, result) {
                     (None, Some(result)) => drop(self.succeeded.insert(*ticket, (*result, position))),
@@ -133,23 +133,23 @@
                     _ => {}
                 }
             }
-            Seen::Leads { memory, era, term } => {
+            Observation::Leads { memory, era, term } => {
                 self.check_not_lost(*memory, event.at, position);
                 let (first, at) = *self.leaders.entry((*era, *term)).or_insert((*memory, position));
                 if first != *memory {
                     let description = format!("{first:x} and {memory:x} both lead term {term}");
-                    self.record_violation(ONE_LEADER_A_TERM, event.at, position, vec![at], description);
+                    self.record_violation(ONE_LEADER_PER_TERM, event.at, position, vec![at], description);
                 }
             }
-            Seen::View { memory, era, number, members } => {
+            Observation::View { memory, era, number, members } => {
                 self.check_not_lost(*memory, event.at, position);
                 self.check_view(*era, *number, members, event.at, position);
             }
-            Seen::Acts { memory, era, view } => {
+            Observation::Acts { memory, era, view } => {
                 self.check_not_lost(*memory, event.at, position);
                 self.check_lease(*memory, *era, *view, event.at, position);
             }
-            Seen::Decided { memory, era, index, hash } => {
+            Observation::Decided { memory, era, index, hash } => {
                 self.check_not_lost(*memory, event.at, position);
                 let (first, at) = *self.decided.entry((*era, *index)).or_insert((*hash, position));
                 if first != *hash {
@@ -164,7 +164,7 @@
         if let Some((before, first, _)) = self.views.get(&(era, number)) {
             if before != members {
                 let (first, description) = (*first, format!("view {number} has two memberships"));
-                self.record_violation(ONE_VIEW_A_NUMBER, at, position, vec![first], description);
+                self.record_violation(ONE_VIEW_PER_NUMBER, at, position, vec![first], description);
             }
             return;
         }
@@ -184,7 +184,7 @@
                 "{memory:x} acts by view {view} although view {number}, which excludes it, was committed at {since:.0}"
             );
             let first = *first;
-            self.record_violation(NOT_PAST_LEASE, at, position, vec![first], description);
+            self.record_violation(NO_ACTION_PAST_LEASE, at, position, vec![first], description);
         }
     }
 
@@ -192,7 +192,7 @@
     fn check_not_lost(&mut self, memory: u64, at: f64, position: usize) {
         if let Some(lost) = self.lost.get(&memory).copied() {
             self.record_violation(
-                BLANK_IS_NEW,
+                LOST_STORAGE_IS_NEW_NODE,
                 at,
                 position,
                 vec![lost],
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -21,8 +21,8 @@
 use rand_pcg::Pcg32;
 use serde::Serialize;
 
-pub use results::{Broken, Came, Rates, TrafficSummary};
-use shapes::{Shape, ORIGINS};
+pub use results::{Broken, Rates, RunReport, TrafficSummary};
+use shapes::{Scenario, ORIGINS};
 
 /// Headers of the packet and of the frame, in bytes per message.
 pub const MESSAGE_OVERHEAD_BYTES: usize = 40 + 8;
@@ -142,7 +142,7 @@
 
 /// Simulates a scenario. `struck`, the targets of each fault in the run of another strategy, replaces the targets that would be
 /// chosen here, so that strategies are compared under the same faults.
-pub fn run<S: Strategy>(shape: &Shape, struck: Option<&[Vec<usize>]>) -> Came {
+pub fn run<S: Strategy>(shape: &Scenario, struck: Option<&[Vec<usize>]>) -> RunReport {
     world::World::<S>::new(shape.clone()).run(struck)
 }
 
--- a/crates/plovershelf-simulation/src/changes/results.rs
+++ b/crates/plovershelf-simulation/src/changes/results.rs
@@ -1,6 +1,6 @@
 //! Results of a run.
 
-use crate::statistics::Spread;
+use crate::statistics::SampleDistribution;
 
 /// Violation of a promise.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,7 +51,7 @@
 
 /// Results of a run.
 #[derive(Default)]
-pub struct Came {
+pub struct RunReport {
     pub spent: TrafficSummary,
     /// Number of changes committed after the warm-up.
     pub agreed: u64,
@@ -59,7 +59,7 @@
     pub not_agreed: u64,
     /// Time until a change is in force on a reachable listener, in milliseconds: from the commit, or from the time at which
     /// the listener became reachable if that is later.
-    pub in_force_ms: Spread,
+    pub in_force_ms: SampleDistribution,
     /// Number of listeners on which at least one change took longer than [`IN_FORCE_MS`](super::IN_FORCE_MS).
     pub late: u64,
     /// Number of reachable listeners without the newest change at the end.
@@ -82,7 +82,7 @@
     pub seen: Vec<String>,
 }
 
-impl Came {
+impl RunReport {
     /// Records a violation.
     pub fn record_violation(
         &mut self,
--- a/crates/plovershelf-simulation/src/changes/shapes.rs
+++ b/crates/plovershelf-simulation/src/changes/shapes.rs
@@ -22,7 +22,7 @@
 /// Fault-free time at the end of a scenario, in milliseconds.
 pub const FINAL_FAULT_FREE_MS: f64 = 12_000.0;
 /// Factor by which the `day` scenario runs faster than real time.
-pub const FASTER: f64 = 50.0;
+pub const TIME_FACTOR: f64 = 50.0;
 const DAY_S: f64 = 86_400.0;
 const CHANGES_A_DAY: f64 = 1500.0;
 /// Number of process restarts per day in a fleet of [`REFERENCE_MEMBERS`].
@@ -81,7 +81,7 @@
 
 /// Scenario of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
+pub struct Scenario {
     pub name: &'static str,
     pub listeners: usize,
     pub seed: u64,
@@ -97,7 +97,7 @@
 }
 
 /// Names of all scenarios.
-pub const SHAPES: [&str; 20] = [
+pub const SCENARIOS: [&str; 20] = [
     "calm",
     "day",
     "burst",
@@ -173,8 +173,8 @@
     }
 }
 
-impl Shape {
-    /// Returns the scenario with this name, one of [`SHAPES`].
+impl Scenario {
+    /// Returns the scenario with this name, one of [`SCENARIOS`].
     pub fn of(name: &'static str, listeners: usize, seed: u64) -> Self {
         let rng = Pcg32::seed_from_u64(seed ^ 0x0c4a_26e5);
         let mut generator = EditGenerator { rng, known: (0..TENANTS).collect(), next_new: TENANTS };
@@ -195,7 +195,7 @@
                 }
             }
             "day" => {
-                let interval_ms = DAY_S * 1000.0 / CHANGES_A_DAY / FASTER;
+                let interval_ms = DAY_S * 1000.0 / CHANGES_A_DAY / TIME_FACTOR;
                 let count = (busy_ms / interval_ms) as usize;
                 for n in 0..count {
                     let at = from + (n as f64 + generator.rng.random::<f64>()) * interval_ms;
@@ -218,7 +218,7 @@
         let span_ms = from + busy_ms + FINAL_FAULT_FREE_MS;
         let loss = if matches!(name, "loss" | "mangled") { 0.02 } else { 0.0 };
         let mangled = if name == "mangled" { 0.01 } else { 0.0 };
-        Shape { name, listeners, seed, span_ms, changes, steps, loss, mangled }
+        Scenario { name, listeners, seed, span_ms, changes, steps, loss, mangled }
     }
 }
 
@@ -235,7 +235,7 @@
         (0..ORIGINS + listeners).filter(|index| zone_of(*index) == zone).collect()
     };
     let spread_over_run = |rng: &mut Pcg32, per_day: f64, for_ms: (f64, f64), fault: Fault| -> Vec<Step> {
-        let interval_ms = DAY_S * 1000.0 / (per_day * listeners as f64 / REFERENCE_MEMBERS) / FASTER;
+        let interval_ms = DAY_S * 1000.0 / (per_day * listeners as f64 / REFERENCE_MEMBERS) / TIME_FACTOR;
         let mut at = interval_ms * rng.random::<f64>();
         let mut steps = Vec::new();
         while at < busy_ms {
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -7,9 +7,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::results::{summarize, Came, Traffic};
+use super::results::{summarize, RunReport, Traffic};
 use super::shapes::{
-    initial_quota, region_of, tenant, Fault, Shape, Targets, FINAL_FAULT_FREE_MS, ORIGINS, TENANTS,
+    initial_quota, region_of, tenant, Fault, Scenario, Targets, FINAL_FAULT_FREE_MS, ORIGINS, TENANTS,
     UNKNOWN_TENANT, WARM_UP_MS, ZONES,
 };
 use super::{
@@ -116,7 +116,7 @@
 
 /// State of a run.
 pub(super) struct World<S: Strategy> {
-    shape: Shape,
+    shape: Scenario,
     fleet: Fleet,
     queue: Queue<SimulationEvent<S::Message>>,
     net: Net,
@@ -136,11 +136,11 @@
     struck: Vec<Vec<usize>>,
     /// Buffer for the messages of one process, reused to avoid allocations.
     send: Vec<(usize, S::Message)>,
-    results: Came,
+    results: RunReport,
 }
 
 impl<S: Strategy> World<S> {
-    pub fn new(shape: Shape) -> Self {
+    pub fn new(shape: Scenario) -> Self {
         let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), initial_quota(n))).collect();
         let snapshot_bytes = bytes_of(&quotas);
         let content = QuotaTable::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
@@ -179,7 +179,7 @@
             waiting: VecDeque::new(),
             digests: BTreeMap::new(),
             send: Vec::new(),
-            results: Came::default(),
+            results: RunReport::default(),
             quotas,
             fleet,
             net,
@@ -188,7 +188,7 @@
     }
 
     /// Runs the scenario and returns the results. `struck` replaces the targets that would be selected for each fault.
-    pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> Came {
+    pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> RunReport {
         for index in 0..self.processes.len() {
             let at = if index < ORIGINS { 0.0 } else { self.rng.random_range(0.0..START_SPREAD_MS) };
             self.queue.schedule(at, SimulationEvent::Start(index));
@@ -718,7 +718,7 @@
         }
     }
 
-    fn into_results(mut self) -> Came {
+    fn into_results(mut self) -> RunReport {
         let now = self.shape.span_ms;
         let newest = self.newest.as_ref().map(|newest| newest.version).unwrap_or_default();
         let mut depth = 0;
--- a/crates/plovershelf-simulation/src/cluster/deaths.rs
+++ b/crates/plovershelf-simulation/src/cluster/deaths.rs
@@ -3,7 +3,7 @@
 
 use plovershelf_cluster::{NodeId, View};
 
-use crate::statistics::Spread;
+use crate::statistics::SampleDistribution;
 
 struct Death {
     id: NodeId,
@@ -36,7 +36,7 @@
     }
 
     /// Handles the first installation of the newest view: records the removal time of each death that it excludes.
-    pub(super) fn observe_view(&mut self, now_ms: f64, view: &View, removal_ms: &mut Spread) {
+    pub(super) fn observe_view(&mut self, now_ms: f64, view: &View, removal_ms: &mut SampleDistribution) {
         for death in self.deaths.iter_mut().filter(|death| !death.removed) {
             if !view.members.contains_key(&death.id) {
                 death.removed = true;
--- a/crates/plovershelf-simulation/src/cluster/report.rs
+++ b/crates/plovershelf-simulation/src/cluster/report.rs
@@ -1,7 +1,7 @@
 //! Results of a run.
 
 use crate::audit::{Audit, Event};
-use crate::statistics::Spread;
+use crate::statistics::SampleDistribution;
 
 /// Results of a growth measurement; `None` stands for a value that the run did not reach.
 #[derive(Clone, Debug, Default)]
@@ -34,9 +34,9 @@
     /// Removals of members that no recent fault had affected: time in milliseconds and member.
     pub healthy_removed: Vec<(f64, usize)>,
     /// Time from a death until a view excludes the member, in milliseconds.
-    pub removal_ms: Spread,
+    pub removal_ms: SampleDistribution,
     /// Time from a death until every running member knows of it, in milliseconds.
-    pub known_ms: Spread,
+    pub known_ms: SampleDistribution,
     /// Number of deaths that not every running member knew of before the member restarted or the run ended.
     pub deaths_not_known: u64,
     /// Results of the growth measurement, if the plan has one.
--- a/crates/plovershelf-simulation/src/cluster/world.rs
+++ b/crates/plovershelf-simulation/src/cluster/world.rs
@@ -15,9 +15,9 @@
 use super::plan::Plan;
 use super::process::{Disk, Observed, Process};
 use super::report::Report;
-use crate::audit::{Event, Seen};
+use crate::audit::{Event, Observation};
 use crate::net::{Net, Queue};
-use crate::schedule::{cut_paths, third, Fault, FaultPhase, Folder, Step, CALM_MS};
+use crate::schedule::{cut_paths, third, Fault, FaultPhase, Folder, Step, FAULT_FREE_MS};
 
 /// Interval between two observations of all members, in milliseconds.
 const OBSERVE_INTERVAL_MS: f64 = 20.0;
@@ -30,7 +30,7 @@
 /// Number of the newest committed entries that each observation compares.
 const COMPARED_ENTRIES: u64 = 4;
 /// A member counts as healthy once no fault has affected it for this time, in milliseconds.
-const HEALTHY_AFTER_MS: f64 = CALM_MS;
+const HEALTHY_AFTER_MS: f64 = FAULT_FREE_MS;
 /// Key of the proposed values.
 const PROBE_KEY: &str = "probe";
 
@@ -252,7 +252,7 @@
             Folder::Old => !process.restore_disk(id, &mut self.rng),
         };
         if lost {
-            self.record(Seen::Lost { memory: id.0 });
+            self.record(Observation::Lost { memory: id.0 });
         }
     }
 
@@ -359,7 +359,7 @@
         }
         if self.plan.keep_history {
             let text = format!("{} {step}", if begins { "begins" } else { "ends" });
-            self.record(Seen::Fault { text });
+            self.record(Observation::Fault { text });
         }
         match step.fault {
             Fault::Cut { these, those, one_way } => {
@@ -383,7 +383,7 @@
                     self.queue.schedule(now_ms, SimulationEvent::Resume { member });
                 }
             }
-            Fault::Unfit { member } => {
+            Fault::Unready { member } => {
                 self.processes[member].ready = !begins;
                 self.call(member, |node, clock_ms| node.set_ready(clock_ms, !begins));
             }
@@ -409,7 +409,7 @@
                 self.kill(member, folder);
             } else if folder == Folder::Wiped {
                 if let Some(disk) = process.disk.take() {
-                    self.record(Seen::Lost { memory: disk.id.0 });
+                    self.record(Observation::Lost { memory: disk.id.0 });
                 }
             }
             return;
@@ -422,7 +422,7 @@
 
     // ---- observations ------------------------------------------------------------------------------
 
-    fn record(&mut self, seen: Seen) {
+    fn record(&mut self, seen: Observation) {
         let event = Event { at: self.queue.now(), seen };
         self.report.audit.record(&event);
         if self.plan.keep_history {
@@ -436,7 +436,7 @@
         let members = node.view().members.keys().map(|id| id.0).collect();
         let newest = self.processes.iter().all(|process| process.observed.view < number);
         self.processes[member].observed.view = number;
-        self.record(Seen::View { memory, era, number, members });
+        self.record(Observation::View { memory, era, number, members });
         if newest {
             self.record_removals(member);
         }
@@ -477,11 +477,11 @@
         let (led_before, acted_before) = (process.observed.led, process.observed.acts);
         if leads && led_before != (era, term) {
             self.processes[member].observed.led = (era, term);
-            self.record(Seen::Leads { memory, era, term });
+            self.record(Observation::Leads { memory, era, term });
         }
         self.processes[member].observed.acts = acts;
         if let Some(view) = acts {
-            let event = Event { at: self.queue.now(), seen: Seen::Acts { memory, era, view } };
+            let event = Event { at: self.queue.now(), seen: Observation::Acts { memory, era, view } };
             self.report.audit.record(&event);
             if self.plan.keep_history && acts != acted_before {
                 self.report.history.push(event);
@@ -520,7 +520,7 @@
         for (index, entry) in (previous.index + 1..).zip(&entries) {
             let mut hasher = DefaultHasher::new();
             entry.hash(&mut hasher);
-            let seen = Seen::Decided { memory, era, index, hash: hasher.finish() };
+            let seen = Observation::Decided { memory, era, index, hash: hasher.finish() };
             self.report.audit.record(&Event { at: self.queue.now(), seen });
         }
     }
--- a/crates/plovershelf-simulation/src/replication/report.rs
+++ b/crates/plovershelf-simulation/src/replication/report.rs
@@ -4,7 +4,7 @@
 
 use plovershelf_replication::Outcome;
 
-use crate::statistics::Spread;
+use crate::statistics::SampleDistribution;
 
 /// Results of one run.
 #[derive(Default)]
@@ -32,9 +32,9 @@
     /// Number of keys for which a client received a result.
     pub succeeded: u64,
     /// Time from the arrival of a request to its launch, in milliseconds.
-    pub launch_wait_ms: Spread,
+    pub launch_wait_ms: SampleDistribution,
     /// Time from the end of an execution to its answer, in milliseconds.
-    pub answer_wait_ms: Spread,
+    pub answer_wait_ms: SampleDistribution,
     /// Longest period in which at least one key was under-replicated, in milliseconds.
     pub max_under_replicated_ms: f64,
     /// Number of messages sent.
--- a/crates/plovershelf-simulation/src/replication/world.rs
+++ b/crates/plovershelf-simulation/src/replication/world.rs
@@ -425,7 +425,7 @@
                 lost.into_iter().for_each(|member| self.lose(member, phase));
             }
             Fault::Stop { member } => self.pause(member, phase),
-            Fault::Unfit { .. } | Fault::Full { .. } | Fault::Clock { .. } => {}
+            Fault::Unready { .. } | Fault::Full { .. } | Fault::Clock { .. } => {}
         }
     }
 
--- a/crates/plovershelf-simulation/src/schedule.rs
+++ b/crates/plovershelf-simulation/src/schedule.rs
@@ -32,7 +32,7 @@
     /// Pauses the process; it resumes at the fault's end with its state unchanged.
     Stop { member: usize },
     /// Makes the member unready: it answers messages but completes no work.
-    Unfit { member: usize },
+    Unready { member: usize },
     /// Makes every write to the member's data directory fail.
     Full { member: usize },
     /// Shifts the member's wall clock by `by_ms` milliseconds.
@@ -76,7 +76,7 @@
             Fault::Kill { folder: Folder::Wiped, .. } => "kill-wiped",
             Fault::Kill { folder: Folder::Old, .. } => "kill-set-back",
             Fault::Stop { .. } => "stop",
-            Fault::Unfit { .. } => "unfit",
+            Fault::Unready { .. } => "unfit",
             Fault::Full { .. } => "full",
             Fault::Clock { .. } => "clock",
             Fault::Leave { .. } => "leave",
@@ -92,7 +92,7 @@
             Fault::Slow { member, .. }
             | Fault::Kill { member, .. }
             | Fault::Stop { member }
-            | Fault::Unfit { member }
+            | Fault::Unready { member }
             | Fault::Full { member }
             | Fault::Leave { member }
             | Fault::Clock { member, .. } => vec![*member],
@@ -127,7 +127,7 @@
 }
 
 /// Fault-free time in milliseconds before the first fault and after the end of the last one.
-pub const CALM_MS: f64 = 4000.0;
+pub const FAULT_FREE_MS: f64 = 4000.0;
 
 impl Schedule {
     /// Generates a schedule of `steps` faults over about `span_ms` milliseconds; every fault ends within that time. Members
@@ -139,8 +139,9 @@
         let mut next_disk_loss_ms = 0.0;
         let gap = span_ms / steps.max(1) as f64;
         for index in 0..steps {
-            let at_ms = CALM_MS + gap * (index as f64 + 0.6 * rng.random::<f64>());
-            let for_ms = (gap * (0.6 + 1.2 * rng.random::<f64>())).min(CALM_MS + span_ms - at_ms).max(200.0);
+            let at_ms = FAULT_FREE_MS + gap * (index as f64 + 0.6 * rng.random::<f64>());
+            let for_ms =
+                (gap * (0.6 + 1.2 * rng.random::<f64>())).min(FAULT_FREE_MS + span_ms - at_ms).max(200.0);
             let member = rng.random_range(0..members);
             let zone = rng.random_range(0..zones.max(1));
             let in_zone = |z: usize| (0..members).filter(move |m| m % zones.max(1) == z).collect::<Vec<_>>();
@@ -164,7 +165,7 @@
                     let folder = if rng.random::<f64>() < 0.6 { Folder::Wiped } else { Folder::Old };
                     Fault::Kill { member, folder }
                 }
-                10 => Fault::Unfit { member },
+                10 => Fault::Unready { member },
                 11 => Fault::Full { member },
                 12 => Fault::Clock { member, by_ms: if member % 2 == 0 { 3.6e6 } else { -3.6e6 } },
                 13 if index % 3 == 0 => Fault::KillThird { first: member },
@@ -185,7 +186,7 @@
 
     /// Returns the end of the fault-free time after the last fault, in milliseconds from the start of the run.
     pub fn ends_ms(&self) -> f64 {
-        self.steps.iter().map(|step| step.at_ms + step.for_ms).fold(0.0, f64::max) + CALM_MS
+        self.steps.iter().map(|step| step.at_ms + step.for_ms).fold(0.0, f64::max) + FAULT_FREE_MS
     }
 
     /// Returns a schedule that still fails and from which no single step can be removed. Removes blocks of half the steps
@@ -235,7 +236,7 @@
             }
             Fault::Kill { member, .. }
             | Fault::Stop { member }
-            | Fault::Unfit { member }
+            | Fault::Unready { member }
             | Fault::Leave { member }
             | Fault::Full { member } => {
                 write!(out, " n{}", member + 1)
@@ -306,7 +307,7 @@
         "kill-wiped" => Fault::Kill { member: first_member()?, folder: Folder::Wiped },
         "kill-set-back" => Fault::Kill { member: first_member()?, folder: Folder::Old },
         "stop" => Fault::Stop { member: first_member()? },
-        "unfit" => Fault::Unfit { member: first_member()? },
+        "unfit" => Fault::Unready { member: first_member()? },
         "full" => Fault::Full { member: first_member()? },
         "leave" => Fault::Leave { member: first_member()? },
         "kill-third" => Fault::KillThird { first: first_member()? },
--- a/crates/plovershelf-simulation/src/statistics.rs
+++ b/crates/plovershelf-simulation/src/statistics.rs
@@ -6,21 +6,21 @@
 
 /// Distribution of the values of one metric, with a resolution of 0.001 and three significant digits for quantiles. The mean
 /// and the maximum are exact.
-pub struct Spread {
+pub struct SampleDistribution {
     histogram: Histogram<u64>,
     sum: f64,
     max: f64,
 }
 
-impl Default for Spread {
+impl Default for SampleDistribution {
     fn default() -> Self {
         let histogram =
             Histogram::new(3).unwrap_or_else(|_| unreachable!("three significant digits are valid"));
-        Spread { histogram, sum: 0.0, max: 0.0 }
+        SampleDistribution { histogram, sum: 0.0, max: 0.0 }
     }
 }
 
-impl Spread {
+impl SampleDistribution {
     /// Records a value; the quantiles count a negative value as 0.
     pub fn put(&mut self, value: f64) {
         // The histogram resizes automatically, so no value is out of range.
@@ -30,7 +30,7 @@
     }
 
     /// Adds all values of another distribution.
-    pub fn join(&mut self, other: &Spread) {
+    pub fn join(&mut self, other: &SampleDistribution) {
         let _ = self.histogram.add(&other.histogram);
         (self.sum, self.max) = (self.sum + other.sum, self.max.max(other.max));
     }
--- a/crates/plovershelf-simulation/src/statistics/tests.rs
+++ b/crates/plovershelf-simulation/src/statistics/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_joined_spread_has_the_statistics_of_all_values() {
-    let (mut joined, mut other) = (Spread::default(), Spread::default());
+    let (mut joined, mut other) = (SampleDistribution::default(), SampleDistribution::default());
     (1..=50).for_each(|n| joined.put(f64::from(n) * 100.0));
     (51..=100).for_each(|n| other.put(f64::from(n) * 100.0));
     joined.join(&other);
@@ -13,9 +13,9 @@
 
 #[test]
 fn an_empty_spread_has_no_mean_maximum_or_quantile() {
-    let mut empty = Spread::default();
+    let mut empty = SampleDistribution::default();
     assert_eq!((empty.at(0.5), empty.most(), empty.mean()), (None, None, None));
-    empty.join(&Spread::default());
+    empty.join(&SampleDistribution::default());
     assert_eq!((empty.count(), empty.at(0.99)), (0, None));
     empty.put(0.0);
     assert_eq!((empty.at(0.5), empty.most(), empty.mean()), (Some(0.0), Some(0.0), Some(0.0)));
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -74,7 +74,7 @@
 
 /// Scenario: regions, zones, demand and faults.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
+pub struct Scenario {
     pub name: &'static str,
     pub regions: usize,
     pub zones: usize,
@@ -90,7 +90,7 @@
 }
 
 /// Names of all scenarios.
-pub const SHAPES: [&str; 13] = [
+pub const SCENARIOS: [&str; 13] = [
     "calm",
     "day",
     "lost",
@@ -106,8 +106,8 @@
     "late-news",
 ];
 
-impl Shape {
-    /// Returns the scenario with this name, one of [`SHAPES`], for two regions of three zones each.
+impl Scenario {
+    /// Returns the scenario with this name, one of [`SCENARIOS`], for two regions of three zones each.
     pub fn of(name: &'static str, members: usize, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x5a_9e5);
         let zone = rng.random_range(0..6);
@@ -136,13 +136,13 @@
             "late-news" => vec![step(Fault::PlansDelayed(zone)), step(Fault::Lost(zone))],
             _ => Vec::new(),
         };
-        Shape { name, regions: 2, zones: 6, members, load, curve, span_ms, steps }
+        Scenario { name, regions: 2, zones: 6, members, load, curve, span_ms, steps }
     }
 }
 
 /// Routing of the callers' traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Led {
+pub enum RoutingPolicy {
     /// Callers follow the server's traffic plans.
     Plan,
     /// Callers of an origin decide by their own failures: the local zone unless a third fails, otherwise the nearest zone in
@@ -156,13 +156,13 @@
 
 /// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Came {
+pub struct RunReport {
     /// Value of the work served.
     pub worth: f64,
     /// Value of the work demanded.
-    pub worth_asked: f64,
+    pub value_demanded: f64,
     /// Work sent to the local zone and all work sent, in periods without faults; in core-seconds.
-    pub near_calm: [f64; 2],
+    pub local_fault_free: [f64; 2],
     /// Work sent to the local zone and all work sent, by origins whose zone is healthy; in core-seconds.
     pub near_healthy: [f64; 2],
     /// Longest time from the failure of a zone until its callers left it, in milliseconds.
@@ -174,7 +174,7 @@
     /// Number of plan changes in periods without faults.
     pub needless: u64,
     /// Maximum number of reversals of a zone's local share within a minute.
-    pub turns_a_minute: u64,
+    pub reversals_per_minute: u64,
     /// Number of steps and caller groups in which a plan was followed for more than [`BOUND_MS`] after the next one was issued.
     pub two_plans_past_bound: u64,
     /// Number of plan changes.
@@ -214,8 +214,8 @@
 
 /// State of a run.
 pub struct World {
-    shape: Shape,
-    routing: Led,
+    shape: Scenario,
+    routing: RoutingPolicy,
     topology: Topology,
     rng: Pcg32,
     now: f64,
@@ -242,7 +242,7 @@
     report_at: f64,
     /// Time until which there is no leader.
     no_leader_until: f64,
-    results: Came,
+    results: RunReport,
     /// Local share of each zone at its last significant change.
     last_near_share: Vec<f64>,
     /// Direction of each zone's last significant change.
@@ -260,7 +260,7 @@
 
 impl World {
     /// Simulates a scenario with this routing and returns the results.
-    pub fn run(shape: Shape, routing: Led, seed: u64) -> Came {
+    pub fn run(shape: Scenario, routing: RoutingPolicy, seed: u64) -> RunReport {
         let zone = |n: usize| Zone {
             name: format!("z{}", n + 1),
             region: format!("r{}", n * shape.regions / shape.zones + 1),
@@ -284,7 +284,7 @@
             answers: vec![vec![[0.0; 2]; count]; count],
             report_at: 0.0,
             no_leader_until: 0.0,
-            results: Came::default(),
+            results: RunReport::default(),
             last_near_share: vec![1.0; count],
             rises: vec![None; count],
             reversals: Vec::new(),
@@ -385,7 +385,7 @@
     fn shares(&mut self, conditions: &ZoneConditions) -> Vec<Vec<f64>> {
         let count = self.count();
         match self.routing {
-            Led::Plan => (0..count)
+            RoutingPolicy::Plan => (0..count)
                 .flat_map(|from| (0..PRIORITY_BANDS).map(move |band| (from, band)))
                 .map(|(from, band)| {
                     let mut row = vec![0.0; count + 1];
@@ -399,7 +399,7 @@
                     row
                 })
                 .collect(),
-            Led::Best => {
+            RoutingPolicy::Best => {
                 let state = |zone: usize| ZoneState {
                     capacity: conditions.capacity[zone],
                     demand: banded(conditions.demand[zone]),
@@ -412,7 +412,7 @@
                 conditions.cut.iter().for_each(|(from, to)| topology.set_latency(*from, *to, 1e9));
                 locality_weighted_plan(&topology, &config, &zones, &[]).shares
             }
-            Led::Alone | Led::Fixed => (0..count)
+            RoutingPolicy::Alone | RoutingPolicy::Fixed => (0..count)
                 .flat_map(|from| std::iter::repeat_n(self.shares_by_failures(from), PRIORITY_BANDS))
                 .collect(),
         }
@@ -434,7 +434,7 @@
         others.sort_by(|a, b| {
             self.topology.latency_ms(from, *a).total_cmp(&self.topology.latency_ms(from, *b))
         });
-        if self.routing == Led::Fixed {
+        if self.routing == RoutingPolicy::Fixed {
             if failed_fraction(from) > 0.9 {
                 others.iter().for_each(|to| row[*to] = 0.99 / others.len() as f64);
                 row[from] = 0.01;
@@ -457,7 +457,7 @@
     fn step(&mut self) {
         let conditions = self.conditions();
         let (count, now) = (self.count(), self.now);
-        if self.routing == Led::Plan {
+        if self.routing == RoutingPolicy::Plan {
             self.update_plans(&conditions);
         }
         let shares = self.shares(&conditions);
@@ -472,7 +472,7 @@
             })
             .collect();
         for bands in &work {
-            self.results.worth_asked +=
+            self.results.value_demanded +=
                 bands.iter().zip(BANDS).map(|(work, (value, _))| work * value).sum::<f64>();
         }
         while self.retries.front().is_some_and(|(at, ..)| *at <= now) {
@@ -510,8 +510,8 @@
             }
             let near = sent[from][from];
             if conditions.fault_free {
-                self.results.near_calm[0] += near;
-                self.results.near_calm[1] += all;
+                self.results.local_fault_free[0] += near;
+                self.results.local_fault_free[1] += all;
             }
             if conditions.is_healthy[from] && !conditions.dependency_slow {
                 self.results.near_healthy[0] += near;
@@ -562,7 +562,7 @@
             }
         }
         self.retries.make_contiguous().sort_by(|a, b| a.0.total_cmp(&b.0));
-        if self.routing == Led::Plan {
+        if self.routing == RoutingPolicy::Plan {
             self.measure(&conditions, &shares);
         }
         self.now += STEP_MS;
@@ -691,7 +691,7 @@
         };
         let worst =
             self.reversals.iter().map(|(at, zone)| reversals_in_minute(*zone, *at)).max().unwrap_or(0);
-        self.results.turns_a_minute = self.results.turns_a_minute.max(worst);
+        self.results.reversals_per_minute = self.results.reversals_per_minute.max(worst);
         // Count the caller groups that still follow a plan although the next one was issued longer ago than the bound.
         let delays_plans = |step: &Step| {
             matches!(step.fault, Fault::PlansDelayed(_)) && now < step.at_ms + step.for_ms + 7000.0
--- a/crates/plovershelf-simulation/tests/changes.rs
+++ b/crates/plovershelf-simulation/tests/changes.rs
@@ -3,11 +3,11 @@
 use plovershelf_config_distribution::DistributionConfig;
 use plovershelf_simulation::changes::direct::Direct;
 use plovershelf_simulation::changes::gossip::Gossip;
-use plovershelf_simulation::changes::shapes::{Fault, Shape, Step, Targets, SHAPES, WARM_UP_MS};
+use plovershelf_simulation::changes::shapes::{Fault, Scenario, Step, Targets, SCENARIOS, WARM_UP_MS};
 use plovershelf_simulation::changes::tree::Tree;
-use plovershelf_simulation::changes::{run, Came, IN_FORCE_MS};
+use plovershelf_simulation::changes::{run, RunReport, IN_FORCE_MS};
 
-fn assert_promises_hold(shape: &Shape, results: &Came) {
+fn assert_promises_hold(shape: &Scenario, results: &RunReport) {
     let context = format!("{} seed {}: {:?} {:?}", shape.name, shape.seed, results.broken, results.seen);
     assert!(results.broken_count.is_empty(), "{context}");
     assert_eq!((results.missed, results.reachable), (0, shape.listeners as u64), "{context}");
@@ -32,7 +32,7 @@
     std::thread::scope(|scope| {
         for name in shapes {
             scope.spawn(move || {
-                let shape = Shape::of(name, 40, seed);
+                let shape = Scenario::of(name, 40, seed);
                 assert_promises_hold(&shape, &run::<Tree>(&shape, None));
             });
         }
@@ -41,17 +41,17 @@
 
 #[test]
 fn promises_hold_without_faults_and_with_restarts_and_lost_machines() {
-    assert_promises_hold_in(1, &SHAPES[..6]);
+    assert_promises_hold_in(1, &SCENARIOS[..6]);
 }
 
 #[test]
 fn promises_hold_with_faults_of_relays() {
-    assert_promises_hold_in(2, &SHAPES[6..12]);
+    assert_promises_hold_in(2, &SCENARIOS[6..12]);
 }
 
 #[test]
 fn promises_hold_with_faults_of_origins_and_of_the_network() {
-    assert_promises_hold_in(3, &SHAPES[12..]);
+    assert_promises_hold_in(3, &SCENARIOS[12..]);
 }
 
 /// Two relays that receive nothing from the origins can be each other's alternate parents. A listener below one of them then
@@ -59,7 +59,7 @@
 #[test]
 fn a_listener_leaves_an_alternate_parent_that_receives_nothing_from_origins() {
     for seed in [1, 2, 3] {
-        let mut shape = Shape::of("relays-deaf", 120, seed);
+        let mut shape = Scenario::of("relays-deaf", 120, seed);
         shape.steps = vec![Step {
             at_ms: WARM_UP_MS + 4000.0,
             for_ms: 25_000.0,
@@ -78,7 +78,7 @@
 #[test]
 fn a_listener_that_starts_in_a_paused_zone_is_not_referred_to_its_paused_relays() {
     for seed in [1, 2] {
-        let results = run::<Tree>(&Shape::of("zone-stopped", 300, seed), None);
+        let results = run::<Tree>(&Scenario::of("zone-stopped", 300, seed), None);
         let worst = results.in_force_worst().expect("a change is in force somewhere");
         assert!(worst < 3500.0, "{seed}: {worst} {:?}", results.seen);
         assert!(results.missed == 0 && results.broken_count.is_empty(), "{seed}: {:?}", results.broken);
@@ -87,14 +87,14 @@
 
 #[test]
 fn all_strategies_reach_every_listener_and_direct_broadcast_costs_the_origins_most() {
-    let shape = Shape::of("release", 40, 1);
+    let shape = Scenario::of("release", 40, 1);
     let (direct, gossip, tree) =
         (run::<Direct>(&shape, None), run::<Gossip<300>>(&shape, None), run::<Tree>(&shape, None));
     for results in [&direct, &gossip, &tree] {
         assert_eq!((results.missed, results.reachable), (0, 40));
         assert!(results.in_force_ms.count() > 1000, "{}", results.in_force_ms.count());
     }
-    let busiest_origin = |results: &Came| results.spent.sources.most.expect("there are origins");
+    let busiest_origin = |results: &RunReport| results.spent.sources.most.expect("there are origins");
     assert!(
         busiest_origin(&direct) > busiest_origin(&tree),
         "{} {}",
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_scenario_without_changes_has_no_time_in_force() {
-    let results = run::<Tree>(&Shape::of("calm", 30, 1), None);
+    let results = run::<Tree>(&Scenario::of("calm", 30, 1), None);
     assert_eq!(results.in_force_at(0.99), None);
     assert!(
         results.spent.listeners.mean.is_some_and(|bytes| bytes > 0.0 && bytes <= 4096.0),
@@ -116,7 +116,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_results() {
-    let shape = Shape::of("relays", 40, 9);
+    let shape = Scenario::of("relays", 40, 9);
     let (first, second) = (run::<Tree>(&shape, None), run::<Tree>(&shape, None));
     assert_eq!(
         (first.events, first.spent, first.in_force_worst()),
--- a/crates/plovershelf-simulation/tests/changes_broken.rs
+++ b/crates/plovershelf-simulation/tests/changes_broken.rs
@@ -1,17 +1,18 @@
 //! The checks of the configuration distribution model detect each deliberately broken rule and report nothing without one.
 
 use plovershelf_config_distribution::broken::{set, Broken};
-use plovershelf_simulation::changes::shapes::Shape;
+use plovershelf_simulation::changes::shapes::Scenario;
 use plovershelf_simulation::changes::tree::Tree;
 use plovershelf_simulation::changes::{
-    run, Came, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS, ONE_CONTENT_A_NUMBER,
+    run, RunReport, BAD_CHANGES_NOTHING, CUT_OFF_SERVES_ON, IN_FORCE_MS, NEVER_BACKWARDS,
+    ONE_CONTENT_A_NUMBER,
 };
 
-fn simulate(name: &'static str) -> Came {
-    run::<Tree>(&Shape::of(name, 40, 4), None)
+fn simulate(name: &'static str) -> RunReport {
+    run::<Tree>(&Scenario::of(name, 40, 4), None)
 }
 
-fn is_late(results: &Came) -> bool {
+fn is_late(results: &RunReport) -> bool {
     results.missed > 0 || results.in_force_at(0.99).is_none_or(|ms| ms > IN_FORCE_MS)
 }
 
--- a/crates/plovershelf-testkit/examples/tenants.rs
+++ b/crates/plovershelf-testkit/examples/tenants.rs
@@ -62,7 +62,7 @@
         Fleet::start(&executor, clock, &config).map_err(|error| format!("starting the backend: {error}"))?;
     let started_ms = clock.now();
     let run = async {
-        let up = fleet.up(clock, 20_000.0).await;
+        let up = fleet.wait_until_up(clock, 20_000.0).await;
         let up_ms = clock.now() - started_ms;
         Timer::after(Duration::from_secs(1)).await;
         up.then_some(up_ms)
--- a/crates/plovershelf-testkit/src/cluster.rs
+++ b/crates/plovershelf-testkit/src/cluster.rs
@@ -21,7 +21,7 @@
     /// Number of zones, assigned to the members in turn.
     pub zones: usize,
     /// Number of initial voters.
-    pub founders: usize,
+    pub initial_voters: usize,
     /// Whether members store their state on disk.
     pub folders: bool,
     /// Additional lines of the section `[group]`, and additional sections.
@@ -107,8 +107,8 @@
     fn member_config(&self, member: &Member, index: usize, config: &ClusterConfig) -> String {
         let path_address = |to: usize| self.path(index, to).map(|path| path.address);
         let seeds: Vec<String> =
-            (0..config.founders).filter_map(path_address).map(|address| address.to_string()).collect();
-        let voters: Vec<String> = (0..config.founders).map(|voter| format!("n{}", voter + 1)).collect();
+            (0..config.initial_voters).filter_map(path_address).map(|address| address.to_string()).collect();
+        let voters: Vec<String> = (0..config.initial_voters).map(|voter| format!("n{}", voter + 1)).collect();
         let mut text = format!(
             "[group]\nname = trial\nlisten = {}\nzone = {}\nregion = r{}\nseeds = {}\ncouncil = {}\n",
             member.address,
--- a/crates/plovershelf-testkit/src/fault_injection.rs
+++ b/crates/plovershelf-testkit/src/fault_injection.rs
@@ -88,7 +88,7 @@
                 FaultPhase::Begins => self.backends[*member].pause(),
                 FaultPhase::Ends => self.backends[*member].resume(),
             },
-            Fault::Unfit { member } => {
+            Fault::Unready { member } => {
                 if let Some(path) = &self.backends[*member].agent_path {
                     path.faults.borrow_mut().refuse_connections = begins;
                 }
@@ -152,7 +152,7 @@
             | Fault::KillThird { .. }
             | Fault::Leave { .. }
             | Fault::Stop { .. }
-            | Fault::Unfit { .. } => {}
+            | Fault::Unready { .. } => {}
         }
     }
 }
--- a/crates/plovershelf-testkit/src/fleet.rs
+++ b/crates/plovershelf-testkit/src/fleet.rs
@@ -104,7 +104,7 @@
     }
 
     /// Waits until all backends accept connections and have subscribed to their agents; returns false on a timeout.
-    pub async fn up(&self, clock: Clock, timeout_ms: f64) -> bool {
+    pub async fn wait_until_up(&self, clock: Clock, timeout_ms: f64) -> bool {
         let deadline_ms = clock.now() + timeout_ms;
         while clock.now() < deadline_ms {
             let accepts = |backend: &Backend| std::net::TcpStream::connect(backend.address).is_ok();
