--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -78,12 +78,12 @@
 }
 
 /// Runs a scenario with each method. The tree runs first; the faults of the other methods hit the same members.
-fn run_methods(shape: &Scenario) -> [RunReport; 4] {
-    let tree = changes::run::<Tree>(shape, None);
+fn run_methods(scenario: &Scenario) -> [RunReport; 4] {
+    let tree = changes::run::<Tree>(scenario, None);
     let fault_targets = Some(&tree.struck[..]);
-    let direct = changes::run::<Direct>(shape, fault_targets);
-    let gossip = changes::run::<Gossip<300>>(shape, fault_targets);
-    let slow_gossip = changes::run::<Gossip<1000>>(shape, fault_targets);
+    let direct = changes::run::<Direct>(scenario, fault_targets);
+    let gossip = changes::run::<Gossip<300>>(scenario, fault_targets);
+    let slow_gossip = changes::run::<Gossip<1000>>(scenario, fault_targets);
     [tree, direct, gossip, slow_gossip]
 }
 
@@ -253,12 +253,13 @@
     all_figures.report("tenants", changes::shapes::TENANTS as f64);
     all_figures.report("days_faster", TIME_FACTOR);
     let work: Vec<(usize, u64)> = (0..SCENARIOS.len())
-        .flat_map(|shape| (context.seed..context.seed + seeds).map(move |seed| (shape, seed)))
+        .flat_map(|scenario| (context.seed..context.seed + seeds).map(move |seed| (scenario, seed)))
         .collect();
-    let runs = run_all(&work, |(shape, seed)| run_methods(&Scenario::of(SCENARIOS[*shape], members, *seed)));
+    let runs =
+        run_all(&work, |(scenario, seed)| run_methods(&Scenario::of(SCENARIOS[*scenario], members, *seed)));
     for (number, names) in NAMES.iter().enumerate() {
         for (method, name) in names.iter().enumerate() {
-            let of_scenario = work.iter().zip(&runs).filter(|((shape, _), _)| *shape == number);
+            let of_scenario = work.iter().zip(&runs).filter(|((scenario, _), _)| *scenario == number);
             let runs: Vec<&RunReport> = of_scenario.map(|(_, runs)| &runs[method]).collect();
             if method == 0 {
                 let violations = runs.iter().flat_map(|run| run.broken.iter().take(3));
--- a/crates/plovershelf-simulation/examples/changes.rs
+++ b/crates/plovershelf-simulation/examples/changes.rs
@@ -1,5 +1,5 @@
 //! Simulates a strategy of configuration distribution and prints the results of each scenario:
-//! `changes [tree|direct|gossip] [LISTENERS] [SEED] [SHAPE...]`. Without a shape, all scenarios run.
+//! `changes [tree|direct|gossip] [LISTENERS] [SEED] [SHAPE...]`. Without a scenario, all scenarios run.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -18,7 +18,7 @@
     let selected = args.get(3..).unwrap_or_default();
     let names: Vec<&'static str> = SCENARIOS
         .into_iter()
-        .filter(|name| selected.is_empty() || selected.iter().any(|shape| shape == name))
+        .filter(|name| selected.is_empty() || selected.iter().any(|scenario| scenario == name))
         .collect();
     let next = AtomicUsize::new(0);
     let work = || {
@@ -32,11 +32,11 @@
 
 fn simulate(strategy: &str, name: &'static str, listeners: usize, seed: u64) {
     let started = std::time::Instant::now();
-    let shape = Scenario::of(name, listeners, seed);
+    let scenario = Scenario::of(name, listeners, seed);
     let results: RunReport = match strategy {
-        "direct" => run::<Direct>(&shape, None),
-        "gossip" => run::<Gossip<300>>(&shape, None),
-        _ => run::<Tree>(&shape, None),
+        "direct" => run::<Direct>(&scenario, None),
+        "gossip" => run::<Gossip<300>>(&scenario, None),
+        _ => run::<Tree>(&scenario, None),
     };
     println!(
             "{name:14} {:5.1} s, {} events, agreed {}+{}, in force {:?} 99th {:?} worst {:.0?} ms, late {}, missed {} of {}, counted {} {}, broken {:?}",
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -142,8 +142,8 @@
 
 /// Simulates a scenario. `struck`, the targets of each fault in the run of another strategy, replaces the targets that would be
 /// chosen here, so that strategies are compared under the same faults.
-pub fn run<S: Strategy>(shape: &Scenario, struck: Option<&[Vec<usize>]>) -> RunReport {
-    world::World::<S>::new(shape.clone()).run(struck)
+pub fn run<S: Strategy>(scenario: &Scenario, struck: Option<&[Vec<usize>]>) -> RunReport {
+    world::World::<S>::new(scenario.clone()).run(struck)
 }
 
 /// Change history of a process without content: the version and the encoded length of each change.
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -116,7 +116,7 @@
 
 /// State of a run.
 pub(super) struct World<S: Strategy> {
-    shape: Scenario,
+    scenario: Scenario,
     fleet: Fleet,
     queue: Queue<SimulationEvent<S::Message>>,
     net: Net,
@@ -140,15 +140,15 @@
 }
 
 impl<S: Strategy> World<S> {
-    pub fn new(shape: Scenario) -> Self {
+    pub fn new(scenario: Scenario) -> Self {
         let quotas: BTreeMap<String, f64> = (0..TENANTS).map(|n| (tenant(n), initial_quota(n))).collect();
         let snapshot_bytes = bytes_of(&quotas);
         let content = QuotaTable::initial(quotas.iter().map(|(tenant, quota)| (tenant.as_str(), *quota)))
             .unwrap_or_else(|error| unreachable!("the initial quotas are valid: {error}"));
-        let fleet = Fleet { listeners: shape.listeners, content, snapshot_bytes, seed: shape.seed };
-        let mut net = Net::new(shape.seed, LATENCY_MS);
+        let fleet = Fleet { listeners: scenario.listeners, content, snapshot_bytes, seed: scenario.seed };
+        let mut net = Net::new(scenario.seed, LATENCY_MS);
         net.between_zones_ms = BETWEEN_ZONES_MS;
-        net.loss = shape.loss;
+        net.loss = scenario.loss;
         let process = |_| Process {
             strategy: None,
             state: State::Stopped,
@@ -171,8 +171,8 @@
         };
         World {
             processes: (0..fleet.process_count()).map(process).collect(),
-            rng: Pcg32::seed_from_u64(shape.seed ^ 0x77e5),
-            struck: vec![Vec::new(); shape.steps.len()],
+            rng: Pcg32::seed_from_u64(scenario.seed ^ 0x77e5),
+            struck: vec![Vec::new(); scenario.steps.len()],
             queue: Queue::default(),
             last_arrival: BTreeMap::new(),
             newest: None,
@@ -183,7 +183,7 @@
             quotas,
             fleet,
             net,
-            shape,
+            scenario,
         }
     }
 
@@ -193,17 +193,17 @@
             let at = if index < ORIGINS { 0.0 } else { self.rng.random_range(0.0..START_SPREAD_MS) };
             self.queue.schedule(at, SimulationEvent::Start(index));
         }
-        for (number, step) in self.shape.steps.iter().enumerate() {
+        for (number, step) in self.scenario.steps.iter().enumerate() {
             self.queue.schedule(step.at_ms, SimulationEvent::FaultBegins(number));
             self.queue.schedule(step.at_ms + step.for_ms, SimulationEvent::FaultEnds(number));
         }
-        for (at, edits) in std::mem::take(&mut self.shape.changes) {
+        for (at, edits) in std::mem::take(&mut self.scenario.changes) {
             self.queue.schedule(at, SimulationEvent::Propose(edits));
         }
         self.queue.schedule(1000.0, SimulationEvent::SecondEnds);
-        self.queue.schedule(self.shape.span_ms - FINAL_FAULT_FREE_MS, SimulationEvent::LossEnds);
+        self.queue.schedule(self.scenario.span_ms - FINAL_FAULT_FREE_MS, SimulationEvent::LossEnds);
         while let Some(event) = self.queue.pop() {
-            if self.queue.now() > self.shape.span_ms {
+            if self.queue.now() > self.scenario.span_ms {
                 break;
             }
             self.results.events += 1;
@@ -298,7 +298,7 @@
                 self.propose();
             }
             SimulationEvent::SecondEnds => self.end_second(),
-            SimulationEvent::LossEnds => (self.net.loss, self.shape.mangled) = (0.0, 0.0),
+            SimulationEvent::LossEnds => (self.net.loss, self.scenario.mangled) = (0.0, 0.0),
         }
     }
 
@@ -339,7 +339,7 @@
                     self.results.record_violation(ONE_CONTENT_A_NUMBER, now, index, describe);
                 }
             }
-            if self.shape.mangled > 0.0 && strategy.has_tenant(UNKNOWN_TENANT) {
+            if self.scenario.mangled > 0.0 && strategy.has_tenant(UNKNOWN_TENANT) {
                 let describe = || format!("version {version} contains an invalid edit");
                 self.results.record_violation(BAD_CHANGES_NOTHING, now, index, describe);
             }
@@ -405,7 +405,7 @@
             }
         }
         let mut message = message;
-        if self.shape.mangled > 0.0 && now >= WARM_UP_MS && self.rng.random_bool(self.shape.mangled) {
+        if self.scenario.mangled > 0.0 && now >= WARM_UP_MS && self.rng.random_bool(self.scenario.mangled) {
             S::corrupt(&mut message, &mut self.rng);
         }
         let region_ms = if region_of(from) == region_of(to) { 0.0 } else { BETWEEN_REGIONS_MS };
@@ -449,7 +449,7 @@
 
     /// Returns the targets of a fault that begins now.
     fn select_targets(&mut self, number: usize) -> Vec<usize> {
-        match self.shape.steps[number].targets.clone() {
+        match self.scenario.steps[number].targets.clone() {
             Targets::Processes(indexes) => indexes,
             Targets::Relays(share) => {
                 let now = self.queue.now();
@@ -480,7 +480,7 @@
             Some(indexes) => indexes.clone(),
             None => self.select_targets(number),
         };
-        match self.shape.steps[number].fault {
+        match self.scenario.steps[number].fault {
             Fault::Killed => indexes.iter().for_each(|index| self.stop(*index, State::Stopped)),
             Fault::MachineLost => indexes.iter().for_each(|index| self.stop(*index, State::Unreachable)),
             Fault::Paused => indexes.iter().for_each(|index| self.processes[*index].pause_count += 1),
@@ -513,7 +513,7 @@
 
     fn end_fault(&mut self, number: usize) {
         let indexes = self.struck[number].clone();
-        match self.shape.steps[number].fault {
+        match self.scenario.steps[number].fault {
             Fault::Killed | Fault::MachineLost => indexes.iter().for_each(|index| self.start(*index)),
             Fault::Paused => {
                 for index in &indexes {
@@ -545,7 +545,7 @@
     /// age that it reports is at least the duration of the cut.
     fn check_isolated(&mut self, index: usize) {
         let now = self.queue.now();
-        let without_origin = self.shape.name == "back";
+        let without_origin = self.scenario.name == "back";
         let process = &self.processes[index];
         let Some(strategy) = process.strategy.as_ref().filter(|_| index >= ORIGINS) else { return };
         if strategy.version() < process.cut_version {
@@ -699,7 +699,7 @@
     fn end_second(&mut self) {
         let now = self.queue.now();
         self.queue.schedule(now + 1000.0, SimulationEvent::SecondEnds);
-        let counts = now > WARM_UP_MS && now <= self.shape.span_ms - FINAL_FAULT_FREE_MS / 2.0;
+        let counts = now > WARM_UP_MS && now <= self.scenario.span_ms - FINAL_FAULT_FREE_MS / 2.0;
         for process in &mut self.processes {
             let children = process.strategy.as_ref().map_or(0, |strategy| strategy.status(now).children);
             process.traffic.end_second(counts, process.state == State::Up, children);
@@ -719,7 +719,7 @@
     }
 
     fn into_results(mut self) -> RunReport {
-        let now = self.shape.span_ms;
+        let now = self.scenario.span_ms;
         let newest = self.newest.as_ref().map(|newest| newest.version).unwrap_or_default();
         let mut depth = 0;
         for index in 0..self.processes.len() {
--- a/crates/plovershelf-simulation/src/zones.rs
+++ b/crates/plovershelf-simulation/src/zones.rs
@@ -214,7 +214,7 @@
 
 /// State of a run.
 pub struct World {
-    shape: Scenario,
+    scenario: Scenario,
     routing: RoutingPolicy,
     topology: Topology,
     rng: Pcg32,
@@ -260,13 +260,13 @@
 
 impl World {
     /// Simulates a scenario with this routing and returns the results.
-    pub fn run(shape: Scenario, routing: RoutingPolicy, seed: u64) -> RunReport {
+    pub fn run(scenario: Scenario, routing: RoutingPolicy, seed: u64) -> RunReport {
         let zone = |n: usize| Zone {
             name: format!("z{}", n + 1),
-            region: format!("r{}", n * shape.regions / shape.zones + 1),
+            region: format!("r{}", n * scenario.regions / scenario.zones + 1),
         };
-        let topology = Topology::new((0..shape.zones).map(zone).collect());
-        let count = shape.zones;
+        let topology = Topology::new((0..scenario.zones).map(zone).collect());
+        let count = scenario.zones;
         let mut world = World {
             routing,
             rng: Pcg32::seed_from_u64(seed),
@@ -280,7 +280,7 @@
             was_up: vec![true; count],
             retries: VecDeque::new(),
             failures: vec![vec![[0.0; 2]; count]; count],
-            demand_with_retries: vec![banded(shape.load * shape.members as f64 / count as f64); count],
+            demand_with_retries: vec![banded(scenario.load * scenario.members as f64 / count as f64); count],
             answers: vec![vec![[0.0; 2]; count]; count],
             report_at: 0.0,
             no_leader_until: 0.0,
@@ -293,29 +293,30 @@
             issued: vec![0.0],
             last_fault_at: f64::NEG_INFINITY,
             topology,
-            shape,
+            scenario,
         };
-        while world.now < world.shape.span_ms {
+        while world.now < world.scenario.span_ms {
             world.step();
         }
         world.results
     }
 
     fn count(&self) -> usize {
-        self.shape.zones
+        self.scenario.zones
     }
 
     /// Returns the number of cores per zone.
     fn cores(&self) -> f64 {
-        self.shape.members as f64 / self.shape.zones as f64
+        self.scenario.members as f64 / self.scenario.zones as f64
     }
 
     /// Returns the actual state of all zones and records recoveries.
     fn conditions(&mut self) -> ZoneConditions {
         let (count, cores, now) = (self.count(), self.cores(), self.now);
         let phase =
-            |zone: usize| (now / self.shape.span_ms + zone as f64 / count as f64) * std::f64::consts::TAU;
-        let demand = |zone: usize| cores * self.shape.load * (1.0 + self.shape.curve * phase(zone).sin());
+            |zone: usize| (now / self.scenario.span_ms + zone as f64 / count as f64) * std::f64::consts::TAU;
+        let demand =
+            |zone: usize| cores * self.scenario.load * (1.0 + self.scenario.curve * phase(zone).sin());
         let mut conditions = ZoneConditions {
             capacity: vec![cores; count],
             reported_capacity: vec![0.0; count],
@@ -330,7 +331,7 @@
             fault_free: true,
         };
         let is_active = |step: &&Step| (step.at_ms..step.at_ms + step.for_ms).contains(&now);
-        for step in self.shape.steps.iter().filter(is_active) {
+        for step in self.scenario.steps.iter().filter(is_active) {
             conditions.fault_free = false;
             match step.fault {
                 Fault::Lost(zone) => conditions.is_up[zone] = false,
@@ -338,7 +339,7 @@
                     conditions.is_up[zone] = ((now - step.at_ms) / 4000.0) as u64 % 2 == 1
                 }
                 Fault::Region(region) => {
-                    let zones_per_region = count / self.shape.regions;
+                    let zones_per_region = count / self.scenario.regions;
                     (region * zones_per_region..(region + 1) * zones_per_region)
                         .for_each(|zone| conditions.is_up[zone] = false);
                 }
@@ -577,7 +578,7 @@
         }
         if self.report_at <= now {
             self.report_at = now + 300.0;
-            let members = (self.shape.members / count).max(1);
+            let members = (self.scenario.members / count).max(1);
             for zone in 0..count {
                 let active = self.followers[zone * CALLER_GROUPS].active_plan(now).cloned();
                 let revision = active.as_ref().map_or(0, |plan| plan.revision);
@@ -642,7 +643,8 @@
     /// Replaces the planner if the leader's zone failed in this step, and returns whether it did. The new planner starts from
     /// the committed plan.
     fn replace_lost_leader(&mut self, conditions: &ZoneConditions) -> bool {
-        let fault_begins = self.shape.steps.iter().any(|step| (self.now - step.at_ms).abs() < STEP_MS / 2.0);
+        let fault_begins =
+            self.scenario.steps.iter().any(|step| (self.now - step.at_ms).abs() < STEP_MS / 2.0);
         let leader_lost = !conditions.is_up[0];
         if fault_begins && leader_lost {
             let committed = self.planner.committed().clone();
@@ -696,7 +698,7 @@
         let delays_plans = |step: &Step| {
             matches!(step.fault, Fault::PlansDelayed(_)) && now < step.at_ms + step.for_ms + 7000.0
         };
-        let late_ms = if self.shape.steps.iter().any(delays_plans) { 6000.0 } else { 0.0 };
+        let late_ms = if self.scenario.steps.iter().any(delays_plans) { 6000.0 } else { 0.0 };
         let replaced_at =
             |revision: u64| self.issued.get(revision as usize + 1).copied().unwrap_or(f64::INFINITY);
         let followed =
--- a/crates/plovershelf-simulation/tests/changes.rs
+++ b/crates/plovershelf-simulation/tests/changes.rs
@@ -7,16 +7,17 @@
 use plovershelf_simulation::changes::tree::Tree;
 use plovershelf_simulation::changes::{run, RunReport, IN_FORCE_MS};
 
-fn assert_promises_hold(shape: &Scenario, results: &RunReport) {
-    let context = format!("{} seed {}: {:?} {:?}", shape.name, shape.seed, results.broken, results.seen);
+fn assert_promises_hold(scenario: &Scenario, results: &RunReport) {
+    let context =
+        format!("{} seed {}: {:?} {:?}", scenario.name, scenario.seed, results.broken, results.seen);
     assert!(results.broken_count.is_empty(), "{context}");
-    assert_eq!((results.missed, results.reachable), (0, shape.listeners as u64), "{context}");
+    assert_eq!((results.missed, results.reachable), (0, scenario.listeners as u64), "{context}");
     assert_eq!(
         (results.counted, results.counted_in_force),
         (results.reachable, results.reachable),
         "{context}"
     );
-    if shape.name != "calm" {
+    if scenario.name != "calm" {
         assert!(results.agreed > 10, "{context}: {} committed", results.agreed);
         let worst = results.in_force_at(0.99).expect("a change is in force somewhere");
         assert!(worst <= IN_FORCE_MS, "{context}: 99th percentile {worst} ms");
@@ -32,8 +33,8 @@
     std::thread::scope(|scope| {
         for name in shapes {
             scope.spawn(move || {
-                let shape = Scenario::of(name, 40, seed);
-                assert_promises_hold(&shape, &run::<Tree>(&shape, None));
+                let scenario = Scenario::of(name, 40, seed);
+                assert_promises_hold(&scenario, &run::<Tree>(&scenario, None));
             });
         }
     });
@@ -59,14 +60,14 @@
 #[test]
 fn a_listener_leaves_an_alternate_parent_that_receives_nothing_from_origins() {
     for seed in [1, 2, 3] {
-        let mut shape = Scenario::of("relays-deaf", 120, seed);
-        shape.steps = vec![Step {
+        let mut scenario = Scenario::of("relays-deaf", 120, seed);
+        scenario.steps = vec![Step {
             at_ms: WARM_UP_MS + 4000.0,
             for_ms: 25_000.0,
             targets: Targets::Relays(0.4),
             fault: Fault::OriginsUnheard,
         }];
-        let results = run::<Tree>(&shape, None);
+        let results = run::<Tree>(&scenario, None);
         let worst = results.in_force_worst().expect("a change is in force somewhere");
         assert!(worst < 6000.0, "{seed}: {worst} {:?}", results.seen);
         assert!(results.missed == 0 && results.broken_count.is_empty(), "{seed}: {:?}", results.broken);
@@ -87,9 +88,9 @@
 
 #[test]
 fn all_strategies_reach_every_listener_and_direct_broadcast_costs_the_origins_most() {
-    let shape = Scenario::of("release", 40, 1);
+    let scenario = Scenario::of("release", 40, 1);
     let (direct, gossip, tree) =
-        (run::<Direct>(&shape, None), run::<Gossip<300>>(&shape, None), run::<Tree>(&shape, None));
+        (run::<Direct>(&scenario, None), run::<Gossip<300>>(&scenario, None), run::<Tree>(&scenario, None));
     for results in [&direct, &gossip, &tree] {
         assert_eq!((results.missed, results.reachable), (0, 40));
         assert!(results.in_force_ms.count() > 1000, "{}", results.in_force_ms.count());
@@ -116,8 +117,8 @@
 
 #[test]
 fn the_same_seed_gives_the_same_results() {
-    let shape = Scenario::of("relays", 40, 9);
-    let (first, second) = (run::<Tree>(&shape, None), run::<Tree>(&shape, None));
+    let scenario = Scenario::of("relays", 40, 9);
+    let (first, second) = (run::<Tree>(&scenario, None), run::<Tree>(&scenario, None));
     assert_eq!(
         (first.events, first.spent, first.in_force_worst()),
         (second.events, second.spent, second.in_force_worst())
