--- a/crates/plovershelf-testkit/src/backend.rs
+++ b/crates/plovershelf-testkit/src/backend.rs
@@ -197,7 +197,7 @@
         line.trim().trim_end_matches(" kB").parse().ok()
     }
 
-    /// Kills the process at the begin of a fault and keeps it down; such faults may overlap.
+    /// Kills the process at the start of a fault and keeps it down; such faults may overlap.
     pub(crate) fn take_down(&mut self) {
         self.down_faults += 1;
         if std::mem::take(&mut self.paused) {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Pauses the process at the begin of a fault, unless another fault keeps it down.
+    /// Pauses the process at the start of a fault, unless another fault keeps it down.
     pub(crate) fn pause(&mut self) {
         if self.down_faults == 0 {
             self.signal(Signal::STOP);
--- a/crates/plovershelf-testkit/src/basic_client.rs
+++ b/crates/plovershelf-testkit/src/basic_client.rs
@@ -193,7 +193,8 @@
                 Ok(Response::Rejected { seqid, .. }) => (seqid, Outcome::Rejected),
                 Ok(Response::Failed { seqid, .. }) => (seqid, Outcome::Failed),
                 Ok(Response::Exception { seqid, .. }) => (seqid, Outcome::NoResponse),
-                // No new request is sent on a connection that the backend closes.
+                // The backend has announced that it will close the connection. No further request is queued on it, and the
+                // pending responses are still read.
                 Ok(Response::Closing) => {
                     frames.close();
                     (0, Outcome::NoResponse)
--- a/crates/plovershelf-testkit/src/fault_injection.rs
+++ b/crates/plovershelf-testkit/src/fault_injection.rs
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// Applies the begin or the end of a fault. Without a cluster, faults that affect only a cluster have no effect.
+    /// Applies the start or the end of a fault. Without a cluster, faults that affect only a cluster have no effect.
     pub fn apply_fault(&mut self, fault: &Fault, phase: FaultPhase, members: usize) {
         let begins = phase == FaultPhase::Begins;
         match fault {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Kills a backend at the begin of the fault, with its storage kept, removed or set back, and restarts it at the end.
+    /// Kills a backend at the start of the fault, with its storage kept, removed or set back, and restarts it at the end.
     fn apply_kill(&mut self, index: usize, phase: FaultPhase, storage: Folder) {
         let backend = &mut self.backends[index];
         let member = self.cluster.as_ref().map(|cluster| &cluster.members[index]);
@@ -119,7 +119,8 @@
 }
 
 impl Cluster {
-    /// Applies the begin or the end of a fault of the network, a storage or a clock.
+    /// Applies the start, if `begins`, or the end of a fault of the network, of a storage or of a clock. Other faults have no
+    /// effect here.
     fn apply_fault(&mut self, fault: &Fault, begins: bool) {
         match fault {
             Fault::Cut { these, those, one_way } => {
