--- a/crates/plovershelf-config-distribution/src/known_parents/tests.rs
+++ b/crates/plovershelf-config-distribution/src/known_parents/tests.rs
@@ -7,8 +7,9 @@
     known
 }
 
-/// A leaf's relay and its backup parent have both lost their origin contact. The probes must reach an origin after two
-/// alternates, and must never go to the parent.
+/// The parent of a leaf, which is a relay, and the backup parent have both lost their origin contact. The probes must
+/// go to two alternate parents, the first of which is the backup parent, and then reach an origin. They must never go
+/// to the parent.
 #[test]
 fn probes_of_a_leaf_go_to_two_alternates_and_then_to_origins() {
     let known = known(&[1, 2], &[10, 11, 12, 13]);
