--- a/crates/plovershelf-cli/src/trial/client_overload.rs
+++ b/crates/plovershelf-cli/src/trial/client_overload.rs
@@ -76,7 +76,7 @@
     Ok((taps, members))
 }
 
-/// Measurements of one run.
+/// Measurements of one run of the planned calls, with the client library or with basic clients.
 struct RunResult {
     summary: Summary,
     /// Fraction of the cores' capacity that was used.
--- a/crates/plovershelf-cli/src/trial/client_restart.rs
+++ b/crates/plovershelf-cli/src/trial/client_restart.rs
@@ -140,6 +140,8 @@
                     *outcomes.entry(outcome).or_default() += 1;
                 }
             }
+            // `ready` is the time from the start of this second until all backends were up again, or until the wait for
+            // them ended, in milliseconds. It is negative for seconds that start later.
             tracing::info!(event = "second", second, ready = (ready - from) as i64, ?outcomes);
         }
         let (before, after) = *attempts.borrow();
--- a/crates/plovershelf-cli/src/trial/copies.rs
+++ b/crates/plovershelf-cli/src/trial/copies.rs
@@ -93,7 +93,7 @@
     cell.set(cell.get() + 1);
 }
 
-/// Measurements of one run.
+/// Measurements of one run of the schedule of faults under load, with or without replication.
 pub(super) struct RunResult {
     /// Longest time for which a member reported under-replicated records, in seconds.
     max_under_replicated_s: f64,
@@ -110,6 +110,7 @@
     rejected_after_outcome: u64,
     /// Keys with a failed attempt.
     failed: u64,
+    /// Number of wrong results, outages of the dependency and crashes of backends.
     rules_broken: u64,
     peak_kb: Option<u64>,
     history: Vec<Event>,
--- a/crates/plovershelf-cli/src/trial/group.rs
+++ b/crates/plovershelf-cli/src/trial/group.rs
@@ -41,7 +41,7 @@
     status: Rc<Status>,
 }
 
-/// Observations of one run.
+/// Observations of one run of the schedule of faults under load, with or without the cluster.
 struct RunResult {
     /// Revenue earned in time, as a fraction of the revenue of all calls.
     service: f64,
--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -84,13 +84,14 @@
     late: Cell<u64>,
 }
 
-/// Measurements of one run.
+/// Measurements of one run of the schedule of faults under load, with or without the failover plan.
 struct RunResult {
     counts: Rc<Counts>,
     /// Longest time for which callers sent more than a tenth of their calls to a zone with an outage, in seconds.
     max_shift_s: f64,
     /// Reversals of the direction in which the share of local calls changes.
     reversals: u64,
+    /// Number of outages of the dependency and of backends that had exited by the end of the run.
     rules_broken: u64,
     effects_twice: u64,
 }
