--- a/crates/plovershelf-cli/src/trial/zones.rs
+++ b/crates/plovershelf-cli/src/trial/zones.rs
@@ -91,7 +91,7 @@
     max_shift_s: f64,
     /// Reversals of the direction in which the share of local calls changes.
     reversals: u64,
-    /// Number of outages of the dependency and of backends that had exited by the end of the run.
+    /// Number of outages of the dependency, plus the number of exits of backends found at the end of the run.
     rules_broken: u64,
     effects_twice: u64,
 }
