--- a/crates/plovershelf-cli/src/trial/changes_model.rs
+++ b/crates/plovershelf-cli/src/trial/changes_model.rs
@@ -80,7 +80,7 @@
 /// Runs a scenario with each method. The tree runs first; the faults of the other methods hit the same members.
 fn run_methods(scenario: &Scenario) -> [RunReport; 4] {
     let tree = changes::run::<Tree>(scenario, None);
-    let fault_targets = Some(&tree.struck[..]);
+    let fault_targets = Some(&tree.fault_targets[..]);
     let direct = changes::run::<Direct>(scenario, fault_targets);
     let gossip = changes::run::<Gossip<300>>(scenario, fault_targets);
     let slow_gossip = changes::run::<Gossip<1000>>(scenario, fault_targets);
@@ -99,8 +99,8 @@
 /// Returns the figures of one method in one scenario over all seeds. Only the tree is `judged` against bounds.
 fn figures(name: &str, runs: &[&RunReport], judged: bool) -> Figures {
     let mut figures = Figures::default();
-    let aim = |aim: Bound| if judged { aim } else { Bound::Informational };
-    let zero = aim(Bound::AtMost(0.0));
+    let bound = |bound: Bound| if judged { bound } else { Bound::Informational };
+    let zero = bound(Bound::AtMost(0.0));
     let sum = |value: &dyn Fn(&RunReport) -> u64| runs.iter().map(|run| value(run)).sum::<u64>() as f64;
     let rate = |rates: &dyn Fn(&RunReport) -> Rates| -> [Option<f64>; 3] {
         let rates: Vec<Rates> = runs.iter().map(|run| rates(run)).collect();
@@ -111,7 +111,7 @@
         ]
     };
     let bounded = if matches!(name, "calm" | "day") {
-        aim(Bound::AtMost(MAX_BYTES_PER_SECOND))
+        bound(Bound::AtMost(MAX_BYTES_PER_SECOND))
     } else {
         Bound::Informational
     };
@@ -154,14 +154,14 @@
         let mut in_force = SampleDistribution::default();
         runs.iter().for_each(|run| in_force.join(&run.in_force_ms));
         let seconds = |ms: Option<f64>| ms.map(|ms| ms / 1000.0);
-        figures.put("changes", sum(&|run| run.agreed), aim(Bound::AtLeast(runs.len() as f64 * 10.0)));
+        figures.put("changes", sum(&|run| run.agreed), bound(Bound::AtLeast(runs.len() as f64 * 10.0)));
         figures.report("changes_without_a_council", sum(&|run| run.not_agreed));
         figures.report("in_force_s_median", seconds(in_force.at(0.5)));
-        figures.put("in_force_s_99", seconds(in_force.at(0.99)), aim(Bound::AtMost(IN_FORCE_MS / 1000.0)));
+        figures.put("in_force_s_99", seconds(in_force.at(0.99)), bound(Bound::AtMost(IN_FORCE_MS / 1000.0)));
         figures.report("in_force_s_worst", seconds(in_force.most()));
         figures.report("listeners_not_in_time", sum(&|run| run.late));
     }
-    figures.put("reachable_at_end", sum(&|run| run.reachable), aim(Bound::AtLeast(1.0)));
+    figures.put("reachable_at_end", sum(&|run| run.reachable), bound(Bound::AtLeast(1.0)));
     figures.put("missed", sum(&|run| run.missed), zero);
     figures.put("went_back", sum(&|run| run.count(NEVER_BACKWARDS)), zero);
     if judged {
--- a/crates/plovershelf-cli/src/trial/mod.rs
+++ b/crates/plovershelf-cli/src/trial/mod.rs
@@ -110,10 +110,10 @@
 }
 
 impl Figures {
-    /// Adds a figure. A missing value (`None`, or not a finite number) fails the trial whatever the aim, also if the figure is
+    /// Adds a figure. A missing value (`None`, or not a finite number) fails the trial whatever the bound, also if the figure is
     /// only reported. This prevents a zero from standing for missing data.
-    pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, aim: Bound) {
-        self.entries.push((key, value.into().filter(|value| value.is_finite()), aim));
+    pub fn put(&mut self, key: &'static str, value: impl Into<Option<f64>>, bound: Bound) {
+        self.entries.push((key, value.into().filter(|value| value.is_finite()), bound));
     }
 
     /// Adds a figure that is only reported.
@@ -129,7 +129,7 @@
     /// Returns true if every figure has a value and meets its bound, in all phases.
     fn all_met(&self) -> bool {
         let entries_met =
-            self.entries.iter().all(|(_, value, aim)| value.is_some_and(|value| aim.is_met_by(value)));
+            self.entries.iter().all(|(_, value, bound)| value.is_some_and(|value| bound.is_met_by(value)));
         entries_met && self.phases.iter().all(|(_, figures)| figures.all_met())
     }
 
@@ -173,18 +173,18 @@
         let mut table = Table::new();
         table.load_preset(presets::NOTHING).set_header(["figure", "measured", "aim", ""]);
         let phases = self.phases.iter().flat_map(|(name, figures)| {
-            figures.entries.iter().map(move |(key, value, aim)| (format!("{name}: {key}"), *value, *aim))
+            figures.entries.iter().map(move |(key, value, bound)| (format!("{name}: {key}"), *value, *bound))
         });
-        let own = self.entries.iter().map(|(key, value, aim)| (key.to_string(), *value, *aim));
-        for (key, value, aim) in own.chain(phases) {
-            let verdict = match (value, aim) {
+        let own = self.entries.iter().map(|(key, value, bound)| (key.to_string(), *value, *bound));
+        for (key, value, bound) in own.chain(phases) {
+            let verdict = match (value, bound) {
                 (None, _) => "FELL SHORT",
                 (Some(_), Bound::Informational) => "",
-                (Some(value), _) if aim.is_met_by(value) => "held",
+                (Some(value), _) if bound.is_met_by(value) => "held",
                 _ => "FELL SHORT",
             };
             let measured = value.map_or("no data".into(), |value| rounded(value).to_string());
-            table.add_row([key, measured, aim.text(), verdict.into()]);
+            table.add_row([key, measured, bound.text(), verdict.into()]);
         }
         let phases = self.phases.iter().flat_map(|(name, figures)| {
             figures.notes.iter().map(move |(key, value)| (format!("{name}: {key}"), value))
--- a/crates/plovershelf-cli/src/trial/scale/results.rs
+++ b/crates/plovershelf-cli/src/trial/scale/results.rs
@@ -311,8 +311,8 @@
 pub fn figures(all: &[SizeResult], options: ScaleOptions, limit: &str, judged: bool) -> Figures {
     let mut figures = Figures::default();
     let Some(result) = all.last() else { return figures };
-    let aim = |max: f64| if judged { Bound::AtMost(max) } else { Bound::Informational };
-    let zero = aim(0.0);
+    let bound = |max: f64| if judged { Bound::AtMost(max) } else { Bound::Informational };
+    let zero = bound(0.0);
     figures.report("members", result.members as f64);
     figures.report("hollow", result.topology.map_or(0, |topology| topology.hollow()) as f64);
     figures.report("real", result.topology.map_or(0, |topology| topology.real) as f64);
@@ -325,13 +325,13 @@
     figures.put("machine_busy_share", result.busy_fraction, Bound::Informational);
     figures.note("slopes", slopes(all));
     let [single, racked, real] = [0, 1, 2].map(|kind| result.cost(kind));
-    figures.put("control_core_percent", single.map(|cost| cost.core_percent), aim(1.4));
-    figures.put("control_memory_mb", single.map(|cost| cost.memory_mb), aim(32.0));
+    figures.put("control_core_percent", single.map(|cost| cost.core_percent), bound(1.4));
+    figures.put("control_memory_mb", single.map(|cost| cost.memory_mb), bound(32.0));
     figures.put("racked_core_percent", racked.map(|cost| cost.core_percent), Bound::Informational);
     figures.put("racked_memory_mb", racked.map(|cost| cost.memory_mb), Bound::Informational);
     figures.put("real_core_percent", real.map(|cost| cost.core_percent), Bound::Informational);
     figures.put("real_memory_mb", real.map(|cost| cost.memory_mb), Bound::Informational);
-    figures.put("control_bytes_a_second", result.bytes_per_second, aim(4096.0));
+    figures.put("control_bytes_a_second", result.bytes_per_second, bound(4096.0));
     figures.put("leader_bytes_a_second", result.leader_bytes_per_second, Bound::Informational);
     figures.put("links_a_member", result.links, Bound::Informational);
     figures.put("alone_bytes_a_second_worst", result.max_single_bytes_per_second, Bound::Informational);
@@ -346,12 +346,12 @@
     figures.put("death_known_s_worst", result.max_detection_s(), Bound::Informational);
     figures.report("deaths_not_known", result.undetected as f64);
     figures.report("changes", result.changes as f64);
-    figures.put("change_in_force_s_99", result.p99_in_force_s(), aim(4.0));
+    figures.put("change_in_force_s_99", result.p99_in_force_s(), bound(4.0));
     figures.put("changes_missed", result.changes_missed as f64, zero);
     figures.report("changes_not_agreed", result.changes_not_agreed as f64);
     figures.put("two_at_one_number", result.conflicting_versions as f64, zero);
     figures.put("healthy_put_out", result.healthy_members_removed as f64, zero);
-    figures.put("added_ms_99", result.added_ms, aim(1.1));
+    figures.put("added_ms_99", result.added_ms, bound(1.1));
     figures.put("added_ms_99_off", result.baseline_added_ms, Bound::Informational);
     figures.report("questions", result.polls as f64);
     figures.report("unanswered", result.unanswered as f64);
--- a/crates/plovershelf-cli/src/trial/tests.rs
+++ b/crates/plovershelf-cli/src/trial/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_figure_without_data_fails_the_trial_instead_of_being_zero() {
     let empty = plovershelf_simulation::statistics::SampleDistribution::default();
-    for (aim, value) in [
+    for (bound, value) in [
         (Bound::AtMost(4.0), empty.most()),
         (Bound::AtLeast(0.0), empty.at(0.5)),
         (Bound::Informational, empty.mean()),
@@ -23,8 +23,8 @@
         (Bound::AtLeast(0.0), Some(f64::INFINITY)),
     ] {
         let mut figures = Figures::default();
-        figures.put("known_s", value, aim);
-        assert!(!figures.all_met(), "{aim:?} {value:?}");
+        figures.put("known_s", value, bound);
+        assert!(!figures.all_met(), "{bound:?} {value:?}");
         let json = figures.json("t", 1).to_string();
         assert_eq!(json, r#"{"trial":"t","seed":1,"known_s":null,"held":false}"#);
         assert!(figures.table().to_string().contains("FELL SHORT"));
--- a/crates/plovershelf-simulation/src/changes.rs
+++ b/crates/plovershelf-simulation/src/changes.rs
@@ -140,10 +140,10 @@
     Change { version, previous: newest, digest: rng.random(), edits, proposed_unix_ms: unix_ms }
 }
 
-/// Simulates a scenario. `struck`, the targets of each fault in the run of another strategy, replaces the targets that would be
+/// Simulates a scenario. `fault_targets`, the targets of each fault in the run of another strategy, replaces the targets that would be
 /// chosen here, so that strategies are compared under the same faults.
-pub fn run<S: Strategy>(scenario: &Scenario, struck: Option<&[Vec<usize>]>) -> RunReport {
-    world::World::<S>::new(scenario.clone()).run(struck)
+pub fn run<S: Strategy>(scenario: &Scenario, fault_targets: Option<&[Vec<usize>]>) -> RunReport {
+    world::World::<S>::new(scenario.clone()).run(fault_targets)
 }
 
 /// Change history of a process without content: the version and the encoded length of each change.
--- a/crates/plovershelf-simulation/src/changes/results.rs
+++ b/crates/plovershelf-simulation/src/changes/results.rs
@@ -75,7 +75,7 @@
     /// Number of violations per promise.
     pub broken_count: std::collections::BTreeMap<&'static str, u64>,
     /// Targets of each fault.
-    pub struck: Vec<Vec<usize>>,
+    pub fault_targets: Vec<Vec<usize>>,
     /// Number of simulated events.
     pub events: u64,
     /// Descriptions of the first late changes.
--- a/crates/plovershelf-simulation/src/changes/world.rs
+++ b/crates/plovershelf-simulation/src/changes/world.rs
@@ -133,7 +133,7 @@
     /// First digest observed for each version.
     digests: BTreeMap<Version, u128>,
     /// Targets of each fault.
-    struck: Vec<Vec<usize>>,
+    fault_targets: Vec<Vec<usize>>,
     /// Buffer for the messages of one process, reused to avoid allocations.
     send: Vec<(usize, S::Message)>,
     results: RunReport,
@@ -172,7 +172,7 @@
         World {
             processes: (0..fleet.process_count()).map(process).collect(),
             rng: Pcg32::seed_from_u64(scenario.seed ^ 0x77e5),
-            struck: vec![Vec::new(); scenario.steps.len()],
+            fault_targets: vec![Vec::new(); scenario.steps.len()],
             queue: Queue::default(),
             last_arrival: BTreeMap::new(),
             newest: None,
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Runs the scenario and returns the results. `struck` replaces the targets that would be selected for each fault.
-    pub fn run(mut self, struck: Option<&[Vec<usize>]>) -> RunReport {
+    /// Runs the scenario and returns the results. `fault_targets` replaces the targets that would be selected for each fault.
+    pub fn run(mut self, fault_targets: Option<&[Vec<usize>]>) -> RunReport {
         for index in 0..self.processes.len() {
             let at = if index < ORIGINS { 0.0 } else { self.rng.random_range(0.0..START_SPREAD_MS) };
             self.queue.schedule(at, SimulationEvent::Start(index));
@@ -207,12 +207,12 @@
                 break;
             }
             self.results.events += 1;
-            self.handle_event(event, struck);
+            self.handle_event(event, fault_targets);
         }
         self.into_results()
     }
 
-    fn handle_event(&mut self, event: SimulationEvent<S::Message>, struck: Option<&[Vec<usize>]>) {
+    fn handle_event(&mut self, event: SimulationEvent<S::Message>, fault_targets: Option<&[Vec<usize>]>) {
         let now = self.queue.now();
         match event {
             SimulationEvent::Message { from, to, from_incarnation, to_incarnation, message } => {
@@ -272,7 +272,7 @@
                 self.process_output(to);
             }
             SimulationEvent::Start(index) => self.start(index),
-            SimulationEvent::FaultBegins(number) => self.begin_fault(number, struck),
+            SimulationEvent::FaultBegins(number) => self.begin_fault(number, fault_targets),
             SimulationEvent::FaultEnds(number) => self.end_fault(number),
             SimulationEvent::Propose(edits) => {
                 self.waiting.push_back(edits);
@@ -474,9 +474,9 @@
         (0..self.processes.len()).filter(|index| indexes.binary_search(index).is_err()).collect()
     }
 
-    fn begin_fault(&mut self, number: usize, struck: Option<&[Vec<usize>]>) {
+    fn begin_fault(&mut self, number: usize, fault_targets: Option<&[Vec<usize>]>) {
         let now = self.queue.now();
-        let indexes = match struck.and_then(|struck| struck.get(number)) {
+        let indexes = match fault_targets.and_then(|fault_targets| fault_targets.get(number)) {
             Some(indexes) => indexes.clone(),
             None => self.select_targets(number),
         };
@@ -495,7 +495,7 @@
             Fault::OriginsUnheard => self.cut(&(0..ORIGINS).collect::<Vec<_>>(), &indexes, true, false),
             Fault::Slow => indexes.iter().for_each(|index| self.net.set_delay(*index, Some(SLOW_MS))),
         }
-        self.struck[number] = indexes;
+        self.fault_targets[number] = indexes;
         self.update_reachability();
     }
 
@@ -512,7 +512,7 @@
     }
 
     fn end_fault(&mut self, number: usize) {
-        let indexes = self.struck[number].clone();
+        let indexes = self.fault_targets[number].clone();
         match self.scenario.steps[number].fault {
             Fault::Killed | Fault::MachineLost => indexes.iter().for_each(|index| self.start(*index)),
             Fault::Paused => {
@@ -759,7 +759,7 @@
         }
         let traffic: Vec<Traffic> = self.processes.into_iter().map(|process| process.traffic).collect();
         self.results.spent = summarize(&traffic, ORIGINS, depth);
-        self.results.struck = self.struck;
+        self.results.fault_targets = self.fault_targets;
         self.results
     }
 }
